--- /dev/null
+++ b/packages/measure/src/digest.ts
@@ -0,0 +1,109 @@
+/**
+ * The digest of behaviour: days of the simulated world, generated from fixed seeds, and one hash a day over everything that
+ * its programs sent. A change that must not alter behaviour is held against the digests of the version before.
+ *
+ * @module
+ */
+import { existsSync, readFileSync } from 'node:fs';
+import {
+  COMPANIONS,
+  DAY_MS,
+  LOSSES,
+  MemoryFolder,
+  TrafficDigest,
+  accompany,
+  drawMeeting,
+  drawUsers,
+  lose,
+  nextChangeId,
+  propose,
+  smallWorld,
+  trouble,
+} from '@spurbridge/testkit';
+import type { World, WorldOptions } from '@spurbridge/testkit';
+import { parallel } from './parallel.js';
+
+/** The digests that the sources are held against. */
+export const EXPECTED_DIGESTS = 'docs/digest.json';
+const LOSS_AT_MS = 60_000;
+const SNAPSHOTS_EVERY_MS = 10_000;
+const MOST_COMBINED = 4;
+const CONFIGURATION_CHANGES_AT_MS = [30_000, 50_000, 70_000] as const;
+
+/** One day of the digest: what goes wrong in it, and the seed that everything else is drawn from. */
+export interface DigestDay {
+  readonly name: string;
+  readonly kind: 'faults' | 'combined' | 'loss' | 'configuration';
+  readonly seed: number;
+}
+
+const DAYS: readonly DigestDay[] = [
+  { name: 'quiet', kind: 'faults', seed: 0 },
+  ...[1, 2, 3, 4].map((seed) => ({ name: `faults ${seed}`, kind: 'faults' as const, seed })),
+  ...[11, 12, 13, 14].map((seed) => ({ name: `combined faults ${seed}`, kind: 'combined' as const, seed })),
+  ...[21, 22, 23, 24].map((seed) => ({ name: `store loses data ${seed}`, kind: 'loss' as const, seed })),
+  ...[31, 32].map((seed) => ({
+    name: `configuration changes ${seed}`,
+    kind: 'configuration' as const,
+    seed,
+  })),
+];
+
+function prepare(world: World, { kind, seed }: DigestDay): void {
+  drawUsers(world);
+  switch (kind) {
+    case 'faults':
+      for (let n = 0; n < seed; n += 1) trouble(world);
+      return;
+    case 'combined':
+      drawMeeting(world, MOST_COMBINED);
+      return;
+    case 'loss': {
+      const loss = LOSSES[seed % LOSSES.length] ?? 'emptied';
+      lose(world, loss, LOSS_AT_MS);
+      accompany(world, COMPANIONS[seed % COMPANIONS.length] ?? 'nothing', loss, LOSS_AT_MS);
+      return;
+    }
+    case 'configuration':
+      trouble(world);
+  }
+}
+
+async function changeConfiguration(world: World): Promise<void> {
+  for (const [n, atMs] of CONFIGURATION_CHANGES_AT_MS.entries()) {
+    await world.run(atMs);
+    const cpus = 16 + 2 * n;
+    await propose(world, n, [{ team: 'red', cpus }], nextChangeId());
+  }
+}
+
+/** Plays one day; its digest. */
+export async function digestPart(day: DigestDay): Promise<string> {
+  const traffic = new TrafficDigest();
+  const options: Partial<WorldOptions> =
+    day.kind === 'loss'
+      ? { traffic, snapshots: { folder: new MemoryFolder(), everyMs: SNAPSHOTS_EVERY_MS } }
+      : { traffic };
+  const world = smallWorld(day.seed, options);
+  prepare(world, day);
+  if (day.kind === 'configuration') await changeConfiguration(world);
+  await world.run(DAY_MS);
+  return traffic.finish();
+}
+
+function readExpected(): Readonly<Record<string, string>> {
+  if (!existsSync(EXPECTED_DIGESTS)) return {};
+  return JSON.parse(readFileSync(EXPECTED_DIGESTS, 'utf8')) as Record<string, string>;
+}
+
+/** Plays all days and says which have another digest than expected; any that has makes the process exit with 1. */
+export async function measureDigest(say: (line: string) => void): Promise<Record<string, string>> {
+  const digests = (await parallel('digest', DAYS, () => undefined)) as string[];
+  const found = Object.fromEntries(DAYS.map((day, n) => [day.name, digests[n] ?? '']));
+  const expected = readExpected();
+  const moved = DAYS.filter(({ name }) => found[name] !== expected[name]);
+  for (const { name } of moved) say(`moved: ${name}: ${expected[name] ?? 'none'} -> ${found[name] ?? ''}`);
+  say(`${DAYS.length - moved.length} of ${DAYS.length} days as expected`);
+  if (moved.length > 0) process.exitCode = 1;
+  return found;
+}
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -2,6 +2,8 @@
 import { Command } from 'commander';
 import type { ConfigurationPart } from './configuration.js';
 import { configurationPart, measureConfiguration } from './configuration.js';
+import type { DigestDay } from './digest.js';
+import { digestPart, measureDigest } from './digest.js';
 import type { GraphsPart } from './graphs.js';
 import { graphsPart, measureGraphs } from './graphs.js';
 import type { PlansPart } from './plans.js';
@@ -45,6 +47,11 @@
     all: measureShares,
     part: (p) => sharesPart(p as SharesPart),
   },
+  digest: {
+    what: 'whether the programs behave as before: a hash over all that they send on generated days',
+    all: measureDigest,
+    part: (p) => digestPart(p as DigestDay),
+  },
   'state-loss': {
     what: 'losses of the state service: noticing, rebuilding, what is lost, what it costs',
     all: measureStateLoss,
--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -6,6 +6,7 @@
 export * from './state.js';
 export * from './checker.js';
 export * from './world.js';
+export * from './traffic-digest.js';
 export * from './users.js';
 export * from './fixtures.js';
 export * from './feed.js';
--- a/packages/testkit/src/state.ts
+++ b/packages/testkit/src/state.ts
@@ -221,7 +221,16 @@
     if (tooLong || tooMany || total > MOST_TRANSACTION) this.oversized += 1;
   }
 
+  /** Is told of every transaction that reached the store, when it has been carried out or refused. */
+  committed: CommitListener | null = null;
+
   commit(conditions: readonly Condition[], changes: readonly Change[]): CommitOutcome {
+    const outcome = this.execute(conditions, changes);
+    this.committed?.(conditions, changes, outcome);
+    return outcome;
+  }
+
+  private execute(conditions: readonly Condition[], changes: readonly Change[]): CommitOutcome {
     this.expire();
     this.measure(conditions, changes);
     const failed = conditions
@@ -339,6 +348,13 @@
   }
 }
 
+/** Is told of a transaction and what came of it. */
+export type CommitListener = (
+  conditions: readonly Condition[],
+  changes: readonly Change[],
+  outcome: CommitOutcome,
+) => void;
+
 /** All that the state service knows at one moment. */
 export interface Checkpoint {
   readonly entries: ReadonlyMap<string, Entry>;
--- a/packages/testkit/src/users.ts
+++ b/packages/testkit/src/users.ts
@@ -1,6 +1,6 @@
 import type { Answer } from '@spurbridge/controller';
 import type { JobId, JobSpec } from '@spurbridge/wire';
-import { formatSubmission } from '@spurbridge/wire';
+import { formatStatus, formatSubmission } from '@spurbridge/wire';
 import { jobId } from './fixtures.js';
 import type { World } from './world.js';
 
@@ -78,6 +78,7 @@
     const answer =
       call === 'submit' ? jobs.submit(body) : call === 'cancel' ? jobs.cancel(spec.id) : jobs.status(spec.id);
     void answer.then((a) => {
+      w.observe('user-response', target.name, USER_HOST, [call, spec.id, a.code, bodyOf(a)]);
       w.network.send(target.name, USER_HOST, () => {
         const knownAt = this.watched.has(spec.id) ? sentAt : w.time.now;
         const isNews = w.checker.told(spec.id, call, a.code, 'status' in a ? a.status.phase : null, knownAt);
@@ -155,6 +156,11 @@
   }
 }
 
+/** The body of an answer as it is sent; the texts of errors are for people and may change. */
+function bodyOf(a: Answer): unknown {
+  return 'status' in a ? formatStatus(a.status) : null;
+}
+
 function isFinal(a: Answer): boolean {
   return 'status' in a && (a.status.phase === 'cancelled' || a.status.phase === 'done');
 }
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -19,7 +19,16 @@
 } from '@spurbridge/wire';
 import type { Folder } from '@spurbridge/snapshot';
 import { Shelf, keepSnapshots } from '@spurbridge/snapshot';
-import { decodePeerMessage, encodePeerMessage } from '@spurbridge/wire';
+import {
+  decodePeerMessage,
+  encodePeerMessage,
+  formatCommands,
+  formatCommit,
+  formatRelease,
+  formatRental,
+  formatReport,
+  formatReportAnswer,
+} from '@spurbridge/wire';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { RuleChecker } from './checker.js';
@@ -31,6 +40,7 @@
 import { SimState, SimStore, STATE_HOST } from './state.js';
 import type { ReportOutcome, WorkerHost } from '@spurbridge/hollow';
 import { GangRegistry, HollowWorker } from '@spurbridge/hollow';
+import type { TrafficEvent, TrafficObserver } from './traffic-digest.js';
 import { USUAL_POLL_MS, Users } from './users.js';
 
 export const CLOUD_HOST = 'cloud';
@@ -56,6 +66,8 @@
   readonly leaseS: number;
   readonly cancelS: number;
   readonly log?: Log;
+  /** Is told of all that the programs send. */
+  readonly traffic?: TrafficObserver;
   readonly gangWaitS?: number;
   /** Requests and changes a second that the state service takes. */
   readonly stateLimits?: StateLimits;
@@ -106,6 +118,11 @@
     this.network = new SimNetwork(this.time, (below) => this.random(below));
     this.faults = new Faults((below) => this.random(below), o.leaseS * 1000);
     this.state = new SimState(this.time, o.stateLimits ?? AMPLE, this.faults);
+    if (o.traffic !== undefined)
+      this.state.committed = (conditions, changes, { outcome }) => {
+        const payload = [formatCommit(conditions, changes), outcome, this.state.now()];
+        this.observe('transaction', 'controller', STATE_HOST, payload);
+      };
     this.cloud = new SimCloud(this.time, {
       types: o.types,
       capacity: o.capacity,
@@ -150,6 +167,11 @@
     return below <= 0 ? 0 : uniformInt(this.generator, 0, below - 1);
   }
 
+  /** Tells the observer of the traffic, where there is one. */
+  observe(kind: TrafficEvent['kind'], from: string, to: string, payload: unknown): void {
+    this.o.traffic?.observe({ atMs: this.time.now, kind, from, to, payload });
+  }
+
   private settings(name: NodeId, zone: string): Settings {
     return {
       node: name,
@@ -296,6 +318,7 @@
       const target = this.alive(to);
       if (target === null || this.refusedLinks.has(SimNetwork.pair(name, to))) return false;
       const frame = encodePeerMessage(this.earlier.has(name) ? asBefore(message) : message);
+      this.observe('peer-frame', name, to, Buffer.from(frame).toString('hex'));
       this.back.frames += 1;
       this.back.bytes += frame.length;
       this.network.send(name, to, () => {
@@ -349,12 +372,17 @@
     const by = `${host}-${this.incarnations}`;
     return {
       types: async () => this.network.call(host, CLOUD_HOST, 4000, () => this.cloud.types),
-      rent: async (q: RentalRequest): Promise<RentOutcome> =>
-        (await this.network.call<RentOutcome>(host, CLOUD_HOST, 4000, () => this.cloud.rent(q, by))) ?? {
-          outcome: 'unknown',
-        },
-      release: async (ids: readonly MachineId[]) =>
-        (await this.network.call(host, CLOUD_HOST, 4000, () => this.cloud.release(ids))) === true,
+      rent: async (q: RentalRequest): Promise<RentOutcome> => {
+        this.observe('rental', host, CLOUD_HOST, formatRental(q));
+        const outcome = await this.network.call<RentOutcome>(host, CLOUD_HOST, 4000, () =>
+          this.cloud.rent(q, by),
+        );
+        return outcome ?? { outcome: 'unknown' };
+      },
+      release: async (ids: readonly MachineId[]) => {
+        this.observe('release', host, CLOUD_HOST, formatRelease(ids));
+        return (await this.network.call(host, CLOUD_HOST, 4000, () => this.cloud.release(ids))) === true;
+      },
       list: async () => this.network.call(host, CLOUD_HOST, 4000, () => this.cloud.list()),
     };
   }
@@ -410,6 +438,7 @@
   }
 
   private report(worker: HollowWorker, node: string, report: WorkerReport): Promise<ReportOutcome | null> {
+    this.observe('heartbeat', worker.id, node, formatReport(report));
     return new Promise((resolve) => {
       this.time.after(4000, () => {
         resolve(null);
@@ -431,6 +460,7 @@
         const target = this.alive(node);
         if (target === null) return;
         void Promise.resolve(target.controller.report(report)).then((answer) => {
+          this.observe('heartbeat-response', node, worker.id, heartbeatResponse(answer));
           if (!target.clock.alive || this.faults.deaf.has(worker.id)) return;
           this.network.send(node, worker.id, () => {
             resolve(answer);
@@ -478,6 +508,7 @@
       commands: readonly WorkerCommand[],
     ): Promise<DirectOutcome> => {
       const worker = this.workers.get(address as MachineId);
+      this.observe('commands', host, address, formatCommands(token, session, commands));
       if (worker === undefined) return { outcome: 'unsent' };
       return new Promise((resolve) => {
         this.time.after(2000, () => {
@@ -488,6 +519,7 @@
           this.network.send(host, address, () => {
             if (this.faults.deaf.has(worker.id)) return;
             worker.commands(token, session, commands, (executed, report) => {
+              this.observe('commands-response', address, host, [executed, formatReport(report)]);
               this.network.afterwards(held.back, () => {
                 this.network.send(address, host, () => {
                   resolve({ outcome: executed ? 'executed' : 'rejected', report });
@@ -544,6 +576,12 @@
   }
 }
 
+/** An answer to a heartbeat as it is sent. */
+function heartbeatResponse(answer: ReportOutcome): unknown {
+  if (answer.code === 200) return formatReportAnswer(answer.token, answer.commands);
+  return answer.code === 421 ? [421, answer.leader] : [503];
+}
+
 /** What is left of a message for a node of a version before shares. */
 function asBefore({ status, progress }: PeerMessage): PeerMessage {
   const known = {
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,3 +1,4 @@
+export * from './errors.js';
 export * from './ids.js';
 export * from './users.js';
 export * from './workers.js';
