--- a/packages/cloud/src/index.ts
+++ b/packages/cloud/src/index.ts
@@ -1,54 +1,54 @@
-import type { Clock, Urgency } from '@spurbridge/net';
-import { Budget, JsonClient } from '@spurbridge/net';
+import type { Clock, RequestPriority } from '@spurbridge/net';
+import { RateLimiter, JsonClient } from '@spurbridge/net';
 import type { ListedMachine, MachineId, MachineType, RentalRequest } from '@spurbridge/wire';
 import {
   PATHS,
-  formatRelease,
-  formatRental,
+  formatReleaseRequest,
+  formatRentalRequest,
   parseMachineList,
-  parseRental,
-  parseTypes,
+  parseRentalResponse,
+  parseMachineTypes,
 } from '@spurbridge/wire';
 
-export type RentOutcome =
+export type RentalOutcome =
   | { readonly outcome: 'rented'; readonly machines: readonly MachineId[] }
   | { readonly outcome: 'no_capacity' }
   | { readonly outcome: 'refused' }
   | { readonly outcome: 'unknown' };
 
 /** The rental service as the controllers use it; the stand-in of `testkit` implements it too. */
-export interface Cloud {
-  types(): Promise<readonly MachineType[] | null>;
-  rent(request: RentalRequest): Promise<RentOutcome>;
+export interface CloudProvider {
+  listMachineTypes(): Promise<readonly MachineType[] | null>;
+  rent(request: RentalRequest): Promise<RentalOutcome>;
   /** True once the machines and everything on them are surely gone. */
-  release(machines: readonly MachineId[], urgency: Urgency): Promise<boolean>;
-  list(): Promise<readonly ListedMachine[] | null>;
+  release(machines: readonly MachineId[], urgency: RequestPriority): Promise<boolean>;
+  listMachines(): Promise<readonly ListedMachine[] | null>;
 }
 
 const ANSWER_MS = 4000;
-export const MAX_RENT = 50;
-export const MAX_RELEASE = 100;
+export const MAX_MACHINES_PER_RENTAL = 50;
+export const MAX_MACHINES_PER_RELEASE = 100;
 const PAGE = 500;
 
-export class HttpCloud implements Cloud {
+export class HttpCloudProvider implements CloudProvider {
   private readonly client: JsonClient;
-  private readonly budget: Budget;
+  private readonly budget: RateLimiter;
 
   constructor(address: string, rps: number, clock: Clock) {
     this.client = new JsonClient(address, 8);
-    this.budget = new Budget(clock, rps * 0.8, rps * 1.5);
+    this.budget = new RateLimiter(clock, rps * 0.8, rps * 1.5);
   }
 
-  async types(): Promise<readonly MachineType[] | null> {
-    const answer = await this.call('GET', PATHS.types, undefined, 1);
-    return answer?.status === 200 ? parseTypes(answer.body) : null;
+  async listMachineTypes(): Promise<readonly MachineType[] | null> {
+    const answer = await this.call('GET', PATHS.machineTypes, undefined, 1);
+    return answer?.status === 200 ? parseMachineTypes(answer.body) : null;
   }
 
-  async rent(request: RentalRequest): Promise<RentOutcome> {
-    if (!this.budget.take(1, 2)) return { outcome: 'refused' };
+  async rent(request: RentalRequest): Promise<RentalOutcome> {
+    if (!this.budget.tryAcquire(1, 2)) return { outcome: 'refused' };
     try {
-      const answer = await this.client.call('POST', PATHS.rentals, formatRental(request), ANSWER_MS);
-      if (answer.status === 200) return { outcome: 'rented', machines: parseRental(answer.body) };
+      const answer = await this.client.call('POST', PATHS.rentals, formatRentalRequest(request), ANSWER_MS);
+      if (answer.status === 200) return { outcome: 'rented', machines: parseRentalResponse(answer.body) };
       const error = (answer.body as { error?: unknown } | null)?.error;
       if (answer.status === 503 && error === 'no capacity') return { outcome: 'no_capacity' };
       if (answer.status === 429) this.budget.drain();
@@ -58,12 +58,12 @@
     }
   }
 
-  async release(machines: readonly MachineId[], urgency: Urgency): Promise<boolean> {
-    const answer = await this.call('POST', PATHS.release, formatRelease(machines), urgency);
+  async release(machines: readonly MachineId[], urgency: RequestPriority): Promise<boolean> {
+    const answer = await this.call('POST', PATHS.release, formatReleaseRequest(machines), urgency);
     return answer?.status === 200;
   }
 
-  async list(): Promise<readonly ListedMachine[] | null> {
+  async listMachines(): Promise<readonly ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     for (let from = ''; ;) {
       const path = `${PATHS.rentals}?${from === '' ? '' : `from=${from}&`}most=${PAGE}`;
@@ -81,9 +81,9 @@
     method: 'GET' | 'POST',
     path: string,
     body: unknown,
-    urgency: Urgency,
+    urgency: RequestPriority,
   ): Promise<{ status: number; body: unknown } | null> {
-    if (!this.budget.take(1, urgency)) return null;
+    if (!this.budget.tryAcquire(1, urgency)) return null;
     try {
       const answer = await this.client.call(method, path, body, ANSWER_MS);
       if (answer.status === 429) this.budget.drain();
--- a/packages/configuration/src/change.ts
+++ b/packages/configuration/src/change.ts
@@ -7,10 +7,10 @@
   GuaranteeBound,
   TeamChange,
 } from './types.js';
-import { RefusedChangeError } from './types.js';
+import { InvalidChangeError } from './types.js';
 
 /** One value that a change sets, as people read it. */
-export interface Difference {
+export interface FieldChange {
   readonly path: string;
   readonly from: string;
   readonly to: string;
@@ -47,12 +47,12 @@
     const isLimit = field === 'cpusMax' || field === 'gpusMax';
     const amount = team[field];
     if (!(amount >= 0) || (amount === Infinity && !isLimit))
-      throw new RefusedChangeError(`teams.${team.name}.${field}`, 'expected a finite amount of at least 0');
+      throw new InvalidChangeError(`teams.${team.name}.${field}`, 'expected a finite amount of at least 0');
   }
   if (team.cpus > team.cpusMax + EPSILON)
-    throw new RefusedChangeError(`teams.${team.name}.cpus`, 'the guarantee is above the limit');
+    throw new InvalidChangeError(`teams.${team.name}.cpus`, 'the guarantee is above the limit');
   if (team.gpus > team.gpusMax + EPSILON)
-    throw new RefusedChangeError(`teams.${team.name}.gpus`, 'the guarantee is above the limit');
+    throw new InvalidChangeError(`teams.${team.name}.gpus`, 'the guarantee is above the limit');
 }
 
 /** Guarantees of retired teams count, too: what they were accepted for still runs. */
@@ -60,7 +60,7 @@
   for (const kind of ['cpus', 'gpus'] as const) {
     const sum = teams.reduce((s, t) => s + t[kind], 0);
     if (sum > bound[kind] + EPSILON)
-      throw new RefusedChangeError(
+      throw new InvalidChangeError(
         `teams.${kind}`,
         `guarantees of ${sum} exceed the bound of ${bound[kind]}`,
       );
@@ -92,8 +92,8 @@
   return { version: (before.version + 1) as ConfigurationVersion, teams: all, objectives };
 }
 
-function teamDifferences(from: ConfiguredTeam | undefined, to: ConfiguredTeam): Difference[] {
-  const found: Difference[] = [];
+function teamDifferences(from: ConfiguredTeam | undefined, to: ConfiguredTeam): FieldChange[] {
+  const found: FieldChange[] = [];
   for (const field of AMOUNTS)
     if (from?.[field] !== to[field])
       found.push({
@@ -111,7 +111,7 @@
 }
 
 /** What differs between two versions; teams are never removed. */
-export function differences(from: Configuration, to: Configuration): Difference[] {
+export function diffConfigurations(from: Configuration, to: Configuration): FieldChange[] {
   const known = new Map(from.teams.map((t) => [t.name, t]));
   const found = to.teams.flatMap((t) =>
     known.get(t.name) === t ? [] : teamDifferences(known.get(t.name), t),
--- a/packages/configuration/src/client.ts
+++ b/packages/configuration/src/client.ts
@@ -1,8 +1,8 @@
 import { randomUUID } from 'node:crypto';
-import type { HttpAnswer } from '@spurbridge/net';
-import { JsonClient, NoAnswerError } from '@spurbridge/net';
+import type { HttpResponse } from '@spurbridge/net';
+import { JsonClient, NoResponseError } from '@spurbridge/net';
 import { read } from '@spurbridge/wire';
-import type { Difference } from './change.js';
+import type { FieldChange } from './change.js';
 import type { HistoryEntry } from './records.js';
 import { formatChange } from './requests.js';
 import type { ConfigurationChange } from './types.js';
@@ -21,28 +21,28 @@
 const TRIES = 8;
 
 /** No node answers, or none can say. */
-export class UnreachableError extends Error {}
+export class NoNodeAvailableError extends Error {}
 
 /** The version that the author saw is not the newest. */
 export class StaleVersionError extends Error {
-  constructor(readonly version: number) {
-    super(`version ${version} is the newest: look at it, and ask again`);
+  constructor(readonly newestVersion: number) {
+    super(`version ${newestVersion} is the newest: look at it, and ask again`);
   }
 }
 
 /** The change was refused; the message names the field. */
-export class ChangeRefusedError extends Error {}
+export class ChangeRejectedError extends Error {}
 
-export interface ShownConfiguration {
+export interface ConfigurationResponse {
   readonly version: number;
   readonly teams: readonly Record<string, unknown>[];
   readonly objectives: readonly Record<string, unknown>[];
 }
 
-export interface Applied {
+export interface AppliedChange {
   readonly outcome: string;
   readonly version: number;
-  readonly differences: readonly Difference[];
+  readonly differences: readonly FieldChange[];
 }
 
 export interface NodeVersion {
@@ -53,13 +53,13 @@
 }
 
 /** Which nodes had not taken a version in by the end, and how long the others took. */
-export interface InForce {
-  readonly lagging: readonly NodeVersion[];
-  readonly afterMs: number;
+export interface RolloutResult {
+  readonly laggingNodes: readonly NodeVersion[];
+  readonly elapsedMs: number;
 }
 
 /** The operators' calls, to whichever of the nodes answers. */
-export class ConfigClient {
+export class ConfigurationClient {
   private readonly clients: JsonClient[];
 
   constructor(
@@ -75,22 +75,22 @@
   }
 
   /** Asks one node after another until one says something final. */
-  private async ask(method: 'GET' | 'POST', path: string, body?: unknown): Promise<HttpAnswer> {
+  private async ask(method: 'GET' | 'POST', path: string, body?: unknown): Promise<HttpResponse> {
     for (let n = 0; n < TRIES; n += 1) {
       const client = this.clients[n % this.clients.length] as JsonClient;
       try {
         const answer = await client.call(method, path, body, ANSWER_MS);
         if (answer.status < 500) return answer;
       } catch (e) {
-        if (!(e instanceof NoAnswerError)) throw e;
+        if (!(e instanceof NoResponseError)) throw e;
       }
       await this.sleep(RETRY_MS);
     }
-    throw new UnreachableError('no node answers, or none can ask the state service');
+    throw new NoNodeAvailableError('no node answers, or none can ask the state service');
   }
 
-  async show(): Promise<ShownConfiguration> {
-    return (await this.ask('GET', CONFIGURATION_PATHS.current)).body as ShownConfiguration;
+  async show(): Promise<ConfigurationResponse> {
+    return (await this.ask('GET', CONFIGURATION_PATHS.current)).body as ConfigurationResponse;
   }
 
   async history(): Promise<readonly HistoryEntry[]> {
@@ -109,7 +109,7 @@
     author: string,
     isDryRun: boolean,
     base?: number,
-  ): Promise<Applied> {
+  ): Promise<AppliedChange> {
     const answer = await this.ask('POST', CONFIGURATION_PATHS.changes, {
       base: base ?? (await this.show()).version,
       changeId: randomUUID(),
@@ -117,19 +117,19 @@
       changes: changes.map(formatChange),
       dryRun: isDryRun,
     });
-    if (answer.status === 200) return answer.body as Applied;
+    if (answer.status === 200) return answer.body as AppliedChange;
     const o = read.asObject(answer.body, 'body');
     if (answer.status === 409) throw new StaleVersionError(read.count(o, 'version'));
-    throw new ChangeRefusedError(read.str(o, 'error'));
+    throw new ChangeRejectedError(read.string(o, 'error'));
   }
 
   /** Waits until the version is in force on every node, or the time is over. */
-  async inForce(version: number, withinMs: number): Promise<InForce> {
+  async waitForRollout(version: number, withinMs: number): Promise<RolloutResult> {
     const began = performance.now();
     for (;;) {
       const lagging = (await this.status()).filter((n) => n.version === null || n.version < version);
       const afterMs = performance.now() - began;
-      if (lagging.length === 0 || afterMs >= withinMs) return { lagging, afterMs };
+      if (lagging.length === 0 || afterMs >= withinMs) return { laggingNodes: lagging, elapsedMs: afterMs };
       await this.sleep(STATUS_EVERY_MS);
     }
   }
--- a/packages/configuration/src/editor.ts
+++ b/packages/configuration/src/editor.ts
@@ -1,15 +1,15 @@
 import type { Clock } from '@spurbridge/net';
-import type { StateStore } from '@spurbridge/store';
-import type { Change, Condition, Item } from '@spurbridge/wire';
-import { ABSENT, MalformedError } from '@spurbridge/wire';
-import type { Difference } from './change.js';
-import { applyChanges, differences } from './change.js';
-import { pageOf, paged, pagesFor } from './paging.js';
-import type { Head, HistoryEntry, StoredConfiguration, TeamPage } from './records.js';
+import type { KeyValueStore } from '@spurbridge/store';
+import type { Mutation, Compare, KeyValue } from '@spurbridge/wire';
+import { KEY_ABSENT, ValidationError } from '@spurbridge/wire';
+import type { FieldChange } from './change.js';
+import { applyChanges, diffConfigurations } from './change.js';
+import { pageIndexOf, groupIntoPages, initialPageCount } from './paging.js';
+import type { ConfigurationHead, HistoryEntry, StoredConfiguration, TeamPage } from './records.js';
 import {
   CONFIGURATION_PREFIX,
   HEAD_KEY,
-  MixedVersionsError,
+  InconsistentRecordsError,
   OBJECTIVES_KEY,
   decodeHistory,
   encodeHead,
@@ -21,10 +21,10 @@
   readConfiguration,
 } from './records.js';
 import type { Configuration, ConfigurationChange, ConfigurationVersion, GuaranteeBound } from './types.js';
-import { RefusedChangeError } from './types.js';
+import { InvalidChangeError } from './types.js';
 
 /** Segments of the history; with 1,300 changes a day and some sixty in a segment they hold about a day. */
-export const HISTORY_SEGMENTS = 24;
+export const HISTORY_SEGMENT_COUNT = 24;
 /** Differences of one change that are kept one by one. */
 const MOST_DIFFERENCES = 40;
 const HISTORY_SHARE = 0.75;
@@ -41,7 +41,7 @@
 /** What an author asks for. */
 export interface Proposal {
   /** The version that the author saw. */
-  readonly base: ConfigurationVersion;
+  readonly baseVersion: ConfigurationVersion;
   /** Drawn by the author once for the change, and the same when it is sent again. */
   readonly changeId: string;
   readonly author: string;
@@ -54,52 +54,56 @@
   | {
       readonly outcome: 'committed' | 'known' | 'dry run' | 'unchanged';
       readonly version: ConfigurationVersion;
-      readonly differences: readonly Difference[];
+      readonly differences: readonly FieldChange[];
     }
   | { readonly outcome: 'conflict'; readonly version: ConfigurationVersion }
   | { readonly outcome: 'refused'; readonly field: string; readonly reason: string }
   /** Not known whether it was made; asked again with the same id it is not made twice. */
   | { readonly outcome: 'unsure' };
 
-export interface EditorParts {
-  readonly store: StateStore;
+export interface ConfigurationEditorOptions {
+  readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly wallNow: () => number;
   readonly limits: { readonly valueKb: number; readonly txnOps: number };
   /** What the settings file states: holds as long as no change was made. */
-  readonly file: Configuration;
-  readonly bound: GuaranteeBound;
+  readonly settingsFile: Configuration;
+  readonly guaranteeBound: GuaranteeBound;
 }
 
-interface Loaded {
+interface LoadedRecords {
   readonly stored: StoredConfiguration | null;
   readonly history: HistoryEntry[];
-  readonly items: ReadonlyMap<string, Item>;
+  readonly items: ReadonlyMap<string, KeyValue>;
 }
 
 /** Makes changes of the configuration: each is one commit on the version that its author saw. */
 export class ConfigurationEditor {
-  constructor(private readonly p: EditorParts) {}
+  constructor(private readonly p: ConfigurationEditorOptions) {}
 
   async propose(proposal: Proposal): Promise<ProposalOutcome> {
     const loaded = await this.load();
     if (loaded === null) return { outcome: 'unsure' };
-    const before = loaded.stored?.configuration ?? this.p.file;
+    const before = loaded.stored?.configuration ?? this.p.settingsFile;
     const known = loaded.history.find((e) => e.changeId === proposal.changeId);
     if (known !== undefined)
       return { outcome: 'known', version: known.version, differences: known.differences };
-    if (before.version !== proposal.base) return { outcome: 'conflict', version: before.version };
+    if (before.version !== proposal.baseVersion) return { outcome: 'conflict', version: before.version };
     try {
       return await this.change(loaded, before, proposal);
     } catch (e) {
-      if (!(e instanceof RefusedChangeError)) throw e;
+      if (!(e instanceof InvalidChangeError)) throw e;
       return { outcome: 'refused', field: e.field, reason: e.message };
     }
   }
 
-  private async change(loaded: Loaded, before: Configuration, proposal: Proposal): Promise<ProposalOutcome> {
-    const next = applyChanges(before, proposal.changes, this.p.bound);
-    const found = differences(before, next);
+  private async change(
+    loaded: LoadedRecords,
+    before: Configuration,
+    proposal: Proposal,
+  ): Promise<ProposalOutcome> {
+    const next = applyChanges(before, proposal.changes, this.p.guaranteeBound);
+    const found = diffConfigurations(before, next);
     if (found.length === 0) return { outcome: 'unchanged', version: before.version, differences: [] };
     const { conditions, changes } = this.transaction(loaded, before, next, proposal, found);
     if (proposal.isDryRun) return { outcome: 'dry run', version: before.version, differences: found };
@@ -122,16 +126,16 @@
   }
 
   /** All records, oldest history first; null where they cannot be read now. */
-  async load(): Promise<Loaded | null> {
+  async load(): Promise<LoadedRecords | null> {
     for (let n = 0; n < TRIES; n += 1) {
       const listed = await this.p.store.list(CONFIGURATION_PREFIX, URGENCY);
       if (listed.outcome !== 'listed') return null;
       const items = new Map(listed.items.map((i) => [i.key, i]));
       try {
         const stored = readConfiguration((key) => items.get(key));
-        return { stored, history: historyOf(items), items };
+        return { stored, history: readHistory(items), items };
       } catch (e) {
-        if (!(e instanceof MixedVersionsError) && !(e instanceof MalformedError)) throw e;
+        if (!(e instanceof InconsistentRecordsError) && !(e instanceof ValidationError)) throw e;
         await this.p.clock.sleep(RETRY_MS);
       }
     }
@@ -144,12 +148,12 @@
 
   /** The records that the change writes, with what each is conditioned on; refuses what does not fit one commit. */
   private transaction(
-    loaded: Loaded,
+    loaded: LoadedRecords,
     before: Configuration,
     next: Configuration,
     proposal: Proposal,
-    found: readonly Difference[],
-  ): { conditions: Condition[]; changes: Change[] } {
+    found: readonly FieldChange[],
+  ): { conditions: Compare[]; changes: Mutation[] } {
     const { stored, items } = loaded;
     const pages = this.pagesOf(stored, before, next);
     const written = new Map<string, unknown>();
@@ -167,7 +171,7 @@
       differences: found.slice(0, MOST_DIFFERENCES),
       more: Math.max(0, found.length - MOST_DIFFERENCES),
     });
-    const head: Head = {
+    const head: ConfigurationHead = {
       version: next.version,
       pages: pages.map((page) => page.version),
       objectives: isNewObjectives ? next.version : (stored.head.objectives satisfies ConfigurationVersion),
@@ -178,7 +182,7 @@
     this.checkSizes(written);
     const conditions = [...written.keys()].map((key) => ({
       key,
-      version: items.get(key)?.version ?? ABSENT,
+      version: items.get(key)?.version ?? KEY_ABSENT,
     }));
     return { conditions, changes: [...written].map(([put, value]) => ({ put, value })) };
   }
@@ -193,8 +197,8 @@
     const changed = next.teams.filter((t) => known.get(t.name) !== t);
     if (stored !== null) {
       const count = stored.pages.length;
-      const touched = new Set(changed.map((t) => pageOf(t.name, count)));
-      const teams = paged(next.teams, count);
+      const touched = new Set(changed.map((t) => pageIndexOf(t.name, count)));
+      const teams = groupIntoPages(next.teams, count);
       const pages = stored.pages.map((page, n) =>
         touched.has(n) ? { version: next.version, teams: teams[n] ?? [] } : page,
       );
@@ -206,11 +210,11 @@
   private pagedAnew(next: Configuration): TeamPage[] {
     const whole = JSON.stringify(encodePage({ version: next.version, teams: next.teams })).length;
     const most = Math.max(1, this.p.limits.txnOps - OTHER_RECORDS - SPARE_CHANGES);
-    for (let count = Math.min(most, pagesFor(whole, this.valueBytes)); count <= most; count += 1) {
-      const pages = paged(next.teams, count).map((teams) => ({ version: next.version, teams }));
+    for (let count = Math.min(most, initialPageCount(whole, this.valueBytes)); count <= most; count += 1) {
+      const pages = groupIntoPages(next.teams, count).map((teams) => ({ version: next.version, teams }));
       if (pages.every((page) => this.fits(page))) return pages;
     }
-    throw new RefusedChangeError('teams', `${next.teams.length} teams do not fit ${most} records`);
+    throw new InvalidChangeError('teams', `${next.teams.length} teams do not fit ${most} records`);
   }
 
   private fits(page: TeamPage): boolean {
@@ -218,7 +222,7 @@
   }
 
   /** Adds the change to the history's newest segment, or begins the next one, over the oldest. */
-  private addHistory(loaded: Loaded, written: Map<string, unknown>, entry: HistoryEntry): number {
+  private addHistory(loaded: LoadedRecords, written: Map<string, unknown>, entry: HistoryEntry): number {
     const segment = loaded.stored?.head.segment ?? 0;
     const item = loaded.items.get(historyKey(segment));
     const entries = item === undefined ? [] : decodeHistory(item.value);
@@ -227,30 +231,30 @@
       written.set(historyKey(segment), value);
       return segment;
     }
-    const next = (segment + 1) % HISTORY_SEGMENTS;
+    const next = (segment + 1) % HISTORY_SEGMENT_COUNT;
     written.set(historyKey(next), encodeHistory([entry]));
     return next;
   }
 
   private checkSizes(written: ReadonlyMap<string, unknown>): void {
     if (written.size > this.p.limits.txnOps - SPARE_CHANGES)
-      throw new RefusedChangeError('changes', `${written.size} records are more than one commit takes`);
+      throw new InvalidChangeError('changes', `${written.size} records are more than one commit takes`);
     let sum = 0;
     for (const [key, value] of written) {
       const bytes = Buffer.byteLength(JSON.stringify(value));
       if (bytes > this.valueBytes)
-        throw new RefusedChangeError(key, `${bytes} bytes are more than ${this.p.limits.valueKb} KiB`);
+        throw new InvalidChangeError(key, `${bytes} bytes are more than ${this.p.limits.valueKb} KiB`);
       sum += bytes;
     }
     if (sum > MOST_TRANSACTION_BYTES)
-      throw new RefusedChangeError('changes', `${sum} bytes are more than one commit takes`);
+      throw new InvalidChangeError('changes', `${sum} bytes are more than one commit takes`);
   }
 }
 
 /** All changes that are kept, oldest first. */
-export function historyOf(items: ReadonlyMap<string, Item>): HistoryEntry[] {
+export function readHistory(items: ReadonlyMap<string, KeyValue>): HistoryEntry[] {
   const all: HistoryEntry[] = [];
-  for (let n = 0; n < HISTORY_SEGMENTS; n += 1) {
+  for (let n = 0; n < HISTORY_SEGMENT_COUNT; n += 1) {
     const item = items.get(historyKey(n));
     if (item !== undefined) all.push(...decodeHistory(item.value));
   }
--- a/packages/configuration/src/records.ts
+++ b/packages/configuration/src/records.ts
@@ -1,7 +1,7 @@
 import type { Objective } from '@spurbridge/model';
-import type { Item, Version } from '@spurbridge/wire';
-import { MalformedError, read } from '@spurbridge/wire';
-import type { Difference } from './change.js';
+import type { KeyValue, Version } from '@spurbridge/wire';
+import { ValidationError, read } from '@spurbridge/wire';
+import type { FieldChange } from './change.js';
 import type { Configuration, ConfigurationVersion, ConfiguredTeam } from './types.js';
 
 export const CONFIGURATION_PREFIX = 'configuration/';
@@ -17,7 +17,7 @@
 }
 
 /** The record that every change writes: it says which page is of which version, so that no mixture is taken for a whole. */
-export interface Head {
+export interface ConfigurationHead {
   readonly version: ConfigurationVersion;
   /** Version of each page of teams. */
   readonly pages: readonly ConfigurationVersion[];
@@ -35,7 +35,7 @@
   readonly author: string;
   /** Time of day in milliseconds, within the platform's clock error. */
   readonly at: number;
-  readonly differences: readonly Difference[];
+  readonly differences: readonly FieldChange[];
   /** Differences of a large change that are not kept one by one. */
   readonly more: number;
 }
@@ -46,22 +46,22 @@
   readonly teams: readonly ConfiguredTeam[];
 }
 
-function versionIn(o: read.Fields, field: string): ConfigurationVersion {
+function versionIn(o: read.JsonObject, field: string): ConfigurationVersion {
   return read.count(o, field) as ConfigurationVersion;
 }
 
-export function encodeHead(h: Head): Record<string, unknown> {
+export function encodeHead(h: ConfigurationHead): Record<string, unknown> {
   return { ...h };
 }
 
-export function decodeHead(value: unknown): Head {
+export function decodeHead(value: unknown): ConfigurationHead {
   const o = read.asObject(value, 'head');
   const pages = read.asArray(o['pages'], 'pages').map((v) => versionIn({ v }, 'v'));
   return {
     version: versionIn(o, 'version'),
     pages,
     objectives: versionIn(o, 'objectives'),
-    changeId: read.str(o, 'changeId'),
+    changeId: read.string(o, 'changeId'),
     segment: read.count(o, 'segment'),
   };
 }
@@ -117,10 +117,10 @@
   const o = read.asObject(value, 'objectives');
   return {
     kind: read.name(o, 'kind'),
-    class: read.optStr(o, 'class'),
-    withinS: read.optAmount(o, 'withinS'),
-    share: read.optAmount(o, 'share'),
-    times: read.optAmount(o, 'times'),
+    class: read.optionalString(o, 'class'),
+    withinS: read.optionalAmount(o, 'withinS'),
+    share: read.optionalAmount(o, 'share'),
+    times: read.optionalAmount(o, 'times'),
   };
 }
 
@@ -142,15 +142,15 @@
     const e = read.asObject(v, 'entries');
     return {
       version: versionIn(e, 'version'),
-      changeId: read.str(e, 'changeId'),
-      author: read.str(e, 'author'),
+      changeId: read.string(e, 'changeId'),
+      author: read.string(e, 'author'),
       at: read.amount(e, 'at'),
       differences: read.asArray(e['differences'], 'differences').map((d) => {
         const difference = read.asObject(d, 'differences');
         return {
-          path: read.str(difference, 'path'),
-          from: read.str(difference, 'from'),
-          to: read.str(difference, 'to'),
+          path: read.string(difference, 'path'),
+          from: read.string(difference, 'from'),
+          to: read.string(difference, 'to'),
         };
       }),
       more: read.count(e, 'more'),
@@ -160,38 +160,38 @@
 
 /** A whole configuration as it stands in the state service, with what a commit has to be conditioned on. */
 export interface StoredConfiguration {
-  readonly head: Head;
+  readonly head: ConfigurationHead;
   readonly configuration: Configuration;
   /** Versions of the records, by key; a key that is missing does not exist. */
-  readonly stamps: ReadonlyMap<string, Version>;
+  readonly recordVersions: ReadonlyMap<string, Version>;
   readonly pages: readonly TeamPage[];
 }
 
 /** The records are not of one version: they were read while a change was written. */
-export class MixedVersionsError extends Error {}
+export class InconsistentRecordsError extends Error {}
 
 /**
  * Puts the records together. Null: there is none. Throws a `MixedVersionsError` where they are not of one version, and a
  * `MalformedError` where one cannot be read.
  */
-export function readConfiguration(get: (key: string) => Item | undefined): StoredConfiguration | null {
+export function readConfiguration(get: (key: string) => KeyValue | undefined): StoredConfiguration | null {
   const headItem = get(HEAD_KEY);
   if (headItem === undefined) return null;
   const head = decodeHead(headItem.value);
   const stamps = new Map<string, Version>([[HEAD_KEY, headItem.version]]);
-  const found = (key: string): Item => {
+  const found = (key: string): KeyValue => {
     const item = get(key);
-    if (item === undefined) throw new MalformedError(key, 'a record');
+    if (item === undefined) throw new ValidationError(key, 'a record');
     stamps.set(key, item.version);
     return item;
   };
   const pages = head.pages.map((version, n) => {
     const page = decodePage(found(pageKey(n)).value);
-    if (page.version !== version) throw new MixedVersionsError(pageKey(n));
+    if (page.version !== version) throw new InconsistentRecordsError(pageKey(n));
     return page;
   });
   const { version, objectives } = decodeObjectives(found(OBJECTIVES_KEY).value);
-  if (version !== head.objectives) throw new MixedVersionsError(OBJECTIVES_KEY);
+  if (version !== head.objectives) throw new InconsistentRecordsError(OBJECTIVES_KEY);
   const teams = pages.flatMap((p) => p.teams);
-  return { head, configuration: { version: head.version, teams, objectives }, stamps, pages };
+  return { head, configuration: { version: head.version, teams, objectives }, recordVersions: stamps, pages };
 }
--- a/packages/configuration/src/live.ts
+++ b/packages/configuration/src/replica.ts
@@ -1,6 +1,6 @@
-import type { Item, Version } from '@spurbridge/wire';
-import { MalformedError } from '@spurbridge/wire';
-import { HEAD_KEY, MixedVersionsError, readConfiguration } from './records.js';
+import type { KeyValue, Version } from '@spurbridge/wire';
+import { ValidationError } from '@spurbridge/wire';
+import { HEAD_KEY, InconsistentRecordsError, readConfiguration } from './records.js';
 import type { Configuration, ConfigurationVersion } from './types.js';
 
 /**
@@ -8,26 +8,26 @@
  * `file`: no change was ever made, the settings file holds. `mixed`: the records that were seen are not yet of one
  * version; `unreadable`: one of them cannot be read. In both the version before goes on holding.
  */
-export type LiveState = 'file' | 'following' | 'mixed' | 'unreadable';
+export type ConfigurationReplicaState = 'file' | 'following' | 'mixed' | 'unreadable';
 
-export interface LiveEvents {
+export interface ConfigurationReplicaOptions {
   readonly log: {
     info(fields: object, message: string): void;
     error(fields: object, message: string): void;
   };
   /** Another version holds from now on. */
-  readonly changed: (configuration: Configuration) => void;
+  readonly onChange: (configuration: Configuration) => void;
 }
 
 /** The configuration that this node goes by: always one whole version, the newest that it has seen. */
-export class LiveConfiguration {
+export class ConfigurationReplica {
   private held: Configuration;
   private stamp: Version | null = null;
-  private currentState: LiveState = 'file';
+  private currentState: ConfigurationReplicaState = 'file';
 
   constructor(
     file: Configuration,
-    private readonly events: LiveEvents,
+    private readonly events: ConfigurationReplicaOptions,
   ) {
     this.held = file;
   }
@@ -40,12 +40,12 @@
     return this.held.version;
   }
 
-  get state(): LiveState {
+  get state(): ConfigurationReplicaState {
     return this.currentState;
   }
 
   /** The only function that changes the state. */
-  private enter(next: LiveState, why: string): void {
+  private enter(next: ConfigurationReplicaState, why: string): void {
     if (next === this.currentState) return;
     const from = this.currentState;
     this.currentState = next;
@@ -53,7 +53,7 @@
   }
 
   /** Looks at what this node knows of the state service; called whenever that may have changed. */
-  seen(get: (key: string) => Item | undefined): void {
+  refresh(get: (key: string) => KeyValue | undefined): void {
     const stamp = get(HEAD_KEY)?.version ?? null;
     if (stamp === this.stamp && this.currentState !== 'mixed') return;
     try {
@@ -62,8 +62,8 @@
       else this.take(stored.configuration);
       this.stamp = stamp;
     } catch (e) {
-      if (e instanceof MixedVersionsError) this.enter('mixed', e.message);
-      else if (e instanceof MalformedError) this.enter('unreadable', e.message);
+      if (e instanceof InconsistentRecordsError) this.enter('mixed', e.message);
+      else if (e instanceof ValidationError) this.enter('unreadable', e.message);
       else throw e;
     }
   }
@@ -87,6 +87,6 @@
       { from: before, to: next.version, teams: next.teams.length },
       'configuration changed',
     );
-    this.events.changed(next);
+    this.events.onChange(next);
   }
 }
--- a/packages/configuration/src/requests.ts
+++ b/packages/configuration/src/requests.ts
@@ -1,4 +1,4 @@
-import { MalformedError, read } from '@spurbridge/wire';
+import { ValidationError, read } from '@spurbridge/wire';
 import type { Proposal } from './editor.js';
 import { parseObjective } from './records.js';
 import type { ConfigurationChange, ConfigurationVersion, TeamChange } from './types.js';
@@ -9,18 +9,18 @@
 const MOST_CHANGES = 5000;
 
 /** An operator's mistake in a field's name must not pass for a change that was made. */
-function refuseUnknown(o: read.Fields, known: ReadonlySet<string>, path: string): void {
+function refuseUnknown(o: read.JsonObject, known: ReadonlySet<string>, path: string): void {
   for (const field of Object.keys(o))
     if (!known.has(field))
-      throw new MalformedError(path === '' ? field : `${path}.${field}`, 'no such field');
+      throw new ValidationError(path === '' ? field : `${path}.${field}`, 'no such field');
 }
 
 /** A limit: an amount, or null for none. */
-function limit(o: read.Fields, field: string): number {
+function limit(o: read.JsonObject, field: string): number {
   return o[field] === null ? Infinity : read.amount(o, field);
 }
 
-function parseTeamChange(o: read.Fields, path: string): TeamChange {
+function parseTeamChange(o: read.JsonObject, path: string): TeamChange {
   refuseUnknown(o, TEAM_FIELDS, path);
   return {
     team: read.name(o, 'team'),
@@ -28,13 +28,13 @@
     ...(o['cpusMax'] === undefined ? {} : { cpusMax: limit(o, 'cpusMax') }),
     ...(o['gpus'] === undefined ? {} : { gpus: read.amount(o, 'gpus') }),
     ...(o['gpusMax'] === undefined ? {} : { gpusMax: limit(o, 'gpusMax') }),
-    ...(o['retired'] === undefined ? {} : { isRetired: read.bool(o, 'retired') }),
+    ...(o['retired'] === undefined ? {} : { isRetired: read.boolean(o, 'retired') }),
   };
 }
 
 /** Reads one change, strictly: throws a `MalformedError` that names the field. */
 export function parseChange(value: unknown, path: string): ConfigurationChange {
-  return read.within(path, () => {
+  return read.withFieldPath(path, () => {
     const o = read.asObject(value, 'entry');
     if (o['objectives'] === undefined) return parseTeamChange(o, '');
     refuseUnknown(o, new Set(['objectives']), '');
@@ -66,12 +66,12 @@
   refuseUnknown(o, PROPOSAL_FIELDS, '');
   const changes = read.asArray(o['changes'], 'changes');
   if (changes.length === 0 || changes.length > MOST_CHANGES)
-    throw new MalformedError('changes', `1 to ${MOST_CHANGES} of them`);
+    throw new ValidationError('changes', `1 to ${MOST_CHANGES} of them`);
   return {
-    base: read.count(o, 'base') as ConfigurationVersion,
+    baseVersion: read.count(o, 'base') as ConfigurationVersion,
     changeId: read.name(o, 'changeId'),
     author: read.name(o, 'author'),
     changes: changes.map((change, n) => parseChange(change, `changes[${n}]`)),
-    isDryRun: read.optBool(o, 'dryRun'),
+    isDryRun: read.booleanOrFalse(o, 'dryRun'),
   };
 }
--- a/packages/configuration/src/types.ts
+++ b/packages/configuration/src/types.ts
@@ -4,7 +4,7 @@
 /** Number of a configuration: 0 is the settings file, every change adds one. */
 export type ConfigurationVersion = Brand<number, 'ConfigurationVersion'>;
 
-export const FILE_VERSION = 0 as ConfigurationVersion;
+export const SETTINGS_FILE_VERSION = 0 as ConfigurationVersion;
 
 /** A team with its quota; one that is retired takes no new job, what was accepted runs on. */
 export interface ConfiguredTeam extends Team {
@@ -42,10 +42,10 @@
   readonly gpus: number;
 }
 
-export const NO_BOUND: GuaranteeBound = { cpus: Infinity, gpus: Infinity };
+export const UNBOUNDED_GUARANTEES: GuaranteeBound = { cpus: Infinity, gpus: Infinity };
 
 /** A change that is not made, with the field that is wrong. */
-export class RefusedChangeError extends Error {
+export class InvalidChangeError extends Error {
   constructor(
     readonly field: string,
     reason: string,
@@ -55,6 +55,13 @@
 }
 
 /** The configuration that the settings file states. */
-export function configurationOfFile(teams: readonly Team[], objectives: readonly Objective[]): Configuration {
-  return { version: FILE_VERSION, teams: teams.map((t) => ({ ...t, isRetired: false })), objectives };
+export function configurationFromSettings(
+  teams: readonly Team[],
+  objectives: readonly Objective[],
+): Configuration {
+  return {
+    version: SETTINGS_FILE_VERSION,
+    teams: teams.map((t) => ({ ...t, isRetired: false })),
+    objectives,
+  };
 }
--- a/packages/configuration/test/change.test.ts
+++ b/packages/configuration/test/change.test.ts
@@ -3,28 +3,32 @@
 import fc from 'fast-check';
 import type { Configuration, ConfigurationChange } from '../src/index.js';
 import {
-  NO_BOUND,
-  RefusedChangeError,
+  UNBOUNDED_GUARANTEES,
+  InvalidChangeError,
   applyChanges,
-  configurationOfFile,
+  configurationFromSettings,
   decodePage,
-  differences,
+  diffConfigurations,
   encodePage,
   formatChange,
   parseChange,
   parseProposal,
 } from '../src/index.js';
 
-const FILE = configurationOfFile(
+const FILE = configurationFromSettings(
   [{ name: 'red', cpus: 10, cpusMax: 20, gpus: 0, gpusMax: Infinity }],
   [{ kind: 'wait', class: 'urgent', withinS: 3.7, share: 0.99, times: null }],
 );
 
-function refusedField(change: ConfigurationChange, before: Configuration = FILE, bound = NO_BOUND): string {
+function refusedField(
+  change: ConfigurationChange,
+  before: Configuration = FILE,
+  bound = UNBOUNDED_GUARANTEES,
+): string {
   try {
     applyChanges(before, [change], bound);
   } catch (e) {
-    assert.ok(e instanceof RefusedChangeError);
+    assert.ok(e instanceof InvalidChangeError);
     return e.field;
   }
   return '';
@@ -37,12 +41,12 @@
       { team: 'red', cpusMax: 15 },
       { team: 'blue', cpus: 3 },
     ],
-    NO_BOUND,
+    UNBOUNDED_GUARANTEES,
   );
   assert.equal(next.version, 1);
   assert.deepEqual(next.teams[0], { ...FILE.teams[0], cpusMax: 15 });
   assert.deepEqual(
-    differences(FILE, next).map((d) => `${d.path} ${d.from} ${d.to}`),
+    diffConfigurations(FILE, next).map((d) => `${d.path} ${d.from} ${d.to}`),
     [
       'teams.red.cpusMax 20 15',
       'teams.blue.cpus - 3',
--- a/packages/configuration/test/live.test.ts
+++ b/packages/configuration/test/replica.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import type { Item } from '@spurbridge/wire';
+import type { KeyValue } from '@spurbridge/wire';
 import type { Configuration, ConfigurationVersion, ConfiguredTeam } from '../src/index.js';
 import {
   HEAD_KEY,
-  LiveConfiguration,
-  MixedVersionsError,
+  ConfigurationReplica,
+  InconsistentRecordsError,
   OBJECTIVES_KEY,
-  configurationOfFile,
+  configurationFromSettings,
   encodeHead,
   encodeObjectives,
   encodePage,
@@ -17,7 +17,7 @@
 } from '../src/index.js';
 
 const PAGES = 3;
-const FILE = configurationOfFile([], []);
+const FILE = configurationFromSettings([], []);
 const SILENT = { info: () => undefined, error: () => undefined };
 
 function teamOf(page: number, version: number): ConfiguredTeam {
@@ -25,12 +25,12 @@
 }
 
 /** The records after so many changes; change number n writes page n modulo the number of pages. */
-function recordsAt(version: number): Map<string, Item> {
+function recordsAt(version: number): Map<string, KeyValue> {
   const written = Array.from({ length: PAGES }, (_, page) => {
     const last = version - ((version - page + PAGES) % PAGES);
     return Math.max(1, last) as ConfigurationVersion;
   });
-  const item = (key: string, value: unknown, stamp: number): [string, Item] => [
+  const item = (key: string, value: unknown, stamp: number): [string, KeyValue] => [
     key,
     { key, value: JSON.parse(JSON.stringify(value)) as unknown, version: stamp as never },
   ];
@@ -53,13 +53,13 @@
         const [one, other] = [recordsAt(a), recordsAt(b)];
         const keys = [...one.keys()];
         const seen = new Map(
-          keys.map((key, n) => [key, (fromOther[n] === true ? other : one).get(key) as Item]),
+          keys.map((key, n) => [key, (fromOther[n] === true ? other : one).get(key) as KeyValue]),
         );
         let read: Configuration | null = null;
         try {
           read = readConfiguration((key) => seen.get(key))?.configuration ?? null;
         } catch (e) {
-          assert.ok(e instanceof MixedVersionsError);
+          assert.ok(e instanceof InconsistentRecordsError);
         }
         if (read === null) return;
         const whole = readConfiguration((key) => recordsAt(read.version).get(key))?.configuration;
@@ -71,13 +71,13 @@
 
 test('a node holds the version before until it has seen the whole of the next one', () => {
   const changed: number[] = [];
-  const live = new LiveConfiguration(FILE, { log: SILENT, changed: (c) => changed.push(c.version) });
+  const live = new ConfigurationReplica(FILE, { log: SILENT, onChange: (c) => changed.push(c.version) });
   assert.equal(live.state, 'file');
-  live.seen((key) => recordsAt(4).get(key));
-  const mixed = new Map([...recordsAt(4), [HEAD_KEY, recordsAt(5).get(HEAD_KEY) as Item]]);
-  live.seen((key) => mixed.get(key));
+  live.refresh((key) => recordsAt(4).get(key));
+  const mixed = new Map([...recordsAt(4), [HEAD_KEY, recordsAt(5).get(HEAD_KEY) as KeyValue]]);
+  live.refresh((key) => mixed.get(key));
   assert.deepEqual([live.state, live.version], ['mixed', 4]);
-  live.seen((key) => recordsAt(5).get(key));
+  live.refresh((key) => recordsAt(5).get(key));
   assert.deepEqual([live.state, live.version], ['following', 5]);
   assert.deepEqual(changed, [4, 5]);
 });
@@ -85,20 +85,20 @@
 test('a version that goes back, a record that is gone or cannot be read: said, and never a mixture', () => {
   const errors: string[] = [];
   const log = { info: () => undefined, error: (_fields: object, message: string) => errors.push(message) };
-  const live = new LiveConfiguration(FILE, { log, changed: () => undefined });
-  live.seen((key) => recordsAt(9).get(key));
-  live.seen((key) => recordsAt(7).get(key));
+  const live = new ConfigurationReplica(FILE, { log, onChange: () => undefined });
+  live.refresh((key) => recordsAt(9).get(key));
+  live.refresh((key) => recordsAt(7).get(key));
   assert.equal(live.version, 7);
-  live.seen(() => undefined);
+  live.refresh(() => undefined);
   assert.deepEqual([live.state, live.version], ['unreadable', 7]);
   const broken = new Map([
     ...recordsAt(8),
     [pageKey(0), { key: pageKey(0), value: '?', version: 8 as never }],
   ]);
-  live.seen((key) => broken.get(key));
+  live.refresh((key) => broken.get(key));
   assert.deepEqual([live.state, live.version], ['unreadable', 7]);
   // The page is put back, and the head is as it was.
-  live.seen((key) => recordsAt(8).get(key));
+  live.refresh((key) => recordsAt(8).get(key));
   assert.deepEqual([live.state, live.version], ['following', 8]);
   assert.deepEqual(errors, ['configuration went back', 'configuration is gone from the state service']);
 });
--- a/packages/controller/src/http.ts
+++ b/packages/controller/src/api/http-server.ts
@@ -1,30 +1,30 @@
 import Fastify from 'fastify';
 import type { FastifyInstance, FastifyReply } from 'fastify';
 import {
-  MAX_BODY_BYTES,
-  MalformedError,
+  MAX_REQUEST_BODY_BYTES,
+  ValidationError,
   PATHS,
-  formatReportAnswer,
-  formatStatus,
+  formatHeartbeatResponse,
+  formatJobStatus,
   isJobId,
-  parseReport,
+  parseHeartbeat,
 } from '@spurbridge/wire';
-import type { Answer } from './jobs.js';
-import type { Controller } from './node.js';
-import type { Log } from './log.js';
+import type { JobResponse } from '../jobs/job-service.js';
+import type { Controller } from '../leadership/controller.js';
+import type { Logger } from '../logger.js';
 
-function send(reply: FastifyReply, a: Answer): FastifyReply {
+function send(reply: FastifyReply, a: JobResponse): FastifyReply {
   if (a.code === 503)
     return reply.code(503).header('retry-after', String(a.retryAfterS)).send({ error: a.error });
-  if ('status' in a) return reply.code(a.code).send(formatStatus(a.status));
+  if ('status' in a) return reply.code(a.code).send(formatJobStatus(a.status));
   return reply.code(a.code).send({ error: a.error });
 }
 
 /** The `listen` interface: users, workers and health probes. */
-export function buildServer(controller: Controller, log: Log): FastifyInstance {
+export function buildHttpServer(controller: Controller, log: Logger): FastifyInstance {
   const app = Fastify({
     logger: false,
-    bodyLimit: MAX_BODY_BYTES,
+    bodyLimit: MAX_REQUEST_BODY_BYTES,
     keepAliveTimeout: 120_000,
     exposeHeadRoutes: false,
   });
@@ -36,12 +36,12 @@
       // A cancellation has no body, though some clients declare one: only what needs a body misses it.
       done(null, text === '' ? null : JSON.parse(text));
     } catch {
-      done(new MalformedError('body', 'JSON'), undefined);
+      done(new ValidationError('body', 'JSON'), undefined);
     }
   });
   app.setErrorHandler((error: Error & { statusCode?: number }, _request, reply) => {
     const status = error.statusCode ?? 500;
-    if (error instanceof MalformedError || (status >= 400 && status < 500))
+    if (error instanceof ValidationError || (status >= 400 && status < 500))
       return reply.code(400).send({ error: error.message });
     log.error({ error: error.stack ?? error.message }, 'request failed');
     return reply.code(503).header('retry-after', '1').send({ error: 'internal error' });
@@ -49,7 +49,7 @@
   app.setNotFoundHandler((_request, reply) => reply.code(404).send({ error: 'no such resource' }));
 
   app.get(PATHS.health, (_request, reply) =>
-    controller.healthy()
+    controller.isHealthy()
       ? reply.code(200).send({ ok: true })
       : reply.code(503).header('retry-after', '1').send({ ok: false }),
   );
@@ -64,11 +64,11 @@
     if (!isJobId(id)) return send(reply, { code: 404, error: 'no such job' });
     return send(reply, await controller.jobs.cancel(id));
   });
-  app.post(PATHS.report, async (request, reply) => {
-    const answer = await controller.report(parseReport(request.body));
+  app.post(PATHS.heartbeat, async (request, reply) => {
+    const answer = await controller.handleHeartbeat(parseHeartbeat(request.body));
     switch (answer.code) {
       case 200:
-        return reply.code(200).send(formatReportAnswer(answer.token, answer.commands));
+        return reply.code(200).send(formatHeartbeatResponse(answer.token, answer.commands));
       case 421:
         return reply.code(421).send({ foreman: answer.leader });
       case 503:
--- a/packages/controller/src/commands.ts
+++ b/packages/controller/src/heartbeats/command-dispatcher.ts
@@ -1,12 +1,12 @@
 import type { Job, Machine, Placement } from '@spurbridge/model';
-import { later } from '@spurbridge/net';
-import type { Attempt, JobId, MachineId, WorkerCommand, WorkerReport } from '@spurbridge/wire';
+import { addMs } from '@spurbridge/net';
+import type { Attempt, JobId, MachineId, WorkerCommand, Heartbeat } from '@spurbridge/wire';
 import { formatTaskName } from '@spurbridge/wire';
-import type { Cluster } from './cluster.js';
-import { isKeptBack } from './gangs.js';
-import type { Queues } from './queues.js';
-import { answerHorizonMs } from './settings.js';
-import type { LeaderTerm } from './leader-term.js';
+import type { ClusterState } from '../jobs/cluster-state.js';
+import { isGangStartDelayed } from '../placement/gang-scheduling.js';
+import type { MachineQueues } from '../placement/machine-queues.js';
+import { maxRenewalStalenessMs } from '../settings.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
 
 const PUSH_ROUNDS = 5;
 /**
@@ -16,7 +16,7 @@
 const MOST_PUSHES = 16;
 
 /** Tells machines what to start, stop and forget: in answers to their reports, and directly. */
-export class Commands {
+export class CommandDispatcher {
   private pushing = 0;
   /** Machines that are to be told once there is room for a call, those with a service's or with stops first. */
   private readonly urgent = new Set<MachineId>();
@@ -24,10 +24,10 @@
 
   constructor(
     private readonly term: LeaderTerm,
-    private readonly cluster: Cluster,
-    private readonly queues: Queues,
+    private readonly cluster: ClusterState,
+    private readonly queues: MachineQueues,
     /** Takes in the report that a machine answers with. */
-    private readonly onReport: (report: WorkerReport) => void,
+    private readonly onReport: (report: Heartbeat) => void,
     /** Whether what is on the machines is known; before, they are told to stop what is cancelled and nothing else. */
     private readonly isSettled: () => boolean,
     /** Whether no machine that is still to be heard may run the job's tasks: a start repeated may be the second. */
@@ -43,13 +43,13 @@
    * (docs/design.md, "Renewals"). Whoever answers, whatever has become of its own lease, stops what it knows to be
    * cancelled: that is final, and what the answer renews must be gone in time.
    */
-  ordersFor(r: WorkerReport): WorkerCommand[] | null {
+  commandsForResponse(r: Heartbeat): WorkerCommand[] | null {
     const m = this.cluster.machines.get(r.machine);
-    if (m === undefined || m.session !== r.session) return this.cancelledIn(r);
+    if (m === undefined || m.agentEpoch !== r.agentEpoch) return this.stopsForCancelledTasks(r);
     if (this.mayStartLate(m)) return null;
-    const isSure = this.term.c.leadership.holdsSurely();
+    const isSure = this.term.context.leadership.holdsValidLease();
     if (isSure) {
-      this.queues.release(m.id);
+      this.queues.startFitting(m.id);
       this.urgent.delete(m.id);
       this.waiting.delete(m.id);
     }
@@ -62,17 +62,17 @@
   }
 
   /** Stops of what a report shows and what is known to be cancelled, by the leader's own records first. */
-  cancelledIn(r: WorkerReport): WorkerCommand[] {
-    return cancelledIn(r, (id) => this.phaseOf(id));
+  stopsForCancelledTasks(r: Heartbeat): WorkerCommand[] {
+    return stopsForCancelledTasks(r, (id) => this.phaseOf(id));
   }
 
   private phaseOf(id: JobId): string | null {
-    return this.cluster.jobs.get(id)?.state ?? this.term.c.trust.phaseOf(id);
+    return this.cluster.jobs.get(id)?.state ?? this.term.context.storeIntegrity.phaseOf(id);
   }
 
   /** Whether anything cancelled may be on the machine, or is stopped there by these orders. */
-  isCancelledOn(id: MachineId, orders: readonly WorkerCommand[]): boolean {
-    for (const { job } of this.cluster.heldOn(id)) if (job.state === 'cancelled') return true;
+  hasCancelledTasks(id: MachineId, orders: readonly WorkerCommand[]): boolean {
+    for (const { job } of this.cluster.tasksOn(id)) if (job.state === 'cancelled') return true;
     return orders.some((c) => this.stopsCancelled(c));
   }
 
@@ -82,46 +82,47 @@
    * horizon the machine's lease is left to end, and its session with it.
    */
   private mayStartLate(m: Machine): boolean {
-    if (m.unanswered.size === 0) return false;
-    const horizonMs = answerHorizonMs(this.term.c.settings);
-    for (const { job, task } of this.cluster.heldOn(m.id)) {
+    if (m.unconfirmedStarts.size === 0) return false;
+    const horizonMs = maxRenewalStalenessMs(this.term.context.settings);
+    for (const { job, task } of this.cluster.tasksOn(m.id)) {
       const p = job.placements.get(task);
       if (
         job.state !== 'cancelled' ||
         p === undefined ||
-        p.session !== m.session ||
+        p.agentEpoch !== m.agentEpoch ||
         !this.isUnseen(m, job, p)
       )
         continue;
       if (job.cancelledAfter === null) return true;
-      if (this.term.c.clock.now() > later(job.cancelledAfter, horizonMs)) return true;
+      if (this.term.context.clock.now() > addMs(job.cancelledAfter, horizonMs)) return true;
     }
     return false;
   }
 
   /** Whether a direct start of it got no answer, and its machine has not shown it either. */
   private isUnseen(m: Machine, job: Job, p: Placement): boolean {
-    return p.state === 'starting' && m.unanswered.has(startName(job.spec.id, p.task, p.attempt));
+    return p.state === 'starting' && m.unconfirmedStarts.has(startCommandKey(job.spec.id, p.task, p.attempt));
   }
 
   /** Starts and stops due on a machine. In a report's answer everything not yet seen is repeated. */
   private commandsFor(m: Machine, repeat: boolean): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
-    for (const { job, task } of this.cluster.heldOn(m.id)) {
+    for (const { job, task } of this.cluster.tasksOn(m.id)) {
       const p = job.placements.get(task);
-      if (p === undefined || p.machine !== m.id || p.session !== m.session) continue;
+      if (p === undefined || p.machine !== m.id || p.agentEpoch !== m.agentEpoch) continue;
       const id = { job: job.spec.id, task, attempt: p.attempt };
-      if (p.stop !== null) {
+      if (p.stopRequest !== null) {
         // A second stop would end a task that is saving; repeat only what has not taken effect.
-        const saving = p.state === 'saving' && p.stop.reason !== 'cancelled';
+        const saving = p.state === 'saving' && p.stopRequest.reason !== 'cancelled';
         // Its direct start got no answer and may come at any time, so that nothing could prove it gone while the session
         // lasts: its job waited for ever. Told both in one answer, the machine knows the attempt, and that it has ended.
         if (repeat && job.state === 'active' && this.isUnseen(m, job, p))
           commands.push({ op: 'start', ...id });
-        if (!saving && p.state !== 'intended') commands.push({ op: 'stop', ...id, graceS: p.stop.graceS });
+        if (!saving && p.state !== 'intended')
+          commands.push({ op: 'stop', ...id, graceS: p.stopRequest.graceS });
       } else if (p.state === 'starting' && job.state === 'active' && this.isSettled() && this.mayStart(job)) {
-        if (isKeptBack(this.cluster, this.term.c.settings, job, p)) continue;
-        if (repeat || !m.unanswered.has(startName(job.spec.id, task, p.attempt)))
+        if (isGangStartDelayed(this.cluster, this.term.context.settings, job, p)) continue;
+        if (repeat || !m.unconfirmedStarts.has(startCommandKey(job.spec.id, task, p.attempt)))
           commands.push({ op: 'start', ...id });
       }
     }
@@ -129,22 +130,22 @@
   }
 
   /** Exited tasks whose end is durable are forgotten; tasks that no record places are stopped. */
-  private cleanUp(m: Machine, r: WorkerReport): WorkerCommand[] {
+  private cleanUp(m: Machine, r: Heartbeat): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
     for (const t of r.tasks) {
       const job = this.cluster.jobs.get(t.job);
       const p = job?.placements.get(t.task);
-      if (p !== undefined && p.machine === m.id && p.session === m.session && p.attempt === t.attempt)
+      if (p !== undefined && p.machine === m.id && p.agentEpoch === m.agentEpoch && p.attempt === t.attempt)
         continue;
       const id = { job: t.job, task: t.task, attempt: t.attempt };
       if (t.phase !== 'exited') {
-        if (this.isSettled() || this.term.c.trust.phaseOf(t.job) === 'cancelled')
+        if (this.isSettled() || this.term.context.storeIntegrity.phaseOf(t.job) === 'cancelled')
           commands.push({ op: 'stop', ...id, graceS: 0 });
         continue;
       }
       if (!this.isSettled()) continue;
       // After a forget the worker would execute a late start of the attempt again: none may be in flight.
-      if (m.unanswered.has(startName(t.job, t.task, t.attempt))) continue;
+      if (m.unconfirmedStarts.has(startCommandKey(t.job, t.task, t.attempt))) continue;
       if (job === undefined || t.task >= job.spec.tasks || job.state !== 'active' || job.isDurable(t.task))
         commands.push({ op: 'forget', ...id });
     }
@@ -154,23 +155,23 @@
   /** Sends what is due straight to the machine, one call at a time. */
   private push(id: MachineId): void {
     const m = this.cluster.machines.get(id);
-    this.queues.sweep(id);
-    this.queues.release(id);
-    if (m === undefined || m.sending || m.address === '' || m.session === null) return;
+    this.queues.evictStale(id);
+    this.queues.startFitting(id);
+    if (m === undefined || m.isSendingCommands || m.address === '' || m.agentEpoch === null) return;
     if (m.state !== 'ready' && m.state !== 'draining') return;
     if (this.pushing >= MOST_PUSHES) {
       const due = this.commandsFor(m, false);
       if (due.length > 0) (due.some((x) => this.isUrgent(x)) ? this.urgent : this.waiting).add(id);
       return;
     }
-    m.sending = true;
+    m.isSendingCommands = true;
     this.pushing += 1;
     this.pushNow(m)
       .catch((e: unknown) => {
-        this.term.c.log.error({ machine: m.id, error: String(e) }, 'direct commands failed');
+        this.term.context.log.error({ machine: m.id, error: String(e) }, 'direct commands failed');
       })
       .finally(() => {
-        m.sending = false;
+        m.isSendingCommands = false;
         this.pushing -= 1;
         this.pushNext();
       });
@@ -183,29 +184,33 @@
   private pushNext(): void {
     for (const due of [this.urgent, this.waiting])
       for (const id of due) {
-        if (!this.term.active || this.pushing >= MOST_PUSHES) return;
+        if (!this.term.isActive || this.pushing >= MOST_PUSHES) return;
         due.delete(id);
         this.push(id);
       }
   }
 
   private async pushNow(m: Machine): Promise<void> {
-    const { leadership, workers } = this.term.c;
-    for (let round = 0; round < PUSH_ROUNDS && this.term.active; round += 1) {
-      const session = m.session;
-      if (session === null || !leadership.holdsSurely()) return;
+    const { leadership, workerClient: workers } = this.term.context;
+    for (let round = 0; round < PUSH_ROUNDS && this.term.isActive; round += 1) {
+      const session = m.agentEpoch;
+      if (session === null || !leadership.holdsValidLease()) return;
       const commands = this.commandsFor(m, false);
       if (commands.length === 0) return;
-      const starts = commands.filter((x) => x.op === 'start').map((x) => startName(x.job, x.task, x.attempt));
-      for (const s of starts) m.unanswered.add(s);
-      const outcome = await workers.commands(m.address, leadership.token, session, commands);
-      if (!this.term.active) return;
-      this.term.reach.called(outcome.outcome === 'executed' || outcome.outcome === 'rejected');
+      const starts = commands
+        .filter((x) => x.op === 'start')
+        .map((x) => startCommandKey(x.job, x.task, x.attempt));
+      for (const s of starts) m.unconfirmedStarts.add(s);
+      const outcome = await workers.sendCommands(m.address, leadership.fencingToken, session, commands);
+      if (!this.term.isActive) return;
+      this.term.workerReachability.recordCall(
+        outcome.outcome === 'executed' || outcome.outcome === 'rejected',
+      );
       if (outcome.outcome === 'unknown') return;
-      if (m.session === session) for (const s of starts) m.unanswered.delete(s);
+      if (m.agentEpoch === session) for (const s of starts) m.unconfirmedStarts.delete(s);
       if (outcome.outcome === 'unsent') return;
-      leadership.observe(outcome.report.token, null);
-      if (!this.term.active) return;
+      leadership.observeToken(outcome.report.fencingToken, null);
+      if (!this.term.isActive) return;
       this.onReport(outcome.report);
       if (outcome.outcome === 'rejected') return;
     }
@@ -213,13 +218,13 @@
 }
 
 /** Stops of the reported tasks whose jobs are cancelled. */
-export function cancelledIn(r: WorkerReport, phaseOf: (id: JobId) => string | null): WorkerCommand[] {
+export function stopsForCancelledTasks(r: Heartbeat, phaseOf: (id: JobId) => string | null): WorkerCommand[] {
   return r.tasks
     .filter((t) => t.phase !== 'exited' && phaseOf(t.job) === 'cancelled')
     .map((t) => ({ op: 'stop' as const, job: t.job, task: t.task, attempt: t.attempt, graceS: 0 }));
 }
 
 /** How an unanswered start is remembered on its machine. */
-export function startName(job: JobId, task: number, attempt: Attempt): string {
+export function startCommandKey(job: JobId, task: number, attempt: Attempt): string {
   return `${formatTaskName(job, task)}#${attempt}`;
 }
--- a/packages/controller/src/worker-link.ts
+++ b/packages/controller/src/heartbeats/worker-client.ts
@@ -1,25 +1,25 @@
-import { JsonClient, NoAnswerError } from '@spurbridge/net';
-import type { Session, Token, WorkerCommand, WorkerReport } from '@spurbridge/wire';
-import { PATHS, formatCommands, parseReport } from '@spurbridge/wire';
+import { JsonClient, NoResponseError } from '@spurbridge/net';
+import type { AgentEpoch, FencingToken, WorkerCommand, Heartbeat } from '@spurbridge/wire';
+import { PATHS, formatDirectCommands, parseHeartbeat } from '@spurbridge/wire';
 
-export type DirectOutcome =
-  | { readonly outcome: 'executed' | 'rejected'; readonly report: WorkerReport }
+export type CommandOutcome =
+  | { readonly outcome: 'executed' | 'rejected'; readonly report: Heartbeat }
   /** Certainly never arrives. */
   | { readonly outcome: 'unsent' }
   /** May have been executed, or may still be while the session lasts. */
   | { readonly outcome: 'unknown' };
 
 /** Direct commands to a worker's address; the stand-in of `testkit` implements it too. */
-export interface WorkerLink {
-  commands(
+export interface WorkerClient {
+  sendCommands(
     address: string,
-    token: Token,
-    session: Session,
+    token: FencingToken,
+    session: AgentEpoch,
     commands: readonly WorkerCommand[],
-  ): Promise<DirectOutcome>;
+  ): Promise<CommandOutcome>;
   /** Null: no answer. `unasked`: this node had no means to ask, which says nothing of the machine. */
-  show(address: string): Promise<WorkerReport | 'unasked' | null>;
-  forgetAddress(address: string): void;
+  fetchHeartbeat(address: string): Promise<Heartbeat | 'unasked' | null>;
+  closeConnection(address: string): void;
 }
 
 const COMMAND_MS = 2000;
@@ -31,7 +31,7 @@
  */
 const SOCKET_SHARE = 0.06;
 
-export class HttpWorkerLink implements WorkerLink {
+export class HttpWorkerClient implements WorkerClient {
   /** The most recently used last. */
   private readonly clients = new Map<string, JsonClient>();
   private readonly most: number;
@@ -48,49 +48,49 @@
     // the sockets: those unused for longest are closed.
     for (const [other, c] of this.clients) {
       if (this.clients.size <= this.most) break;
-      if (c.busy || other === address) continue;
+      if (c.isBusy || other === address) continue;
       c.close();
       this.clients.delete(other);
     }
     return client;
   }
 
-  get open(): number {
+  get openConnections(): number {
     return this.clients.size;
   }
 
-  forgetAddress(address: string): void {
+  closeConnection(address: string): void {
     this.clients.get(address)?.close();
     this.clients.delete(address);
   }
 
-  async commands(
+  async sendCommands(
     address: string,
-    token: Token,
-    session: Session,
+    token: FencingToken,
+    session: AgentEpoch,
     commands: readonly WorkerCommand[],
-  ): Promise<DirectOutcome> {
+  ): Promise<CommandOutcome> {
     try {
       const answer = await this.client(address).call(
         'POST',
         PATHS.commands,
-        formatCommands(token, session, commands),
+        formatDirectCommands(token, session, commands),
         COMMAND_MS,
       );
-      if (answer.status === 200) return { outcome: 'executed', report: parseReport(answer.body) };
-      if (answer.status === 409) return { outcome: 'rejected', report: parseReport(answer.body) };
+      if (answer.status === 200) return { outcome: 'executed', report: parseHeartbeat(answer.body) };
+      if (answer.status === 409) return { outcome: 'rejected', report: parseHeartbeat(answer.body) };
       return { outcome: 'unknown' };
     } catch (e) {
-      return { outcome: e instanceof NoAnswerError && e.notSent ? 'unsent' : 'unknown' };
+      return { outcome: e instanceof NoResponseError && e.notSent ? 'unsent' : 'unknown' };
     }
   }
 
-  async show(address: string): Promise<WorkerReport | 'unasked' | null> {
+  async fetchHeartbeat(address: string): Promise<Heartbeat | 'unasked' | null> {
     try {
       const answer = await this.client(address).call('GET', PATHS.show, undefined, SHOW_MS);
-      return answer.status === 200 ? parseReport(answer.body) : null;
+      return answer.status === 200 ? parseHeartbeat(answer.body) : null;
     } catch (e) {
-      return e instanceof NoAnswerError && e.isOurs ? 'unasked' : null;
+      return e instanceof NoResponseError && e.isLocalFault ? 'unasked' : null;
     }
   }
 }
--- a/packages/controller/src/reach.ts
+++ b/packages/controller/src/heartbeats/worker-reachability.ts
@@ -1,8 +1,8 @@
-import type { Clock, Ms } from '@spurbridge/net';
+import type { Clock, MonotonicMs } from '@spurbridge/net';
 
 /** Whether machines answer what this node asks or tells them directly. */
-export class Reach {
-  private answeredAt: Ms;
+export class WorkerReachability {
+  private answeredAt: MonotonicMs;
   /** Calls without an answer since one was answered. */
   private failed = 0;
 
@@ -10,7 +10,7 @@
     this.answeredAt = clock.now();
   }
 
-  called(isAnswered: boolean): void {
+  recordCall(isAnswered: boolean): void {
     if (isAnswered) {
       this.answeredAt = this.clock.now();
       this.failed = 0;
@@ -18,7 +18,7 @@
   }
 
   /** Whether this many calls in a row, and all for so long, were in vain. */
-  isLost(calls: number, forMs: number): boolean {
+  isUnreachable(calls: number, forMs: number): boolean {
     return this.failed >= calls && this.clock.now() - this.answeredAt > forMs;
   }
 }
--- a/packages/controller/src/cluster.ts
+++ b/packages/controller/src/jobs/cluster-state.ts
@@ -1,22 +1,22 @@
 import { EventEmitter } from 'node:events';
-import type { JobRecord, Placement, StopReason, WallMs } from '@spurbridge/model';
+import type { JobRecord, Placement, StopReason, WallClockMs } from '@spurbridge/model';
 import { Job, Machine, restoreChunk } from '@spurbridge/model';
-import type { Clock, Ms } from '@spurbridge/net';
-import { later } from '@spurbridge/net';
+import type { Clock, MonotonicMs } from '@spurbridge/net';
+import { addMs } from '@spurbridge/net';
 import type {
   Attempt,
-  Item,
+  KeyValue,
   JobId,
   MachineId,
   MachineType,
-  Session,
-  TaskReport,
+  AgentEpoch,
+  TaskStatus,
   Version,
 } from '@spurbridge/wire';
 import { formatTaskName } from '@spurbridge/wire';
-import type { Log } from './log.js';
+import type { Logger } from '../logger.js';
 
-export interface Held {
+export interface PlacedTask {
   readonly job: Job;
   readonly task: number;
 }
@@ -45,50 +45,50 @@
   plan: [];
 }
 
-export interface ClusterParts {
+export interface ClusterStateOptions {
   readonly clock: Clock;
-  readonly log: Log;
-  readonly types: () => readonly MachineType[];
+  readonly log: Logger;
+  readonly machineTypes: () => readonly MachineType[];
   /** Time of day less another that a record holds, in milliseconds, never negative. */
-  readonly ageMs: (at: WallMs) => number;
+  readonly ageMs: (at: WallClockMs) => number;
   /** Until when an earlier leader may still answer the reports of a machine. */
-  readonly answeredUntil: Ms;
+  readonly previousLeaderRenewsUntil: MonotonicMs;
 }
 
 /**
  * The cluster as its leader knows it: jobs, machines and what may be on them, rebuilt from records and
  * reports. It knows none of those who work on it; only its functions change it, and they tell the listeners.
  */
-export class Cluster extends EventEmitter<ClusterEvents> {
+export class ClusterState extends EventEmitter<ClusterEvents> {
   readonly jobs = new Map<JobId, Job>();
   readonly machines = new Map<MachineId, Machine>();
   /** What may be on each machine: the placements of all jobs, by machine. */
-  private readonly held = new Map<MachineId, Map<string, Held>>();
+  private readonly held = new Map<MachineId, Map<string, PlacedTask>>();
   /** Machines up to this id stood there before the service first ran: its owners' choice, kept. */
   private standing: string | null = null;
 
-  constructor(private readonly parts: ClusterParts) {
+  constructor(private readonly parts: ClusterStateOptions) {
     super();
   }
 
-  private now(): Ms {
+  private now(): MonotonicMs {
     return this.parts.clock.now();
   }
 
-  type(name: string): MachineType | undefined {
-    return this.parts.types().find((t) => t.name === name);
+  machineType(name: string): MachineType | undefined {
+    return this.parts.machineTypes().find((t) => t.name === name);
   }
 
   // --- jobs ------------------------------------------------------------------------------------
 
   /** Takes in a job's record; null when it needs no memory here. */
-  learnJob(record: JobRecord, version: Version): Job | null {
+  applyJobRecord(record: JobRecord, version: Version): Job | null {
     const { spec } = record;
     let job = this.jobs.get(spec.id);
     if (job === undefined) {
       // What is over needs no memory here: its users are answered from the record.
       if (record.phase === 'done') return null;
-      const submittedAt = later(this.now(), -this.parts.ageMs(record.at));
+      const submittedAt = addMs(this.now(), -this.parts.ageMs(record.submittedAt));
       job = new Job(spec, record.chunkSize, version, submittedAt, record.graph ?? null);
       if (record.phase === 'active')
         this.parts.log.debug(
@@ -109,15 +109,15 @@
       job.version = version;
       if (record.phase === 'cancelled' && job.state !== 'cancelled') {
         if (record.cancelledAt !== undefined)
-          job.cancelledAt = later(this.now(), -this.parts.ageMs(record.cancelledAt));
-        this.cancel(job);
+          job.cancelledAt = addMs(this.now(), -this.parts.ageMs(record.cancelledAt));
+        this.cancelJob(job);
       }
     }
     this.emit('changed', job);
     return job;
   }
 
-  restoreTasks(item: Item): void {
+  applyTaskRecord(item: KeyValue): void {
     const [, id, index] = item.key.split('/');
     const job = this.jobs.get(id as JobId);
     if (job === undefined || job.state === 'done') return;
@@ -129,24 +129,25 @@
   }
 
   /** All of the job's records are read. */
-  afterRestore(job: Job): void {
+  finishRestore(job: Job): void {
     for (const p of [...job.placements.values()]) {
-      this.hold(job, p);
-      const session = this.machines.get(p.machine)?.session ?? null;
+      this.addPlacement(job, p);
+      const session = this.machines.get(p.machine)?.agentEpoch ?? null;
       // A machine that reported while the records were still being read has shown its newer session already, and
       // would not do so again: its task was taken for running for ever.
-      if (session !== null && p.session < session) this.gone(job, p, false, 'newer session', true);
-      else if (job.state === 'cancelled') job.askStop(p.task, 0, 'cancelled', this.now());
+      if (session !== null && p.agentEpoch < session)
+        this.removePlacement(job, p, false, 'newer session', true);
+      else if (job.state === 'cancelled') job.requestStop(p.task, 0, 'cancelled', this.now());
     }
-    this.checkFinished(job);
+    this.announceIfEnded(job);
   }
 
-  private cancel(job: Job): void {
-    job.enter('cancelled');
+  private cancelJob(job: Job): void {
+    job.transitionTo('cancelled');
     this.parts.log.info({ job: job.spec.id, placed: job.placements.size }, 'job cancelled');
     const machines = new Set<MachineId>();
     for (const p of [...job.placements.values()]) {
-      job.askStop(p.task, 0, 'cancelled', this.now());
+      job.requestStop(p.task, 0, 'cancelled', this.now());
       machines.add(p.machine);
     }
     for (const id of machines) this.emit('due', id);
@@ -154,35 +155,35 @@
     this.emit('plan');
   }
 
-  private checkFinished(job: Job): void {
+  private announceIfEnded(job: Job): void {
     if (job.state === 'active' && job.doneCount === job.spec.tasks) {
-      job.enter('closing');
+      job.transitionTo('closing');
       this.emit('ended', job);
     } else if (job.state === 'cancelled' && job.placements.size === 0) this.emit('ended', job);
   }
 
   /** The job is over and its task records are gone: nothing here refers to it any more. */
-  release(job: Job): void {
+  releaseJob(job: Job): void {
     this.jobs.delete(job.spec.id);
     this.emit('released', job);
   }
 
   // --- placements ------------------------------------------------------------------------------
 
-  heldOn(id: MachineId): Iterable<Held> {
+  tasksOn(id: MachineId): Iterable<PlacedTask> {
     return this.held.get(id)?.values() ?? [];
   }
 
-  heldCount(id: MachineId): number {
+  taskCountOn(id: MachineId): number {
     return this.held.get(id)?.size ?? 0;
   }
 
   /** Whether records or the cloud's list say that the machine was up, whoever has heard it. */
-  wasUp(m: Machine): boolean {
-    return this.heldCount(m.id) > 0 || m.listedRunning;
+  isKnownToHaveRun(m: Machine): boolean {
+    return this.taskCountOn(m.id) > 0 || m.isListedRunning;
   }
 
-  private hold(job: Job, p: Placement): void {
+  private addPlacement(job: Job, p: Placement): void {
     let on = this.held.get(p.machine);
     if (on === undefined) {
       on = new Map();
@@ -192,34 +193,40 @@
     const machine = this.machines.get(p.machine);
     if (machine !== undefined) {
       machine.idleSince = null;
-      this.prove(machine);
+      this.confirmMachine(machine);
     } else this.addMachine(p.machine, '', '', false);
   }
 
   /** Places a task: an intent, of which nothing is sent before it is durable. */
-  place(job: Job, task: number, machine: MachineId, session: Session, shared: Attempt | null): Placement {
-    const p = job.intend(task, machine, session, this.now(), shared);
-    this.hold(job, p);
+  placeTask(
+    job: Job,
+    task: number,
+    machine: MachineId,
+    session: AgentEpoch,
+    shared: Attempt | null,
+  ): Placement {
+    const p = job.recordIntent(task, machine, session, this.now(), shared);
+    this.addPlacement(job, p);
     this.emit('placed', job, task);
     return p;
   }
 
   /** Takes over a task that its machine reports and no record places. */
-  adopt(job: Job, t: TaskReport, machine: MachineId, session: Session): void {
-    job.adopt(t.task, machine, session, t.attempt, this.now());
+  adoptTask(job: Job, t: TaskStatus, machine: MachineId, session: AgentEpoch): void {
+    job.adoptPlacement(t.task, machine, session, t.attempt, this.now());
     const p = job.placements.get(t.task);
     if (p === undefined) return;
-    this.hold(job, p);
-    if (t.phase !== 'exited') job.reported(t.task, t.phase, this.now());
+    this.addPlacement(job, p);
+    if (t.phase !== 'exited') job.applyReportedPhase(t.task, t.phase, this.now());
     this.emit('placed', job, t.task);
     this.emit('changed', job);
   }
 
   /** The intent is durable: the start may go out where there is room. */
-  durable(job: Job, started: readonly { task: number; attempt: Attempt }[]): void {
+  markDurable(job: Job, started: readonly { task: number; attempt: Attempt }[]): void {
     const machines = new Set<MachineId>();
     for (const s of started) {
-      job.durable(s.task, s.attempt, this.now());
+      job.markDurable(s.task, s.attempt, this.now());
       const p = job.placements.get(s.task);
       if (p?.state === 'queued' || p?.state === 'starting') machines.add(p.machine);
     }
@@ -227,12 +234,12 @@
   }
 
   /** A task is proven to be off its machine. */
-  gone(job: Job, p: Placement, done: boolean, why: string, withMachine = false): void {
+  removePlacement(job: Job, p: Placement, done: boolean, why: string, withMachine = false): void {
     const now = this.now();
     const machine = this.machines.get(p.machine);
     const name = formatTaskName(job.spec.id, p.task);
     this.parts.log.debug({ task: name, try: p.attempt, machine: p.machine, why, state: p.state }, 'task off');
-    job.gone(p.task, done, now);
+    job.removePlacement(p.task, done, now);
     const on = this.held.get(p.machine);
     on?.delete(name);
     if (machine !== undefined && (on === undefined || on.size === 0)) machine.idleSince = now;
@@ -245,71 +252,71 @@
       job.spec.kind === 'gang' &&
       !done &&
       job.state === 'active' &&
-      !(withMachine && job.awaitsReplacement)
+      !(withMachine && job.awaitsReplacementTask)
     )
       this.stopGang(job, 0, 'gang');
-    this.checkFinished(job);
+    this.announceIfEnded(job);
     this.emit('plan');
   }
 
   /** Gives up a task for good: stopped where it may be on a machine, never started again. */
-  abandon(job: Job, task: number): void {
+  abandonTask(job: Job, task: number): void {
     const p = job.placements.get(task);
     if (p !== undefined) {
-      job.askStop(task, 0, 'cancelled', this.now());
+      job.requestStop(task, 0, 'cancelled', this.now());
       this.emit('due', p.machine);
       return;
     }
     job.abandon(task);
     this.emit('abandoned', job, task);
-    this.checkFinished(job);
+    this.announceIfEnded(job);
   }
 
   stopGang(job: Job, graceS: number, reason: StopReason): void {
     const machines = new Set<MachineId>();
     for (const p of job.placements.values()) {
-      if (p.stop !== null) continue;
-      job.askStop(p.task, graceS, reason, this.now());
+      if (p.stopRequest !== null) continue;
+      job.requestStop(p.task, graceS, reason, this.now());
       machines.add(p.machine);
     }
     for (const id of machines) this.emit('due', id);
   }
 
   /** Everything on the machine is proven gone. */
-  clearMachine(id: MachineId, why: string, before: Session | null = null): void {
-    for (const { job, task } of [...this.heldOn(id)]) {
+  removePlacementsOn(id: MachineId, why: string, before: AgentEpoch | null = null): void {
+    for (const { job, task } of [...this.tasksOn(id)]) {
       const p = job.placements.get(task);
-      if (p !== undefined && p.machine === id && (before === null || p.session < before))
-        this.gone(job, p, false, why, true);
+      if (p !== undefined && p.machine === id && (before === null || p.agentEpoch < before))
+        this.removePlacement(job, p, false, why, true);
     }
   }
 
   // --- machines --------------------------------------------------------------------------------
 
-  get standingUpTo(): string | null {
+  get initialFleetUpTo(): string | null {
     return this.standing;
   }
 
   /** The fleet found at the very first start is known. */
-  setStanding(upTo: string): void {
+  setInitialFleet(upTo: string): void {
     this.standing = upTo;
-    for (const m of this.machines.values()) m.rented = this.isRented(m.id);
+    for (const m of this.machines.values()) m.isProvisioned = this.isScaledOut(m.id);
   }
 
-  isRented(id: MachineId): boolean {
-    return this.standing !== null && compareIds(id, this.standing) > 0;
+  isScaledOut(id: MachineId): boolean {
+    return this.standing !== null && compareMachineIds(id, this.standing) > 0;
   }
 
   /** A service that started with no machines rents all of them for its work: money is weighed. */
-  get frugal(): boolean {
+  get minimizesCost(): boolean {
     return this.standing === '';
   }
 
   private addMachine(id: MachineId, type: string, zone: string, spot: boolean, rented = true): Machine {
     const machine = new Machine(id, type, zone, spot, rented, this.now());
     // Until the machine shows our token, an earlier leader may still answer it up to its horizon.
-    machine.answeredUntil = this.parts.answeredUntil;
-    if (this.heldCount(id) > 0) machine.idleSince = null;
+    machine.latestPossibleRenewalAt = this.parts.previousLeaderRenewsUntil;
+    if (this.taskCountOn(id) > 0) machine.idleSince = null;
     this.machines.set(id, machine);
     return machine;
   }
@@ -318,42 +325,42 @@
    * Records loaded before a machine was known carry its id only: its facts are filled in here. `isProven`: whether they
    * come from what can't be older than the machine's end, and not from a report that may have been on its way for long.
    */
-  describeMachine(id: MachineId, type: string, zone: string, spot: boolean, isProven = true): Machine {
+  registerMachine(id: MachineId, type: string, zone: string, spot: boolean, isProven = true): Machine {
     const known = this.machines.get(id);
     if (known !== undefined && known.type !== '') {
-      if (isProven) this.prove(known);
+      if (isProven) this.confirmMachine(known);
       return known;
     }
-    const added = this.addMachine(id, type, zone, spot, this.isRented(id));
+    const added = this.addMachine(id, type, zone, spot, this.isScaledOut(id));
     // A record places something there.
-    added.isProven = isProven || known !== undefined;
+    added.isConfirmed = isProven || known !== undefined;
     return added;
   }
 
   /** The machine is there now: it may be placed on. */
-  prove(m: Machine): void {
-    if (m.isProven) return;
-    m.isProven = true;
+  confirmMachine(m: Machine): void {
+    if (m.isConfirmed) return;
+    m.isConfirmed = true;
     this.emit('plan');
   }
 
-  drain(m: Machine, reason: string): void {
+  drainMachine(m: Machine, reason: string): void {
     if (m.state !== 'ready' && m.state !== 'silent' && m.state !== 'booting') return;
     m.drainReason = reason;
-    m.enter('draining');
+    m.transitionTo('draining');
     this.parts.log.info({ machine: m.id, reason }, 'machine drains');
   }
 
-  undrain(m: Machine): void {
-    if (m.state !== 'draining' || m.goneBy !== null) return;
+  cancelDrain(m: Machine): void {
+    if (m.state !== 'draining' || m.preemptionDeadline !== null) return;
     m.drainReason = '';
-    m.enter('ready');
+    m.transitionTo('ready');
     this.parts.log.info({ machine: m.id }, 'machine is needed after all');
     this.emit('plan');
   }
 }
 
 /** Names are in order of creation; a longer name is a later one. */
-export function compareIds(a: string, b: string): number {
+export function compareMachineIds(a: string, b: string): number {
   return a.length - b.length || (a < b ? -1 : a > b ? 1 : 0);
 }
--- a/packages/controller/src/jobs.ts
+++ b/packages/controller/src/jobs/job-service.ts
@@ -1,12 +1,19 @@
 import type { Configuration, ConfigurationVersion } from '@spurbridge/configuration';
-import type { JobRecord, WallMs } from '@spurbridge/model';
-import { chunkSizeFor, decodeJob, encodeJob, jobKey, neverRuns, userPhase } from '@spurbridge/model';
-import type { StateStore } from '@spurbridge/store';
+import type { JobRecord, WallClockMs } from '@spurbridge/model';
+import {
+  tasksPerChunk,
+  decodeJob,
+  encodeJob,
+  jobKey,
+  rejectionReason,
+  jobPhaseForUser,
+} from '@spurbridge/model';
+import type { KeyValueStore } from '@spurbridge/store';
 import type { JobId, JobPhase, JobSpec, JobStatus, MachineType, Version } from '@spurbridge/wire';
-import { ABSENT, MalformedError, parseSubmission, parseSubmissionId } from '@spurbridge/wire';
-import type { Settings } from './settings.js';
+import { KEY_ABSENT, ValidationError, parseSubmission, parseSubmissionId } from '@spurbridge/wire';
+import type { Settings } from '../settings.js';
 
-export type Answer =
+export type JobResponse =
   | { readonly code: 200 | 201; readonly status: JobStatus }
   | { readonly code: 400 | 404 | 422; readonly error: string }
   /** Cannot be decided now: asked again after `retryAfterS`. */
@@ -26,51 +33,51 @@
 export class JobService {
   constructor(
     private readonly settings: Settings,
-    private readonly store: StateStore,
-    private readonly wallNow: () => WallMs,
+    private readonly store: KeyValueStore,
+    private readonly wallNow: () => WallClockMs,
     private readonly types: () => readonly MachineType[],
     private readonly configuration: ConfigurationSource,
     private readonly progress: (id: JobId) => { done: number; running: number } | null,
   ) {}
 
-  async submit(body: unknown): Promise<Answer> {
+  async submit(body: unknown): Promise<JobResponse> {
     let spec: JobSpec;
     try {
       spec = parseSubmission(body);
     } catch (e) {
       return this.malformed(body, e);
     }
-    if (this.types().length === 0) return this.known(spec.id, unsure('machine types are not known yet'));
+    if (this.types().length === 0) return this.statusOr(spec.id, unsure('machine types are not known yet'));
     const never = this.refusal(spec);
     // A retry of a known job is answered with its state even if the job would be refused now.
-    if (never !== null) return this.known(spec.id, await this.confirmed(spec, never));
+    if (never !== null) return this.statusOr(spec.id, await this.confirmRefusal(spec, never));
     const record: JobRecord = {
       spec,
       phase: 'active',
-      at: this.wallNow(),
-      chunkSize: chunkSizeFor(this.settings.state.valueKb),
+      submittedAt: this.wallNow(),
+      chunkSize: tasksPerChunk(this.settings.storeLimits.valueKb),
     };
     const outcome = await this.store.commit(
-      [{ key: jobKey(spec.id), version: ABSENT }],
+      [{ key: jobKey(spec.id), version: KEY_ABSENT }],
       [{ put: jobKey(spec.id), value: encodeJob(record) }],
       1,
     );
     if (outcome.outcome === 'committed') return { code: 201, status: { id: spec.id, phase: 'queued' } };
-    if (outcome.outcome === 'conflict') return this.known(spec.id, unsure('the id is in use'));
+    if (outcome.outcome === 'conflict') return this.statusOr(spec.id, unsure('the id is in use'));
     return unsure('the state service did not confirm');
   }
 
   private refusal(spec: JobSpec): string | null {
     const { teams } = this.configuration.current();
     if (teams.some((t) => t.name === spec.team && t.isRetired)) return 'the team is retired';
-    return neverRuns(spec, teams, this.types());
+    return rejectionReason(spec, teams, this.types());
   }
 
   /**
    * A refusal is final for its user, so it is never given from an old configuration: the state service says first that
    * there is no later one.
    */
-  private async confirmed(spec: JobSpec, never: string): Promise<Answer> {
+  private async confirmRefusal(spec: JobSpec, never: string): Promise<JobResponse> {
     const version = await this.configuration.latestVersion();
     if (version === null) return unsure('the configuration cannot be confirmed');
     if (version === this.configuration.current().version)
@@ -78,25 +85,25 @@
     return unsure('a later configuration is being taken in');
   }
 
-  private async malformed(body: unknown, e: unknown): Promise<Answer> {
-    if (!(e instanceof MalformedError)) throw e;
-    const refusal: Answer = { code: 400, error: e.message };
+  private async malformed(body: unknown, e: unknown): Promise<JobResponse> {
+    if (!(e instanceof ValidationError)) throw e;
+    const refusal: JobResponse = { code: 400, error: e.message };
     let id: JobId;
     try {
       id = parseSubmissionId(body);
     } catch {
       return refusal;
     }
-    return this.known(id, refusal);
+    return this.statusOr(id, refusal);
   }
 
   /** The state of a job that is known already; otherwise the given answer. */
-  private async known(id: JobId, otherwise: Answer): Promise<Answer> {
+  private async statusOr(id: JobId, otherwise: JobResponse): Promise<JobResponse> {
     const status = await this.status(id);
     return status.code === 404 ? otherwise : status;
   }
 
-  async status(id: JobId): Promise<Answer> {
+  async status(id: JobId): Promise<JobResponse> {
     const found = await this.store.read(jobKey(id), 1);
     if (found.outcome === 'absent') return { code: 404, error: 'no such job' };
     if (found.outcome !== 'found') return unsure('the state service does not answer');
@@ -105,13 +112,13 @@
     // A part of a task graph is no job that anybody submitted: its graph is asked about, and cancelled.
     if (record.graph !== undefined) return { code: 404, error: 'no such job' };
     const p = this.progress(id) ?? { done: 0, running: 0 };
-    const phase: JobPhase = userPhase(record, p.running);
+    const phase: JobPhase = jobPhaseForUser(record, p.running);
     const done = phase === 'done' ? record.spec.tasks : p.done;
     const running = record.phase === 'active' ? p.running : 0;
     return { code: 200, status: { id, phase, done, running } };
   }
 
-  async cancel(id: JobId): Promise<Answer> {
+  async cancel(id: JobId): Promise<JobResponse> {
     for (let n = 0; n < TRIES; n += 1) {
       const found = await this.store.read(jobKey(id), 1);
       if (found.outcome === 'absent') return { code: 404, error: 'no such job' };
@@ -138,11 +145,11 @@
   try {
     return decodeJob(value);
   } catch (e) {
-    if (e instanceof MalformedError) return null;
+    if (e instanceof ValidationError) return null;
     throw e;
   }
 }
 
-function unsure(error: string): Answer {
+function unsure(error: string): JobResponse {
   return { code: 503, error, retryAfterS: 1 };
 }
--- a/packages/controller/src/progress.ts
+++ b/packages/controller/src/jobs/progress-publisher.ts
@@ -1,17 +1,17 @@
 import type { Job } from '@spurbridge/model';
 import type { JobId, JobProgress } from '@spurbridge/wire';
-import type { Cluster } from './cluster.js';
-import type { LeaderTerm } from './leader-term.js';
+import type { ClusterState } from './cluster-state.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
 
 const PUBLISH_MS = 1000;
 
 /** Tells the other nodes how far jobs are, for display alone. */
-export class Progress {
+export class ProgressPublisher {
   private readonly changed = new Set<JobId>();
 
   constructor(
     private readonly term: LeaderTerm,
-    private readonly cluster: Cluster,
+    private readonly cluster: ClusterState,
   ) {
     cluster.on('changed', (job) => {
       this.changed.add(job.spec.id);
@@ -19,19 +19,19 @@
   }
 
   async run(): Promise<void> {
-    while (this.term.active) {
-      await this.term.c.clock.sleep(PUBLISH_MS);
+    while (this.term.isActive) {
+      await this.term.context.clock.sleep(PUBLISH_MS);
       const progress: JobProgress[] = [];
       for (const id of this.changed) {
         const job = this.cluster.jobs.get(id);
         if (job !== undefined && job.state === 'active') progress.push(progressOf(job));
       }
       this.changed.clear();
-      if (progress.length > 0) this.term.c.publish(progress);
+      if (progress.length > 0) this.term.context.publishProgress(progress);
     }
   }
 
-  of(id: JobId): JobProgress | null {
+  progressOfJob(id: JobId): JobProgress | null {
     const job = this.cluster.jobs.get(id);
     return job === undefined ? null : progressOf(job);
   }
--- a/packages/controller/src/following.ts
+++ b/packages/controller/src/jobs/record-watcher.ts
@@ -1,14 +1,14 @@
-import type { Ms } from '@spurbridge/net';
-import type { Item, Revision } from '@spurbridge/wire';
-import { answerHorizonMs } from './settings.js';
-import type { LeaderTerm } from './leader-term.js';
+import type { MonotonicMs } from '@spurbridge/net';
+import type { KeyValue, Revision } from '@spurbridge/wire';
+import { maxRenewalStalenessMs } from '../settings.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
 
 /** Short, so that what is known of cancellations is never much older than that. */
 const WATCH_MS = 2000;
 
 /** Follows records that any node writes, and knows as of when they are known here. */
-export class Following {
-  private freshAt: Ms | null = null;
+export class RecordWatcher {
+  private freshAt: MonotonicMs | null = null;
 
   constructor(
     private readonly term: LeaderTerm,
@@ -21,21 +21,21 @@
    * task ran on after it.
    */
   get isFresh(): boolean {
-    return this.ageMs <= answerHorizonMs(this.term.c.settings);
+    return this.ageMs <= maxRenewalStalenessMs(this.term.context.settings);
   }
 
   /** Every change confirmed to a user before this is known here; null until the records were read. */
-  get asOf(): Ms | null {
+  get knownAsOf(): MonotonicMs | null {
     return this.freshAt;
   }
 
   /** How old what is known here is, in milliseconds; Infinity until the records were read. */
   get ageMs(): number {
-    return this.freshAt === null ? Infinity : this.term.c.clock.now() - this.freshAt;
+    return this.freshAt === null ? Infinity : this.term.context.clock.now() - this.freshAt;
   }
 
   /** All records were read, by requests that began then. */
-  readAt(at: Ms): void {
+  markReadAt(at: MonotonicMs): void {
     this.freshAt = at;
   }
 
@@ -43,13 +43,13 @@
    * Watches until deposed. `take` is given the records that changed, or all of them (`whole`) where the state
    * service no longer knows the changes.
    */
-  async run(from: Revision, take: (items: readonly Item[], whole: boolean) => void): Promise<void> {
-    const { clock, store } = this.term.c;
+  async run(from: Revision, take: (items: readonly KeyValue[], whole: boolean) => void): Promise<void> {
+    const { clock, store } = this.term.context;
     let revision = from;
-    while (this.term.active) {
+    while (this.term.isActive) {
       const askedAt = clock.now();
       const seen = await store.watch(this.prefix, revision, WATCH_MS);
-      if (!this.term.active) return;
+      if (!this.term.isActive) return;
       if (seen.outcome === 'events') {
         revision = seen.revision;
         if (seen.events.length > 0)
--- a/packages/controller/src/recorder.ts
+++ b/packages/controller/src/jobs/record-writer.ts
@@ -1,13 +1,13 @@
-import type { Chunk, Job } from '@spurbridge/model';
+import type { TaskChunk, Job } from '@spurbridge/model';
 import { chunkKey, encodeChunk, encodeJob, jobKey } from '@spurbridge/model';
-import type { Ms } from '@spurbridge/net';
-import { later } from '@spurbridge/net';
+import type { MonotonicMs } from '@spurbridge/net';
+import { addMs } from '@spurbridge/net';
 import type { CommitOutcome } from '@spurbridge/store';
-import type { Attempt, Change, Condition, Item, JobId, Version } from '@spurbridge/wire';
-import { ABSENT } from '@spurbridge/wire';
-import type { Cluster } from './cluster.js';
-import { Signal } from './signal.js';
-import type { LeaderTerm } from './leader-term.js';
+import type { Attempt, Mutation, Compare, KeyValue, JobId, Version } from '@spurbridge/wire';
+import { KEY_ABSENT } from '@spurbridge/wire';
+import type { ClusterState } from './cluster-state.js';
+import { WakeSignal } from '../wake-signal.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
 
 /** Finished tasks wait this long for others to share their write; intents go at once. */
 const FOLD_MS = 400;
@@ -16,8 +16,8 @@
 
 interface Entry {
   readonly job: Job;
-  readonly chunk: Chunk;
-  dueAt: Ms;
+  readonly chunk: TaskChunk;
+  dueAt: MonotonicMs;
   /** Holds a new intent. */
   urgent: boolean;
 }
@@ -26,20 +26,20 @@
  * Keeps the records as the leader's memory has them. Each write is conditioned on the leadership and
  * on the record's last version, so one applied late changes nothing.
  */
-export class Recorder {
+export class RecordWriter {
   private readonly entries = new Map<string, Entry>();
   private readonly closing = new Map<JobId, Job>();
   private readonly clearing = new Set<Job>();
   private readonly busy = new Set<string>();
-  private readonly signal = new Signal();
+  private readonly signal = new WakeSignal();
   private running = 0;
-  private backOffUntil = 0 as Ms;
+  private backOffUntil = 0 as MonotonicMs;
 
   constructor(
     private readonly term: LeaderTerm,
-    private readonly cluster: Cluster,
+    private readonly cluster: ClusterState,
     /** Takes in a job's record that was read again. */
-    private readonly learn: (item: Item) => void,
+    private readonly learn: (item: KeyValue) => void,
     /** Whether a job whose tasks are all done may be closed: what they came to is known elsewhere, too. */
     private readonly mayClose: (job: Job) => boolean,
   ) {
@@ -59,17 +59,17 @@
 
   private dirty(job: Job, task: number, urgent: boolean): void {
     if (job.state === 'done') return;
-    const now = this.term.c.clock.now();
+    const now = this.term.context.clock.now();
     const chunk = job.chunkOf(task);
     const key = chunkKey(job.spec.id, chunk.index);
-    const dueAt = urgent ? now : later(now, FOLD_MS);
+    const dueAt = urgent ? now : addMs(now, FOLD_MS);
     const entry = this.entries.get(key);
     if (entry === undefined) this.entries.set(key, { job, chunk, dueAt, urgent });
     else {
-      entry.dueAt = Math.min(entry.dueAt, dueAt) as Ms;
+      entry.dueAt = Math.min(entry.dueAt, dueAt) as MonotonicMs;
       entry.urgent ||= urgent;
     }
-    if (urgent) this.signal.raise();
+    if (urgent) this.signal.notify();
   }
 
   /** The job is closing, or cancelled: its record and its task records are put in order. */
@@ -77,35 +77,35 @@
     if (job.state === 'closing') this.closing.set(job.spec.id, job);
     if (job.state === 'done' || (job.state === 'cancelled' && job.placements.size === 0))
       this.clearing.add(job);
-    this.signal.raise();
+    this.signal.notify();
   }
 
   stop(): void {
-    this.signal.raise();
+    this.signal.notify();
   }
 
   async run(): Promise<void> {
-    const { clock } = this.term.c;
-    while (this.term.active) {
+    const { clock } = this.term.context;
+    while (this.term.isActive) {
       await this.signal.wait(clock, 100);
-      while (this.term.active && this.running < PARALLEL && this.launch());
+      while (this.term.isActive && this.running < PARALLEL && this.launch());
     }
   }
 
   /** Starts one commit; false when nothing is due. */
   private launch(): boolean {
-    const { clock, leadership } = this.term.c;
-    if (clock.now() < this.backOffUntil || !leadership.holdsSurely()) return false;
+    const { clock, leadership } = this.term.context;
+    if (clock.now() < this.backOffUntil || !leadership.holdsValidLease()) return false;
     const work = this.closeOne() ?? this.writeChunks() ?? this.clearOne();
     if (work === null) return false;
     this.running += 1;
     work
       .catch((e: unknown) => {
-        this.term.c.log.error({ error: String(e) }, 'recording failed');
+        this.term.context.log.error({ error: String(e) }, 'recording failed');
       })
       .finally(() => {
         this.running -= 1;
-        this.signal.raise();
+        this.signal.notify();
       });
     return true;
   }
@@ -126,45 +126,45 @@
   }
 
   private async close(job: Job, key: string): Promise<void> {
-    const { store, log, wallNow, clock } = this.term.c;
+    const { store, log, wallNow, clock } = this.term.context;
     this.busy.add(key);
     const at = wallNow() - (clock.now() - job.submittedAt);
-    const changes: Change[] = [
+    const changes: Mutation[] = [
       {
         put: key,
         value: encodeJob({
           spec: job.spec,
           phase: 'done',
-          at: at as never,
+          submittedAt: at as never,
           chunkSize: job.chunkSize,
           ...(job.graph === null ? {} : { graph: job.graph }),
         }),
       },
     ];
     const only = job.chunks.length === 1 ? job.chunks[0] : undefined;
-    if (only !== undefined && only.version !== ABSENT)
+    if (only !== undefined && only.version !== KEY_ABSENT)
       changes.push({ delete: chunkKey(job.spec.id, only.index) });
     const outcome = await store.commit(
-      [this.term.c.leadership.condition(), { key, version: job.version }],
+      [this.term.context.leadership.leadershipCompare(), { key, version: job.version }],
       changes,
       1,
     );
     this.busy.delete(key);
-    if (!this.term.active) return;
+    if (!this.term.isActive) return;
     if (outcome.outcome === 'committed') {
       job.version = outcome.revision as number as Version;
-      job.enter('done');
+      job.transitionTo('done');
       this.closing.delete(job.spec.id);
       for (const c of job.chunks) this.entries.delete(chunkKey(job.spec.id, c.index));
-      if (only !== undefined) only.version = ABSENT;
+      if (only !== undefined) only.version = KEY_ABSENT;
       this.clearing.add(job);
       log.info({ job: job.spec.id, tasks: job.spec.tasks }, 'job done');
     } else await this.failed(outcome, [{ key, job, chunk: null }]);
   }
 
   private writeChunks(): Promise<void> | null {
-    const now = this.term.c.clock.now();
-    const most = this.term.c.settings.state.txnOps;
+    const now = this.term.context.clock.now();
+    const most = this.term.context.settings.storeLimits.txnOps;
     const batch: { key: string; entry: Entry; value: unknown; edition: number }[] = [];
     let bytes = 0;
     const due = [...this.entries].filter(([key, e]) => e.dueAt <= now && !this.busy.has(key));
@@ -180,7 +180,7 @@
       const value = encodeChunk(entry.job, entry.chunk);
       bytes += JSON.stringify(value).length + 300;
       if (batch.length > 0 && bytes > MOST_BYTES) break;
-      batch.push({ key, entry, value, edition: entry.chunk.edition });
+      batch.push({ key, entry, value, edition: entry.chunk.revision });
     }
     if (batch.length === 0) return null;
     for (const b of batch) {
@@ -194,9 +194,9 @@
     batch: readonly { key: string; entry: Entry; value: unknown; edition: number }[],
     urgent: boolean,
   ): Promise<void> {
-    const { store, leadership } = this.term.c;
-    const conditions: Condition[] = [leadership.condition()];
-    const changes: Change[] = [];
+    const { store, leadership } = this.term.context;
+    const conditions: Compare[] = [leadership.leadershipCompare()];
+    const changes: Mutation[] = [];
     const started = batch.map((b) => {
       conditions.push({ key: b.key, version: b.entry.chunk.version });
       changes.push({ put: b.key, value: b.value });
@@ -204,12 +204,12 @@
     });
     const outcome = await store.commit(conditions, changes, urgent ? 1 : 2);
     for (const b of batch) this.busy.delete(b.key);
-    if (!this.term.active) return;
+    if (!this.term.isActive) return;
     if (outcome.outcome === 'committed') {
       batch.forEach((b, i) => {
         b.entry.chunk.version = outcome.revision as number as Version;
-        b.entry.chunk.written = Math.max(b.entry.chunk.written, b.edition);
-        this.cluster.durable(b.entry.job, started[i] ?? []);
+        b.entry.chunk.durableRevision = Math.max(b.entry.chunk.durableRevision, b.edition);
+        this.cluster.markDurable(b.entry.job, started[i] ?? []);
       });
       return;
     }
@@ -234,54 +234,54 @@
       }
       const keys = job.chunks.map((c) => chunkKey(job.spec.id, c.index));
       if (keys.some((k) => this.busy.has(k) || this.entries.has(k))) continue;
-      const chunks = job.chunks.filter((c) => c.version !== ABSENT);
+      const chunks = job.chunks.filter((c) => c.version !== KEY_ABSENT);
       if (chunks.length === 0) {
         this.clearing.delete(job);
-        if (job.state === 'done' || job.placements.size === 0) this.cluster.release(job);
+        if (job.state === 'done' || job.placements.size === 0) this.cluster.releaseJob(job);
         continue;
       }
-      return this.clear(job, chunks.slice(0, this.term.c.settings.state.txnOps));
+      return this.clear(job, chunks.slice(0, this.term.context.settings.storeLimits.txnOps));
     }
     return null;
   }
 
-  private async clear(job: Job, chunks: readonly Chunk[]): Promise<void> {
-    const { store, leadership } = this.term.c;
+  private async clear(job: Job, chunks: readonly TaskChunk[]): Promise<void> {
+    const { store, leadership } = this.term.context;
     const keys = chunks.map((c) => chunkKey(job.spec.id, c.index));
     for (const k of keys) this.busy.add(k);
     const outcome = await store.commit(
-      [leadership.condition()],
+      [leadership.leadershipCompare()],
       keys.map((k) => ({ delete: k })),
       3,
     );
     for (const k of keys) this.busy.delete(k);
-    if (!this.term.active) return;
-    if (outcome.outcome === 'committed') for (const c of chunks) c.version = ABSENT;
+    if (!this.term.isActive) return;
+    if (outcome.outcome === 'committed') for (const c of chunks) c.version = KEY_ABSENT;
     else await this.failed(outcome, []);
   }
 
   /** Refused: later. Unknown or conflicting: the versions may have moved, so they are read again. */
   private async failed(
     outcome: CommitOutcome,
-    touched: readonly { key: string; job: Job; chunk: Chunk | null }[],
+    touched: readonly { key: string; job: Job; chunk: TaskChunk | null }[],
   ): Promise<void> {
-    const { store, leadership, clock } = this.term.c;
-    if (leadership.isLostBy(outcome)) return;
-    this.backOffUntil = later(clock.now(), 120);
+    const { store, leadership, clock } = this.term.context;
+    if (leadership.stepDownOnConflict(outcome)) return;
+    this.backOffUntil = addMs(clock.now(), 120);
     if (outcome.outcome !== 'conflict') return;
     for (const t of touched) {
       if (!outcome.failed.includes(t.key)) continue;
       const found = await store.read(t.key, 1);
-      if (!this.term.active) return;
+      if (!this.term.isActive) return;
       if (found.outcome === 'found') {
         if (t.chunk === null) this.learn(found.item);
         else t.chunk.version = found.item.version;
-      } else if (found.outcome === 'absent' && t.chunk !== null) t.chunk.version = ABSENT;
+      } else if (found.outcome === 'absent' && t.chunk !== null) t.chunk.version = KEY_ABSENT;
     }
   }
 }
 
-function intended(job: Job, chunk: Chunk): { task: number; attempt: Attempt }[] {
+function intended(job: Job, chunk: TaskChunk): { task: number; attempt: Attempt }[] {
   const first = chunk.index * job.chunkSize;
   const found: { task: number; attempt: Attempt }[] = [];
   for (const p of job.placements.values())
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/leadership/controller.ts
@@ -1,70 +1,70 @@
-import type { Cloud } from '@spurbridge/cloud';
+import type { CloudProvider } from '@spurbridge/cloud';
 import type { ConfigurationVersion } from '@spurbridge/configuration';
 import {
-  FILE_VERSION,
+  SETTINGS_FILE_VERSION,
   HEAD_KEY,
-  LiveConfiguration,
-  configurationOfFile,
+  ConfigurationReplica,
+  configurationFromSettings,
   decodeHead,
 } from '@spurbridge/configuration';
-import type { WallMs } from '@spurbridge/model';
+import type { WallClockMs } from '@spurbridge/model';
 import type { Clock } from '@spurbridge/net';
-import type { GuardedStore } from '@spurbridge/recovery';
-import type { Candidate } from '@spurbridge/store';
-import { Leadership, standsBackMs } from '@spurbridge/store';
+import type { RecoverableStore } from '@spurbridge/recovery';
+import type { LeaderCandidate } from '@spurbridge/store';
+import { Leadership, campaignDelayMs } from '@spurbridge/store';
 import type {
   JobId,
   JobProgress,
   MachineType,
   NodeId,
   PeerMessage,
-  Token,
-  WorkerReport,
+  FencingToken,
+  Heartbeat,
 } from '@spurbridge/wire';
-import { MalformedError } from '@spurbridge/wire';
-import { cancelledIn } from './commands.js';
-import type { NodeConfiguration } from './configuration-in-force.js';
-import { ConfigurationInForce } from './configuration-in-force.js';
-import { JobService } from './jobs.js';
+import { ValidationError } from '@spurbridge/wire';
+import { stopsForCancelledTasks } from '../heartbeats/command-dispatcher.js';
+import type { NodeConfigurationStatus } from '../peers/configuration-rollout.js';
+import { ConfigurationRollout } from '../peers/configuration-rollout.js';
+import { JobService } from '../jobs/job-service.js';
 import { Leader } from './leader.js';
-import { Fitness } from './fitness.js';
-import { Holding } from './holding.js';
-import type { Log } from './log.js';
-import type { PeerLink } from './peers.js';
-import type { Settings } from './settings.js';
-import { answerHorizonMs } from './settings.js';
-import type { RoomFactory } from './leader-term.js';
-import type { WorkerLink } from './worker-link.js';
+import { LeaderSuitability } from './leader-suitability.js';
+import { ShardController } from '../shards/shard-controller.js';
+import type { Logger } from '../logger.js';
+import type { PeerTransport } from '../peers/peer-transport.js';
+import type { Settings } from '../settings.js';
+import { maxRenewalStalenessMs } from '../settings.js';
+import type { LeaderComponentFactory } from './leader-term.js';
+import type { WorkerClient } from '../heartbeats/worker-client.js';
 import type { WorkerCommand } from '@spurbridge/wire';
 
-export interface NodeParts {
+export interface ControllerOptions {
   readonly settings: Settings;
   /** The state service, as far as it can be trusted; `changed` of its parts is to call `trustChanged`. */
-  readonly store: GuardedStore;
-  readonly cloud: Cloud;
-  readonly workers: WorkerLink;
+  readonly store: RecoverableStore;
+  readonly cloud: CloudProvider;
+  readonly workerClient: WorkerClient;
   readonly clock: Clock;
-  readonly wallNow: () => WallMs;
-  readonly log: Log;
-  readonly link: (
+  readonly wallNow: () => WallClockMs;
+  readonly log: Logger;
+  readonly createPeerTransport: (
     status: () => PeerMessage,
     receive: (message: PeerMessage) => void,
     closed: (node: NodeId) => void,
-  ) => PeerLink;
+  ) => PeerTransport;
   /** Tells this process from earlier ones of the same node. */
   readonly incarnation: string;
   /** Concerns of the leader beyond the usual ones. */
-  readonly rooms?: readonly RoomFactory[];
+  readonly leaderComponents?: readonly LeaderComponentFactory[];
 }
 
-export type ReportAnswer =
-  | { readonly code: 200; readonly token: Token; readonly commands: readonly WorkerCommand[] }
+export type HeartbeatOutcome =
+  | { readonly code: 200; readonly token: FencingToken; readonly commands: readonly WorkerCommand[] }
   | { readonly code: 421; readonly leader: NodeId }
   | { readonly code: 503 };
 
 /** As a leader answers: whoever holds the worker may answer it for `grantMs` more by itself. */
-export type LeaderAnswer =
-  (Extract<ReportAnswer, { code: 200 }> & { readonly grantMs: number }) | { readonly code: 503 };
+export type LeaderHeartbeatOutcome =
+  (Extract<HeartbeatOutcome, { code: 200 }> & { readonly grantMs: number }) | { readonly code: 503 };
 
 const TYPES_MS = 60_000;
 const STATE_LOST_MS = 2500;
@@ -74,39 +74,42 @@
 export class Controller {
   readonly jobs: JobService;
   readonly leadership: Leadership;
-  private readonly peers: PeerLink;
-  private readonly holding: Holding;
-  private readonly fitness: Fitness;
+  private readonly peers: PeerTransport;
+  private readonly holding: ShardController;
+  private readonly fitness: LeaderSuitability;
   private leader: Leader | null = null;
   private machineTypes: readonly MachineType[] = [];
-  private readonly configuration: LiveConfiguration;
-  private readonly inForce: ConfigurationInForce;
+  private readonly configuration: ConfigurationReplica;
+  private readonly inForce: ConfigurationRollout;
   private readonly progress = new Map<JobId, JobProgress>();
 
-  constructor(private readonly parts: NodeParts) {
+  constructor(private readonly parts: ControllerOptions) {
     const { settings, store, clock, log } = parts;
-    this.fitness = new Fitness(clock);
-    this.configuration = new LiveConfiguration(configurationOfFile(settings.teams, settings.objectives), {
-      log,
-      changed: () => {
-        this.leader?.requestPlan();
-        this.peers.broadcast(this.status());
+    this.fitness = new LeaderSuitability(clock);
+    this.configuration = new ConfigurationReplica(
+      configurationFromSettings(settings.teams, settings.objectives),
+      {
+        log,
+        onChange: () => {
+          this.leader?.requestPlan();
+          this.peers.broadcast(this.status());
+        },
       },
-    });
-    this.inForce = new ConfigurationInForce(settings, clock, {
+    );
+    this.inForce = new ConfigurationRollout(settings, clock, {
       version: () => this.configuration.version,
       ageMs: () => store.copyAgeMs,
       leads: () => this.leads,
     });
     this.leadership = new Leadership(store, clock, settings.node, parts.incarnation, {
-      elected: (token) => {
+      onElected: (token) => {
         this.elected(token);
       },
-      resumed: () => {
+      onLeaseConfirmedAgain: () => {
         this.leader?.requestPlan();
       },
-      deposed: (reason) => {
-        this.fitness.lost();
+      onDeposed: (reason) => {
+        this.fitness.recordLeadershipLoss();
         this.leader?.depose();
         this.leader = null;
         log.info({ reason }, 'no longer leading');
@@ -114,29 +117,29 @@
       log: (message, fields) => {
         log.info(fields, message);
       },
-      hasPeers: () => this.peers.someoneServed(),
-      standsBackMs: () => standsBackMs(this.candidate(), this.holding.candidates()),
+      hasPeers: () => this.peers.hasPeerWithStore(),
+      campaignDelayMs: () => campaignDelayMs(this.candidate(), this.holding.leaderCandidates()),
     });
-    this.peers = parts.link(
+    this.peers = parts.createPeerTransport(
       () => this.status(),
       (message) => {
         this.onPeer(message);
       },
       (node) => {
-        this.holding.linkClosed(node);
+        this.holding.onPeerDisconnected(node);
       },
     );
-    this.holding = new Holding({
+    this.holding = new ShardController({
       settings,
       clock,
       leadership: this.leadership,
       peers: this.peers,
       leads: () => this.leads,
       answer: (r, forwarded) => this.answer(r, forwarded),
-      cancelled: (r) => cancelledIn(r, (id) => store.phaseOf(id)),
+      cancelled: (r) => stopsForCancelledTasks(r, (id) => store.phaseOf(id)),
       hear: (r, ageMs) => {
         this.saidBy(r);
-        if (this.leads) this.leader?.hear(r, ageMs);
+        if (this.leads) this.leader?.receiveForwardedHeartbeat(r, ageMs);
       },
     });
     this.jobs = new JobService(
@@ -145,12 +148,12 @@
       parts.wallNow,
       () => this.machineTypes,
       { current: () => this.configuration.current, latestVersion: () => this.latestVersion() },
-      (id) => this.leader?.progress(id) ?? this.progress.get(id) ?? null,
+      (id) => this.leader?.progressOf(id) ?? this.progress.get(id) ?? null,
     );
   }
 
   /** Machine types as the cloud last told them; none while they are not known. */
-  get types(): readonly MachineType[] {
+  get knownMachineTypes(): readonly MachineType[] {
     return this.machineTypes;
   }
 
@@ -165,38 +168,38 @@
     ]);
   }
 
-  private elected(token: Token): void {
-    const { settings, store, cloud, workers, clock, wallNow, log } = this.parts;
-    this.inForce.beginsToLead();
+  private elected(token: FencingToken): void {
+    const { settings, store, cloud, workerClient: workers, clock, wallNow, log } = this.parts;
+    this.inForce.onElected();
     const leader = new Leader({
       settings,
       configuration: () => this.configuration.current,
-      planned: (version) => {
-        if (!this.inForce.planned(version)) return;
+      onPlanned: (version) => {
+        if (!this.inForce.recordPlan(version)) return;
         log.info({ version }, 'plans by this configuration');
         this.peers.broadcast(this.status());
       },
       store,
       cloud,
-      workers,
-      trust: store,
+      workerClient: workers,
+      storeIntegrity: store,
       leadership: this.leadership,
       clock,
       wallNow,
       log,
-      types: () => this.machineTypes,
-      rooms: this.parts.rooms ?? [],
-      publish: (progress) => {
+      machineTypes: () => this.machineTypes,
+      leaderComponents: this.parts.leaderComponents ?? [],
+      publishProgress: (progress) => {
         this.peers.broadcast({ progress });
       },
-      direct: () => this.holding.share,
-      ready: () => {
+      directWorkers: () => this.holding.shard,
+      onReady: () => {
         this.peers.broadcast(this.status());
       },
     });
     this.leader = leader;
     log.info({ token }, 'leading');
-    store.led(token);
+    store.recordElection(token);
     store
       .writeBack(() => this.leader === leader)
       .catch((e: unknown) => {
@@ -216,7 +219,7 @@
       // Only the leader follows the prices; the others need the types alone.
       if (this.machineTypes.length === 0 || this.leader !== null) {
         try {
-          const types = await this.parts.cloud.types();
+          const types = await this.parts.cloud.listMachineTypes();
           if (types !== null) this.machineTypes = types;
         } catch (e) {
           this.parts.log.error({ error: String(e) }, 'machine types cannot be read');
@@ -226,8 +229,8 @@
     }
   }
 
-  private candidate(): Candidate {
-    return { node: this.parts.settings.node, burden: this.fitness.burden };
+  private candidate(): LeaderCandidate {
+    return { node: this.parts.settings.node, penalty: this.fitness.penalty };
   }
 
   private stateServed(): boolean {
@@ -236,56 +239,56 @@
   }
 
   private status(): PeerMessage {
-    const known = this.leadership.leader();
+    const known = this.leadership.knownLeader();
     return {
       status: {
         node: this.parts.settings.node,
-        token: known?.token ?? (0 as Token),
+        token: known?.fencingToken ?? (0 as FencingToken),
         leader: known?.node ?? ('' as NodeId),
         stateOk: this.stateServed(),
         ...this.parts.store.status(),
         ...this.holding.status(this.leader?.isReady === true),
-        burden: this.fitness.burden,
+        burden: this.fitness.penalty,
         ...this.inForce.status(),
       },
     };
   }
 
   /** Which version each node goes by, this one first. */
-  configurationStatus(): NodeConfiguration[] {
-    return this.inForce.all();
+  configurationStatus(): NodeConfigurationStatus[] {
+    return this.inForce.allNodes();
   }
 
   /** The version that the state service holds now; null where it does not answer. */
   private async latestVersion(): Promise<ConfigurationVersion | null> {
     const found = await this.parts.store.read(HEAD_KEY, 1);
-    if (found.outcome === 'absent') return FILE_VERSION;
+    if (found.outcome === 'absent') return SETTINGS_FILE_VERSION;
     if (found.outcome !== 'found') return null;
     try {
       return decodeHead(found.item.value).version;
     } catch (e) {
-      if (e instanceof MalformedError) return null;
+      if (e instanceof ValidationError) return null;
       throw e;
     }
   }
 
   /** What is known of the state service's records has changed. */
-  copyChanged(): void {
-    this.configuration.seen((key) => this.parts.store.recordOf(key));
+  onRecordsChanged(): void {
+    this.configuration.refresh((key) => this.parts.store.replicatedRecord(key));
   }
 
   /** Peers hear at once when this node begins or ceases to trust the state service. */
-  trustChanged(): void {
+  onStoreIntegrityChanged(): void {
     this.peers.broadcast(this.status());
   }
 
   private onPeer(message: PeerMessage): void {
     const s = message.status;
-    if (s !== undefined) this.parts.store.peerSaid(s);
-    if (s !== undefined && s.leader !== '') this.leadership.observe(s.token, s.leader);
-    if (s !== undefined) this.holding.peerSaid(s);
-    if (s !== undefined) this.inForce.peerSaid(s);
-    this.holding.take(message);
+    if (s !== undefined) this.parts.store.receivePeerStatus(s);
+    if (s !== undefined && s.leader !== '') this.leadership.observeToken(s.token, s.leader);
+    if (s !== undefined) this.holding.onPeerStatus(s);
+    if (s !== undefined) this.inForce.onPeerStatus(s);
+    this.holding.onPeerMessage(message);
     for (const p of message.progress ?? []) {
       this.progress.delete(p.job as JobId);
       this.progress.set(p.job as JobId, p);
@@ -300,8 +303,8 @@
    * Whether users should be sent here. A node that alone is refused by the state service steps aside;
    * in an outage that all share there is nowhere better to go, and leaving would only delay the return.
    */
-  healthy(): boolean {
-    return this.machineTypes.length > 0 && (this.stateServed() || !this.peers.someoneServed());
+  isHealthy(): boolean {
+    return this.machineTypes.length > 0 && (this.stateServed() || !this.peers.hasPeerWithStore());
   }
 
   private get leads(): boolean {
@@ -309,32 +312,32 @@
     return this.leader !== null && (state === 'leading' || state === 'holding');
   }
 
-  private saidBy(r: WorkerReport): void {
-    this.parts.store.workerSaid(r.machine, r.token);
-    this.leadership.observe(r.token, null);
-    this.holding.tokenSeen(r.token);
+  private saidBy(r: Heartbeat): void {
+    this.parts.store.receiveWorkerToken(r.machine, r.fencingToken);
+    this.leadership.observeToken(r.fencingToken, null);
+    this.holding.observeFencingToken(r.fencingToken);
   }
 
   /** A report, by this node's own or another node's connection, answered as the leader. */
-  private answer(r: WorkerReport, forwarded: boolean): LeaderAnswer {
+  private answer(r: Heartbeat, forwarded: boolean): LeaderHeartbeatOutcome {
     this.saidBy(r);
     const { leader } = this;
     if (leader === null || !this.leads) return { code: 503 };
     // Past its lease a leader may still keep the workers' leases alive, but only up to a horizon
     // that a new leader waits for before it takes a silent machine's tasks for gone.
     if (
-      !this.leadership.holdsSurely() &&
-      this.leadership.sinceConfirmed() > answerHorizonMs(this.parts.settings)
+      !this.leadership.holdsValidLease() &&
+      this.leadership.msSinceLeaseConfirmed() > maxRenewalStalenessMs(this.parts.settings)
     )
       return { code: 503 };
-    const renewal = leader.report(r, this.leadership.sinceConfirmed(), forwarded);
+    const renewal = leader.handleHeartbeat(r, this.leadership.msSinceLeaseConfirmed(), forwarded);
     if (renewal === null) return { code: 503 };
-    return { code: 200, token: this.leadership.token, ...renewal };
+    return { code: 200, token: this.leadership.fencingToken, ...renewal };
   }
 
   /** A worker's report to this node. */
-  report(r: WorkerReport): ReportAnswer | Promise<ReportAnswer> {
+  handleHeartbeat(r: Heartbeat): HeartbeatOutcome | Promise<HeartbeatOutcome> {
     this.saidBy(r);
-    return this.leads ? this.holding.lead(r) : this.holding.report(r);
+    return this.leads ? this.holding.handleHeartbeatAsLeader(r) : this.holding.handleHeartbeat(r);
   }
 }
--- a/packages/controller/src/fitness.ts
+++ b/packages/controller/src/leadership/leader-suitability.ts
@@ -1,4 +1,4 @@
-import type { Clock, Ms } from '@spurbridge/net';
+import type { Clock, MonotonicMs } from '@spurbridge/net';
 
 const LOOK_MS = 200;
 /** Weight of the newest look. */
@@ -11,22 +11,22 @@
 const LOST_MS = 10_000;
 
 /** What speaks for and against this node as a leader. */
-export class Fitness {
-  private readonly beganAt: Ms;
+export class LeaderSuitability {
+  private readonly beganAt: MonotonicMs;
   private lateMs = 0;
-  private lostAt: Ms | null = null;
+  private lostAt: MonotonicMs | null = null;
 
   constructor(private readonly clock: Clock) {
     this.beganAt = clock.now();
   }
 
   /** It led and does not any more. */
-  lost(): void {
+  recordLeadershipLoss(): void {
     this.lostAt = this.clock.now();
   }
 
   /** How much speaks against it; 0: nothing. */
-  get burden(): number {
+  get penalty(): number {
     const now = this.clock.now();
     const isNew = now - this.beganAt < WARM_MS;
     const hasLost = this.lostAt !== null && now - this.lostAt < LOST_MS;
--- a/packages/controller/src/leader-term.ts
+++ b/packages/controller/src/leadership/leader-term.ts
@@ -1,17 +1,17 @@
-import type { Cloud } from '@spurbridge/cloud';
+import type { CloudProvider } from '@spurbridge/cloud';
 import type { Configuration, ConfigurationVersion } from '@spurbridge/configuration';
-import type { Job, WallMs } from '@spurbridge/model';
-import type { Clock, Ms } from '@spurbridge/net';
-import type { Leadership, StateStore } from '@spurbridge/store';
+import type { Job, WallClockMs } from '@spurbridge/model';
+import type { Clock, MonotonicMs } from '@spurbridge/net';
+import type { Leadership, KeyValueStore } from '@spurbridge/store';
 import type { JobId, JobProgress, MachineType } from '@spurbridge/wire';
-import type { Cluster } from './cluster.js';
-import type { Log } from './log.js';
-import { Reach } from './reach.js';
-import type { Settings } from './settings.js';
-import type { WorkerLink } from './worker-link.js';
+import type { ClusterState } from '../jobs/cluster-state.js';
+import type { Logger } from '../logger.js';
+import { WorkerReachability } from '../heartbeats/worker-reachability.js';
+import type { Settings } from '../settings.js';
+import type { WorkerClient } from '../heartbeats/worker-client.js';
 
 /** What is known of the state service's own soundness (docs/state-loss.md). */
-export interface Trust {
+export interface StoreIntegrityStatus {
   /** Whether all that was ever written is known to have been read. */
   readonly continuous: boolean;
   /** Whether it has lost data that no copy held. */
@@ -26,42 +26,42 @@
 
 /** What a leader works with, and is given by its node. */
 export interface LeaderContext {
-  readonly trust: Trust;
+  readonly storeIntegrity: StoreIntegrityStatus;
   readonly settings: Settings;
   /** What operators may change while jobs run: one whole version at a time. */
   readonly configuration: () => Configuration;
   /** A plan went by this version. */
-  readonly planned: (version: ConfigurationVersion) => void;
-  readonly store: StateStore;
-  readonly cloud: Cloud;
-  readonly workers: WorkerLink;
+  readonly onPlanned: (version: ConfigurationVersion) => void;
+  readonly store: KeyValueStore;
+  readonly cloud: CloudProvider;
+  readonly workerClient: WorkerClient;
   readonly leadership: Leadership;
   readonly clock: Clock;
-  readonly wallNow: () => WallMs;
-  readonly log: Log;
-  readonly types: () => readonly MachineType[];
-  readonly publish: (progress: readonly JobProgress[]) => void;
+  readonly wallNow: () => WallClockMs;
+  readonly log: Logger;
+  readonly machineTypes: () => readonly MachineType[];
+  readonly publishProgress: (progress: readonly JobProgress[]) => void;
   /** Machines whose workers report to this node itself, and when any of them did, the last time. */
-  readonly direct: () => { readonly size: number; readonly lastAt: Ms | null };
+  readonly directWorkers: () => { readonly size: number; readonly lastAt: MonotonicMs | null };
   /** The records are read: holders may tell what they know of their machines. */
-  readonly ready: () => void;
+  readonly onReady: () => void;
   /** Concerns beyond the usual ones, switched on by the program that was started. */
-  readonly rooms: readonly RoomFactory[];
+  readonly leaderComponents: readonly LeaderComponentFactory[];
 }
 
 /** One node's time as leader, from election to deposition: what every room of the leader shares. */
 export class LeaderTerm {
-  readonly electedAt: Ms;
+  readonly electedAt: MonotonicMs;
   /** What direct calls to machines say of this node's own network. */
-  readonly reach: Reach;
+  readonly workerReachability: WorkerReachability;
   private over = false;
 
-  constructor(readonly c: LeaderContext) {
-    this.electedAt = c.clock.now();
-    this.reach = new Reach(c.clock);
+  constructor(readonly context: LeaderContext) {
+    this.electedAt = context.clock.now();
+    this.workerReachability = new WorkerReachability(context.clock);
   }
 
-  get active(): boolean {
+  get isActive(): boolean {
     return !this.over;
   }
 
@@ -74,16 +74,16 @@
  * A concern of its own beside planning, recording, reports, fleet and sweeping. It takes the cluster's state,
  * is told of its changes (`Cluster` is an emitter), and lives as long as its leader.
  */
-export interface Room {
+export interface LeaderComponent {
   /** Reads what an earlier leader left; the first plan comes after it. Resolves early when deposed. */
   restore(): Promise<void>;
   run(): Promise<void>;
   /** Whether the job takes part in the order now: only what has joined is planned. */
-  hasJoined(job: Job): boolean;
+  isSchedulable(job: Job): boolean;
   /** Whether a job whose tasks are all done may be closed, and its task records deleted. */
   mayClose(job: Job): boolean;
   /** Whether it knows all cancellations that a report's answer must not outlive (docs/design.md, "Renewals"). */
   readonly isFresh: boolean;
 }
 
-export type RoomFactory = (term: LeaderTerm, cluster: Cluster) => Room;
+export type LeaderComponentFactory = (term: LeaderTerm, cluster: ClusterState) => LeaderComponent;
--- a/packages/controller/src/fleet-view.ts
+++ b/packages/controller/src/machines/fleet-view.ts
@@ -1,9 +1,9 @@
 import type { Job } from '@spurbridge/model';
-import type { Ms } from '@spurbridge/net';
-import type { Beside, FleetMachine, Replica, Unmet } from '@spurbridge/planner';
+import type { MonotonicMs } from '@spurbridge/net';
+import type { ZoneSpread, FleetMachine, Replica, UnplacedDemand } from '@spurbridge/planner';
 import { effectiveCpus } from '@spurbridge/planner';
 import type { MachineType } from '@spurbridge/wire';
-import type { Cluster } from './cluster.js';
+import type { ClusterState } from '../jobs/cluster-state.js';
 
 const PEAK_WINDOW_MS = 40_000;
 const HEADROOM = 1.1;
@@ -13,15 +13,15 @@
 const SETTLED_MS = 45_000;
 
 /** What the last while needed, in CPUs: the fleet's target. */
-export class Demand {
-  private readonly seen: { at: Ms; cpus: number; ordinary: number }[] = [];
+export class DemandHistory {
+  private readonly seen: { at: MonotonicMs; cpus: number; ordinary: number }[] = [];
 
   constructor(
-    private readonly cluster: Cluster,
+    private readonly cluster: ClusterState,
     private readonly types: () => readonly MachineType[],
   ) {}
 
-  remember(unmet: readonly Unmet[], now: Ms): void {
+  record(unmet: readonly UnplacedDemand[], now: MonotonicMs): void {
     let cpus = 0;
     let ordinary = 0;
     const types = this.types();
@@ -32,8 +32,8 @@
         if (!job.spec.spot) ordinary += needed;
       }
     for (const u of unmet)
-      if (u.withinLimit) {
-        const needed = u.tasks * effectiveCpus(u.job.spec, types);
+      if (u.isWithinLimit) {
+        const needed = u.taskCount * effectiveCpus(u.job.spec, types);
         cpus += needed;
         if (!u.job.spec.spot) ordinary += needed;
       }
@@ -55,7 +55,7 @@
   }
 
   /** Whether services that take ordinary machines alone spread over the zones. */
-  spreads(): boolean {
+  spreadsOverZones(): boolean {
     for (const { spec, state } of this.cluster.jobs.values())
       if (state === 'active' && spec.kind === 'service' && spec.spread && !spec.spot) return true;
     return false;
@@ -68,7 +68,7 @@
     for (const m of this.cluster.machines.values()) {
       if (m.spot || m.state !== 'ready') continue;
       let cpus = 0;
-      for (const { job } of this.cluster.heldOn(m.id))
+      for (const { job } of this.cluster.tasksOn(m.id))
         if (job.spec.kind === 'service') cpus += effectiveCpus(job.spec, types);
       most = Math.max(most, cpus);
     }
@@ -81,11 +81,16 @@
  * until workers have had the time to find it, at `foundBy`: a zone that was cut off before a takeover passed for one that was
  * booting, and no room was rented for what was lost with it.
  */
-export function fleetView(cluster: Cluster, now: Ms, consolidates: boolean, foundBy: Ms): FleetMachine[] {
+export function buildFleetView(
+  cluster: ClusterState,
+  now: MonotonicMs,
+  consolidates: boolean,
+  foundBy: MonotonicMs,
+): FleetMachine[] {
   const machines: FleetMachine[] = [];
-  const beside = new Map<Job, Beside | null>();
+  const beside = new Map<Job, ZoneSpread | null>();
   for (const m of cluster.machines.values()) {
-    const type = cluster.type(m.type);
+    const type = cluster.machineType(m.type);
     if (type === undefined || m.state === 'gone' || m.state === 'releasing') continue;
     let usedCpus = 0;
     let usedGpus = 0;
@@ -94,7 +99,7 @@
     let steadyMemoryGb = 0;
     let settled = true;
     const replicas: Replica[] = [];
-    for (const { job, task } of cluster.heldOn(m.id)) {
+    for (const { job, task } of cluster.tasksOn(m.id)) {
       usedCpus += job.spec.cpus;
       usedGpus += job.spec.gpus;
       usedMemoryGb += job.spec.memoryGb;
@@ -109,33 +114,34 @@
         b = besideOf(cluster, job);
         beside.set(job, b);
       }
-      replicas.push({ ...job.spec, beside: b });
+      replicas.push({ ...job.spec, zoneSpread: b });
       const p = job.placements.get(task);
-      if (p?.runningAt === null || p?.stop !== null || now - p.runningAt < SETTLED_MS) settled = false;
+      if (p?.runningSince === null || p?.stopRequest !== null || now - p.runningSince < SETTLED_MS)
+        settled = false;
     }
     machines.push({
       id: m.id,
       type,
       zone: m.zone,
       spot: m.spot,
-      booting: m.state === 'booting' && (now < foundBy || !cluster.wasUp(m)),
-      returnable: m.rented || cluster.frugal,
+      isBooting: m.state === 'booting' && (now < foundBy || !cluster.isKnownToHaveRun(m)),
+      canScaleIn: m.isProvisioned || cluster.minimizesCost,
       idleS: m.idleSince === null ? 0 : (now - m.idleSince) / 1000,
       usedCpus,
       usedGpus,
       usedMemoryGb,
-      steadyCpus,
-      steadyMemoryGb,
-      takesTasks: m.takesTasks,
+      nonPreemptibleCpus: steadyCpus,
+      nonPreemptibleMemoryGb: steadyMemoryGb,
+      isSchedulable: m.isSchedulable,
       images: m.images,
       replicas,
-      settled,
+      isStable: settled,
     });
   }
   return machines;
 }
 
-function besideOf(cluster: Cluster, job: Job): Beside | null {
+function besideOf(cluster: ClusterState, job: Job): ZoneSpread | null {
   const { spec } = job;
   if (!spec.spread && !spec.oneZone) return null;
   const held = new Map<string, number>();
@@ -143,5 +149,9 @@
     const zone = cluster.machines.get(p.machine)?.zone ?? '';
     held.set(zone, (held.get(zone) ?? 0) + 1);
   }
-  return { held, most: spec.spread ? Math.ceil(spec.tasks / 2) : Infinity, oneZone: spec.oneZone };
+  return {
+    replicasByZone: held,
+    maxPerZone: spec.spread ? Math.ceil(spec.tasks / 2) : Infinity,
+    oneZone: spec.oneZone,
+  };
 }
--- a/packages/controller/src/zones.ts
+++ b/packages/controller/src/machines/zone-reachability.ts
@@ -1,16 +1,16 @@
 import type { Machine } from '@spurbridge/model';
-import { Transitions } from '@spurbridge/model';
-import type { Ms } from '@spurbridge/net';
-import { later } from '@spurbridge/net';
-import { FIND_MS } from './settings.js';
+import { TransitionTable } from '@spurbridge/model';
+import type { MonotonicMs } from '@spurbridge/net';
+import { addMs } from '@spurbridge/net';
+import { FAILOVER_DISCOVERY_MS } from '../settings.js';
 
 /**
  * `whole`: heard as usual. `away`: as good as none of its many machines is heard, while others are: cut off, more likely than dead at
  * the same instant. `returning`: heard again, not by all yet.
  */
-export type ZoneState = 'whole' | 'away' | 'returning';
+export type ZoneReachabilityState = 'whole' | 'away' | 'returning';
 
-const transitions = new Transitions<ZoneState>('zone', {
+const transitions = new TransitionTable<ZoneReachabilityState>('zone', {
   whole: ['away'],
   away: ['returning'],
   returning: ['whole', 'away'],
@@ -28,12 +28,12 @@
 const MOST_AWAY_MS = 90_000;
 
 interface Zone {
-  state: ZoneState;
-  since: Ms;
+  state: ZoneReachabilityState;
+  since: MonotonicMs;
 }
 
 /** Tells a zone that is cut off from machines that died: what runs in it is left to run, as long as its leases may last. */
-export class Zones {
+export class ZoneReachability {
   private readonly zones = new Map<string, Zone>();
 
   constructor(
@@ -42,8 +42,8 @@
   ) {}
 
   /** The only function that changes a zone's state. */
-  private enter(name: string, z: Zone, next: ZoneState, now: Ms): void {
-    transitions.check(z.state, next);
+  private enter(name: string, z: Zone, next: ZoneReachabilityState, now: MonotonicMs): void {
+    transitions.assertAllowed(z.state, next);
     this.say({ zone: name, from: z.state, to: next, afterMs: Math.round(now - z.since) });
     z.state = next;
     z.since = now;
@@ -53,15 +53,20 @@
    * Looks at all machines. One that was not heard by this leader counts where it was up before, as `isUp` says: in a
    * takeover workers have `FIND_MS` more to be heard, from the leader's election on.
    */
-  look(machines: Iterable<Machine>, now: Ms, electedAt: Ms, isUp: (m: Machine) => boolean): void {
+  update(
+    machines: Iterable<Machine>,
+    now: MonotonicMs,
+    electedAt: MonotonicMs,
+    isUp: (m: Machine) => boolean,
+  ): void {
     const heard = new Map<string, { count: number; times: number[] }>();
     for (const m of machines) {
       if (m.zone === '' || m.state === 'gone' || m.state === 'releasing') continue;
-      if (m.heardAt === null && !isUp(m)) continue;
+      if (m.lastHeartbeatAt === null && !isUp(m)) continue;
       const z = heard.get(m.zone) ?? { count: 0, times: [] };
       heard.set(m.zone, z);
       z.count += 1;
-      z.times.push(m.heardAt ?? later(electedAt, this.longestReportMs + FIND_MS));
+      z.times.push(m.lastHeartbeatAt ?? addMs(electedAt, this.longestReportMs + FAILOVER_DISCOVERY_MS));
     }
     const shares = new Map<string, number>();
     for (const [name, { count, times }] of heard) {
@@ -76,15 +81,15 @@
       if (z.state !== 'away' && isLarge && share <= UNHEARD && othersHeard) this.enter(name, z, 'away', now);
       else if (z.state === 'away' && share >= HEARD) this.enter(name, z, 'returning', now);
       // Workers that tried other nodes meanwhile need up to two reports to be heard again.
-      else if (z.state === 'returning' && now > later(z.since, 2 * this.longestReportMs))
+      else if (z.state === 'returning' && now > addMs(z.since, 2 * this.longestReportMs))
         this.enter(name, z, 'whole', now);
     }
   }
 
   /** Whether the machine's silence is its zone's, and says nothing of itself. */
-  excuses(m: Machine, now: Ms): boolean {
+  explainsSilenceOf(m: Machine, now: MonotonicMs): boolean {
     const z = this.zones.get(m.zone);
     if (z === undefined || z.state === 'whole') return false;
-    return z.state === 'returning' || now < later(z.since, MOST_AWAY_MS);
+    return z.state === 'returning' || now < addMs(z.since, MOST_AWAY_MS);
   }
 }
--- a/packages/controller/src/configuration-in-force.ts
+++ b/packages/controller/src/peers/configuration-rollout.ts
@@ -1,13 +1,13 @@
 import type { ConfigurationVersion } from '@spurbridge/configuration';
-import { FILE_VERSION } from '@spurbridge/configuration';
-import type { Clock, Ms } from '@spurbridge/net';
+import { SETTINGS_FILE_VERSION } from '@spurbridge/configuration';
+import type { Clock, MonotonicMs } from '@spurbridge/net';
 import type { NodeId, PeerStatus } from '@spurbridge/wire';
-import type { Settings } from './settings.js';
+import type { Settings } from '../settings.js';
 
 const MOST_AGE_MS = 2 ** 31;
 
 /** Which version of the configuration one node goes by. */
-export interface NodeConfiguration {
+export interface NodeConfigurationStatus {
   readonly node: NodeId;
   /** Null: the node was never heard. */
   readonly version: ConfigurationVersion | null;
@@ -16,7 +16,7 @@
   readonly leads: boolean;
 }
 
-export interface OwnConfiguration {
+export interface LocalConfiguration {
   readonly version: () => ConfigurationVersion;
   readonly ageMs: () => number;
   readonly leads: () => boolean;
@@ -26,23 +26,23 @@
  * In which version the configuration is in force on each node: on one that answers users the version that it answers by, on
  * the leader that of its last plan. Nodes tell each other over `back`; it is for operators, and nothing is decided by it.
  */
-export class ConfigurationInForce {
-  private plannedVersion: ConfigurationVersion = FILE_VERSION;
-  private readonly heard = new Map<NodeId, { readonly status: PeerStatus; readonly at: Ms }>();
+export class ConfigurationRollout {
+  private plannedVersion: ConfigurationVersion = SETTINGS_FILE_VERSION;
+  private readonly heard = new Map<NodeId, { readonly status: PeerStatus; readonly at: MonotonicMs }>();
 
   constructor(
     private readonly settings: Settings,
     private readonly clock: Clock,
-    private readonly own: OwnConfiguration,
+    private readonly own: LocalConfiguration,
   ) {}
 
   /** A new leader has made no plan yet. */
-  beginsToLead(): void {
-    this.plannedVersion = FILE_VERSION;
+  onElected(): void {
+    this.plannedVersion = SETTINGS_FILE_VERSION;
   }
 
   /** A plan went by this version; true when it is the first one that did. */
-  planned(version: ConfigurationVersion): boolean {
+  recordPlan(version: ConfigurationVersion): boolean {
     const isNew = version !== this.plannedVersion;
     this.plannedVersion = version;
     return isNew;
@@ -59,12 +59,12 @@
     return { configuration: this.version, configurationAgeMs: ageMs };
   }
 
-  peerSaid(status: PeerStatus): void {
+  onPeerStatus(status: PeerStatus): void {
     this.heard.set(status.node, { status, at: this.clock.now() });
   }
 
   /** All nodes of the deployment, this one first. */
-  all(): NodeConfiguration[] {
+  allNodes(): NodeConfigurationStatus[] {
     const { node, peers } = this.settings;
     const own = {
       node,
@@ -75,7 +75,7 @@
     return [own, ...peers.map((p) => this.ofPeer(p.node))];
   }
 
-  private ofPeer(node: NodeId): NodeConfiguration {
+  private ofPeer(node: NodeId): NodeConfigurationStatus {
     const known = this.heard.get(node);
     if (known === undefined) return { node, version: null, ageMs: MOST_AGE_MS, leads: false };
     const { status, at } = known;
--- a/packages/controller/src/peers.ts
+++ b/packages/controller/src/peers/peer-transport.ts
@@ -2,8 +2,8 @@
 import type { Clock } from '@spurbridge/net';
 import type { NodeId, PeerMessage } from '@spurbridge/wire';
 import { decodePeerMessage, encodePeerMessage } from '@spurbridge/wire';
-import type { Log } from './log.js';
-import { Signal } from './signal.js';
+import type { Logger } from '../logger.js';
+import { WakeSignal } from '../wake-signal.js';
 
 const STATUS_MS = 700;
 const SILENT_MS = 4000;
@@ -15,20 +15,20 @@
 /** idle -> connecting -> open -> idle; one outgoing connection per peer, receiving on incoming ones. */
 type LinkState = 'idle' | 'connecting' | 'open';
 
-export class Link {
+export class PeerConnection {
   private current: LinkState = 'idle';
   private socket: net.Socket | null = null;
-  private readonly again = new Signal();
+  private readonly again = new WakeSignal();
 
   constructor(
     readonly node: NodeId,
     private readonly address: string,
     private readonly clock: Clock,
-    private readonly log: Log,
+    private readonly log: Logger,
     private readonly closed: (node: NodeId) => void,
   ) {}
 
-  get isOpen(): boolean {
+  get isConnected(): boolean {
     return this.current === 'open';
   }
 
@@ -45,8 +45,8 @@
    * The node was heard: a link that waits to be tried again is tried now. A process that had just begun met nobody within a
    * second and led, though others ran on: they dialled once a second.
    */
-  heard(): void {
-    if (this.current === 'idle') this.again.raise();
+  onPeerHeard(): void {
+    if (this.current === 'idle') this.again.notify();
   }
 
   /** False: certainly not sent. */
@@ -91,7 +91,7 @@
 }
 
 /** Frames of one incoming connection, as they are completed. */
-export async function* peerMessages(chunks: AsyncIterable<Uint8Array>): AsyncGenerator<PeerMessage> {
+export async function* decodePeerMessages(chunks: AsyncIterable<Uint8Array>): AsyncGenerator<PeerMessage> {
   let held: Buffer = Buffer.alloc(0);
   for await (const chunk of chunks) {
     held = held.length === 0 ? Buffer.from(chunk) : Buffer.concat([held, chunk]);
@@ -105,48 +105,48 @@
 }
 
 /** What the controller needs of the link; the stand-in of `testkit` implements it too. */
-export interface PeerLink {
+export interface PeerTransport {
   broadcast(message: PeerMessage): void;
   /** False: certainly not sent. */
   send(to: NodeId, message: PeerMessage): boolean;
   /** Whether what is sent to the node now may arrive there. */
-  isOpen(to: NodeId): boolean;
+  isConnected(to: NodeId): boolean;
   /** Whether a peer that was lately heard is served by the state service. */
-  someoneServed(): boolean;
+  hasPeerWithStore(): boolean;
   run(): Promise<void>;
 }
 
 /** The controller-to-controller link: hints only, never needed for keeping a rule. */
-export class Peers implements PeerLink {
-  private readonly links: Link[];
+export class TcpPeerTransport implements PeerTransport {
+  private readonly links: PeerConnection[];
   private readonly heardAt = new Map<string, { at: number; stateOk: boolean }>();
 
   constructor(
     peers: readonly { node: NodeId; address: string }[],
     private readonly clock: Clock,
-    private readonly log: Log,
+    private readonly log: Logger,
     private readonly status: () => PeerMessage,
     private readonly receive: (message: PeerMessage) => void,
     private readonly listen: string,
     /** Told when a link that was open has ended. */
     closed: (node: NodeId) => void,
   ) {
-    this.links = peers.map((p) => new Link(p.node, p.address, clock, log, closed));
+    this.links = peers.map((p) => new PeerConnection(p.node, p.address, clock, log, closed));
   }
 
   send(to: NodeId, message: PeerMessage): boolean {
     return this.links.find((l) => l.node === to)?.send(message) === true;
   }
 
-  isOpen(to: NodeId): boolean {
-    return this.links.some((l) => l.node === to && l.isOpen);
+  isConnected(to: NodeId): boolean {
+    return this.links.some((l) => l.node === to && l.isConnected);
   }
 
   broadcast(message: PeerMessage): void {
     for (const link of this.links) link.send(message);
   }
 
-  someoneServed(): boolean {
+  hasPeerWithStore(): boolean {
     const now = this.clock.now();
     for (const h of this.heardAt.values()) if (h.stateOk && now - h.at < SILENT_MS) return true;
     return false;
@@ -180,11 +180,11 @@
   }
 
   private async serve(socket: net.Socket): Promise<void> {
-    for await (const message of peerMessages(socket)) {
+    for await (const message of decodePeerMessages(socket)) {
       const { status } = message;
       if (status !== undefined) {
         this.heardAt.set(status.node, { at: this.clock.now(), stateOk: status.stateOk });
-        this.links.find((l) => l.node === status.node)?.heard();
+        this.links.find((l) => l.node === status.node)?.onPeerHeard();
       }
       this.receive(message);
     }
--- a/packages/controller/src/arrivals.ts
+++ b/packages/controller/src/placement/arrival-rate.ts
@@ -1,8 +1,8 @@
 import type { Team } from '@spurbridge/model';
-import type { Ms } from '@spurbridge/net';
-import { later } from '@spurbridge/net';
+import type { MonotonicMs } from '@spurbridge/net';
+import { addMs } from '@spurbridge/net';
 import type { JobId, JobSpec } from '@spurbridge/wire';
-import type { Estimates } from './estimates.js';
+import type { RuntimeEstimator } from './runtime-estimator.js';
 
 /** Long enough for some jobs to arrive on a usual minute, short against the time that a machine takes to boot. */
 const WINDOW_MS = 10_000;
@@ -14,38 +14,38 @@
 const SOME = 4;
 
 interface Arrival {
-  readonly at: Ms;
+  readonly at: MonotonicMs;
   readonly team: string;
   /** CPU seconds. */
   readonly work: number;
 }
 
 /** Work of arrays that came lately, as a rate: a burst is met while it comes, not once its backlog is there. */
-export class Arrivals {
+export class ArrivalRate {
   /** In the order in which they were learned. */
   private readonly known = new Map<JobId, Arrival>();
-  private firstAt: Ms | null = null;
+  private firstAt: MonotonicMs | null = null;
 
   constructor(
-    private readonly estimates: Estimates,
+    private readonly estimates: RuntimeEstimator,
     private readonly teams: () => readonly Team[],
-    private readonly now: () => Ms,
+    private readonly now: () => MonotonicMs,
   ) {}
 
   /** A job's record, also of one that is over: after a takeover the records say what was usual. */
-  learned(spec: JobSpec, submittedAt: Ms): void {
+  recordArrival(spec: JobSpec, submittedAt: MonotonicMs): void {
     if (spec.kind !== 'array' || this.known.has(spec.id)) return;
-    this.firstAt = Math.min(this.firstAt ?? submittedAt, submittedAt) as Ms;
-    if (this.now() > later(submittedAt, USUAL_MS + WINDOW_MS)) return;
-    const work = spec.tasks * spec.cpus * this.estimates.expect(spec);
+    this.firstAt = Math.min(this.firstAt ?? submittedAt, submittedAt) as MonotonicMs;
+    if (this.now() > addMs(submittedAt, USUAL_MS + WINDOW_MS)) return;
+    const work = spec.tasks * spec.cpus * this.estimates.expectedRuntimeS(spec);
     this.known.set(spec.id, { at: submittedAt, team: spec.team, work });
   }
 
   /** In a burst, the CPUs that would keep up with what arrives, of each team no more than its limit; 0: as usual. */
   burstCpus(): number {
     const now = this.now();
-    const since = later(now, -WINDOW_MS);
-    const usualSince = later(now, -WINDOW_MS - USUAL_MS);
+    const since = addMs(now, -WINDOW_MS);
+    const usualSince = addMs(now, -WINDOW_MS - USUAL_MS);
     const work = new Map<string, number>();
     let lately = 0;
     let before = 0;
--- a/packages/controller/src/limits.ts
+++ b/packages/controller/src/placement/quota-enforcement.ts
@@ -1,7 +1,7 @@
 import type { Job, Placement, Team } from '@spurbridge/model';
 import { EPSILON, isUnsent } from '@spurbridge/model';
-import type { Ms } from '@spurbridge/net';
-import type { Cluster } from './cluster.js';
+import type { MonotonicMs } from '@spurbridge/net';
+import type { ClusterState } from '../jobs/cluster-state.js';
 
 interface Use {
   cpus: number;
@@ -14,7 +14,7 @@
 }
 
 /** What each team's tasks that may be on a machine use of its limit. */
-function useByTeam(cluster: Cluster): Map<string, Use> {
+function useByTeam(cluster: ClusterState): Map<string, Use> {
   const used = new Map<string, Use>();
   for (const { spec, placements } of cluster.jobs.values()) {
     if (placements.size === 0) continue;
@@ -27,13 +27,13 @@
 }
 
 /** The team's placements of which no machine was told yet, the latest first. */
-function unsentOf(cluster: Cluster, team: string): Unsent[] {
+function unsentOf(cluster: ClusterState, team: string): Unsent[] {
   const unsent: Unsent[] = [];
   for (const job of cluster.jobs.values()) {
     // A gang starts as a whole: part of it given up would stop the rest.
     if (job.spec.team !== team || job.gang !== null) continue;
     for (const placement of job.placements.values())
-      if (isUnsent(placement) && placement.stop === null) unsent.push({ job, placement });
+      if (isUnsent(placement) && placement.stopRequest === null) unsent.push({ job, placement });
   }
   return unsent.sort((a, b) => b.placement.placedAt - a.placement.placedAt);
 }
@@ -46,14 +46,18 @@
  * A limit that was lowered lets nothing new start: placements beyond it of which no machine was told are given up, the
  * latest first. What was told to start runs on.
  */
-export function giveUpBeyondLimits(cluster: Cluster, teams: readonly Team[], now: Ms): void {
+export function cancelUnsentBeyondQuota(
+  cluster: ClusterState,
+  teams: readonly Team[],
+  now: MonotonicMs,
+): void {
   const used = useByTeam(cluster);
   for (const team of teams) {
     const use = used.get(team.name);
     if (use === undefined || !isBeyond(use, team)) continue;
     for (const { job, placement } of unsentOf(cluster, team.name)) {
       if (!isBeyond(use, team)) break;
-      job.askStop(placement.task, 0, 'preempted', now);
+      job.requestStop(placement.task, 0, 'preempted', now);
       cluster.emit('due', placement.machine);
       use.cpus -= job.spec.cpus;
       use.gpus -= job.spec.gpus;
--- a/packages/controller/src/planning.ts
+++ b/packages/controller/src/placement/scheduling-loop.ts
@@ -1,14 +1,14 @@
 import type { Job } from '@spurbridge/model';
-import type { Unmet } from '@spurbridge/planner';
-import { plan } from '@spurbridge/planner';
+import type { UnplacedDemand } from '@spurbridge/planner';
+import { planTasks } from '@spurbridge/planner';
 import type { Attempt, JobId } from '@spurbridge/wire';
 import { formatTaskName } from '@spurbridge/wire';
-import type { Cluster } from './cluster.js';
-import type { Estimates } from './estimates.js';
-import { giveUpBeyondLimits } from './limits.js';
-import { Signal } from './signal.js';
-import type { LeaderTerm } from './leader-term.js';
-import { snapshotOf } from './view.js';
+import type { ClusterState } from '../jobs/cluster-state.js';
+import type { RuntimeEstimator } from './runtime-estimator.js';
+import { cancelUnsentBeyondQuota } from './quota-enforcement.js';
+import { WakeSignal } from '../wake-signal.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
+import { buildSchedulingSnapshot } from './scheduling-snapshot.js';
 
 const PLAN_GAP_MS = 40;
 const MOST_PLAN_GAP_MS = 1000;
@@ -22,13 +22,13 @@
 const WAVE_PLAN_MS = 1.5;
 
 /** Re-plans on every change and carries the plan out: the only place where tasks are placed. */
-export class Planning {
-  private readonly signal = new Signal();
+export class SchedulingLoop {
+  private readonly signal = new WakeSignal();
 
   constructor(
     private readonly term: LeaderTerm,
-    private readonly cluster: Cluster,
-    private readonly estimates: Estimates,
+    private readonly cluster: ClusterState,
+    private readonly estimates: RuntimeEstimator,
     private readonly parts: {
       /** Whether the job takes part in the order now. */
       readonly hasJoined: (job: Job) => boolean;
@@ -39,25 +39,25 @@
       /** Whether workers of an earlier leader are still finding this one. */
       readonly isComingIn: () => boolean;
       /** What found no room. */
-      readonly planned: (unmet: readonly Unmet[]) => void;
+      readonly planned: (unmet: readonly UnplacedDemand[]) => void;
     },
   ) {
     cluster.on('plan', () => {
-      this.request();
+      this.requestPass();
     });
   }
 
-  request(): void {
-    this.signal.raise();
+  requestPass(): void {
+    this.signal.notify();
   }
 
   async run(): Promise<void> {
-    const { clock, leadership, types } = this.term.c;
-    while (this.term.active) {
+    const { clock, leadership, machineTypes: types } = this.term.context;
+    while (this.term.isActive) {
       await this.signal.wait(clock, 1000);
-      if (!this.term.active) return;
+      if (!this.term.isActive) return;
       const began = clock.now();
-      if (leadership.holdsSurely() && types().length > 0 && this.parts.isSettled()) this.planOnce();
+      if (leadership.holdsValidLease() && types().length > 0 && this.parts.isSettled()) this.planOnce();
       // Planning gives way to reports, renewals and users: when events are dense, one plan serves many.
       const tookMs = clock.now() - began;
       await clock.sleep(
@@ -72,13 +72,13 @@
   }
 
   private planOnce(): void {
-    const { clock, log, configuration, planned } = this.term.c;
+    const { clock, log, configuration, onPlanned: planned } = this.term.context;
     const now = clock.now();
     // One whole version for the whole plan, whatever becomes known while it is made.
     const { version, teams: configured, objectives } = configuration();
-    giveUpBeyondLimits(this.cluster, configured, now);
-    const settings = { ...this.term.c.settings, teams: configured, objectives };
-    const seen = snapshotOf(this.cluster, this.estimates, settings, now, this.parts.hasJoined);
+    cancelUnsentBeyondQuota(this.cluster, configured, now);
+    const settings = { ...this.term.context.settings, teams: configured, objectives };
+    const seen = buildSchedulingSnapshot(this.cluster, this.estimates, settings, now, this.parts.hasJoined);
     const teams = seen.teams.map((t) => {
       const unknown = this.parts.unknownUse(t.name);
       return {
@@ -87,32 +87,32 @@
         gpusMax: less(t.gpusMax, unknown.gpus),
       };
     });
-    const result = plan({ ...seen, teams });
+    const result = planTasks({ ...seen, teams });
     const gangs = new Map<JobId, Attempt>();
-    for (const s of [...result.starts, ...result.heads]) {
+    for (const s of [...result.starts, ...result.queuedStarts]) {
       const job = this.cluster.jobs.get(s.job);
       const machine = this.cluster.machines.get(s.machine);
-      if (job === undefined || machine?.session === null || machine === undefined) continue;
+      if (job === undefined || machine?.agentEpoch === null || machine === undefined) continue;
       let shared: Attempt | null = null;
       if (job.spec.kind === 'gang') {
         shared = gangs.get(s.job) ?? job.gangAttempt();
         gangs.set(s.job, shared);
       }
-      const p = this.cluster.place(job, s.task, s.machine, machine.session, shared);
+      const p = this.cluster.placeTask(job, s.task, s.machine, machine.agentEpoch, shared);
       log.debug({ task: formatTaskName(s.job, s.task), try: p.attempt, machine: s.machine }, 'task placed');
     }
-    for (const s of result.stops) {
+    for (const s of result.preemptions) {
       const job = this.cluster.jobs.get(s.job);
       const p = job?.placements.get(s.task);
-      if (job === undefined || p === undefined || p.stop !== null) continue;
-      job.askStop(s.task, job.spec.checkpointS > 0 ? job.spec.saveS + 1 : 0, 'preempted', now);
+      if (job === undefined || p === undefined || p.stopRequest !== null) continue;
+      job.requestStop(s.task, job.spec.checkpointS > 0 ? job.spec.saveS + 1 : 0, 'preempted', now);
       log.info(
-        { task: formatTaskName(s.job, s.task), machine: p.machine, inFavourOf: s.inFavourOf },
+        { task: formatTaskName(s.job, s.task), machine: p.machine, inFavourOf: s.preemptor },
         'task preempted',
       );
       this.cluster.emit('due', p.machine);
     }
-    this.parts.planned(result.unmet);
+    this.parts.planned(result.unplacedDemand);
     planned(version);
   }
 }
--- a/packages/controller/src/view.ts
+++ b/packages/controller/src/placement/scheduling-snapshot.ts
@@ -1,11 +1,11 @@
-import type { Ms } from '@spurbridge/net';
+import type { MonotonicMs } from '@spurbridge/net';
 import type { Placement } from '@spurbridge/model';
 import type { Job } from '@spurbridge/model';
-import type { JobView, MachineView, Occupant, Snapshot } from '@spurbridge/planner';
-import type { Cluster } from './cluster.js';
-import type { Estimates } from './estimates.js';
-import type { Settings } from './settings.js';
-import { longestReportMs } from './settings.js';
+import type { JobView, MachineView, Occupant, ClusterSnapshot } from '@spurbridge/planner';
+import type { ClusterState } from '../jobs/cluster-state.js';
+import type { RuntimeEstimator } from './runtime-estimator.js';
+import type { Settings } from '../settings.js';
+import { maxHeartbeatIntervalMs } from '../settings.js';
 
 /** Starting value of the design: seconds of summed waiting after which a job goes first. */
 const STARVATION_S = 30;
@@ -17,25 +17,25 @@
 /** Tasks of one job that one plan looks at. */
 const PLAN_TASKS = 200;
 
-function occupant(job: Job, p: Placement, now: Ms, expectedS: number): Occupant {
+function occupant(job: Job, p: Placement, now: MonotonicMs, expectedS: number): Occupant {
   const spec = job.spec;
-  const ranS = p.runningAt === null ? 0 : (now - p.runningAt) / 1000;
+  const ranS = p.runningSince === null ? 0 : (now - p.runningSince) / 1000;
   const overS = expectedS - ranS;
   const isWaiting = p.state === 'intended' || p.state === 'queued';
   // Past its estimate, a task is expected to take a share longer of what it took already.
-  const remainingS = p.stop !== null ? 0.5 : overS > 0.5 ? overS : Math.max(0.5, ranS * 0.25);
+  const remainingS = p.stopRequest !== null ? 0.5 : overS > 0.5 ? overS : Math.max(0.5, ranS * 0.25);
   return {
     job: spec.id,
     task: p.task,
     cpus: spec.cpus,
     gpus: spec.gpus,
     memoryGb: spec.memoryGb,
-    remainingS: spec.kind === 'service' && p.stop === null ? Infinity : remainingS,
-    lostS: isWaiting ? 0 : spec.checkpointS > 0 ? Math.min(ranS, 1) : (now - p.placedAt) / 1000,
+    remainingS: spec.kind === 'service' && p.stopRequest === null ? Infinity : remainingS,
+    lostWorkS: isWaiting ? 0 : spec.checkpointS > 0 ? Math.min(ranS, 1) : (now - p.placedAt) / 1000,
     priority: spec.priority,
     team: spec.team,
-    stopping: p.stop !== null,
-    movable: spec.kind !== 'gang',
+    isStopping: p.stopRequest !== null,
+    isPreemptible: spec.kind !== 'gang',
   };
 }
 
@@ -43,27 +43,27 @@
  * What the planner sees: everything that may be on a machine counts, also where none is heard, and of the
  * jobs those that have joined the order.
  */
-export function snapshotOf(
-  cluster: Cluster,
-  estimates: Estimates,
+export function buildSchedulingSnapshot(
+  cluster: ClusterState,
+  estimates: RuntimeEstimator,
   settings: Settings,
-  now: Ms,
+  now: MonotonicMs,
   hasJoined: (job: Job) => boolean,
-): Snapshot {
+): ClusterSnapshot {
   const machines: MachineView[] = [];
   const expected = new Map<Job, number>();
   const expect = (job: Job): number => {
     let s = expected.get(job);
     if (s === undefined) {
-      s = estimates.expect(job.spec);
+      s = estimates.expectedRuntimeS(job.spec);
       expected.set(job, s);
     }
     return s;
   };
-  const freshMs = longestReportMs(settings) + 1500;
+  const freshMs = maxHeartbeatIntervalMs(settings) + 1500;
   for (const m of cluster.machines.values()) {
     if (m.state === 'gone') continue;
-    const type = cluster.type(m.type) ?? {
+    const type = cluster.machineType(m.type) ?? {
       name: m.type,
       cpus: 0,
       gpus: 0,
@@ -77,7 +77,7 @@
     };
     const occupants: Occupant[] = [];
     const { slowness } = m;
-    for (const { job, task } of cluster.heldOn(m.id)) {
+    for (const { job, task } of cluster.tasksOn(m.id)) {
       const p = job.placements.get(task);
       if (p !== undefined) occupants.push(occupant(job, p, now, expect(job) * slowness));
     }
@@ -86,7 +86,11 @@
       type,
       zone: m.zone,
       spot: m.spot,
-      takesTasks: m.takesTasks && now >= m.refusedUntil && m.heardAt !== null && now - m.heardAt < freshMs,
+      isSchedulable:
+        m.isSchedulable &&
+        now >= m.backoffUntil &&
+        m.lastHeartbeatAt !== null &&
+        now - m.lastHeartbeatAt < freshMs,
       images: m.images,
       slowness,
       occupants,
@@ -101,19 +105,19 @@
     jobs,
     machines,
     teams: settings.teams,
-    starvationS: STARVATION_S,
-    headS: HEAD_S,
-    frugal: cluster.frugal,
+    starvationThresholdS: STARVATION_S,
+    placeAheadS: HEAD_S,
+    isCostAware: cluster.minimizesCost,
     typicalTask: estimates.typicalTask(),
   };
 }
 
 function viewOf(
-  cluster: Cluster,
-  estimates: Estimates,
+  cluster: ClusterState,
+  estimates: RuntimeEstimator,
   settings: Settings,
   job: Job,
-  now: Ms,
+  now: MonotonicMs,
   order: number,
 ): JobView {
   const zones: string[] = [];
@@ -121,26 +125,26 @@
     for (const p of job.placements.values()) zones.push(cluster.machines.get(p.machine)?.zone ?? '');
   // A gang starts as a whole: while any task of the old attempt may be there, none can, but for what
   // completes an attempt that has not started.
-  const blocked = job.spec.kind === 'gang' && job.placements.size > 0 && !job.awaitsReplacement;
-  const pending = blocked ? [] : job.pending(job.spec.kind === 'gang' ? job.spec.tasks : PLAN_TASKS);
+  const blocked = job.spec.kind === 'gang' && job.placements.size > 0 && !job.awaitsReplacementTask;
+  const pending = blocked ? [] : job.pendingTasks(job.spec.kind === 'gang' ? job.spec.tasks : PLAN_TASKS);
   const waitS = Math.max(0, now - Math.max(job.submittedAt, job.waitingSince)) / 1000;
   return {
     spec: job.spec,
-    pending,
+    pendingTasks: pending,
     pendingCount: job.pendingCount,
-    unfinished: job.spec.tasks - job.doneCount,
-    zones,
-    summedWaitS: waitS * job.pendingCount,
+    unfinishedCount: job.spec.tasks - job.doneCount,
+    placedZones: zones,
+    totalWaitS: waitS * job.pendingCount,
     ageS: (now - job.submittedAt) / 1000,
-    estimateS: estimates.expect(job.spec),
-    milestonesS: milestones(settings, job),
+    estimateS: estimates.expectedRuntimeS(job.spec),
+    completionMilestonesS: milestones(settings, job),
     startMilestonesS: startMilestones(settings, job),
-    patienceS: patience(settings, job, (now - job.submittedAt) / 1000),
-    avoid: job.failedOn,
-    order,
+    toleratedWaitS: patience(settings, job, (now - job.submittedAt) / 1000),
+    excludedMachines: job.failedMachines,
+    submissionOrder: order,
     // After a takeover a machine may be known by its id alone: without the zones of what it may run,
     // a job that is bound by zones cannot be placed.
-    startable: now >= job.notBefore && !((job.spec.spread || job.spec.oneZone) && zones.includes('')),
+    isStartable: now >= job.backoffUntil && !((job.spec.spread || job.spec.oneZone) && zones.includes('')),
   };
 }
 
--- a/packages/controller/src/settling.ts
+++ b/packages/controller/src/reconciliation/reconciliation.ts
@@ -1,14 +1,14 @@
-import type { Ms } from '@spurbridge/net';
-import { later } from '@spurbridge/net';
-import { Transitions } from '@spurbridge/model';
+import type { MonotonicMs } from '@spurbridge/net';
+import { addMs } from '@spurbridge/net';
+import { TransitionTable } from '@spurbridge/model';
 import type { Job, Machine } from '@spurbridge/model';
-import type { MachineId, TaskReport, WorkerReport } from '@spurbridge/wire';
+import type { MachineId, TaskStatus, Heartbeat } from '@spurbridge/wire';
 import { formatTaskName } from '@spurbridge/wire';
-import type { Place } from './awaited.js';
-import { Awaited } from './awaited.js';
-import type { Cluster } from './cluster.js';
-import { answerHorizonMs } from './settings.js';
-import type { LeaderTerm } from './leader-term.js';
+import type { MachineShape } from './unconfirmed-machines.js';
+import { UnconfirmedMachines } from './unconfirmed-machines.js';
+import type { ClusterState } from '../jobs/cluster-state.js';
+import { maxRenewalStalenessMs } from '../settings.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
 
 /**
  * `settled`: what may be on every machine is known. `asking`: records may be missing, so machines are asked first
@@ -16,9 +16,9 @@
  * be any team's. `listening`: nothing speaks against the records so far, and each job waits only for those machines that
  * could contradict them for it.
  */
-type SettlingState = 'asking' | 'clearing' | 'listening' | 'settled';
+type ReconciliationState = 'asking' | 'clearing' | 'listening' | 'settled';
 
-const transitions = new Transitions<SettlingState>('settling', {
+const transitions = new TransitionTable<ReconciliationState>('settling', {
   asking: ['clearing', 'listening', 'settled'],
   clearing: ['settled'],
   listening: ['asking', 'settled'],
@@ -32,7 +32,7 @@
 const DRIFT = 0.001;
 
 /** Whether an earlier leader may have placed a task of the job on such a machine. */
-function couldHold(p: Place, { spec }: Job): boolean {
+function couldHold(p: MachineShape, { spec }: Job): boolean {
   if (p.type === '') return true;
   return (
     (spec.types === null || spec.types.includes(p.type)) &&
@@ -42,39 +42,39 @@
 }
 
 /** Asks machines what is on them where the records alone cannot tell. */
-export class Settling {
-  private current: SettlingState;
+export class Reconciliation {
+  private current: ReconciliationState;
   /** The last report of each machine that has shown our token: from then on nothing older is executed there. */
-  private readonly heard = new Map<MachineId, WorkerReport>();
+  private readonly heard = new Map<MachineId, Heartbeat>();
   /** Machines that reported at all. */
   private readonly met = new Set<MachineId>();
-  private readonly unheard: Awaited;
+  private readonly unheard: UnconfirmedMachines;
   /** When, and from which list, these were gathered the last time; reports that came since are counted one by one. */
-  private gatheredAt: Ms | null = null;
-  private gatheredFrom: Ms | null = null;
+  private gatheredAt: MonotonicMs | null = null;
+  private gatheredFrom: MonotonicMs | null = null;
   /** How many were not heard at the last look. */
   private before = 0;
   private unexplained = 0;
   /** Machines on which something runs that no known job explains. */
   private readonly strays = new Set<MachineId>();
-  private readonly sureAt: Ms;
+  private readonly sureAt: MonotonicMs;
   /** Placements from before were read from records; later ones are this leader's own. */
-  private beganAt = 0 as Ms;
+  private beganAt = 0 as MonotonicMs;
 
   constructor(
     private readonly term: LeaderTerm,
-    private readonly cluster: Cluster,
-    private readonly listedAt: () => Ms | null,
+    private readonly cluster: ClusterState,
+    private readonly listedAt: () => MonotonicMs | null,
   ) {
-    const { settings, trust } = term.c;
-    this.unheard = new Awaited(cluster);
+    const { settings, storeIntegrity: trust } = term.context;
+    this.unheard = new UnconfirmedMachines(cluster);
     this.current = trust.continuous ? 'settled' : 'asking';
-    const longestMs = answerHorizonMs(settings) + settings.workers.leaseS * 1000;
-    this.sureAt = later(term.electedAt, longestMs * (1 + DRIFT) + MARGIN_MS);
+    const longestMs = maxRenewalStalenessMs(settings) + settings.workers.leaseS * 1000;
+    this.sureAt = addMs(term.electedAt, longestMs * (1 + DRIFT) + MARGIN_MS);
   }
 
   /** Whether tasks may be placed, and machines given back. */
-  get isOver(): boolean {
+  get allowsPlacement(): boolean {
     return this.current === 'listening' || this.current === 'settled';
   }
 
@@ -83,47 +83,47 @@
    * machine that could run a task of it unknown to the records has been heard under our token, or is proven gone. Half
    * of all machines was a guess: tasks placed in a time that the state service had lost ran twice.
    */
-  mayPlace(job: Job): boolean {
+  mayPlaceJob(job: Job): boolean {
     if (this.current === 'settled') return true;
     if (this.current !== 'listening') return false;
-    for (const { place } of this.whatIsUnheard().places()) if (couldHold(place, job)) return false;
+    for (const { place } of this.whatIsUnheard().shapes()) if (couldHold(place, job)) return false;
     return true;
   }
 
   /** What machines not heard yet may use of each team's limit beyond what the records place on them. */
-  unknownUse(team: string): { readonly cpus: number; readonly gpus: number } {
+  unconfirmedUsage(team: string): { readonly cpus: number; readonly gpus: number } {
     if (this.current === 'settled') return { cpus: 0, gpus: 0 };
     const u = this.whatIsUnheard();
-    const own = u.recorded(team);
-    return { cpus: Math.max(0, u.size.cpus - own.cpus), gpus: Math.max(0, u.size.gpus - own.gpus) };
+    const own = u.recordedUsage(team);
+    return { cpus: Math.max(0, u.capacity.cpus - own.cpus), gpus: Math.max(0, u.capacity.gpus - own.gpus) };
   }
 
   /** Machines that decisions still wait for. */
-  get awaited(): number {
+  get unconfirmedCount(): number {
     return this.current === 'settled' || this.current === 'clearing' ? 0 : this.whatIsUnheard().count;
   }
 
   /** Whether machines may be told to start, to stop what is not known, and to forget. */
-  get knowsMachines(): boolean {
+  get mayIssueCommands(): boolean {
     return this.current !== 'asking';
   }
 
   /** The only function that changes the state. */
-  private enter(next: SettlingState, why: string): void {
-    transitions.check(this.current, next);
-    this.term.c.log.info(
+  private enter(next: ReconciliationState, why: string): void {
+    transitions.assertAllowed(this.current, next);
+    this.term.context.log.info(
       { from: this.current, to: next, why, heard: this.heard.size, unexplained: this.unexplained },
       'settling',
     );
     this.current = next;
     this.gatheredAt = null;
-    if (this.isOver) this.cluster.emit('plan');
+    if (this.allowsPlacement) this.cluster.emit('plan');
   }
 
   async run(): Promise<void> {
-    const { clock, trust } = this.term.c;
+    const { clock, storeIntegrity: trust } = this.term.context;
     this.beganAt = clock.now();
-    while (this.term.active && this.current !== 'settled') {
+    while (this.term.isActive && this.current !== 'settled') {
       // A peer that never lost sight of the store says so: then the records are whole.
       if (trust.continuous && this.current === 'asking' && this.unexplained === 0)
         this.enter('settled', 'a peer knows');
@@ -136,12 +136,12 @@
   }
 
   /** A report, by whatever way it came. */
-  take(r: WorkerReport): void {
+  receive(r: Heartbeat): void {
     if (this.current === 'settled') return;
     const m = this.cluster.machines.get(r.machine);
     // One that came late was passed over by those who read it before.
-    if (m?.session !== r.session || m.seq !== r.seq) return;
-    const isOurs = r.token === this.term.c.leadership.token;
+    if (m?.agentEpoch !== r.agentEpoch || m.lastSequence !== r.sequence) return;
+    const isOurs = r.fencingToken === this.term.context.leadership.fencingToken;
     if (isOurs) {
       this.heard.set(r.machine, r);
       this.unheard.remove(r.machine);
@@ -156,14 +156,16 @@
   }
 
   /** No sound store could lack the record of this: its job, or that this attempt was ever given. */
-  private isUnexplained(t: TaskReport): boolean {
+  private isUnexplained(t: TaskStatus): boolean {
     const job = this.cluster.jobs.get(t.job);
-    if (job === undefined) return this.term.c.trust.phaseOf(t.job) === null;
-    return t.task < job.spec.tasks && job.state === 'active' && t.attempt > job.chunkOf(t.task).attempts;
+    if (job === undefined) return this.term.context.storeIntegrity.phaseOf(t.job) === null;
+    return (
+      t.task < job.spec.tasks && job.state === 'active' && t.attempt > job.chunkOf(t.task).attemptsIssued
+    );
   }
 
   /** Whether the machine runs what is not placed there. */
-  private hasStrays(r: WorkerReport): boolean {
+  private hasStrays(r: Heartbeat): boolean {
     return r.tasks.some((t) => {
       const p = this.cluster.jobs.get(t.job)?.placements.get(t.task);
       return t.phase !== 'exited' && (p?.machine !== r.machine || p.attempt !== t.attempt);
@@ -177,19 +179,19 @@
     }
     if (this.strays.size > 0) return;
     this.enter('settled', 'nothing unknown runs any more');
-    this.term.c.trust.settled();
+    this.term.context.storeIntegrity.settled();
   }
 
   /** Machines that may run what the records lack: listed as running, recorded, or met; not gone and not heard. */
   private isAwaited(m: Machine): boolean {
     if (m.state === 'gone' || this.heard.has(m.id)) return false;
-    return this.cluster.wasUp(m) || m.heardAt !== null;
+    return this.cluster.isKnownToHaveRun(m) || m.lastHeartbeatAt !== null;
   }
 
   /** The machines not heard; what a list added since the last look counts at once. */
-  private whatIsUnheard(): Awaited {
+  private whatIsUnheard(): UnconfirmedMachines {
     const listedAt = this.listedAt();
-    const { clock } = this.term.c;
+    const { clock } = this.term.context;
     if (
       this.gatheredAt === null ||
       this.gatheredFrom !== listedAt ||
@@ -203,20 +205,20 @@
     return this.unheard;
   }
 
-  private look(now: Ms): void {
+  private look(now: MonotonicMs): void {
     if (this.current === 'clearing') return this.clear();
     const unheard = this.whatIsUnheard();
-    for (const id of [...unheard.ids()])
+    for (const id of [...unheard.machineIds()])
       if (this.cluster.machines.get(id)?.state === 'gone') unheard.remove(id);
     // A machine that is proven gone lets jobs go on as well as one that is heard.
     if (this.current === 'listening' && unheard.count < this.before) this.cluster.emit('plan');
     this.before = unheard.count;
-    const { settings, trust } = this.term.c;
+    const { settings, storeIntegrity: trust } = this.term.context;
     const listedAt = this.listedAt();
     const missing = unheard.count;
     // A machine that was up shortly before may not be listed yet.
-    const lagMs = settings.cloud.listLagS * 2000;
-    const isListed = listedAt !== null && listedAt > later(this.term.electedAt, lagMs);
+    const lagMs = settings.cloudLimits.listLagS * 2000;
+    const isListed = listedAt !== null && listedAt > addMs(this.term.electedAt, lagMs);
     if ((missing === 0 && isListed) || now > this.sureAt) {
       const why = missing === 0 ? 'every machine was heard' : 'every earlier lease is over';
       if (this.current === 'asking') {
@@ -231,44 +233,47 @@
   }
 
   /** Puts the machines' word in the place of the records', for every machine that was heard. */
-  private reconcile(now: Ms): void {
+  private reconcile(now: MonotonicMs): void {
     const counts = { gone: 0, adopted: 0, done: 0 };
     for (const r of this.heard.values()) {
       const there = new Map(r.tasks.map((t) => [formatTaskName(t.job, t.task), t.attempt]));
-      for (const { job, task } of [...this.cluster.heldOn(r.machine)]) {
+      for (const { job, task } of [...this.cluster.tasksOn(r.machine)]) {
         const p = job.placements.get(task);
-        if (p === undefined || p.session !== r.session || p.placedAt > this.beganAt) continue;
+        if (p === undefined || p.agentEpoch !== r.agentEpoch || p.placedAt > this.beganAt) continue;
         if (there.get(formatTaskName(job.spec.id, task)) === p.attempt) continue;
-        this.cluster.gone(job, p, false, 'not on its machine');
+        this.cluster.removePlacement(job, p, false, 'not on its machine');
         counts.gone += 1;
       }
     }
     for (const r of this.heard.values()) {
       const m = this.cluster.machines.get(r.machine);
-      if (m?.session !== r.session || m.state === 'gone' || m.state === 'releasing') continue;
+      if (m?.agentEpoch !== r.agentEpoch || m.state === 'gone' || m.state === 'releasing') continue;
       for (const t of r.tasks) {
         const job = this.cluster.jobs.get(t.job);
         if (job === undefined || job.state !== 'active' || t.task >= job.spec.tasks || job.isDone(t.task))
           continue;
         if (t.phase === 'exited' && t.cause !== 'done') continue;
         if (!this.isFree(job, t)) continue;
-        this.cluster.adopt(job, t, r.machine, r.session);
+        this.cluster.adoptTask(job, t, r.machine, r.agentEpoch);
         if (t.phase === 'exited') {
           const p = job.placements.get(t.task);
-          if (p !== undefined) this.cluster.gone(job, p, true, 'done');
+          if (p !== undefined) this.cluster.removePlacement(job, p, true, 'done');
           counts.done += 1;
         } else counts.adopted += 1;
       }
     }
-    this.term.c.log.info({ ...counts, ms: Math.round(now - this.term.electedAt) }, 'machines were asked');
+    this.term.context.log.info(
+      { ...counts, ms: Math.round(now - this.term.electedAt) },
+      'machines were asked',
+    );
   }
 
   /** Whether a task may be taken over: an earlier attempt elsewhere was proven gone before this one was given. */
-  private isFree(job: Job, t: TaskReport): boolean {
+  private isFree(job: Job, t: TaskStatus): boolean {
     const p = job.placements.get(t.task);
     if (p === undefined) return true;
     if (p.attempt >= t.attempt) return false;
-    this.cluster.gone(job, p, false, 'a later attempt is there');
+    this.cluster.removePlacement(job, p, false, 'a later attempt is there');
     return true;
   }
 }
--- a/packages/controller/src/awaited.ts
+++ b/packages/controller/src/reconciliation/unconfirmed-machines.ts
@@ -1,68 +1,68 @@
 import type { Machine } from '@spurbridge/model';
 import type { MachineId } from '@spurbridge/wire';
-import type { Cluster } from './cluster.js';
+import type { ClusterState } from '../jobs/cluster-state.js';
 
 /** What decides whether a job's task may be on a machine. */
-export interface Place {
+export interface MachineShape {
   /** Empty where the machine is known by its id alone. */
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-interface Use {
+interface ResourceUsage {
   cpus: number;
   gpus: number;
 }
 
 interface Entry {
-  readonly place: Place;
+  readonly place: MachineShape;
   readonly key: string;
-  readonly size: Use;
+  readonly size: ResourceUsage;
   /** What the records place on it, by team. */
-  readonly recorded: ReadonlyMap<string, Use>;
+  readonly recorded: ReadonlyMap<string, ResourceUsage>;
 }
 
 /**
  * The machines that are still to be heard, as far as decisions depend on them. Each of some thousand reports changes it by one
  * machine: summed up anew each time, it took a new leader's time from the reports that it waited for.
  */
-export class Awaited {
+export class UnconfirmedMachines {
   private readonly entries = new Map<MachineId, Entry>();
-  private readonly kinds = new Map<string, { readonly place: Place; count: number }>();
-  private readonly known: Use = { cpus: 0, gpus: 0 };
-  private readonly byTeam = new Map<string, Use>();
+  private readonly kinds = new Map<string, { readonly place: MachineShape; count: number }>();
+  private readonly known: ResourceUsage = { cpus: 0, gpus: 0 };
+  private readonly byTeam = new Map<string, ResourceUsage>();
   /** Known by their ids alone, they may be as large as any. */
   private unsized = 0;
 
-  constructor(private readonly cluster: Cluster) {}
+  constructor(private readonly cluster: ClusterState) {}
 
   get count(): number {
     return this.entries.size;
   }
 
-  ids(): Iterable<MachineId> {
+  machineIds(): Iterable<MachineId> {
     return this.entries.keys();
   }
 
-  places(): Iterable<{ readonly place: Place }> {
+  shapes(): Iterable<{ readonly place: MachineShape }> {
     return this.kinds.values();
   }
 
-  get size(): Readonly<Use> {
+  get capacity(): Readonly<ResourceUsage> {
     return this.unsized > 0 ? { cpus: Infinity, gpus: Infinity } : this.known;
   }
 
-  recorded(team: string): Readonly<Use> {
+  recordedUsage(team: string): Readonly<ResourceUsage> {
     return this.byTeam.get(team) ?? { cpus: 0, gpus: 0 };
   }
 
   add(m: Machine): void {
     if (this.entries.has(m.id)) return;
-    const type = this.cluster.type(m.type);
+    const type = this.cluster.machineType(m.type);
     const place = { type: m.type, zone: m.zone, spot: m.spot };
-    const recorded = new Map<string, Use>();
-    for (const { job } of this.cluster.heldOn(m.id)) {
+    const recorded = new Map<string, ResourceUsage>();
+    for (const { job } of this.cluster.tasksOn(m.id)) {
       const sum = recorded.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
       sum.cpus += job.spec.cpus;
       sum.gpus += job.spec.gpus;
