--- a/packages/controller/src/holding.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -1,22 +1,22 @@
-import type { Clock, Ms } from '@spurbridge/net';
-import { later } from '@spurbridge/net';
-import type { Holder } from '@spurbridge/shares';
-import { Balance, Pending, Share } from '@spurbridge/shares';
-import type { Candidate, Leadership } from '@spurbridge/store';
+import type { Clock, MonotonicMs } from '@spurbridge/net';
+import { addMs } from '@spurbridge/net';
+import type { ShardOwner } from '@spurbridge/worker-shards';
+import { ShardBalancer, PendingRequests, WorkerShard } from '@spurbridge/worker-shards';
+import type { LeaderCandidate, Leadership } from '@spurbridge/store';
 import type {
-  Forward,
-  ForwardAnswer,
+  ForwardedHeartbeat,
+  ForwardedHeartbeatResponse,
   NodeId,
   PeerMessage,
   PeerStatus,
-  Token,
+  FencingToken,
   WorkerCommand,
-  WorkerReport,
+  Heartbeat,
 } from '@spurbridge/wire';
-import type { LeaderAnswer, ReportAnswer } from './node.js';
-import type { PeerLink } from './peers.js';
-import type { Settings } from './settings.js';
-import { longestReportMs } from './settings.js';
+import type { LeaderHeartbeatOutcome, HeartbeatOutcome } from '../leadership/controller.js';
+import type { PeerTransport } from '../peers/peer-transport.js';
+import type { Settings } from '../settings.js';
+import { maxHeartbeatIntervalMs } from '../settings.js';
 
 /** The leader's answer is waited for no longer than this: the worker itself waits 4 s. */
 const PATIENCE_MS = 2000;
@@ -36,22 +36,22 @@
 
 interface Peer {
   readonly status: PeerStatus;
-  readonly at: Ms;
+  readonly at: MonotonicMs;
 }
 
-export interface HoldingParts {
+export interface ShardControllerOptions {
   readonly settings: Settings;
   readonly clock: Clock;
   readonly leadership: Leadership;
-  readonly peers: PeerLink;
+  readonly peers: PeerTransport;
   /** Whether this node leads and answers reports itself. */
   readonly leads: () => boolean;
   /** A forwarded report, answered as the leader answers its own. */
-  readonly answer: (r: WorkerReport, forwarded: boolean) => LeaderAnswer;
+  readonly answer: (r: Heartbeat, forwarded: boolean) => LeaderHeartbeatOutcome;
   /** Stops of what the report shows and this node knows to be cancelled. */
-  readonly cancelled: (r: WorkerReport) => readonly WorkerCommand[];
+  readonly cancelled: (r: Heartbeat) => readonly WorkerCommand[];
   /** A report whose worker was answered already. */
-  readonly hear: (r: WorkerReport, ageMs: number) => void;
+  readonly hear: (r: Heartbeat, ageMs: number) => void;
 }
 
 /**
@@ -59,24 +59,24 @@
  * their reports to the leader and its answers to them; while no leader answers it keeps the leases alive under the
  * last one's grant, with no orders but to stop what is cancelled. It decides nothing about them.
  */
-export class Holding {
-  readonly share: Share;
-  private readonly balance: Balance;
-  private readonly pending: Pending<ForwardAnswer>;
+export class ShardController {
+  readonly shard: WorkerShard;
+  private readonly balance: ShardBalancer;
+  private readonly pending: PendingRequests<ForwardedHeartbeatResponse>;
   private readonly others = new Map<NodeId, Peer>();
-  private due: Forward[] = [];
+  private due: ForwardedHeartbeat[] = [];
   /** Since when the link to the known leader is closed. */
-  private aloneSince: Ms | null = null;
+  private aloneSince: MonotonicMs | null = null;
   /** Since when this node could answer workers without a break. */
-  private ableSince: Ms | null = null;
+  private ableSince: MonotonicMs | null = null;
   /** The leader that was told of this share whole. */
-  private toldTo = 0 as Token;
-  private highest = 0 as Token;
+  private toldTo = 0 as FencingToken;
+  private highest = 0 as FencingToken;
 
-  constructor(private readonly p: HoldingParts) {
-    this.share = new Share(p.clock, longestReportMs(p.settings) + AWAY_MS);
-    this.balance = new Balance(p.clock, p.settings.node);
-    this.pending = new Pending(p.clock, PATIENCE_MS);
+  constructor(private readonly p: ShardControllerOptions) {
+    this.shard = new WorkerShard(p.clock, maxHeartbeatIntervalMs(p.settings) + AWAY_MS);
+    this.balance = new ShardBalancer(p.clock, p.settings.node);
+    this.pending = new PendingRequests(p.clock, PATIENCE_MS);
   }
 
   /** What others are told of this node as a holder. */
@@ -85,18 +85,18 @@
     return {
       takesReports: leads,
       ready: leads && ready,
-      machines: this.share.size,
+      machines: this.shard.size,
       holds: this.isAble() && this.ableSince !== null && this.p.clock.now() - this.ableSince > SETTLED_MS,
     };
   }
 
   /** Nodes that may lead, as they said lately: served by the state service, and connected. */
-  candidates(): Candidate[] {
+  leaderCandidates(): LeaderCandidate[] {
     const now = this.p.clock.now();
-    const found: Candidate[] = [];
+    const found: LeaderCandidate[] = [];
     for (const [node, { status, at }] of this.others)
-      if (status.stateOk && now - at < PEER_MS && this.p.peers.isOpen(node))
-        found.push({ node, burden: status.burden });
+      if (status.stateOk && now - at < PEER_MS && this.p.peers.isConnected(node))
+        found.push({ node, penalty: status.burden });
     return found;
   }
 
@@ -108,39 +108,39 @@
   async run(): Promise<never> {
     for (;;) {
       await this.p.clock.sleep(SWEEP_MS);
-      this.pending.sweep();
-      this.share.sweep();
+      this.pending.expire();
+      this.shard.removeDeparted();
       if (!this.isAble()) this.ableSince = null;
       else this.ableSince ??= this.p.clock.now();
     }
   }
 
-  tokenSeen(token: Token): void {
+  observeFencingToken(token: FencingToken): void {
     if (token > this.highest) this.highest = token;
   }
 
   /** The leader, where it takes what others forward and its link is open. */
   private leaderHere(): NodeId | null {
-    const known = this.p.leadership.leader();
+    const known = this.p.leadership.knownLeader();
     if (known === null || known.node === this.p.settings.node) return null;
     const peer = this.others.get(known.node);
-    if (peer?.status.takesReports !== true || peer.status.token !== known.token) return null;
-    return this.p.peers.isOpen(known.node) ? known.node : null;
+    if (peer?.status.takesReports !== true || peer.status.token !== known.fencingToken) return null;
+    return this.p.peers.isConnected(known.node) ? known.node : null;
   }
 
   /** A report of a worker that does not find the leader here. */
-  async report(r: WorkerReport): Promise<ReportAnswer> {
+  async handleHeartbeat(r: Heartbeat): Promise<HeartbeatOutcome> {
     const answer = await this.answerFor(r);
     // A worker that gets anything else goes on to another node.
-    if (answer.code === 200) this.share.reported(r);
+    if (answer.code === 200) this.shard.recordHeartbeat(r);
     return answer;
   }
 
-  private async answerFor(r: WorkerReport): Promise<ReportAnswer> {
+  private async answerFor(r: Heartbeat): Promise<HeartbeatOutcome> {
     const leader = this.leaderHere();
     if (leader !== null) {
       this.aloneSince = null;
-      const away = this.awayFor(r, false);
+      const away = this.redirectFor(r, false);
       if (away !== null) return away;
       const answered = await this.forward(leader, r);
       if (answered !== null) return answered;
@@ -148,23 +148,23 @@
     }
     const now = this.p.clock.now();
     this.aloneSince ??= now;
-    const known = this.p.leadership.leader();
+    const known = this.p.leadership.knownLeader();
     // A leader whose link is closed may live all the same: its workers are to find it before long.
-    const isNear = known === null || now < later(this.aloneSince, ALONE_MS);
+    const isNear = known === null || now < addMs(this.aloneSince, ALONE_MS);
     const granted = isNear ? this.underGrant(r) : null;
     if (granted !== null) return granted;
     if (known === null || known.node === this.p.settings.node) return { code: 503 };
     return { code: 421, leader: known.node };
   }
 
-  private underGrant(r: WorkerReport): ReportAnswer | null {
-    const token = this.share.granted(r.machine, this.highest);
+  private underGrant(r: Heartbeat): HeartbeatOutcome | null {
+    const token = this.shard.delegatedToken(r.machine, this.highest);
     // A durable cancellation is final, whoever leads: to stop it needs no more than a token that the worker takes.
     return token === null ? null : { code: 200, token, commands: this.p.cancelled(r) };
   }
 
-  private async forward(leader: NodeId, r: WorkerReport): Promise<ReportAnswer | null> {
-    const { id, askedAt, answer } = this.pending.ask(leader, nameOf(r));
+  private async forward(leader: NodeId, r: Heartbeat): Promise<HeartbeatOutcome | null> {
+    const { id, askedAt, answer } = this.pending.register(leader, nameOf(r));
     this.due.push({ id, ageMs: 0, report: r });
     if (this.due.length === 1)
       void this.p.clock.sleep(GATHER_MS).then(() => {
@@ -172,20 +172,20 @@
       });
     const a = await answer;
     if (a === null) return null;
-    this.tokenSeen(a.token);
+    this.observeFencingToken(a.token);
     if (a.code !== 200) return { code: 503 };
-    this.share.reported(r);
-    this.share.extend(r.machine, a.token, askedAt, a.grantMs);
+    this.shard.recordHeartbeat(r);
+    this.shard.extendDelegation(r.machine, a.token, askedAt, a.grantMs);
     return { code: 200, token: a.token, commands: a.commands };
   }
 
   private flush(leader: NodeId): void {
     const { due } = this;
     this.due = [];
-    if (!this.send(leader, due)) this.pending.closed(leader);
+    if (!this.send(leader, due)) this.pending.abandon(leader);
   }
 
-  private send(to: NodeId, forwards: readonly Forward[]): boolean {
+  private send(to: NodeId, forwards: readonly ForwardedHeartbeat[]): boolean {
     const from = this.p.settings.node;
     for (let i = 0; i < forwards.length; i += FORWARDS_A_FRAME)
       if (!this.p.peers.send(to, { from, forwards: forwards.slice(i, i + FORWARDS_A_FRAME) })) return false;
@@ -193,86 +193,97 @@
   }
 
   /** The answer that sends this worker to a node that holds fewer, or null. */
-  awayFor(r: WorkerReport, leads: boolean): { readonly code: 421; readonly leader: NodeId } | null {
+  redirectFor(r: Heartbeat, leads: boolean): { readonly code: 421; readonly leader: NodeId } | null {
     const now = this.p.clock.now();
-    const others: Holder[] = [];
+    const others: ShardOwner[] = [];
     for (const [node, peer] of this.others)
-      if (peer.status.holds && now - peer.at < PEER_MS && this.p.peers.isOpen(node))
+      if (peer.status.holds && now - peer.at < PEER_MS && this.p.peers.isConnected(node))
         others.push({
           node,
-          machines: peer.status.machines,
+          machineCount: peer.status.machines,
           zone: this.p.settings.peers.find((x) => x.node === node)?.zone ?? '',
-          leads: peer.status.takesReports,
+          isLeader: peer.status.takesReports,
         });
-    const own = { node: this.p.settings.node, machines: this.share.size, zone: this.p.settings.zone, leads };
-    const target = this.balance.target(own, others, r.zone);
+    const own = {
+      node: this.p.settings.node,
+      machineCount: this.shard.size,
+      zone: this.p.settings.zone,
+      isLeader: leads,
+    };
+    const target = this.balance.selectTarget(own, others, r.zone);
     if (target === null) return null;
-    this.share.moved(r.machine);
+    this.shard.markMoving(r.machine);
     return { code: 421, leader: target };
   }
 
   /** A report that this node answers as the leader. */
-  lead(r: WorkerReport): ReportAnswer {
-    const away = this.awayFor(r, true);
+  handleHeartbeatAsLeader(r: Heartbeat): HeartbeatOutcome {
+    const away = this.redirectFor(r, true);
     if (away !== null) return away;
     const answer = this.p.answer(r, false);
     if (answer.code !== 200) return answer;
-    this.share.reported(r);
+    this.shard.recordHeartbeat(r);
     return { code: 200, token: answer.token, commands: answer.commands };
   }
 
   // --- what others say ---------------------------------------------------------------------------
 
-  linkClosed(node: NodeId): void {
-    this.pending.closed(node);
+  onPeerDisconnected(node: NodeId): void {
+    this.pending.abandon(node);
   }
 
-  peerSaid(status: PeerStatus): void {
+  onPeerStatus(status: PeerStatus): void {
     this.others.set(status.node, { status, at: this.p.clock.now() });
-    this.tokenSeen(status.token);
+    this.observeFencingToken(status.token);
     // A new leader knows what is on the machines at once, without waiting for hundreds of reports.
     if (!status.ready || status.token <= this.toldTo || this.p.leads()) return;
-    if (!this.p.peers.isOpen(status.node)) return;
+    if (!this.p.peers.isConnected(status.node)) return;
     this.toldTo = status.token;
     void this.tell(status.node, status.token);
   }
 
   /** Says what is known of every machine here, a frame at a time: all at once would be more than a link may queue. */
-  private async tell(leader: NodeId, token: Token): Promise<void> {
-    const known = this.share.known();
+  private async tell(leader: NodeId, token: FencingToken): Promise<void> {
+    const known = this.shard.latestHeartbeats();
     const toldAt = this.p.clock.now();
     for (let i = 0; i < known.length && this.toldTo === token; i += FORWARDS_A_FRAME) {
       const sinceMs = this.p.clock.now() - toldAt;
       const forwards = known
         .slice(i, i + FORWARDS_A_FRAME)
-        .map(({ report, ageMs }) => ({ id: 0, ageMs: ageMs + sinceMs, report }));
+        .map(({ heartbeat: report, ageMs }) => ({ id: 0, ageMs: ageMs + sinceMs, report }));
       if (!this.p.peers.send(leader, { from: this.p.settings.node, forwards })) return;
       await this.p.clock.sleep(GATHER_MS);
     }
   }
 
-  take(message: PeerMessage): void {
+  onPeerMessage(message: PeerMessage): void {
     const { from, forwards, answers } = message;
     if (from === undefined) return;
-    for (const a of answers ?? []) this.pending.answered(a.id, from, nameOf(a), a);
+    for (const a of answers ?? [])
+      this.pending.complete(
+        a.id,
+        from,
+        nameOf({ machine: a.machine, agentEpoch: a.session, sequence: a.seq }),
+        a,
+      );
     if (forwards === undefined) return;
-    const given: ForwardAnswer[] = [];
+    const given: ForwardedHeartbeatResponse[] = [];
     for (const f of forwards)
       if (f.id === 0) this.p.hear(f.report, f.ageMs);
       else given.push(this.answerTo(f));
     if (given.length > 0) this.p.peers.send(from, { from: this.p.settings.node, answers: given });
   }
 
-  private answerTo(f: Forward): ForwardAnswer {
+  private answerTo(f: ForwardedHeartbeat): ForwardedHeartbeatResponse {
     const a = this.p.answer(f.report, true);
-    const { machine, session, seq } = f.report;
+    const { machine, agentEpoch: session, sequence: seq } = f.report;
     const to = { id: f.id, machine, session, seq };
-    if (a.code !== 200) return { ...to, code: 503, token: 0 as Token, grantMs: 0, commands: [] };
+    if (a.code !== 200) return { ...to, code: 503, token: 0 as FencingToken, grantMs: 0, commands: [] };
     return { ...to, code: 200, token: a.token, grantMs: a.grantMs, commands: a.commands };
   }
 }
 
 /** A report's own name: its count rises with every one, and its session with every count that begins anew. */
-function nameOf(r: Pick<WorkerReport, 'machine' | 'session' | 'seq'>): string {
-  return `${r.machine} ${r.session} ${r.seq}`;
+function nameOf(r: Pick<Heartbeat, 'machine' | 'agentEpoch' | 'sequence'>): string {
+  return `${r.machine} ${r.agentEpoch} ${r.sequence}`;
 }
--- a/packages/controller/src/signal.ts
+++ b/packages/controller/src/wake-signal.ts
@@ -1,11 +1,11 @@
 import type { Clock } from '@spurbridge/net';
 
 /** Wakes one waiting loop; a wake-up given while nobody waits is kept. */
-export class Signal {
+export class WakeSignal {
   private raised = false;
   private wake: (() => void) | null = null;
 
-  raise(): void {
+  notify(): void {
     this.raised = true;
     this.wake?.();
   }
--- a/packages/controller/test/arrivals.test.ts
+++ b/packages/controller/test/arrival-rate.test.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import type { Ms } from '@spurbridge/net';
+import type { MonotonicMs } from '@spurbridge/net';
 import { TEAMS, jobSpec } from '@spurbridge/testkit';
 import type { JobId } from '@spurbridge/wire';
-import { Arrivals } from '../src/arrivals.js';
-import { Estimates } from '../src/estimates.js';
+import { ArrivalRate } from '../src/placement/arrival-rate.js';
+import { RuntimeEstimator } from '../src/placement/runtime-estimator.js';
 
 const TEAM = TEAMS[0] as (typeof TEAMS)[number];
 
 /** Arrivals at these times, each job of so much work for its team; the load seen at each second. */
 function watch(times: readonly number[], untilMs: number, tasks = 10): number[] {
-  let now = 0 as Ms;
-  const a = new Arrivals(
-    new Estimates(),
+  let now = 0 as MonotonicMs;
+  const a = new ArrivalRate(
+    new RuntimeEstimator(),
     () => TEAMS,
     () => now,
   );
@@ -21,13 +21,13 @@
   const due = [...times].sort((x, y) => x - y);
   let n = 0;
   for (let at = 0; at <= untilMs; at += 1000) {
-    now = at as Ms;
+    now = at as MonotonicMs;
     for (; n < due.length && (due[n] as number) <= at; n += 1) {
       const id = `wk-${String(n).padStart(6, '0')}` as JobId;
       const spec = jobSpec({ id, team: TEAM.name, tasks, cpus: 2, estimateS: 5 });
-      a.learned(spec, due[n] as Ms);
+      a.recordArrival(spec, due[n] as MonotonicMs);
       // A record is read again when its job ends.
-      a.learned(spec, due[n] as Ms);
+      a.recordArrival(spec, due[n] as MonotonicMs);
     }
     seen.push(a.burstCpus());
   }
--- a/packages/controller/test/http.test.ts
+++ b/packages/controller/test/http-server.test.ts
@@ -3,7 +3,7 @@
 import type { JobId } from '@spurbridge/wire';
 import { formatSubmission } from '@spurbridge/wire';
 import { TEAMS, TYPES, World, ZONES, jobSpec } from '@spurbridge/testkit';
-import { buildServer } from '../src/index.js';
+import { buildHttpServer } from '../src/index.js';
 
 const spec = jobSpec({ id: 'wk-000001' as JobId });
 const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
@@ -24,10 +24,10 @@
     leaseS: 12,
     cancelS: 26,
   });
-  await w.run(4000);
+  await w.runUntil(4000);
   const node = w.nodes[0];
   assert.ok(node !== undefined);
-  const app = buildServer(node.controller, silent);
+  const app = buildHttpServer(node.controller, silent);
   await app.ready();
   const call = async (method: 'GET' | 'POST', url: string, payload?: unknown): Promise<Reply> => {
     const text = typeof payload === 'string' ? payload : JSON.stringify(payload);
@@ -39,7 +39,7 @@
     });
     for (let i = 0; answers.length === 0 && i < 400; i += 1) {
       await new Promise((resolve) => setImmediate(resolve));
-      await w.run(w.time.now + 20);
+      await w.runUntil(w.time.now + 20);
     }
     const answer = answers[0];
     assert.ok(answer !== undefined, 'no answer');
@@ -52,11 +52,11 @@
   const { w, call } = await service();
   assert.equal((await call('GET', '/up')).code, 200);
   assert.equal((await call('GET', '/submissions/wk-000001')).code, 404);
-  w.checker.submit(spec);
+  w.checker.jobSubmitted(spec);
   const first = await call('POST', '/submissions', formatSubmission(spec));
   assert.deepEqual([first.code, first.body['phase']], [201, 'queued']);
   assert.equal((await call('POST', '/submissions', formatSubmission(spec))).code, 200);
-  await w.run(w.time.now + 40_000);
+  await w.runUntil(w.time.now + 40_000);
   assert.deepEqual((await call('GET', '/submissions/wk-000001')).body, {
     nameId: 'wk-000001',
     phase: 'done',
@@ -104,7 +104,7 @@
 
 test('while the state service is away, callers are told at once when to come back', async () => {
   const { w, call } = await service();
-  w.state.setOutage(true);
+  w.store.setOutage(true);
   const before = w.time.now;
   for (const answer of [
     await call('POST', '/submissions', formatSubmission(spec)),
--- a/packages/controller/test/peers.test.ts
+++ b/packages/controller/test/peer-transport.test.ts
@@ -2,13 +2,13 @@
 import type { AddressInfo } from 'node:net';
 import net from 'node:net';
 import { test } from 'node:test';
-import type { Clock, Ms } from '@spurbridge/net';
+import type { Clock, MonotonicMs } from '@spurbridge/net';
 import type { NodeId } from '@spurbridge/wire';
-import { Link } from '../src/peers.js';
+import { PeerConnection } from '../src/peers/peer-transport.js';
 
 const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
 /** Nothing is tried again by itself. */
-const stopped: Clock = { now: () => 0 as Ms, sleep: () => new Promise(() => undefined) };
+const stopped: Clock = { now: () => 0 as MonotonicMs, sleep: () => new Promise(() => undefined) };
 
 async function listen(port: number, met: () => void): Promise<net.Server> {
   const server = net.createServer((socket) => {
@@ -24,7 +24,7 @@
   const first = await listen(0, () => undefined);
   const { port } = first.address() as AddressInfo;
   await new Promise((resolve) => first.close(resolve));
-  const link = new Link('spur-1' as NodeId, `127.0.0.1:${port}`, stopped, silent, () => undefined);
+  const link = new PeerConnection('spur-1' as NodeId, `127.0.0.1:${port}`, stopped, silent, () => undefined);
   const greeting = { progress: [], from: 'spur-0' as NodeId };
   void link.run(() => greeting);
   // The first attempt is refused.
@@ -33,7 +33,7 @@
   const server = await listen(port, () => (connections += 1));
   await new Promise((resolve) => setTimeout(resolve, 50));
   assert.equal(connections, 0);
-  link.heard();
+  link.onPeerHeard();
   await new Promise((resolve) => setTimeout(resolve, 200));
   assert.equal(connections, 1);
   server.close();
--- a/packages/controller/test/unanswered.test.ts
+++ b/packages/controller/test/unanswered-commands.test.ts
@@ -1,29 +1,29 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Job, WallMs } from '@spurbridge/model';
-import type { Ms } from '@spurbridge/net';
+import type { Job, WallClockMs } from '@spurbridge/model';
+import type { MonotonicMs } from '@spurbridge/net';
 import { TYPES, jobSpec } from '@spurbridge/testkit';
 import type {
   JobId,
   MachineId,
-  Session,
-  Token,
+  AgentEpoch,
+  FencingToken,
   Version,
   WorkerCommand,
-  WorkerReport,
+  Heartbeat,
 } from '@spurbridge/wire';
-import { Commands } from '../src/commands.js';
-import { Estimates } from '../src/estimates.js';
-import { Cluster } from '../src/index.js';
+import { CommandDispatcher } from '../src/heartbeats/command-dispatcher.js';
+import { RuntimeEstimator } from '../src/placement/runtime-estimator.js';
+import { ClusterState } from '../src/index.js';
 import type { Settings } from '../src/index.js';
-import { Queues } from '../src/queues.js';
-import { Reports } from '../src/reports.js';
-import type { LeaderContext } from '../src/leader-term.js';
-import { LeaderTerm } from '../src/leader-term.js';
+import { MachineQueues } from '../src/placement/machine-queues.js';
+import { HeartbeatHandler } from '../src/heartbeats/heartbeat-handler.js';
+import type { LeaderContext } from '../src/leadership/leader-term.js';
+import { LeaderTerm } from '../src/leadership/leader-term.js';
 
 const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const MACHINE = 'n-000001' as MachineId;
-const TOKEN = 5 as Token;
+const TOKEN = 5 as FencingToken;
 const HORIZON_MS = 18_000;
 
 /** One machine that reports well, while no direct call to it is ever answered. */
@@ -31,84 +31,84 @@
   readonly time: { now: number };
   readonly sent: WorkerCommand[];
   readonly job: Job;
-  report(tasks?: WorkerReport['tasks']): readonly WorkerCommand[] | null;
-  cancel(after: Ms): void;
+  report(tasks?: Heartbeat['tasks']): readonly WorkerCommand[] | null;
+  cancel(after: MonotonicMs): void;
   preempt(): void;
 } {
   const time = { now: 1000 };
-  const clock = { now: () => time.now as Ms, sleep: () => Promise.resolve() };
+  const clock = { now: () => time.now as MonotonicMs, sleep: () => Promise.resolve() };
   const sent: WorkerCommand[] = [];
   const settings = { workers: { cancelS: 52, leaseS: 32 } } as unknown as Settings;
   const context = {
     clock,
     settings,
     log: silent,
-    leadership: { token: TOKEN, holdsSurely: () => true, observe: () => undefined },
-    trust: { phaseOf: () => null },
-    workers: {
-      commands: (_: string, __: Token, ___: Session, commands: readonly WorkerCommand[]) => {
+    leadership: { fencingToken: TOKEN, holdsValidLease: () => true, observeToken: () => undefined },
+    storeIntegrity: { jobPhaseOf: () => null },
+    workerClient: {
+      sendCommands: (_: string, __: FencingToken, ___: AgentEpoch, commands: readonly WorkerCommand[]) => {
         sent.push(...commands);
         return Promise.resolve({ outcome: 'unknown' });
       },
     },
   } as unknown as LeaderContext;
   const term = new LeaderTerm(context);
-  const cluster = new Cluster({
+  const cluster = new ClusterState({
     clock,
     log: silent,
-    types: () => TYPES,
+    machineTypes: () => TYPES,
     ageMs: () => 0,
-    answeredUntil: 0 as Ms,
+    previousLeaderRenewsUntil: 0 as MonotonicMs,
   });
-  const reports = new Reports(term, cluster, new Estimates());
-  const commands = new Commands(
+  const reports = new HeartbeatHandler(term, cluster, new RuntimeEstimator());
+  const commands = new CommandDispatcher(
     term,
     cluster,
-    new Queues(cluster, clock.now),
+    new MachineQueues(cluster, clock.now),
     () => undefined,
     () => true,
     () => true,
   );
   const spec = jobSpec({ id: 'wk-000001' as JobId, tasks: 1 });
-  const record = (phase: 'active' | 'cancelled'): Parameters<Cluster['learnJob']>[0] => ({
+  const record = (phase: 'active' | 'cancelled'): Parameters<ClusterState['applyJobRecord']>[0] => ({
     spec,
     phase,
-    at: 0 as WallMs,
+    submittedAt: 0 as WallClockMs,
     chunkSize: 256,
   });
   let seq = 0;
-  const report = (tasks: WorkerReport['tasks'] = []): readonly WorkerCommand[] | null => {
-    const r: WorkerReport = {
+  const report = (tasks: Heartbeat['tasks'] = []): readonly WorkerCommand[] | null => {
+    const r: Heartbeat = {
       machine: MACHINE,
       address: 'n-000001:1',
       type: 's4',
       zone: 'a',
       spot: false,
-      session: 1 as Session,
-      seq: (seq += 1),
-      token: TOKEN,
-      noticeS: null,
+      agentEpoch: 1 as AgentEpoch,
+      sequence: (seq += 1),
+      fencingToken: TOKEN,
+      preemptionNoticeS: null,
       tasks,
     };
-    reports.take(r, true);
-    return commands.ordersFor(r);
+    reports.receive(r, true);
+    return commands.commandsForResponse(r);
   };
   report();
-  const job = cluster.learnJob(record('active'), 3 as Version);
+  const job = cluster.applyJobRecord(record('active'), 3 as Version);
   assert.ok(job !== null);
-  const { attempt } = cluster.place(job, 0, MACHINE, 1 as Session, null);
-  cluster.durable(job, [{ task: 0, attempt }]);
+  const { attempt } = cluster.placeTask(job, 0, MACHINE, 1 as AgentEpoch, null);
+  cluster.markDurable(job, [{ task: 0, attempt }]);
   return {
     time,
     sent,
     job,
     report,
     cancel: (after) => {
-      cluster.learnJob(record('cancelled'), 4 as Version);
+      cluster.applyJobRecord(record('cancelled'), 4 as Version);
       job.cancelledAfter = after;
     },
     preempt: () => {
-      job.askStop(0, 0, 'preempted', clock.now());
+      job.requestStop(0, 0, 'preempted', clock.now());
     },
   };
 }
@@ -130,7 +130,7 @@
   assert.ok(attempt !== undefined);
   const ended = { job: p.job.spec.id, task: 0, attempt, phase: 'exited', cause: 'stopped' } as const;
   // It is never forgotten in this session: the start that comes late after all must find the attempt known.
-  assert.deepEqual(p.report([ended as WorkerReport['tasks'][number]]), []);
+  assert.deepEqual(p.report([ended as Heartbeat['tasks'][number]]), []);
   assert.equal(p.job.placements.size, 0);
 });
 
@@ -138,7 +138,7 @@
   const p = parts();
   await new Promise(setImmediate);
   p.time.now += 1000;
-  p.cancel(p.time.now as Ms);
+  p.cancel(p.time.now as MonotonicMs);
   p.time.now += HORIZON_MS;
   assert.deepEqual(
     p.report()?.map((c) => c.op),
--- a/packages/daemon/src/config-command.ts
+++ b/packages/daemon/src/config-command.ts
@@ -1,12 +1,12 @@
 import { readFileSync } from 'node:fs';
-import type { ConfigurationChange, Difference, InForce, TeamChange } from '@spurbridge/configuration';
-import { ConfigClient, StaleVersionError, UnreachableError } from '@spurbridge/configuration';
-import { MalformedError } from '@spurbridge/wire';
+import type { ConfigurationChange, FieldChange, RolloutResult, TeamChange } from '@spurbridge/configuration';
+import { ConfigurationClient, StaleVersionError, NoNodeAvailableError } from '@spurbridge/configuration';
+import { ValidationError } from '@spurbridge/wire';
 import { Command, InvalidArgumentError, Option } from 'commander';
 import { parseConfigFile } from './config-file.js';
 
 /** How the command ends. */
-export const EXIT = { inForce: 0, unreachable: 1, refused: 2, lagging: 3, stale: 4 } as const;
+export const EXIT_CODE = { inForce: 0, unreachable: 1, refused: 2, lagging: 3, stale: 4 } as const;
 
 interface Common {
   readonly node: readonly string[];
@@ -44,11 +44,11 @@
   process.stdout.write(`${line}\n`);
 }
 
-function printDifferences(found: readonly Difference[]): void {
+function printDifferences(found: readonly FieldChange[]): void {
   for (const d of found) print(`${d.path}: ${d.from} -> ${d.to}`);
 }
 
-function printInForce(version: number, { lagging, afterMs }: InForce): void {
+function printInForce(version: number, { laggingNodes: lagging, elapsedMs: afterMs }: RolloutResult): void {
   if (lagging.length === 0)
     print(`version ${version} is in force everywhere, after ${Math.round(afterMs)} ms`);
   for (const n of lagging)
@@ -61,17 +61,17 @@
     printDifferences(made.differences);
     if (o.dryRun === true) {
       print(`nothing was changed: version ${made.version} holds`);
-      return EXIT.inForce;
+      return EXIT_CODE.inForce;
     }
-    const inForce = await client.inForce(made.version, o.within);
+    const inForce = await client.waitForRollout(made.version, o.within);
     printInForce(made.version, inForce);
-    return inForce.lagging.length === 0 ? EXIT.inForce : EXIT.lagging;
+    return inForce.laggingNodes.length === 0 ? EXIT_CODE.inForce : EXIT_CODE.lagging;
   });
 }
 
-async function withClient(o: Common, run: (client: ConfigClient) => Promise<number>): Promise<number> {
-  if (o.node.length === 0) throw new MalformedError('--node', 'at least one node');
-  const client = new ConfigClient(o.node);
+async function withClient(o: Common, run: (client: ConfigurationClient) => Promise<number>): Promise<number> {
+  if (o.node.length === 0) throw new ValidationError('--node', 'at least one node');
+  const client = new ConfigurationClient(o.node);
   try {
     return await run(client);
   } finally {
@@ -79,14 +79,14 @@
   }
 }
 
-async function showStatus(client: ConfigClient): Promise<number> {
+async function showStatus(client: ConfigurationClient): Promise<number> {
   const nodes = await client.status();
   const newest = (await client.show()).version;
   for (const n of nodes)
     print(
       `${n.node}: version ${n.version ?? 'unknown'}, confirmed ${Math.round(n.ageMs)} ms ago${n.leads ? ', leads' : ''}`,
     );
-  return nodes.every((n) => n.version === newest) ? EXIT.inForce : EXIT.lagging;
+  return nodes.every((n) => n.version === newest) ? EXIT_CODE.inForce : EXIT_CODE.lagging;
 }
 
 /** Runs what was asked for and turns its failure into a line and an exit code. */
@@ -96,9 +96,9 @@
   } catch (e) {
     if (!(e instanceof Error)) throw e;
     process.stderr.write(`${e.message}\n`);
-    if (e instanceof StaleVersionError) process.exitCode = EXIT.stale;
-    else if (e instanceof UnreachableError) process.exitCode = EXIT.unreachable;
-    else process.exitCode = EXIT.refused;
+    if (e instanceof StaleVersionError) process.exitCode = EXIT_CODE.stale;
+    else if (e instanceof NoNodeAvailableError) process.exitCode = EXIT_CODE.unreachable;
+    else process.exitCode = EXIT_CODE.refused;
   }
 }
 
@@ -152,7 +152,7 @@
         guarded(() =>
           withClient(o, async (client) => {
             print(JSON.stringify(await client.show(), null, 1));
-            return EXIT.inForce;
+            return EXIT_CODE.inForce;
           }),
         ),
       ),
@@ -184,7 +184,7 @@
               printDifferences(e.differences);
               if (e.more > 0) print(`and ${e.more} more`);
             }
-            return EXIT.inForce;
+            return EXIT_CODE.inForce;
           }),
         ),
       ),
--- a/packages/daemon/src/configuration-routes.ts
+++ b/packages/daemon/src/configuration-routes.ts
@@ -1,14 +1,14 @@
 import type { Configuration, ConfigurationEditor, ProposalOutcome } from '@spurbridge/configuration';
 import { CONFIGURATION_PATHS, parseProposal } from '@spurbridge/configuration';
-import type { NodeConfiguration } from '@spurbridge/controller';
+import type { NodeConfigurationStatus } from '@spurbridge/controller';
 import type { FastifyInstance, FastifyReply } from 'fastify';
 
-export interface ConfigurationRouteParts {
+export interface ConfigurationRouteOptions {
   readonly editor: ConfigurationEditor;
   /** Which version each node goes by. */
-  readonly nodes: () => readonly NodeConfiguration[];
+  readonly nodeStatuses: () => readonly NodeConfigurationStatus[];
   /** What holds where no change was ever made. */
-  readonly file: Configuration;
+  readonly settingsFile: Configuration;
 }
 
 function unsure(reply: FastifyReply): FastifyReply {
@@ -29,11 +29,11 @@
 }
 
 /** The operators' calls: show, change, history and status. JSON has no infinity: null stands for no limit. */
-export function configurationRoutes(app: FastifyInstance, p: ConfigurationRouteParts): void {
+export function registerConfigurationRoutes(app: FastifyInstance, p: ConfigurationRouteOptions): void {
   app.get(CONFIGURATION_PATHS.current, async (_request, reply) => {
     const loaded = await p.editor.load();
     if (loaded === null) return unsure(reply);
-    return reply.send(loaded.stored?.configuration ?? p.file);
+    return reply.send(loaded.stored?.configuration ?? p.settingsFile);
   });
   app.post(CONFIGURATION_PATHS.changes, async (request, reply) =>
     answer(reply, await p.editor.propose(parseProposal(request.body))),
@@ -42,5 +42,5 @@
     const loaded = await p.editor.load();
     return loaded === null ? unsure(reply) : reply.send({ entries: loaded.history });
   });
-  app.get(CONFIGURATION_PATHS.status, (_request, reply) => reply.send({ nodes: p.nodes() }));
+  app.get(CONFIGURATION_PATHS.status, (_request, reply) => reply.send({ nodes: p.nodeStatuses() }));
 }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,13 +1,18 @@
 import { randomBytes } from 'node:crypto';
-import { HttpCloud } from '@spurbridge/cloud';
-import { Controller, HttpWorkerLink, Peers, buildServer } from '@spurbridge/controller';
-import type { Log, NodeConfiguration, RoomFactory, Settings } from '@spurbridge/controller';
-import type { WallMs } from '@spurbridge/model';
-import { steadyClock } from '@spurbridge/net';
-import type { StateStore } from '@spurbridge/store';
-import type { SnapshotShelf } from '@spurbridge/recovery';
-import { GuardedStore } from '@spurbridge/recovery';
-import { HttpStateStore } from '@spurbridge/store';
+import { HttpCloudProvider } from '@spurbridge/cloud';
+import { Controller, HttpWorkerClient, TcpPeerTransport, buildHttpServer } from '@spurbridge/controller';
+import type {
+  Logger,
+  NodeConfigurationStatus,
+  LeaderComponentFactory,
+  Settings,
+} from '@spurbridge/controller';
+import type { WallClockMs } from '@spurbridge/model';
+import { monotonicClock } from '@spurbridge/net';
+import type { KeyValueStore } from '@spurbridge/store';
+import type { SnapshotSource } from '@spurbridge/recovery';
+import { RecoverableStore } from '@spurbridge/recovery';
+import { HttpKeyValueStore } from '@spurbridge/store';
 import type { MachineType } from '@spurbridge/wire';
 import type { FastifyInstance } from 'fastify';
 import { Command, Option } from 'commander';
@@ -25,8 +30,8 @@
 async function serve(
   settings: Settings,
   level: string,
-  rooms: readonly RoomFactory[],
-  addition: Addition | null,
+  rooms: readonly LeaderComponentFactory[],
+  addition: DaemonExtension | null,
   flags: Readonly<Record<string, unknown>>,
 ): Promise<void> {
   const log = pino(
@@ -34,53 +39,54 @@
     destination({ fd: 2, sync: true }),
   );
   if (settings.memoryMb !== null) new HeapGovernor(settings.memoryMb).start();
-  const shelf = addition?.shelf?.(flags, log);
-  const cloud = new HttpCloud(settings.cloudAddress, settings.cloud.rps, steadyClock);
-  const store = new GuardedStore({
+  const shelf = addition?.openSnapshotRepository?.(flags, log);
+  const cloud = new HttpCloudProvider(settings.cloudAddress, settings.cloudLimits.rps, monotonicClock);
+  const store = new RecoverableStore({
     ...(shelf === undefined ? {} : { shelf }),
-    raw: new HttpStateStore(settings.stateAddress, settings.state, steadyClock),
-    clock: steadyClock,
-    wallNow: () => Date.now() as WallMs,
+    raw: new HttpKeyValueStore(settings.storeAddress, settings.storeLimits, monotonicClock),
+    clock: monotonicClock,
+    wallNow: () => Date.now() as WallClockMs,
     node: settings.node,
     nodes: settings.peers.length + 1,
-    limits: settings.state,
-    machines: async () => (await cloud.list())?.filter((m) => m.phase === 'running').length ?? null,
+    limits: settings.storeLimits,
+    countRunningMachines: async () =>
+      (await cloud.listMachines())?.filter((m) => m.phase === 'running').length ?? null,
     log,
-    changed: () => {
-      controller.trustChanged();
+    onIntegrityChanged: () => {
+      controller.onStoreIntegrityChanged();
     },
-    copied: () => {
-      controller.copyChanged();
+    onReplicaChanged: () => {
+      controller.onRecordsChanged();
     },
   });
   const controller: Controller = new Controller({
     settings,
     store,
     cloud,
-    workers: new HttpWorkerLink(settings.maxSockets),
-    clock: steadyClock,
-    wallNow: () => Date.now() as WallMs,
+    workerClient: new HttpWorkerClient(settings.maxSockets),
+    clock: monotonicClock,
+    wallNow: () => Date.now() as WallClockMs,
     log,
-    link: (status, receive, closed) =>
-      new Peers(settings.peers, steadyClock, log, status, receive, settings.back, closed),
+    createPeerTransport: (status, receive, closed) =>
+      new TcpPeerTransport(settings.peers, monotonicClock, log, status, receive, settings.peerListen, closed),
     incarnation: randomBytes(8).toString('hex'),
-    rooms,
+    leaderComponents: rooms,
   });
-  const app = buildServer(controller, log);
-  addition?.routes?.(app, {
+  const app = buildHttpServer(controller, log);
+  addition?.registerRoutes?.(app, {
     settings,
     store,
-    types: () => controller.types,
+    machineTypes: () => controller.knownMachineTypes,
     configurationStatus: () => controller.configurationStatus(),
   });
   await listen(app, settings.listen, log);
-  log.info({ listen: settings.listen, back: settings.back, zone: settings.zone }, 'serving');
-  addition?.beside?.(flags, { settings, store, log });
+  log.info({ listen: settings.listen, back: settings.peerListen, zone: settings.zone }, 'serving');
+  addition?.startBackgroundTask?.(flags, { settings, store, log });
   await controller.run();
 }
 
 /** Listens, as soon as the process before this one has let go of the port. */
-async function listen(app: FastifyInstance, address: string, log: Log): Promise<void> {
+async function listen(app: FastifyInstance, address: string, log: Logger): Promise<void> {
   const colon = address.lastIndexOf(':');
   for (;;) {
     try {
@@ -89,37 +95,42 @@
     } catch (e) {
       if ((e as { code?: unknown }).code !== 'EADDRINUSE') throw e;
       log.info({ listen: address }, 'port still taken');
-      await steadyClock.sleep(PORT_RETRY_MS);
+      await monotonicClock.sleep(PORT_RETRY_MS);
     }
   }
 }
 
 /** What a program that was started adds to the usual one. */
-export interface Addition {
+export interface DaemonExtension {
   /** Adds its own flags. */
-  readonly flags: (program: Command) => void;
+  readonly addOptions: (program: Command) => void;
   /** Rooms made from the flags' values; a `SettingsError` says what is wrong with them. */
-  readonly rooms: (flags: Readonly<Record<string, unknown>>) => readonly RoomFactory[];
+  readonly createLeaderComponents: (
+    flags: Readonly<Record<string, unknown>>,
+  ) => readonly LeaderComponentFactory[];
   /** Snapshots that outlive all nodes. */
-  readonly shelf?: (flags: Readonly<Record<string, unknown>>, log: Log) => SnapshotShelf;
+  readonly openSnapshotRepository?: (flags: Readonly<Record<string, unknown>>, log: Logger) => SnapshotSource;
   /** What runs beside the controller, as long as it does. */
-  readonly beside?: (flags: Readonly<Record<string, unknown>>, parts: BesideParts) => void;
+  readonly startBackgroundTask?: (
+    flags: Readonly<Record<string, unknown>>,
+    parts: BackgroundTaskContext,
+  ) => void;
   /** Further calls that every node serves. */
-  readonly routes?: (app: FastifyInstance, parts: RouteParts) => void;
+  readonly registerRoutes?: (app: FastifyInstance, parts: RouteContext) => void;
 }
 
-export interface RouteParts {
+export interface RouteContext {
   readonly settings: Settings;
-  readonly store: StateStore;
-  readonly types: () => readonly MachineType[];
+  readonly store: KeyValueStore;
+  readonly machineTypes: () => readonly MachineType[];
   /** Which version of the configuration each node goes by. */
-  readonly configurationStatus: () => readonly NodeConfiguration[];
+  readonly configurationStatus: () => readonly NodeConfigurationStatus[];
 }
 
-export interface BesideParts {
+export interface BackgroundTaskContext {
   readonly settings: Settings;
-  readonly store: GuardedStore;
-  readonly log: Log;
+  readonly store: RecoverableStore;
+  readonly log: Logger;
 }
 
 interface Flags {
@@ -129,7 +140,7 @@
 }
 
 /** The daemon's command line: reads flags and settings, then serves until killed. */
-export function runDaemon(addition: Addition | null): void {
+export function runDaemon(addition: DaemonExtension | null): void {
   const program = new Command('spurbridge')
     .description('Cluster scheduler: one controller node')
     .version(manifest.version)
@@ -142,13 +153,13 @@
         'debug',
       ]),
     );
-  addition?.flags(program);
+  addition?.addOptions(program);
   program.action(async (flags: Flags & Readonly<Record<string, unknown>>) => {
     let settings: Settings;
-    let rooms: readonly RoomFactory[];
+    let rooms: readonly LeaderComponentFactory[];
     try {
       settings = readSettings(flags.config);
-      rooms = addition?.rooms(flags) ?? [];
+      rooms = addition?.createLeaderComponents(flags) ?? [];
     } catch (e) {
       if (!(e instanceof SettingsError)) throw e;
       process.stderr.write(`${e.message}\n`);
--- a/packages/daemon/src/main-graphs.ts
+++ b/packages/daemon/src/main-graphs.ts
@@ -1,4 +1,9 @@
-import { GRAPH_LIMITS, GraphService, graphRoom, graphRoutes } from '@spurbridge/graph-service';
+import {
+  DEFAULT_GRAPH_LIMITS,
+  GraphService,
+  graphControllerFactory,
+  registerGraphRoutes,
+} from '@spurbridge/graph-service';
 import type { Option } from 'commander';
 import { runDaemon } from './daemon.js';
 import { numberFlag } from './flags.js';
@@ -7,17 +12,19 @@
   return numberFlag(name, what, byDefault, 1, Infinity, true);
 }
 
-let limits = GRAPH_LIMITS;
+let limits = DEFAULT_GRAPH_LIMITS;
 
 runDaemon({
-  flags: (program) => {
+  addOptions: (program) => {
     program
-      .addOption(limit('graphs-open', 'open graphs of one team', GRAPH_LIMITS.openPerTeam))
-      .addOption(limit('graph-tasks', 'tasks of one graph', GRAPH_LIMITS.tasks))
-      .addOption(limit('graph-depth', 'how deep tasks may spawn tasks', GRAPH_LIMITS.depth))
-      .addOption(limit('graph-references', 'other batches that a batch refers to', GRAPH_LIMITS.references));
+      .addOption(limit('graphs-open', 'open graphs of one team', DEFAULT_GRAPH_LIMITS.openPerTeam))
+      .addOption(limit('graph-tasks', 'tasks of one graph', DEFAULT_GRAPH_LIMITS.tasks))
+      .addOption(limit('graph-depth', 'how deep tasks may spawn tasks', DEFAULT_GRAPH_LIMITS.depth))
+      .addOption(
+        limit('graph-references', 'other batches that a batch refers to', DEFAULT_GRAPH_LIMITS.references),
+      );
   },
-  rooms: (given) => {
+  createLeaderComponents: (given) => {
     const f = given as unknown as Record<
       'graphsOpen' | 'graphTasks' | 'graphDepth' | 'graphReferences',
       number
@@ -28,9 +35,9 @@
       depth: f.graphDepth,
       references: f.graphReferences,
     };
-    return [graphRoom()];
+    return [graphControllerFactory()];
   },
-  routes: (app, { settings, store, types }) => {
-    graphRoutes(app, new GraphService(settings, store, types, limits));
+  registerRoutes: (app, { settings, store, machineTypes: types }) => {
+    registerGraphRoutes(app, new GraphService(settings, store, types, limits));
   },
 });
--- a/packages/daemon/src/main-live-configuration.ts
+++ b/packages/daemon/src/main-live-configuration.ts
@@ -1,6 +1,6 @@
-import { ConfigurationEditor, configurationOfFile } from '@spurbridge/configuration';
-import { steadyClock } from '@spurbridge/net';
-import { configurationRoutes } from './configuration-routes.js';
+import { ConfigurationEditor, configurationFromSettings } from '@spurbridge/configuration';
+import { monotonicClock } from '@spurbridge/net';
+import { registerConfigurationRoutes } from './configuration-routes.js';
 import { runDaemon } from './daemon.js';
 import { numberFlag } from './flags.js';
 
@@ -14,26 +14,26 @@
 
 /** The usual program, which also takes changes of teams and objectives while jobs run. */
 runDaemon({
-  flags: (program) => {
+  addOptions: (program) => {
     program
       .addOption(numberFlag('guaranteed-cpus-most', 'bound of all guarantees together', MOST, 0, MOST))
       .addOption(numberFlag('guaranteed-gpus-most', 'bound of all guarantees together', MOST, 0, MOST));
   },
-  rooms: (flags) => {
+  createLeaderComponents: (flags) => {
     const given = flags as unknown as BoundFlags;
     bound = { cpus: given.guaranteedCpusMost, gpus: given.guaranteedGpusMost };
     return [];
   },
-  routes: (app, { settings, store, configurationStatus }) => {
-    const file = configurationOfFile(settings.teams, settings.objectives);
+  registerRoutes: (app, { settings, store, configurationStatus }) => {
+    const file = configurationFromSettings(settings.teams, settings.objectives);
     const editor = new ConfigurationEditor({
       store,
-      clock: steadyClock,
+      clock: monotonicClock,
       wallNow: () => Date.now(),
-      limits: settings.state,
-      file,
-      bound,
+      limits: settings.storeLimits,
+      settingsFile: file,
+      guaranteeBound: bound,
     });
-    configurationRoutes(app, { editor, nodes: configurationStatus, file });
+    registerConfigurationRoutes(app, { editor, nodeStatuses: configurationStatus, settingsFile: file });
   },
 });
--- a/packages/daemon/src/main-shelf.ts
+++ b/packages/daemon/src/main-shelf.ts
@@ -1,20 +1,20 @@
 import { readFile } from 'node:fs/promises';
 import { basename } from 'node:path';
-import type { WallMs } from '@spurbridge/model';
-import { steadyClock } from '@spurbridge/net';
-import type { Difference, StateTools } from '@spurbridge/snapshot';
+import type { WallClockMs } from '@spurbridge/model';
+import { monotonicClock } from '@spurbridge/net';
+import type { RestoreDifference, SnapshotToolOptions } from '@spurbridge/snapshot';
 import {
-  BadSnapshotError,
-  Directory,
-  Shelf,
-  StateToolError,
+  SnapshotFormatError,
+  FileSystemSnapshotDirectory,
+  SnapshotRepository,
+  SnapshotToolError,
   decodeSnapshot,
-  dryRun,
-  restore,
+  previewRestore,
+  restoreSnapshot,
   snapshotName,
   takeSnapshot,
 } from '@spurbridge/snapshot';
-import { HttpStateStore } from '@spurbridge/store';
+import { HttpKeyValueStore } from '@spurbridge/store';
 import { Command } from 'commander';
 import manifest from '../package.json' with { type: 'json' };
 import { SettingsError, readSettings } from './settings.js';
@@ -28,19 +28,20 @@
 
 /** 1: what was asked for did not come about; 2: the call itself is wrong. */
 function failed(e: unknown): void {
-  if (!(e instanceof BadSnapshotError || e instanceof StateToolError || e instanceof SettingsError)) throw e;
+  if (!(e instanceof SnapshotFormatError || e instanceof SnapshotToolError || e instanceof SettingsError))
+    throw e;
   process.stderr.write(`${e.message}\n`);
   process.exitCode = e instanceof SettingsError ? 2 : 1;
 }
 
-function toolsOf(config: string): StateTools {
+function toolsOf(config: string): SnapshotToolOptions {
   const settings = readSettings(config);
   return {
-    raw: new HttpStateStore(settings.stateAddress, settings.state, steadyClock),
-    clock: steadyClock,
-    wallNow: () => Date.now() as WallMs,
-    valueKb: settings.state.valueKb,
-    nodes: settings.peers.length + 1,
+    raw: new HttpKeyValueStore(settings.storeAddress, settings.storeLimits, monotonicClock),
+    clock: monotonicClock,
+    wallNow: () => Date.now() as WallClockMs,
+    valueKb: settings.storeLimits.valueKb,
+    controllerCount: settings.peers.length + 1,
     log: {
       info: (fields, message) => {
         print(`${message}: ${JSON.stringify(fields)}`);
@@ -49,22 +50,22 @@
   };
 }
 
-function show(d: Difference, done: boolean): void {
+function show(d: RestoreDifference, done: boolean): void {
   const verb = done ? 'was' : 'would be';
   for (const [what, keys] of [
-    ['added', d.missing],
-    ['replaced', d.changed],
+    ['added', d.addedKeys],
+    ['replaced', d.replacedKeys],
   ] as const) {
     print(`${keys.length} records ${verb} ${what}${keys.length === 0 ? '' : ':'}`);
     for (const key of keys.slice(0, SHOWN)) print(`  ${key}`);
     if (keys.length > SHOWN) print(`  and ${keys.length - SHOWN} more`);
   }
-  print(`${d.kept} records stay as they are`);
+  print(`${d.keptCount} records stay as they are`);
 }
 
 async function list(directory: string, whole: boolean): Promise<void> {
-  const shelf = new Shelf(new Directory(directory), () => undefined);
-  const verdicts = await shelf.verdicts(whole);
+  const shelf = new SnapshotRepository(new FileSystemSnapshotDirectory(directory), () => undefined);
+  const verdicts = await shelf.inspect(whole);
   let bad = 0;
   for (const v of verdicts)
     if ('wrong' in v) {
@@ -93,7 +94,7 @@
     try {
       const taken = await takeSnapshot(toolsOf(f.config));
       const name = snapshotName(taken, 'command');
-      await new Directory(f.dir).write(name, taken.bytes);
+      await new FileSystemSnapshotDirectory(f.dir).write(name, taken.bytes);
       print(`${name}  ${taken.bytes.length} bytes`);
     } catch (e) {
       failed(e);
@@ -129,8 +130,8 @@
       const snapshot = decodeSnapshot(bytes);
       const tools = toolsOf(f.config);
       const accepted = f.deployment ?? null;
-      if (f.dryRun === true) show(await dryRun(tools, snapshot, accepted), false);
-      else show(await restore(tools, snapshot, PATIENCE_MS, accepted), true);
+      if (f.dryRun === true) show(await previewRestore(tools, snapshot, accepted), false);
+      else show(await restoreSnapshot(tools, snapshot, PATIENCE_MS, accepted), true);
     } catch (e) {
       failed(e);
     }
--- a/packages/daemon/src/main-snapshots.ts
+++ b/packages/daemon/src/main-snapshots.ts
@@ -1,6 +1,6 @@
-import type { WallMs } from '@spurbridge/model';
-import { steadyClock } from '@spurbridge/net';
-import { Directory, Shelf, keepSnapshots } from '@spurbridge/snapshot';
+import type { WallClockMs } from '@spurbridge/model';
+import { monotonicClock } from '@spurbridge/net';
+import { FileSystemSnapshotDirectory, SnapshotRepository, runSnapshotter } from '@spurbridge/snapshot';
 import { Option } from 'commander';
 import { runDaemon } from './daemon.js';
 import { numberFlag } from './flags.js';
@@ -21,15 +21,18 @@
   return f.snapshotDir;
 }
 
-function shelfOf(flags: unknown, log: { info(fields: object, message: string): void }): Shelf {
-  return new Shelf(new Directory(directoryOf(flags as SnapshotFlags)), (name, reason) => {
-    log.info({ name, reason }, 'snapshot refused');
-  });
+function shelfOf(flags: unknown, log: { info(fields: object, message: string): void }): SnapshotRepository {
+  return new SnapshotRepository(
+    new FileSystemSnapshotDirectory(directoryOf(flags as SnapshotFlags)),
+    (name, reason) => {
+      log.info({ name, reason }, 'snapshot refused');
+    },
+  );
 }
 
 /** The usual program, which also keeps snapshots in a directory and looks there when the state service lost data. */
 runDaemon({
-  flags: (program) => {
+  addOptions: (program) => {
     program
       .addOption(
         new Option('--snapshot-dir <directory>', 'where snapshots are kept').env('SPURBRIDGE_SNAPSHOT_DIR'),
@@ -37,21 +40,21 @@
       .addOption(numberFlag('snapshot-every-s', 'seconds between two snapshots', EVERY_S, 1, 86_400))
       .addOption(numberFlag('snapshot-keep', 'snapshots kept, of all nodes', MOST, 1, 100_000));
   },
-  rooms: (flags) => {
+  createLeaderComponents: (flags) => {
     directoryOf(flags as unknown as SnapshotFlags);
     return [];
   },
-  shelf: (flags, log) => shelfOf(flags, log),
-  beside: (flags, { settings, store, log }) => {
+  openSnapshotRepository: (flags, log) => shelfOf(flags, log),
+  startBackgroundTask: (flags, { settings, store, log }) => {
     const f = flags as unknown as SnapshotFlags;
-    keepSnapshots({
-      guard: store,
-      shelf: shelfOf(flags, log),
+    runSnapshotter({
+      store: store,
+      repository: shelfOf(flags, log),
       node: settings.node,
-      everyMs: f.snapshotEveryS * 1000,
-      most: Math.round(f.snapshotKeep),
-      clock: steadyClock,
-      wallNow: () => Date.now() as WallMs,
+      intervalMs: f.snapshotEveryS * 1000,
+      maxSnapshots: Math.round(f.snapshotKeep),
+      clock: monotonicClock,
+      wallNow: () => Date.now() as WallClockMs,
       log,
     }).catch((e: unknown) => {
       log.error({ error: String(e) }, 'snapshots ended');
--- a/packages/daemon/src/main-tariff.ts
+++ b/packages/daemon/src/main-tariff.ts
@@ -1,7 +1,12 @@
 import { readFileSync } from 'node:fs';
 import { randomInt } from 'node:crypto';
 import type { TariffOptions } from '@spurbridge/tariff';
-import { HttpFeed, TARIFF_DEFAULTS, checkCalendar, tariffRoom } from '@spurbridge/tariff';
+import {
+  HttpTariffFeed,
+  DEFAULT_TARIFF_OPTIONS,
+  validateCalendar,
+  deferralControllerFactory,
+} from '@spurbridge/tariff';
 import type { TariffDocument } from '@spurbridge/wire';
 import { parseTariff } from '@spurbridge/wire';
 import type { Command } from 'commander';
@@ -24,7 +29,7 @@
 }
 
 function flags(program: Command): void {
-  const d = TARIFF_DEFAULTS;
+  const d = DEFAULT_TARIFF_OPTIONS;
   program
     .addOption(new Option('--tariff <file>', 'the tariff (TOML)').env('SPURBRIDGE_TARIFF'))
     .addOption(
@@ -61,7 +66,7 @@
 function readTariff(path: string): TariffDocument {
   try {
     const t = parseTariff(parse(readFileSync(path, 'utf8')));
-    checkCalendar(t);
+    validateCalendar(t);
     return t;
   } catch (e) {
     const first = (e instanceof Error ? e.message : String(e)).split('\n')[0] ?? '';
@@ -72,12 +77,12 @@
 function feedOf(url: string, silentS: number): TariffOptions['feed'] {
   if (!URL.canParse(url) || !['http:', 'https:'].includes(new URL(url).protocol))
     throw new SettingsError(`--tariff-feed: expected an http or https URL, not ${url}`);
-  return { source: new HttpFeed(url), seed: randomInt(2 ** 31), silentS };
+  return { source: new HttpTariffFeed(url), seed: randomInt(2 ** 31), silentS };
 }
 
 runDaemon({
-  flags,
-  rooms: (given) => {
+  addOptions: flags,
+  createLeaderComponents: (given) => {
     const f = given as unknown as TariffFlags;
     const file = stated(f.tariff);
     const url = stated(f.tariffFeed);
@@ -90,7 +95,7 @@
     if (classes?.includes('') === true)
       throw new SettingsError('--tariff-classes: expected names, separated by commas');
     return [
-      tariffRoom({
+      deferralControllerFactory({
         document: file === null ? null : readTariff(file),
         feed: url === null ? null : feedOf(url, f.tariffSilentS),
         carbonShare: f.tariffCarbon,
--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -1,23 +1,23 @@
 import { readFileSync } from 'node:fs';
 import type { Settings } from '@spurbridge/controller';
 import type { NodeId } from '@spurbridge/wire';
-import { MalformedError, read } from '@spurbridge/wire';
+import { ValidationError, read } from '@spurbridge/wire';
 import { parse } from 'smol-toml';
 
 /** What is wrong with a settings file, in one line. */
 export class SettingsError extends Error {}
 
-function section(o: read.Fields, field: string): read.Fields {
+function section(o: read.JsonObject, field: string): read.JsonObject {
   return read.asObject(o[field], field);
 }
 
-function address(o: read.Fields, field: string): string {
-  const text = read.str(o, field);
-  if (!/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/.test(text)) throw new MalformedError(field, 'IPv4:port');
+function address(o: read.JsonObject, field: string): string {
+  const text = read.string(o, field);
+  if (!/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/.test(text)) throw new ValidationError(field, 'IPv4:port');
   return text;
 }
 
-function list(o: read.Fields, field: string): read.Fields[] {
+function list(o: read.JsonObject, field: string): read.JsonObject[] {
   const v = o[field];
   return v === undefined ? [] : read.asArray(v, field).map((e) => read.asObject(e, field));
 }
@@ -28,7 +28,7 @@
 }
 
 export function parseSettings(text: string): Settings {
-  const o = parse(text) as read.Fields;
+  const o = parse(text) as read.JsonObject;
   const services = section(o, 'services');
   const cluster = section(o, 'cluster');
   const workers = section(cluster, 'workers');
@@ -39,27 +39,27 @@
     node: read.name(o, 'label') as NodeId,
     zone: read.name(o, 'domain'),
     listen: address(o, 'listen'),
-    back: address(o, 'back'),
+    peerListen: address(o, 'back'),
     peers: list(o, 'peers').map((p) => ({
       node: read.name(p, 'label') as NodeId,
       zone: read.name(p, 'domain'),
       address: address(p, 'address'),
     })),
     cloudAddress: address(services, 'cloud'),
-    stateAddress: address(services, 'state'),
+    storeAddress: address(services, 'state'),
     teams: list(cluster, 'teams').map((t) => ({
       name: read.name(t, 'name'),
       cpus: read.amount(t, 'cpus'),
       cpusMax: limit(read.amount(t, 'cpus_max')),
-      gpus: read.optAmount(t, 'gpus') ?? 0,
-      gpusMax: limit(read.optAmount(t, 'gpus_max') ?? 0),
+      gpus: read.optionalAmount(t, 'gpus') ?? 0,
+      gpusMax: limit(read.optionalAmount(t, 'gpus_max') ?? 0),
     })),
     objectives: list(cluster, 'objectives').map((t) => ({
-      kind: read.str(t, 'kind'),
-      class: read.optStr(t, 'class'),
-      withinS: read.optAmount(t, 'within_s'),
-      share: read.optAmount(t, 'share'),
-      times: read.optAmount(t, 'times'),
+      kind: read.string(t, 'kind'),
+      class: read.optionalString(t, 'class'),
+      withinS: read.optionalAmount(t, 'within_s'),
+      share: read.optionalAmount(t, 'share'),
+      times: read.optionalAmount(t, 'times'),
     })),
     workers: {
       reportS: read.amount(workers, 'report_s'),
@@ -68,16 +68,16 @@
       gangPeerS: read.amount(workers, 'gang_peer_s'),
       cancelS: read.amount(workers, 'cancel_s'),
     },
-    state: {
+    storeLimits: {
       rps: read.amount(state, 'rps', 1),
       writeRps: read.amount(state, 'write_rps', 1),
       valueKb: read.amount(state, 'value_kb', 1),
       txnOps: read.count(state, 'txn_ops', 2),
     },
-    cloud: { rps: read.amount(cloud, 'rps'), listLagS: read.amount(cloud, 'list_lag_s') },
+    cloudLimits: { rps: read.amount(cloud, 'rps'), listLagS: read.amount(cloud, 'list_lag_s') },
     maxSockets: read.count(resources, 'sockets', 1),
-    memoryMb: read.optAmount(resources, 'mem_mb'),
-    cpuShare: read.optAmount(resources, 'cpu') ?? 1,
+    memoryMb: read.optionalAmount(resources, 'mem_mb'),
+    cpuShare: read.optionalAmount(resources, 'cpu') ?? 1,
   };
 }
 
--- a/packages/graph-client/src/index.ts
+++ b/packages/graph-client/src/index.ts
@@ -1,6 +1,6 @@
 import { createHash, randomBytes } from 'node:crypto';
-import type { BatchId, GraphTaskId, Priority } from '@spurbridge/wire';
-import { MOST_BATCH_TASKS, graphTaskId, splitTaskId } from '@spurbridge/wire';
+import type { BatchId, GraphTaskId, JobPriority } from '@spurbridge/wire';
+import { MAX_BATCH_TASKS, formatGraphTaskId, parseGraphTaskId } from '@spurbridge/wire';
 import type { RetryOptions, Transport } from './transport.js';
 import { RefusedError, httpTransport, request } from './transport.js';
 
@@ -90,7 +90,7 @@
     readonly name?: string;
     readonly team: string;
     readonly class: string;
-    readonly priority?: Priority;
+    readonly priority?: JobPriority;
   }): Promise<ClientGraph> {
     const id = `gr-${head.name ?? randomBytes(8).toString('hex')}`;
     await request(this.o, 'POST', '/graphs', {
@@ -138,9 +138,9 @@
   remote(options: TaskOptions): (...args: readonly Future[]) => Future {
     return (...args) => {
       const after = [...new Set(args.map((a) => a.task))];
-      const task = graphTaskId(this.batchName(this.sent), this.asked.length);
+      const task = formatGraphTaskId(this.batchName(this.sent), this.asked.length);
       this.asked.push({ options, after, held: false });
-      if (this.asked.length === MOST_BATCH_TASKS) this.close();
+      if (this.asked.length === MAX_BATCH_TASKS) this.close();
       return { task };
     };
   }
@@ -167,7 +167,7 @@
         shape = shapes.push(a.options) - 1;
         shapeOf.set(key, shape);
       }
-      const after = a.after.map((t) => (splitTaskId(t).batch === batch ? splitTaskId(t).task : t));
+      const after = a.after.map((t) => (parseGraphTaskId(t).batch === batch ? parseGraphTaskId(t).task : t));
       return a.held ? [shape, after, true] : [shape, after];
     });
     await request(this.o, 'POST', `/graphs/${this.id}/tasks`, { batch, parent: this.parent, shapes, tasks });
@@ -225,7 +225,7 @@
     const wanted = new Map<BatchId, Set<number>>();
     for (const t of tasks) {
       if (this.known.has(t)) continue;
-      const { batch, task } = splitTaskId(t);
+      const { batch, task } = parseGraphTaskId(t);
       wanted.set(batch, (wanted.get(batch) ?? new Set()).add(task));
     }
     for (const [batch, positions] of wanted)
@@ -248,7 +248,7 @@
           throw e;
         }
         for (const row of page['tasks'] as { task: GraphTaskId; state: string }[]) {
-          positions.delete(splitTaskId(row.task).task);
+          positions.delete(parseGraphTaskId(row.task).task);
           if (['done', 'failed', 'cancelled'].includes(row.state)) this.known.set(row.task, row.state);
         }
       }
@@ -261,7 +261,7 @@
       throw new RefusedError(404, `${this.id}: no such batch: ${batch}`);
     for (const n of positions)
       this.known.set(
-        graphTaskId(batch, n),
+        formatGraphTaskId(batch, n),
         phase === 'done' ? 'done' : phase === 'cancelled' ? 'cancelled' : 'over',
       );
   }
--- a/packages/graph-client/test/client.test.ts
+++ b/packages/graph-client/test/client.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { buildServer } from '@spurbridge/controller';
-import { GraphService, graphRoom, graphRoutes } from '@spurbridge/graph-service';
+import { buildHttpServer } from '@spurbridge/controller';
+import { GraphService, graphControllerFactory, registerGraphRoutes } from '@spurbridge/graph-service';
 import { TEAMS, TYPES, World, ZONES } from '@spurbridge/testkit';
 import type { Transport } from '../src/index.js';
 import { GraphClient, RefusedError, TaskCancelledError, TaskFailedError } from '../src/index.js';
@@ -19,10 +19,10 @@
     capacity: 2,
     leaseS: 12,
     cancelS: 26,
-    rooms: () => [graphRoom()],
-    fails: (job) => job.image === 'broken',
+    leaderComponents: () => [graphControllerFactory()],
+    taskFails: (job) => job.image === 'broken',
   });
-  await w.run(3000);
+  await w.runUntil(3000);
   const state = { rps: 1000, writeRps: 1000, valueKb: 16, txnOps: 12 };
   const asked: string[] = [];
   const transport: Transport = async (server, method, path, body) => {
@@ -30,8 +30,8 @@
     assert.ok(node !== undefined);
     asked.push(`${method} ${path}`);
     if (asked.length <= failFirst) throw new Error('connection reset');
-    const app = buildServer(node.controller, silent);
-    graphRoutes(app, new GraphService({ teams: TEAMS, state }, node.store, () => TYPES));
+    const app = buildHttpServer(node.controller, silent);
+    registerGraphRoutes(app, new GraphService({ teams: TEAMS, storeLimits: state }, node.store, () => TYPES));
     await app.ready();
     const r = await app.inject({
       method,
@@ -61,7 +61,7 @@
     done.catch(() => undefined);
     for (let i = 0; !over && i < 60_000; i += 1) {
       await new Promise((resolve) => setImmediate(resolve));
-      await w.run(w.time.now + 10);
+      await w.runUntil(w.time.now + 10);
     }
     return done;
   };
@@ -95,7 +95,7 @@
       assert.equal((await g.status())['team'], undefined);
     })(),
   );
-  assert.deepEqual(s.w.checker.broken, []);
+  assert.deepEqual(s.w.checker.violations, []);
 });
 
 test('an error says which task of which graph failed first, and what led from it', async () => {
--- a/packages/graph-service/src/service.ts
+++ b/packages/graph-service/src/graph-service.ts
@@ -1,6 +1,6 @@
 import type { Settings } from '@spurbridge/controller';
-import { fitsType } from '@spurbridge/model';
-import type { StateStore } from '@spurbridge/store';
+import { fitsMachineType } from '@spurbridge/model';
+import type { KeyValueStore } from '@spurbridge/store';
 import type {
   Batch,
   BatchId,
@@ -12,31 +12,31 @@
   Version,
 } from '@spurbridge/wire';
 import {
-  ABSENT,
-  MalformedError,
-  graphTaskId,
+  KEY_ABSENT,
+  ValidationError,
+  formatGraphTaskId,
   isGraphId,
   parseBatch,
-  parseGraphHead,
-  parseResultNote,
+  parseGraphSpec,
+  parseResultUpdate,
   read,
-  splitTaskId,
+  parseGraphTaskId,
 } from '@spurbridge/wire';
-import type { HeadRecord, KeptBatch } from './records.js';
+import type { GraphRecord, StoredBatch } from './records.js';
 import {
   batchKey,
   batchPrefix,
   decodeBatch,
-  decodeHead,
-  decodeState,
+  decodeGraph,
+  decodeBatchState,
   encodeBatch,
-  encodeHead,
-  headKey,
-  noteKey,
-  openKey,
-  OPEN_PREFIX,
-  stateKey,
-  statePrefix,
+  encodeGraph,
+  graphKey,
+  resultNoteKey,
+  openGraphKey,
+  OPEN_GRAPH_PREFIX,
+  batchStateKey,
+  batchStatePrefix,
 } from './records.js';
 
 /** What one team may have at a time, and one graph at all. */
@@ -49,9 +49,14 @@
   readonly references: number;
 }
 
-export const GRAPH_LIMITS: GraphLimits = { openPerTeam: 200, tasks: 100_000, depth: 64, references: 32 };
+export const DEFAULT_GRAPH_LIMITS: GraphLimits = {
+  openPerTeam: 200,
+  tasks: 100_000,
+  depth: 64,
+  references: 32,
+};
 
-export type GraphAnswer =
+export type GraphResponse =
   | { readonly code: 200 | 201; readonly body: Record<string, unknown> }
   | { readonly code: 400 | 404 | 409 | 422; readonly error: string }
   | { readonly code: 429 | 503; readonly error: string; readonly retryAfterS: number };
@@ -63,25 +68,25 @@
 /** Sizes and depths of batches never change: those looked up lately. */
 const MOST_KNOWN = 5000;
 
-const unsure = (error: string): GraphAnswer => ({ code: 503, error, retryAfterS: 1 });
-const NONE: GraphAnswer = { code: 404, error: 'no such graph' };
+const unsure = (error: string): GraphResponse => ({ code: 503, error, retryAfterS: 1 });
+const NONE: GraphResponse = { code: 404, error: 'no such graph' };
 
-type Found = { readonly record: HeadRecord; readonly version: Version };
+type Found = { readonly record: GraphRecord; readonly version: Version };
 
 /** Clients' calls about graphs, answered by any node from the state service alone. */
 export class GraphService {
   private readonly known = new Map<string, { readonly size: number; readonly depth: number }>();
 
   constructor(
-    private readonly settings: Pick<Settings, 'teams' | 'state'>,
-    private readonly store: StateStore,
+    private readonly settings: Pick<Settings, 'storeLimits' | 'teams'>,
+    private readonly store: KeyValueStore,
     private readonly types: () => readonly MachineType[],
-    private readonly limits: GraphLimits = GRAPH_LIMITS,
+    private readonly limits: GraphLimits = DEFAULT_GRAPH_LIMITS,
   ) {}
 
   /** @throws MalformedError naming the field */
-  async create(body: unknown): Promise<GraphAnswer> {
-    const head = parseGraphHead(body);
+  async create(body: unknown): Promise<GraphResponse> {
+    const head = parseGraphSpec(body);
     if (!this.settings.teams.some((t) => t.name === head.team)) return { code: 422, error: 'team: unknown' };
     const before = await this.head(head.id);
     if ('code' in before) {
@@ -89,7 +94,7 @@
     } else if (JSON.stringify(before.record.head) === JSON.stringify(head)) return shown(200, before.record);
     else
       return { code: 409, error: `graph: ${head.id} is there already, with another class, team or priority` };
-    const open = await this.store.list(`${OPEN_PREFIX}${encodeURIComponent(head.team)}/`, 1);
+    const open = await this.store.list(`${OPEN_GRAPH_PREFIX}${encodeURIComponent(head.team)}/`, 1);
     if (open.outcome !== 'listed') return unsure('the state service does not answer');
     if (open.items.length >= this.limits.openPerTeam)
       return {
@@ -97,12 +102,12 @@
         error: `team: ${head.team} has ${open.items.length} open graphs, and may have ${this.limits.openPerTeam}`,
         retryAfterS: BUSY_S,
       };
-    const record: HeadRecord = { head, phase: 'open', tasks: 0, batches: 0, cancelled: [], tally: null };
+    const record: GraphRecord = { head, phase: 'open', tasks: 0, batches: 0, cancelled: [], summary: null };
     const outcome = await this.store.commit(
-      [{ key: headKey(head.id), version: ABSENT }],
+      [{ key: graphKey(head.id), version: KEY_ABSENT }],
       [
-        { put: openKey(head.team, head.id), value: {} },
-        { put: headKey(head.id), value: encodeHead(record) },
+        { put: openGraphKey(head.team, head.id), value: {} },
+        { put: graphKey(head.id), value: encodeGraph(record) },
       ],
       1,
     );
@@ -110,12 +115,12 @@
     return unsure('the state service did not confirm');
   }
 
-  private async head(id: string): Promise<Found | GraphAnswer> {
+  private async head(id: string): Promise<Found | GraphResponse> {
     if (!isGraphId(id)) return NONE;
-    const found = await this.store.read(headKey(id), 1);
+    const found = await this.store.read(graphKey(id), 1);
     if (found.outcome === 'absent') return NONE;
     if (found.outcome !== 'found') return unsure('the state service does not answer');
-    return { record: decodeHead(found.item.value), version: found.item.version };
+    return { record: decodeGraph(found.item.value), version: found.item.version };
   }
 
   /**
@@ -123,7 +128,7 @@
    *
    * @throws MalformedError naming the field
    */
-  async add(id: string, body: unknown): Promise<GraphAnswer> {
+  async addBatch(id: string, body: unknown): Promise<GraphResponse> {
     const batch = parseBatch(body);
     const never = this.neverFits(batch);
     for (let n = 0; n < TRIES; n += 1) {
@@ -141,25 +146,25 @@
         };
       const depth = await this.checkReferences(record.head.id, batch);
       if (typeof depth !== 'number') return depth;
-      const kept: KeptBatch = { batch, order: record.batches, depth };
+      const kept: StoredBatch = { batch, order: record.batches, depth };
       const value = encodeBatch(kept);
-      if (JSON.stringify(value).length > this.settings.state.valueKb * 1024 - 256)
+      if (JSON.stringify(value).length > this.settings.storeLimits.valueKb * 1024 - 256)
         return {
           code: 422,
-          error: `tasks: a batch takes at most ${this.settings.state.valueKb} KiB; send fewer`,
+          error: `tasks: a batch takes at most ${this.settings.storeLimits.valueKb} KiB; send fewer`,
         };
-      const next: HeadRecord = {
+      const next: GraphRecord = {
         ...record,
         tasks: record.tasks + batch.tasks.length,
         batches: record.batches + 1,
       };
       const outcome = await this.store.commit(
         [
-          { key: headKey(record.head.id), version: found.version },
-          { key: batchKey(record.head.id, batch.id), version: ABSENT },
+          { key: graphKey(record.head.id), version: found.version },
+          { key: batchKey(record.head.id, batch.id), version: KEY_ABSENT },
         ],
         [
-          { put: headKey(record.head.id), value: encodeHead(next) },
+          { put: graphKey(record.head.id), value: encodeGraph(next) },
           { put: batchKey(record.head.id, batch.id), value },
         ],
         1,
@@ -172,7 +177,7 @@
   }
 
   /** The answer to a batch that is there already, or null. */
-  private async again(id: GraphId, batch: Batch): Promise<GraphAnswer | null> {
+  private async again(id: GraphId, batch: Batch): Promise<GraphResponse | null> {
     const found = await this.store.read(batchKey(id, batch.id), 1);
     if (found.outcome === 'absent') return null;
     if (found.outcome !== 'found') return unsure('the state service does not answer');
@@ -183,18 +188,18 @@
   }
 
   /** What can never run is refused with the batch, like a job that cannot. */
-  private neverFits(batch: Batch): GraphAnswer | null {
+  private neverFits(batch: Batch): GraphResponse | null {
     const types = this.types();
     if (types.length === 0) return unsure('machine types are not known yet');
-    const at = batch.shapes.findIndex((s) => !types.some((t) => fitsType(specLike(s), t)));
+    const at = batch.shapes.findIndex((s) => !types.some((t) => fitsMachineType(jobSpecForShape(s), t)));
     return at < 0 ? null : { code: 422, error: `shapes[${at}]: a task fits no machine type` };
   }
 
   /** How deep the batch was spawned, or which task that it refers to is not there. */
-  private async checkReferences(id: GraphId, batch: Batch): Promise<number | GraphAnswer> {
+  private async checkReferences(id: GraphId, batch: Batch): Promise<number | GraphResponse> {
     const refersTo = new Map<BatchId, { task: GraphTaskId; field: string }[]>();
     const refer = (task: GraphTaskId, field: string): void => {
-      const on = splitTaskId(task).batch;
+      const on = parseGraphTaskId(task).batch;
       if (on !== batch.id) refersTo.set(on, [...(refersTo.get(on) ?? []), { task, field }]);
     };
     batch.tasks.forEach((t, i) => {
@@ -207,13 +212,14 @@
     for (const [other, names] of refersTo) {
       const b = await this.lookUp(id, other);
       if (b !== null && 'code' in b) return b;
-      const missing = names.find((x) => b === null || splitTaskId(x.task).task >= b.size);
+      const missing = names.find((x) => b === null || parseGraphTaskId(x.task).task >= b.size);
       if (missing !== undefined)
         return {
           code: 400,
           error: `${missing.field}: expected a task of ${id}, and ${missing.task} is none`,
         };
-      if (batch.parent !== null && splitTaskId(batch.parent).batch === other) depth = (b?.depth ?? 0) + 1;
+      if (batch.parent !== null && parseGraphTaskId(batch.parent).batch === other)
+        depth = (b?.depth ?? 0) + 1;
     }
     return depth <= this.limits.depth
       ? depth
@@ -223,7 +229,7 @@
   private async lookUp(
     id: GraphId,
     batch: BatchId,
-  ): Promise<{ readonly size: number; readonly depth: number } | GraphAnswer | null> {
+  ): Promise<{ readonly size: number; readonly depth: number } | GraphResponse | null> {
     const key = batchKey(id, batch);
     const known = this.known.get(key);
     if (known !== undefined) return known;
@@ -238,7 +244,7 @@
   }
 
   /** No batch is added any more: the graph is over once all its tasks are. */
-  async seal(id: string): Promise<GraphAnswer> {
+  async seal(id: string): Promise<GraphResponse> {
     return this.change(id, (r) => (r.phase === 'open' ? { ...r, phase: 'sealed' } : null));
   }
 
@@ -247,10 +253,10 @@
    *
    * @throws MalformedError naming the field
    */
-  async cancel(id: string, body: unknown): Promise<GraphAnswer> {
+  async cancel(id: string, body: unknown): Promise<GraphResponse> {
     const o = body === null || body === undefined ? {} : read.asObject(body, 'body');
-    const names = read.optNames(o, 'tasks');
-    const recursive = o['recursive'] === undefined ? true : read.bool(o, 'recursive');
+    const names = read.optionalStrings(o, 'tasks');
+    const recursive = o['recursive'] === undefined ? true : read.boolean(o, 'recursive');
     if (names === null)
       return this.change(id, (r) =>
         r.phase === 'open' || r.phase === 'sealed' ? { ...r, phase: 'cancelled' } : null,
@@ -278,8 +284,8 @@
    *
    * @throws MalformedError naming the field
    */
-  async results(id: string, body: unknown): Promise<GraphAnswer> {
-    const note = parseResultNote(body);
+  async updateResults(id: string, body: unknown): Promise<GraphResponse> {
+    const note = parseResultUpdate(body);
     const found = await this.head(id);
     if ('code' in found) return found;
     const { record } = found;
@@ -293,11 +299,11 @@
       const missing = await this.missing(record.head.id, tasks, field);
       if (missing !== null) return missing;
     }
-    const key = noteKey(record.head.id, note.id);
+    const key = resultNoteKey(record.head.id, note.id);
     const outcome = await this.store.commit(
       [
-        { key: headKey(record.head.id), version: found.version },
-        { key, version: ABSENT },
+        { key: graphKey(record.head.id), version: found.version },
+        { key, version: KEY_ABSENT },
       ],
       [{ put: key, value: { note: note.id, lost: note.lost, hold: note.hold, release: note.release } }],
       1,
@@ -313,11 +319,11 @@
     id: GraphId,
     tasks: readonly GraphTaskId[],
     field: string,
-  ): Promise<GraphAnswer | null> {
+  ): Promise<GraphResponse | null> {
     for (const [i, t] of tasks.entries()) {
-      const b = await this.lookUp(id, splitTaskId(t).batch);
+      const b = await this.lookUp(id, parseGraphTaskId(t).batch);
       if (b !== null && 'code' in b) return b;
-      if (b === null || splitTaskId(t).task >= b.size)
+      if (b === null || parseGraphTaskId(t).task >= b.size)
         return { code: 400, error: `${field}[${i}]: expected a task of ${id}, and ${t} is none` };
     }
     return null;
@@ -325,18 +331,18 @@
 
   private async change(
     id: string,
-    next: (r: HeadRecord) => HeadRecord | GraphAnswer | null,
-  ): Promise<GraphAnswer> {
+    next: (r: GraphRecord) => GraphRecord | GraphResponse | null,
+  ): Promise<GraphResponse> {
     for (let n = 0; n < TRIES; n += 1) {
       const found = await this.head(id);
       if ('code' in found) return found;
       const changed = next(found.record);
       if (changed === null) return shown(200, found.record);
       if ('code' in changed) return changed;
-      const key = headKey(found.record.head.id);
+      const key = graphKey(found.record.head.id);
       const outcome = await this.store.commit(
         [{ key, version: found.version }],
-        [{ put: key, value: encodeHead(changed) }],
+        [{ put: key, value: encodeGraph(changed) }],
         1,
       );
       if (outcome.outcome === 'committed') return shown(200, changed);
@@ -345,16 +351,16 @@
     return unsure('the graph keeps changing');
   }
 
-  async status(id: string): Promise<GraphAnswer> {
+  async status(id: string): Promise<GraphResponse> {
     const found = await this.head(id);
     if ('code' in found) return found;
     const { record } = found;
-    if (record.tally !== null) return shown(200, record);
-    const states = await this.store.list(statePrefix(record.head.id), 2);
+    if (record.summary !== null) return shown(200, record);
+    const states = await this.store.list(batchStatePrefix(record.head.id), 2);
     if (states.outcome !== 'listed') return unsure('the state service does not answer');
     const counts = { done: 0, failed: 0, cancelled: 0, running: 0 };
     for (const item of states.items)
-      for (const s of decodeState(item.value).states) {
+      for (const s of decodeBatchState(item.value).states) {
         if (s === '4') counts.done += 1;
         else if (s === '5') counts.failed += 1;
         else if (s === '6') counts.cancelled += 1;
@@ -364,24 +370,24 @@
   }
 
   /** Why a task failed, and from which task that came, link by link. */
-  async failure(id: string, task: string): Promise<GraphAnswer> {
+  async explainFailure(id: string, task: string): Promise<GraphResponse> {
     const found = await this.head(id);
     if ('code' in found) return found;
     const graph = found.record.head.id;
     const batches = await this.store.list(batchPrefix(graph), 2);
-    const states = await this.store.list(statePrefix(graph), 2);
+    const states = await this.store.list(batchStatePrefix(graph), 2);
     if (batches.outcome !== 'listed' || states.outcome !== 'listed')
       return unsure('the state service does not answer');
     const stateOf = new Map(
-      states.items.map((s) => [s.key.slice(statePrefix(graph).length), decodeState(s.value)]),
+      states.items.map((s) => [s.key.slice(batchStatePrefix(graph).length), decodeBatchState(s.value)]),
     );
     const names: GraphTaskId[] = [];
     const kept = batches.items.map((b) => decodeBatch(b.value)).sort((a, b) => a.order - b.order);
-    for (const b of kept) b.batch.tasks.forEach((_, n) => names.push(graphTaskId(b.batch.id, n)));
+    for (const b of kept) b.batch.tasks.forEach((_, n) => names.push(formatGraphTaskId(b.batch.id, n)));
     let at = names.indexOf(task as GraphTaskId);
     if (at < 0) return { code: 404, error: 'no such task' };
     const why = (i: number): { kind: number; by: number } => {
-      const on = splitTaskId(names[i] as GraphTaskId);
+      const on = parseGraphTaskId(names[i] as GraphTaskId);
       const s = stateOf.get(on.batch);
       const of = (list: readonly (readonly [number, number])[] | undefined): number =>
         list?.find(([n]) => n === on.task)?.[1] ?? -1;
@@ -397,17 +403,17 @@
   }
 
   /** States of a batch's tasks, a page at a time. */
-  async tasks(id: string, batch: string, from: number): Promise<GraphAnswer> {
+  async listTasks(id: string, batch: string, from: number): Promise<GraphResponse> {
     const found = await this.head(id);
     if ('code' in found) return found;
     const graph = found.record.head.id;
     const b = await this.lookUp(graph, batch as BatchId);
     if (b === null) return { code: 404, error: 'no such batch' };
     if ('code' in b) return b;
-    const state = await this.store.read(stateKey(graph, batch as BatchId), 2);
+    const state = await this.store.read(batchStateKey(graph, batch as BatchId), 2);
     if (state.outcome !== 'found' && state.outcome !== 'absent')
       return unsure('the state service does not answer');
-    const states = state.outcome === 'found' ? decodeState(state.item.value).states : '';
+    const states = state.outcome === 'found' ? decodeBatchState(state.item.value).states : '';
     const tasks = Array.from({ length: Math.max(0, Math.min(PAGE, b.size - from)) }, (_, n) => ({
       task: `${batch}:${from + n}`,
       state: STATE_NAMES[Number(states[from + n] ?? 0)],
@@ -420,16 +426,16 @@
 const MOST_CHAIN = 1000;
 const STATE_NAMES = ['waiting', 'ready', 'running', 'cancelling', 'done', 'failed', 'cancelled'];
 
-function headBody(r: HeadRecord): Record<string, unknown> {
+function headBody(r: GraphRecord): Record<string, unknown> {
   return { graph: r.head.id, phase: r.phase, tasks: r.tasks };
 }
 
-function shown(code: 200 | 201, r: HeadRecord): GraphAnswer {
-  return { code, body: { ...headBody(r), ...(r.tally ?? {}) } };
+function shown(code: 200 | 201, r: GraphRecord): GraphResponse {
+  return { code, body: { ...headBody(r), ...(r.summary ?? {}) } };
 }
 
 /** A shape as a job of its own, for what is asked of jobs. */
-export function specLike(s: TaskShape): Parameters<typeof fitsType>[0] {
+export function jobSpecForShape(s: TaskShape): Parameters<typeof fitsMachineType>[0] {
   return {
     id: 'wk-none' as JobId,
     class: '',
@@ -455,11 +461,11 @@
 }
 
 /** Wraps a call so that what is malformed is answered with its field. */
-export async function answered(call: () => Promise<GraphAnswer>): Promise<GraphAnswer> {
+export async function respond(call: () => Promise<GraphResponse>): Promise<GraphResponse> {
   try {
     return await call();
   } catch (e) {
-    if (e instanceof MalformedError) return { code: 400, error: e.message };
+    if (e instanceof ValidationError) return { code: 400, error: e.message };
     throw e;
   }
 }
--- a/packages/graph-service/src/index.ts
+++ b/packages/graph-service/src/index.ts
@@ -1,4 +1,4 @@
 export * from './records.js';
-export * from './room.js';
-export * from './service.js';
+export * from './graph-controller.js';
+export * from './graph-service.js';
 export * from './routes.js';
--- a/packages/graph-service/test/service.test.ts
+++ b/packages/graph-service/test/service.test.ts
@@ -3,8 +3,15 @@
 import { TEAMS, TYPES, World, ZONES } from '@spurbridge/testkit';
 import type { WorldOptions } from '@spurbridge/testkit';
 import type { BatchId, GraphId, JobSpec } from '@spurbridge/wire';
-import type { GraphAnswer, GraphLimits } from '../src/index.js';
-import { GraphService, answered, decodeState, graphRoom, headKey, stateKey } from '../src/index.js';
+import type { GraphResponse, GraphLimits } from '../src/index.js';
+import {
+  GraphService,
+  respond,
+  decodeBatchState,
+  graphControllerFactory,
+  graphKey,
+  batchStateKey,
+} from '../src/index.js';
 
 const ID = 'gr-night' as GraphId;
 const HEAD = { graph: ID, class: 'video', team: 'red', priority: 'normal' };
@@ -39,17 +46,17 @@
       capacity: 3,
       leaseS: 12,
       cancelS: 26,
-      pollMs: 5000,
-      rooms: () => [graphRoom()],
-      fails: (job) => job.image === 'broken',
-      runMs: (job, piece) => {
+      userPollMs: 5000,
+      leaderComponents: () => [graphControllerFactory()],
+      taskFails: (job) => job.image === 'broken',
+      taskRunMs: (job, piece) => {
         const task = this.taskOf(job, piece);
         if (task !== null) this.onStart(task);
         return job.estimateS * (600 + ((piece * 7919) % 800));
       },
       ...over,
     });
-    this.w.checker.onRun = (run) => {
+    this.w.checker.onRunEnded = (run) => {
       const task = this.taskOf(run.job, run.task);
       if (task !== null) this.ran.push({ task, since: run.sinceMs, until: run.untilMs, done: run.done });
     };
@@ -61,11 +68,11 @@
     const cotask = job.id.slice(job.id.lastIndexOf('.') + 1);
     for (const graph of this.graphs)
       for (const batch of this.batches) {
-        const value = this.w.state.peek(stateKey(graph, batch as BatchId));
+        const value = this.w.store.peek(batchStateKey(graph, batch as BatchId));
         const part =
           value === undefined
             ? undefined
-            : decodeState(value).parts.find((p) => p[1] === cotask && p[2] === piece);
+            : decodeBatchState(value).parts.find((p) => p[1] === cotask && p[2] === piece);
         if (part !== undefined) return `${batch}:${part[0]}`;
       }
     return null;
@@ -74,7 +81,7 @@
   service(node = 0): GraphService {
     const n = this.w.nodes[node];
     assert.ok(n !== undefined);
-    return new GraphService({ teams: TEAMS, state: STATE }, n.store, () => TYPES, this.limits);
+    return new GraphService({ teams: TEAMS, storeLimits: STATE }, n.store, () => TYPES, this.limits);
   }
 
   /** What a client makes of a node that ended before it answered: after five seconds it asks again. */
@@ -87,12 +94,12 @@
   }
 
   /** Asks a node and lets time pass until it has answered. */
-  async ask(call: (s: GraphService) => Promise<GraphAnswer>, node = 0): Promise<GraphAnswer> {
-    const got: GraphAnswer[] = [];
-    void answered(() => call(this.service(node))).then((a) => got.push(a));
+  async ask(call: (s: GraphService) => Promise<GraphResponse>, node = 0): Promise<GraphResponse> {
+    const got: GraphResponse[] = [];
+    void respond(() => call(this.service(node))).then((a) => got.push(a));
     for (let i = 0; got.length === 0 && i < 1000; i += 1) {
       await new Promise((resolve) => setImmediate(resolve));
-      await this.w.run(this.w.time.now + 5);
+      await this.w.runUntil(this.w.time.now + 5);
     }
     assert.ok(got[0] !== undefined, 'no answer');
     return got[0];
@@ -104,12 +111,12 @@
     tasks: readonly unknown[],
     parent: string | null = null,
     shapes: readonly object[] = [SHAPE],
-  ): Promise<GraphAnswer> {
+  ): Promise<GraphResponse> {
     this.remember(batch, tasks);
     for (let n = 0; n < 40; n += 1) {
-      const a = await this.ask((s) => s.add(ID, { batch, parent, shapes, tasks }), n % 3);
+      const a = await this.ask((s) => s.addBatch(ID, { batch, parent, shapes, tasks }), n % 3);
       if (a.code !== 503) return a;
-      await this.w.run(this.w.time.now + 500);
+      await this.w.runUntil(this.w.time.now + 500);
     }
     return assert.fail('never added');
   }
@@ -126,12 +133,12 @@
   }
 
   get phase(): unknown {
-    return (this.w.state.peek(headKey(ID)) as { phase?: unknown } | undefined)?.phase;
+    return (this.w.store.peek(graphKey(ID)) as { phase?: unknown } | undefined)?.phase;
   }
 
   /** Every task was done once, and none began before all that it takes was done. */
   assertInOrder(all: boolean): void {
-    assert.deepEqual(this.w.checker.broken, []);
+    assert.deepEqual(this.w.checker.violations, []);
     const doneAt = new Map<string, number>();
     for (const r of this.ran)
       // Started again, a task that was done says so at once and does nothing: its result is kept.
@@ -151,14 +158,14 @@
 
   /** Of a graph that is over nothing is left but its head. */
   assertFolded(): void {
-    const left = this.w.state.keys().filter((k) => k.startsWith('g') || k.includes('/wk-.'));
-    assert.deepEqual(left, [headKey(ID)]);
+    const left = this.w.store.keys().filter((k) => k.startsWith('g') || k.includes('/wk-.'));
+    assert.deepEqual(left, [graphKey(ID)]);
   }
 }
 
 async function begun(over: Partial<WorldOptions> = {}, limits?: GraphLimits): Promise<Site> {
   const site = new Site(over, limits);
-  await site.w.run(3000);
+  await site.w.runUntil(3000);
   const a = await site.ask((s) => s.create(HEAD));
   assert.equal(a.code, 201);
   return site;
@@ -174,7 +181,7 @@
   const status = await site.ask((s) => s.status(ID), 1);
   assert.ok('body' in status && status.body['tasks'] === 34 && status.body['phase'] === 'open');
   await site.ask((s) => s.seal(ID));
-  await site.w.run(200_000);
+  await site.w.runUntil(200_000);
   assert.equal(site.phase, 'done');
   site.assertInOrder(true);
   site.assertFolded();
@@ -189,7 +196,7 @@
     { ...SHAPE, image: 'broken', retries: 2 },
   ]);
   await site.ask((s) => s.seal(ID));
-  await site.w.run(200_000);
+  await site.w.runUntil(200_000);
   assert.equal(site.ran.filter((r) => r.task === 'a:0').length, 3);
   const end = await site.ask((s) => s.status(ID));
   assert.ok('body' in end);
@@ -205,7 +212,7 @@
   const site = await begun({}, limits);
   const shapes = [SHAPE];
   const refused = async (body: object, code: number, why: RegExp): Promise<void> => {
-    const a = await site.ask((s) => s.add(ID, { shapes, ...body }));
+    const a = await site.ask((s) => s.addBatch(ID, { shapes, ...body }));
     assert.equal(a.code, code, JSON.stringify(a));
     assert.match('error' in a ? a.error : '', why);
   };
@@ -254,13 +261,13 @@
   assert.equal((await site.ask((s) => s.cancel(ID, { tasks: ['a:7'] }))).code, 400);
   await site.ask((s) => s.seal(ID));
   await refused({ batch: 'late', tasks: [[0]] }, 409, /^graph: gr-night is sealed/);
-  const pieces = site.w.state.keys().filter((k) => k.startsWith('j/wk-.'));
+  const pieces = site.w.store.keys().filter((k) => k.startsWith('j/wk-.'));
   assert.ok(pieces.length > 0);
   const node = site.w.nodes[0];
   assert.ok(node !== undefined);
   const direct: number[] = [];
   void node.controller.jobs.cancel(pieces[0]?.slice(2) as never).then((a) => direct.push(a.code));
-  await site.w.run(site.w.time.now + 1000);
+  await site.w.runUntil(site.w.time.now + 1000);
   assert.deepEqual(direct, [404]);
 });
 
@@ -272,14 +279,14 @@
     null,
     [{ ...SHAPE, estimateS: 30 }],
   );
-  await site.w.run(20_000);
+  await site.w.runUntil(20_000);
   const before = site.ran.length;
   const [cancelled, spawned] = await Promise.all([
     site.ask((s) => s.cancel(ID, null), 0),
     (async () => {
-      const got: GraphAnswer[] = [];
-      void answered(() =>
-        site.service(1).add(ID, { batch: 's', parent: 'a:0', shapes: [SHAPE], tasks: [[0]] }),
+      const got: GraphResponse[] = [];
+      void respond(() =>
+        site.service(1).addBatch(ID, { batch: 's', parent: 'a:0', shapes: [SHAPE], tasks: [[0]] }),
       ).then((a) => got.push(a));
       for (let i = 0; got.length === 0 && i < 200; i += 1)
         await new Promise((resolve) => setImmediate(resolve));
@@ -288,7 +295,7 @@
   ]);
   const at = site.w.time.now;
   assert.ok('body' in cancelled && cancelled.body['phase'] === 'cancelled');
-  await site.w.run(at + 60_000);
+  await site.w.runUntil(at + 60_000);
   assert.ok(site.ran.length > before);
   // Those whose start was under way when the answer was given are stopped; none is begun from there on.
   for (const r of site.ran) assert.ok(r.since <= at + 3000 && r.until <= at + 26_000, JSON.stringify(r));
@@ -296,7 +303,7 @@
   if (spawned !== undefined && spawned.code === 201)
     assert.ok(site.ran.every((r) => !r.task.startsWith('s:')));
   site.assertFolded();
-  assert.deepEqual(site.w.checker.broken, []);
+  assert.deepEqual(site.w.checker.violations, []);
 });
 
 test('a lost result of a shared parent runs it again once, also when the leader falls right after the note', async () => {
@@ -304,34 +311,34 @@
   const site = await begun({ seed: 23 });
   await site.add('a', [[0], [1, [0]], [1, [0]]], null, [SHAPE, { ...SHAPE, estimateS: 20 }]);
   for (let at = 4; at < 60 && !site.ran.some((r) => r.task === 'a:0' && r.done); at += 1)
-    await site.w.run(at * 1000);
+    await site.w.runUntil(at * 1000);
   const note = { note: 'n1', lost: ['a:0'] };
-  assert.equal((await site.ask((s) => s.results(ID, note))).code, 201);
-  assert.equal((await site.ask((s) => s.results(ID, note), 1)).code, 200);
-  assert.equal((await site.ask((s) => s.results(ID, { note: 'n2', lost: ['a:9'] }))).code, 400);
+  assert.equal((await site.ask((s) => s.updateResults(ID, note))).code, 201);
+  assert.equal((await site.ask((s) => s.updateResults(ID, note), 1)).code, 200);
+  assert.equal((await site.ask((s) => s.updateResults(ID, { note: 'n2', lost: ['a:9'] }))).code, 400);
   for (let i = 0; i < 3; i += 1)
-    if (site.w.nodes[i]?.controller.leadership.holdsSurely() === true) site.w.crash(i);
-  await site.w.run(site.w.time.now + 90_000);
+    if (site.w.nodes[i]?.controller.leadership.holdsValidLease() === true) site.w.crash(i);
+  await site.w.runUntil(site.w.time.now + 90_000);
   await site.ask((s) => s.seal(ID));
-  await site.w.run(site.w.time.now + 60_000);
+  await site.w.runUntil(site.w.time.now + 60_000);
   // Those that had started have what they need and go on; the parent ran once more, for what was still to start.
   const runs = site.ran.filter((r) => r.task === 'a:0' && r.done && r.until - r.since > 10).length;
   assert.ok(runs >= 1 && runs <= 2, `${runs} runs`);
   assert.equal(site.phase, 'done');
   site.assertFolded();
-  assert.deepEqual(site.w.checker.broken, []);
+  assert.deepEqual(site.w.checker.violations, []);
 });
 
 test('a subtree is cancelled with what it spawned; the rest of the graph ends', async () => {
   const site = await begun();
   await site.add('a', [[1], [0], [0, [1]]], null, [SHAPE, { ...SHAPE, estimateS: 60 }]);
-  await site.w.run(8000);
+  await site.w.runUntil(8000);
   await site.add('s', [[0], [0, [0]]], 'a:0', [{ ...SHAPE, estimateS: 60 }]);
-  await site.w.run(14_000);
+  await site.w.runUntil(14_000);
   const a = await site.ask((s) => s.cancel(ID, { tasks: ['a:0'] }), 2);
   assert.equal(a.code, 200);
   await site.ask((s) => s.seal(ID));
-  await site.w.run(100_000);
+  await site.w.runUntil(100_000);
   const end = await site.ask((s) => s.status(ID));
   assert.ok('body' in end);
   assert.deepEqual([end.body['done'], end.body['cancelled']], [2, 3]);
@@ -348,7 +355,7 @@
     site.remember(body.batch, body.tasks);
     // A run that is lost after it spawned spawns the same again; a node that cannot say is asked again.
     const again = (n: number): Promise<unknown> =>
-      Promise.race([answered(() => site.service(n % 3).add(ID, body)), site.noAnswer()]).then((a) =>
+      Promise.race([respond(() => site.service(n % 3).addBatch(ID, body)), site.noAnswer()]).then((a) =>
         a.code === 503
           ? new Promise((resolve) => {
               site.w.time.after(300, () => {
@@ -363,11 +370,11 @@
   for (let at = 12_000; at < 120_000; at += 25_000)
     site.w.time.after(at, () => {
       for (let i = 0; i < 3; i += 1)
-        if (site.w.nodes[i]?.controller.leadership.holdsSurely() === true) site.w.crash(i);
+        if (site.w.nodes[i]?.controller.leadership.holdsValidLease() === true) site.w.crash(i);
     });
-  await site.w.run(300_000);
+  await site.w.runUntil(300_000);
   await site.ask((s) => s.seal(ID));
-  await site.w.run(site.w.time.now + 30_000);
+  await site.w.runUntil(site.w.time.now + 30_000);
   assert.equal(site.phase, 'done');
   assert.equal(site.deps.size, 21);
   site.assertInOrder(true);
@@ -383,7 +390,7 @@
 
 for (const seed of seeds())
   test(`crashes, cuts, outages and deaths drawn from seed ${seed}: nothing lost, nothing twice, nothing before its time`, async () => {
-    const site = await begun({ seed, stateLimits: { rps: 150, writeRps: 25, valueKb: 16, txnOps: 12 } });
+    const site = await begun({ seed, storeLimits: { rps: 150, writeRps: 25, valueKb: 16, txnOps: 12 } });
     const { w } = site;
     const at = (): number => 5000 + w.random(80_000);
     for (let k = 0; k < 4; k += 1)
@@ -394,9 +401,9 @@
       for (let i = 0; i < 3; i += 1) w.crash(i);
     });
     w.time.after(at(), () => {
-      w.state.setOutage(true);
+      w.store.setOutage(true);
       w.time.after(6000, () => {
-        w.state.setOutage(false);
+        w.store.setOutage(false);
       });
     });
     w.time.after(at(), () => {
@@ -405,7 +412,7 @@
     });
     w.time.after(at(), () => {
       const name = `spur-${w.random(3)}`;
-      w.network.cut(name, 'state', 'hold');
+      w.network.partition(name, 'state', 'hold');
       w.time.after(7000, () => {
         w.network.heal(name, 'state');
       });
@@ -418,8 +425,8 @@
       assert.ok((await site.add(`b${b}`, tasks)).code < 300);
     }
     for (let n = 0; n < 30 && (await site.ask((s) => s.seal(ID), n % 3)).code === 503; n += 1)
-      await w.run(w.time.now + 1000);
-    await w.run(400_000);
+      await w.runUntil(w.time.now + 1000);
+    await w.runUntil(400_000);
     site.assertInOrder(true);
     assert.equal(site.phase, 'done', `seed ${seed}`);
     site.assertFolded();
--- a/packages/graph/src/index.ts
+++ b/packages/graph/src/index.ts
@@ -1,1 +1,1 @@
-export * from './graph.js';
+export * from './task-graph.js';
--- a/packages/graph/src/graph.ts
+++ b/packages/graph/src/task-graph.ts
@@ -1,6 +1,6 @@
-import { Transitions } from '@spurbridge/model';
+import { TransitionTable } from '@spurbridge/model';
 import type { Batch, BatchId, GraphId, GraphTaskId, TaskShape } from '@spurbridge/wire';
-import { graphTaskId, splitTaskId } from '@spurbridge/wire';
+import { formatGraphTaskId, parseGraphTaskId } from '@spurbridge/wire';
 
 /**
  * waiting -> ready -> submitted -> done | failed. `submitted`: it is part of a cotask that the scheduler has.
@@ -19,7 +19,7 @@
   'cancelled',
 ];
 
-const transitions = new Transitions<TaskState>('graph task', {
+const transitions = new TransitionTable<TaskState>('graph task', {
   waiting: ['ready', 'failed', 'cancelled'],
   ready: ['waiting', 'submitted', 'failed', 'cancelled'],
   submitted: ['waiting', 'ready', 'cancelling', 'done', 'failed'],
@@ -33,7 +33,7 @@
 export type ResultState = 'none' | 'kept' | 'dropped' | 'lost';
 
 /** Why a task ended without a result. */
-export interface Failure {
+export interface TaskFailure {
   readonly kind: 'error' | 'upstream' | 'lineage';
   /** The task that failed first; the task itself where it is the one. */
   readonly first: GraphTaskId;
@@ -61,7 +61,7 @@
   errors: number;
   /** The one whose end ended this one, or -1. */
   endedBy: number;
-  failure: Failure['kind'] | null;
+  failure: TaskFailure['kind'] | null;
   /** Estimated seconds of the longest chain of tasks that wait for it, its own included. */
   tailS: number;
 }
@@ -77,7 +77,7 @@
  * One graph of tasks: what is ready, what ended and why, which results are still needed. It decides nothing of
  * machines: ready tasks are handed out, and whoever places them says what became of them.
  */
-export class Graph {
+export class TaskGraph {
   private readonly tasks: Task[] = [];
   private readonly batches = new Map<BatchId, { readonly first: number; readonly size: number }>();
   private readonly counted: Record<TaskState, number> = {
@@ -107,12 +107,12 @@
   }
 
   /** Whether no task can change any more but by a lost result. */
-  get isSettled(): boolean {
+  get isComplete(): boolean {
     const { done, failed, cancelled } = this.counted;
     return done + failed + cancelled === this.tasks.length;
   }
 
-  has(batch: BatchId): boolean {
+  hasBatch(batch: BatchId): boolean {
     return this.batches.has(batch);
   }
 
@@ -121,7 +121,7 @@
   }
 
   private index(id: GraphTaskId): number {
-    const { batch, task } = splitTaskId(id);
+    const { batch, task } = parseGraphTaskId(id);
     const b = this.batches.get(batch);
     if (b === undefined || task >= b.size) throw new GraphError(`${id}: no such task in ${this.id}`);
     return b.first + task;
@@ -129,14 +129,14 @@
 
   private name(i: number): GraphTaskId {
     const t = this.at(i);
-    return graphTaskId(t.batch, t.position);
+    return formatGraphTaskId(t.batch, t.position);
   }
 
   /** The only function that changes a task's state. */
   private move(i: number, next: TaskState): void {
     const t = this.at(i);
     if (t.state === next) return;
-    transitions.check(t.state, next);
+    transitions.assertAllowed(t.state, next);
     this.counted[t.state] -= 1;
     this.counted[next] += 1;
     if (t.state === 'ready') this.readyNow.delete(i);
@@ -158,7 +158,7 @@
    *
    * @throws GraphError naming an unknown task that it refers to
    */
-  add(batch: Batch): void {
+  addBatch(batch: Batch): void {
     if (this.batches.has(batch.id)) return;
     const first = this.insert(batch);
     // Those that can never run end first: nothing runs again for their sake.
@@ -170,7 +170,7 @@
   private insert(batch: Batch): number {
     const first = this.tasks.length;
     const local = (id: GraphTaskId): number => {
-      const on = splitTaskId(id);
+      const on = parseGraphTaskId(id);
       if (on.batch !== batch.id) return this.index(id);
       if (on.task >= batch.tasks.length) throw new GraphError(`${id}: no such task in ${this.id}`);
       return first + on.task;
@@ -267,14 +267,14 @@
   // --- running ---------------------------------------------------------------------------------
 
   /** Tasks that can run now, the longest chain behind them first. */
-  ready(): GraphTaskId[] {
+  readyTasks(): GraphTaskId[] {
     this.measureChains();
     return [...this.readyNow]
       .sort((a, b) => this.at(b).tailS - this.at(a).tailS || a - b)
       .map((i) => this.name(i));
   }
 
-  submit(id: GraphTaskId): void {
+  markSubmitted(id: GraphTaskId): void {
     this.move(this.index(id), 'submitted');
   }
 
@@ -310,7 +310,7 @@
   }
 
   /** Ends a task without a result, and with it everything that waits for that. */
-  private end(from: number, how: 'failed' | 'cancelled', by: number, why: Failure['kind'] | null): void {
+  private end(from: number, how: 'failed' | 'cancelled', by: number, why: TaskFailure['kind'] | null): void {
     const work = [{ i: from, by, why }];
     for (let w = work.pop(); w !== undefined; w = work.pop()) {
       const t = this.at(w.i);
@@ -355,7 +355,7 @@
   }
 
   /** The client takes hold of a result, or lets go of it. */
-  hold(id: GraphTaskId, held: boolean): void {
+  setHeld(id: GraphTaskId, held: boolean): void {
     const i = this.index(id);
     const t = this.at(i);
     if (t.held === held) return;
@@ -366,7 +366,7 @@
   }
 
   /** A result is gone from where it was kept. Its producer runs again, once, if anything still needs it. */
-  lost(id: GraphTaskId): void {
+  markResultLost(id: GraphTaskId): void {
     const i = this.index(id);
     if (this.at(i).result !== 'kept') return;
     this.unkeep(i, 'lost');
@@ -438,7 +438,7 @@
     return this.at(this.index(id)).state;
   }
 
-  result(id: GraphTaskId): ResultState {
+  resultState(id: GraphTaskId): ResultState {
     return this.at(this.index(id)).result;
   }
 
@@ -447,12 +447,12 @@
   }
 
   /** Estimated seconds of the longest chain of tasks that begins with this one. */
-  tailS(id: GraphTaskId): number {
+  criticalPathS(id: GraphTaskId): number {
     this.measureChains();
     return this.at(this.index(id)).tailS;
   }
 
-  failure(id: GraphTaskId): Failure | null {
+  failure(id: GraphTaskId): TaskFailure | null {
     const i = this.index(id);
     const t = this.at(i);
     if (t.failure === null) return null;
@@ -463,7 +463,7 @@
   }
 
   /** Some of the tasks that failed by themselves, in the order in which they were added. */
-  firstFailures(most: number): GraphTaskId[] {
+  rootFailures(most: number): GraphTaskId[] {
     const found: GraphTaskId[] = [];
     for (let i = 0; i < this.tasks.length && found.length < most; i += 1)
       if (this.at(i).failure === 'error') found.push(this.name(i));
@@ -471,7 +471,7 @@
   }
 
   /** Batches with tasks that changed since this was last asked. */
-  takeChanged(): Set<BatchId> {
+  takeChangedBatches(): Set<BatchId> {
     const changed = new Set<BatchId>();
     for (const i of this.dirty) changed.add(this.at(i).batch);
     this.dirty = new Set();
@@ -479,7 +479,7 @@
   }
 
   /** Results that nothing refers to any more, since this was last asked: they can be deleted. */
-  takeDropped(): GraphTaskId[] {
+  takeDroppedResults(): GraphTaskId[] {
     const dropped = this.droppedNow;
     this.droppedNow = [];
     return dropped.map((i) => this.name(i));
@@ -488,7 +488,7 @@
   // --- records ---------------------------------------------------------------------------------
 
   /** What has become of a batch's tasks, small enough for one record. */
-  encode(batch: BatchId): Record<string, unknown> {
+  encodeBatch(batch: BatchId): Record<string, unknown> {
     const b = this.batches.get(batch);
     if (b === undefined) throw new GraphError(`${batch}: no such batch in ${this.id}`);
     const tasks = this.tasks.slice(b.first, b.first + b.size);
@@ -511,9 +511,9 @@
    */
   static restore(
     id: GraphId,
-    batches: readonly { readonly batch: Batch; readonly record: BatchRecord | null }[],
-  ): Graph {
-    const g = new Graph(id);
+    batches: readonly { readonly batch: Batch; readonly record: TaskStatesRecord | null }[],
+  ): TaskGraph {
+    const g = new TaskGraph(id);
     for (const { batch } of batches) g.insert(batch);
     for (const { batch, record } of batches) if (record !== null) g.recall(batch.id, record);
     g.recount();
@@ -526,7 +526,7 @@
     return g;
   }
 
-  private recall(batch: BatchId, record: BatchRecord): void {
+  private recall(batch: BatchId, record: TaskStatesRecord): void {
     const b = this.batches.get(batch);
     if (b === undefined) return;
     for (let n = 0; n < b.size; n += 1) {
@@ -562,10 +562,10 @@
 }
 
 const RESULTS: readonly ResultState[] = ['none', 'kept', 'dropped', 'lost'];
-const FAILURES: readonly Failure['kind'][] = ['error', 'upstream', 'lineage'];
+const FAILURES: readonly TaskFailure['kind'][] = ['error', 'upstream', 'lineage'];
 
 /** What `encode` gives, read back. */
-export interface BatchRecord {
+export interface TaskStatesRecord {
   readonly states: string;
   readonly kept: string;
   readonly held: string;
--- a/packages/graph/test/graph.test.ts
+++ b/packages/graph/test/graph.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Batch, BatchId, GraphId, GraphTaskId } from '@spurbridge/wire';
-import { graphTaskId } from '@spurbridge/wire';
+import { formatGraphTaskId } from '@spurbridge/wire';
 import fc from 'fast-check';
-import type { BatchRecord } from '../src/index.js';
-import { Graph, GraphError } from '../src/index.js';
+import type { TaskStatesRecord } from '../src/index.js';
+import { TaskGraph, GraphError } from '../src/index.js';
 
 const ID = 'gr-test' as GraphId;
 
@@ -32,7 +32,7 @@
     tasks: wishes.map((w, i) => ({
       shape: i,
       after: (w.after ?? []).map((a) =>
-        typeof a === 'number' ? graphTaskId(id as BatchId, a) : (a as GraphTaskId),
+        typeof a === 'number' ? formatGraphTaskId(id as BatchId, a) : (a as GraphTaskId),
       ),
       held: w.held ?? false,
     })),
@@ -41,14 +41,14 @@
 
 const t = (name: string): GraphTaskId => name as GraphTaskId;
 
-function run(g: Graph, name: string): void {
-  g.submit(t(name));
+function run(g: TaskGraph, name: string): void {
+  g.markSubmitted(t(name));
   g.done(t(name));
 }
 
-function grown(...batches: Batch[]): Graph {
-  const g = new Graph(ID);
-  for (const b of batches) g.add(b);
+function grown(...batches: Batch[]): TaskGraph {
+  const g = new TaskGraph(ID);
+  for (const b of batches) g.addBatch(b);
   return g;
 }
 
@@ -56,44 +56,44 @@
   const g = grown(
     batch('a', [{}, { after: [0], estimateS: 5 }, { after: [0], estimateS: 50 }, { after: [1, 2] }]),
   );
-  assert.deepEqual(g.ready(), ['a:0']);
-  assert.equal(g.tailS(t('a:0')), 70);
+  assert.deepEqual(g.readyTasks(), ['a:0']);
+  assert.equal(g.criticalPathS(t('a:0')), 70);
   run(g, 'a:0');
-  assert.deepEqual(g.ready(), ['a:2', 'a:1']);
+  assert.deepEqual(g.readyTasks(), ['a:2', 'a:1']);
   run(g, 'a:1');
   run(g, 'a:2');
-  assert.deepEqual(g.ready(), ['a:3']);
-  assert.deepEqual(g.takeDropped(), ['a:0']);
+  assert.deepEqual(g.readyTasks(), ['a:3']);
+  assert.deepEqual(g.takeDroppedResults(), ['a:0']);
   run(g, 'a:3');
-  assert.ok(g.isSettled);
-  assert.deepEqual(g.takeDropped().sort(), ['a:1', 'a:2', 'a:3']);
+  assert.ok(g.isComplete);
+  assert.deepEqual(g.takeDroppedResults().sort(), ['a:1', 'a:2', 'a:3']);
 });
 
 test('a lost result of a shared parent makes it run again once, for all who need it', () => {
   const g = grown(batch('a', [{}, { after: [0] }, { after: [1] }, { after: [1] }, { after: [1] }]));
   run(g, 'a:0');
   run(g, 'a:1');
-  assert.equal(g.result(t('a:0')), 'dropped');
-  g.submit(t('a:4'));
-  g.lost(t('a:1'));
+  assert.equal(g.resultState(t('a:0')), 'dropped');
+  g.markSubmitted(t('a:4'));
+  g.markResultLost(t('a:1'));
   // What the lost one takes is gone, too: it runs first.
-  assert.deepEqual(g.ready(), ['a:0']);
+  assert.deepEqual(g.readyTasks(), ['a:0']);
   assert.deepEqual([g.state(t('a:2')), g.state(t('a:4'))], ['waiting', 'submitted']);
   run(g, 'a:0');
-  assert.deepEqual(g.ready(), ['a:1']);
+  assert.deepEqual(g.readyTasks(), ['a:1']);
   run(g, 'a:1');
-  assert.deepEqual(g.ready(), ['a:2', 'a:3']);
+  assert.deepEqual(g.readyTasks(), ['a:2', 'a:3']);
   g.done(t('a:4'));
   run(g, 'a:2');
   run(g, 'a:3');
-  assert.ok(g.isSettled && g.counts.done === 5);
+  assert.ok(g.isComplete && g.counts.done === 5);
 });
 
 test('a task that fails for good ends what waits for it, and each says which one was the first', () => {
   const g = grown(batch('a', [{ retries: 2 }, { after: [0] }, { after: [1] }, {}]));
   for (let n = 0; n < 3; n += 1) {
     assert.equal(g.state(t('a:0')), 'ready');
-    g.submit(t('a:0'));
+    g.markSubmitted(t('a:0'));
     g.failed(t('a:0'));
   }
   assert.equal(g.state(t('a:0')), 'failed');
@@ -104,15 +104,15 @@
 
 test('cancelled with its children: those on machines count until they are gone, and none starts after', () => {
   const g = grown(batch('a', [{}, {}]));
-  g.submit(t('a:0'));
-  g.add(batch('s', [{}, { after: [0] }], 'a:0'));
-  g.submit(t('s:0'));
-  g.add(batch('ss', [{}], 's:0'));
+  g.markSubmitted(t('a:0'));
+  g.addBatch(batch('s', [{}, { after: [0] }], 'a:0'));
+  g.markSubmitted(t('s:0'));
+  g.addBatch(batch('ss', [{}], 's:0'));
   assert.deepEqual(g.cancel([t('a:0')], true).sort(), ['a:0', 's:0']);
-  assert.deepEqual(g.ready(), ['a:1']);
+  assert.deepEqual(g.readyTasks(), ['a:1']);
   assert.deepEqual([g.state(t('s:1')), g.state(t('ss:0'))], ['cancelled', 'cancelled']);
   // A spawn that comes after the cancellation is born cancelled.
-  g.add(batch('late', [{}], 's:0'));
+  g.addBatch(batch('late', [{}], 's:0'));
   assert.equal(g.state(t('late:0')), 'cancelled');
   g.done(t('s:0'));
   g.gone(t('a:0'));
@@ -125,8 +125,8 @@
 test('a task that runs again and spawns the same children makes none twice', () => {
   const g = grown(batch('a', [{}]));
   for (let n = 0; n < 2; n += 1) {
-    g.submit(t('a:0'));
-    g.add(batch('a:0~0'.replace(':', '.'), [{}, {}], 'a:0'));
+    g.markSubmitted(t('a:0'));
+    g.addBatch(batch('a:0~0'.replace(':', '.'), [{}, {}], 'a:0'));
     g.gone(t('a:0'));
   }
   assert.equal(g.size, 3);
@@ -135,33 +135,33 @@
 test('ten deep, each task spawns the next, and the chain ends with all of them', () => {
   const g = grown(batch('d0', [{}]));
   for (let depth = 0; depth < 10; depth += 1) {
-    g.submit(t(`d${depth}:0`));
-    g.add(batch(`d${depth + 1}`, [{}], `d${depth}:0`));
+    g.markSubmitted(t(`d${depth}:0`));
+    g.addBatch(batch(`d${depth + 1}`, [{}], `d${depth}:0`));
     g.done(t(`d${depth}:0`));
   }
   run(g, 'd10:0');
-  assert.ok(g.isSettled && g.counts.done === 11);
+  assert.ok(g.isComplete && g.counts.done === 11);
 });
 
 test('a batch that names a task nobody knows changes nothing', () => {
   const g = grown(batch('a', [{}]));
   assert.throws(() => {
-    g.add(batch('b', [{}, { after: ['x:0'] }]));
+    g.addBatch(batch('b', [{}, { after: ['x:0'] }]));
   }, GraphError);
   assert.throws(() => {
-    g.add(batch('b', [{ after: ['a:1'] }]));
+    g.addBatch(batch('b', [{ after: ['a:1'] }]));
   }, /a:1: no such task/);
   assert.throws(() => {
-    g.add(batch('b', [{}], 'a:9'));
+    g.addBatch(batch('b', [{}], 'a:9'));
   }, GraphError);
   assert.equal(g.size, 1);
 });
 
 test('a hundred thousand tasks are added, run and ended within seconds', () => {
-  const g = new Graph(ID);
+  const g = new TaskGraph(ID);
   const began = performance.now();
   for (let b = 0; b < 250; b += 1)
-    g.add(
+    g.addBatch(
       batch(
         `b${b}`,
         Array.from({ length: 400 }, (_, i) =>
@@ -175,7 +175,8 @@
         ),
       ),
     );
-  for (let ready = g.ready(); ready.length > 0; ready = g.ready()) for (const id of ready) run(g, id);
+  for (let ready = g.readyTasks(); ready.length > 0; ready = g.readyTasks())
+    for (const id of ready) run(g, id);
   assert.equal(g.counts.done, 100_000);
   assert.ok(performance.now() - began < 15_000);
 });
@@ -255,9 +256,9 @@
 let played = 0;
 
 interface Real {
-  g: Graph;
+  g: TaskGraph;
   batches: Batch[];
-  records: Map<string, BatchRecord>;
+  records: Map<string, TaskStatesRecord>;
 }
 
 type Op = 'add' | 'submit' | 'done' | 'failed' | 'gone' | 'hold' | 'release' | 'lost' | 'cancel' | 'takeover';
@@ -286,8 +287,8 @@
       const i = among('ready');
       if (i !== undefined) {
         // Never before all that it takes is there.
-        for (const d of (tasks[i] as Plain).deps) assert.equal(real.g.result(named(d)), 'kept');
-        real.g.submit(named(i));
+        for (const d of (tasks[i] as Plain).deps) assert.equal(real.g.resultState(named(d)), 'kept');
+        real.g.markSubmitted(named(i));
         (tasks[i] as Plain).state = 'submitted';
       }
     } else if (this.op === 'done' || this.op === 'failed' || this.op === 'gone') {
@@ -301,20 +302,20 @@
         else p.state = 'waiting';
       }
     } else if (this.op === 'takeover') {
-      real.g = Graph.restore(
+      real.g = TaskGraph.restore(
         ID,
         real.batches.map((b) => ({
           batch: b,
-          record: JSON.parse(JSON.stringify(real.g.encode(b.id))) as BatchRecord,
+          record: JSON.parse(JSON.stringify(real.g.encodeBatch(b.id))) as TaskStatesRecord,
         })),
       );
     } else if (any !== undefined) {
       const p = tasks[any] as Plain;
       if (this.op === 'hold' || this.op === 'release') {
-        real.g.hold(named(any), this.op === 'hold');
+        real.g.setHeld(named(any), this.op === 'hold');
         p.held = this.op === 'hold';
       } else if (this.op === 'lost') {
-        real.g.lost(named(any));
+        real.g.markResultLost(named(any));
         p.kept = false;
       } else if (this.op === 'cancel') {
         const running = real.g.cancel([named(any)], this.flag);
@@ -340,8 +341,8 @@
       wishes.map((w) => ({ ...w, after: w.deps.map(name) })),
       parent < 0 ? null : name(parent),
     );
-    real.g.add(b);
-    real.g.add(b);
+    real.g.addBatch(b);
+    real.g.addBatch(b);
     real.batches.push(b);
     wishes.forEach((w, i) => {
       const born = parent >= 0 && ['cancelling'].includes((model.tasks[parent] as Plain).state);
@@ -359,17 +360,17 @@
     });
   }
 
-  private compare(model: Reference, g: Graph): void {
+  private compare(model: Reference, g: TaskGraph): void {
     const seen = model.tasks.map((p) => {
       const s = g.state(t(p.name));
-      return [p.name, s === 'failed' || s === 'cancelled' ? 'dead' : s, g.result(t(p.name)) === 'kept'];
+      return [p.name, s === 'failed' || s === 'cancelled' ? 'dead' : s, g.resultState(t(p.name)) === 'kept'];
     });
     assert.deepEqual(
       seen,
       model.tasks.map((p) => [p.name, p.state, p.kept]),
     );
     const ready = model.tasks.filter((p) => p.state === 'ready').map((p) => p.name);
-    assert.deepEqual([...g.ready()].sort(), ready.sort());
+    assert.deepEqual([...g.readyTasks()].sort(), ready.sort());
     assert.equal(
       Object.values(g.counts).reduce((a, b) => a + b, 0),
       model.tasks.length,
@@ -417,7 +418,7 @@
   fc.assert(
     fc.property(fc.commands([act], { maxCommands: 60, size: 'max' }), (commands) => {
       fc.modelRun(
-        () => ({ model: new Reference(), real: { g: new Graph(ID), batches: [], records: new Map() } }),
+        () => ({ model: new Reference(), real: { g: new TaskGraph(ID), batches: [], records: new Map() } }),
         commands,
       );
     }),
--- a/packages/measure/src/configuration.ts
+++ b/packages/measure/src/configuration.ts
@@ -1,5 +1,12 @@
 import type { JobId } from '@spurbridge/wire';
-import { World, jobSpec, leaderIndex, machineType, propose, untilInForce } from '@spurbridge/testkit';
+import {
+  World,
+  jobSpec,
+  leaderIndex,
+  machineType,
+  proposeChanges,
+  runUntilInForce,
+} from '@spurbridge/testkit';
 import { parallel } from './parallel.js';
 
 export interface ConfigurationPart {
@@ -48,11 +55,11 @@
     capacity: Math.ceil(p.workers / ZONES.length / 2),
     leaseS: 22,
     cancelS: 42,
-    stateLimits: { rps: 600, writeRps: 250, valueKb: 16, txnOps: 12 },
-    runMs: () => 10 * p.seconds * 1000,
+    storeLimits: { rps: 600, writeRps: 250, valueKb: 16, txnOps: 12 },
+    taskRunMs: () => 10 * p.seconds * 1000,
   });
   for (let n = 0; n * 100 < p.workers; n += 1)
-    w.user(
+    w.startUser(
       jobSpec({
         id: `wk-${String(n).padStart(6, '0')}` as JobId,
         team: `team-${n % TEAMS}`,
@@ -68,7 +75,7 @@
 
 export async function configurationPart(p: ConfigurationPart): Promise<ConfigurationResult> {
   const w = world(p);
-  await w.run(UP_MS);
+  await w.runUntil(UP_MS);
   const took: number[] = [];
   let askedAgain = 0;
   let late = 0;
@@ -76,21 +83,21 @@
   let endsAt = p.endLeaderS === 0 ? Infinity : w.time.now + p.endLeaderS * 1000;
   for (let n = 0, dueAt = w.time.now; w.time.now < until; n += 1) {
     dueAt += HOUR_MS / p.changesAnHour;
-    if (w.time.now < dueAt) await w.run(dueAt);
+    if (w.time.now < dueAt) await w.runUntil(dueAt);
     if (w.time.now >= endsAt) {
       w.crash(leaderIndex(w), BACK_MS);
       endsAt += p.endLeaderS * 1000;
     }
     const began = w.time.now;
     const changes = [{ team: `team-${n % TEAMS}`, cpusMax: 1000 + (n % 50) }];
-    let outcome = await propose(w, n % 3, changes);
+    let outcome = await proposeChanges(w, n % 3, changes);
     while (outcome.outcome !== 'committed' && w.time.now - began < MOST_WAIT_MS) {
       askedAgain += 1;
-      await w.run(w.time.now + RETRY_MS);
-      outcome = await propose(w, (n + askedAgain) % 3, changes);
+      await w.runUntil(w.time.now + RETRY_MS);
+      outcome = await proposeChanges(w, (n + askedAgain) % 3, changes);
     }
     const waitedMs =
-      outcome.outcome === 'committed' ? await untilInForce(w, outcome.version, MOST_WAIT_MS) : null;
+      outcome.outcome === 'committed' ? await runUntilInForce(w, outcome.version, MOST_WAIT_MS) : null;
     if (waitedMs === null) late += 1;
     else took.push(w.time.now - began);
   }
@@ -103,7 +110,7 @@
     askedAgain,
     inForceMs: took.length === 0 ? null : { p50: at(0.5), p99: at(0.99), most: at(1) },
     late,
-    brokenRules: w.checker.broken.length,
+    brokenRules: w.checker.violations.length,
     killedByLease: w.checker.killedByLease,
   };
 }
--- a/packages/measure/src/digest.ts
+++ b/packages/measure/src/digest.ts
@@ -6,19 +6,19 @@
  */
 import { existsSync, readFileSync } from 'node:fs';
 import {
-  COMPANIONS,
-  DAY_MS,
-  LOSSES,
-  MemoryFolder,
+  ACCOMPANYING_FAULTS,
+  DAY_LENGTH_MS,
+  DATA_LOSSES,
+  InMemorySnapshotDirectory,
   TrafficDigest,
-  accompany,
-  drawMeeting,
-  drawUsers,
-  lose,
+  injectAccompanyingFault,
+  injectCombinedFaults,
+  startGeneratedJobs,
+  injectDataLoss,
   nextChangeId,
-  propose,
+  proposeChanges,
   smallWorld,
-  trouble,
+  injectRandomFault,
 } from '@spurbridge/testkit';
 import type { World, WorldOptions } from '@spurbridge/testkit';
 import { parallel } from './parallel.js';
@@ -50,30 +50,35 @@
 ];
 
 function prepare(world: World, { kind, seed }: DigestDay): void {
-  drawUsers(world);
+  startGeneratedJobs(world);
   switch (kind) {
     case 'faults':
-      for (let n = 0; n < seed; n += 1) trouble(world);
+      for (let n = 0; n < seed; n += 1) injectRandomFault(world);
       return;
     case 'combined':
-      drawMeeting(world, MOST_COMBINED);
+      injectCombinedFaults(world, MOST_COMBINED);
       return;
     case 'loss': {
-      const loss = LOSSES[seed % LOSSES.length] ?? 'emptied';
-      lose(world, loss, LOSS_AT_MS);
-      accompany(world, COMPANIONS[seed % COMPANIONS.length] ?? 'nothing', loss, LOSS_AT_MS);
+      const loss = DATA_LOSSES[seed % DATA_LOSSES.length] ?? 'emptied';
+      injectDataLoss(world, loss, LOSS_AT_MS);
+      injectAccompanyingFault(
+        world,
+        ACCOMPANYING_FAULTS[seed % ACCOMPANYING_FAULTS.length] ?? 'nothing',
+        loss,
+        LOSS_AT_MS,
+      );
       return;
     }
     case 'configuration':
-      trouble(world);
+      injectRandomFault(world);
   }
 }
 
 async function changeConfiguration(world: World): Promise<void> {
   for (const [n, atMs] of CONFIGURATION_CHANGES_AT_MS.entries()) {
-    await world.run(atMs);
+    await world.runUntil(atMs);
     const cpus = 16 + 2 * n;
-    await propose(world, n, [{ team: 'red', cpus }], nextChangeId());
+    await proposeChanges(world, n, [{ team: 'red', cpus }], nextChangeId());
   }
 }
 
@@ -82,12 +87,12 @@
   const traffic = new TrafficDigest();
   const options: Partial<WorldOptions> =
     day.kind === 'loss'
-      ? { traffic, snapshots: { folder: new MemoryFolder(), everyMs: SNAPSHOTS_EVERY_MS } }
+      ? { traffic, snapshots: { folder: new InMemorySnapshotDirectory(), everyMs: SNAPSHOTS_EVERY_MS } }
       : { traffic };
   const world = smallWorld(day.seed, options);
   prepare(world, day);
   if (day.kind === 'configuration') await changeConfiguration(world);
-  await world.run(DAY_MS);
+  await world.runUntil(DAY_LENGTH_MS);
   return traffic.finish();
 }
 
--- a/packages/measure/src/graphs.ts
+++ b/packages/measure/src/graphs.ts
@@ -1,9 +1,15 @@
-import { Graph } from '@spurbridge/graph';
-import { GraphService, decodeState, graphRoom, headKey, stateKey } from '@spurbridge/graph-service';
-import type { GraphAnswer } from '@spurbridge/graph-service';
+import { TaskGraph } from '@spurbridge/graph';
+import {
+  GraphService,
+  decodeBatchState,
+  graphControllerFactory,
+  graphKey,
+  batchStateKey,
+} from '@spurbridge/graph-service';
+import type { GraphResponse } from '@spurbridge/graph-service';
 import { World, ZONES, jobSpec, machineType } from '@spurbridge/testkit';
 import type { Batch, BatchId, GraphId, JobId, TaskShape } from '@spurbridge/wire';
-import { graphTaskId } from '@spurbridge/wire';
+import { formatGraphTaskId } from '@spurbridge/wire';
 import { longTailedTrace, playOrder } from './orders.js';
 import { parallel } from './parallel.js';
 
@@ -43,9 +49,9 @@
     capacity,
     leaseS: 22,
     cancelS: 42,
-    pollMs: 30_000,
-    stateLimits: STATE,
-    rooms: () => [graphRoom()],
+    userPollMs: 30_000,
+    storeLimits: STATE,
+    leaderComponents: () => [graphControllerFactory()],
   });
 }
 
@@ -53,22 +59,22 @@
   const n = w.nodes[node];
   if (n === undefined) throw new Error('no such node');
   const teams = ['red', 'blue'].map((name) => ({ name, cpus: 0, cpusMax: Infinity, gpus: 0, gpusMax: 0 }));
-  return new GraphService({ teams, state: STATE }, n.store, () => [machineType('m16', 16)]);
+  return new GraphService({ teams, storeLimits: STATE }, n.store, () => [machineType('m16', 16)]);
 }
 
 /** Asks until the answer is a good one, on one node after the other. */
-async function ask(w: World, call: (s: GraphService) => Promise<GraphAnswer>): Promise<void> {
+async function ask(w: World, call: (s: GraphService) => Promise<GraphResponse>): Promise<void> {
   for (let n = 0; ; n += 1) {
-    const got: GraphAnswer[] = [];
+    const got: GraphResponse[] = [];
     void call(service(w, n % 3)).then((a) => got.push(a));
     for (let i = 0; got.length === 0 && i < 2000; i += 1) {
       await new Promise((resolve) => setImmediate(resolve));
-      await w.run(w.time.now + 10);
+      await w.runUntil(w.time.now + 10);
     }
     const [a] = got;
     if (a !== undefined && a.code < 300) return;
     if (a !== undefined && a.code < 500 && a.code !== 429) throw new Error(JSON.stringify(a));
-    await w.run(w.time.now + 300);
+    await w.runUntil(w.time.now + 300);
   }
 }
 
@@ -83,7 +89,7 @@
       shapes: [SHAPE],
       tasks: Array.from({ length: size }, (_, i) => (before < 0 ? [0] : [0, [`b${before}:${i % BATCH}`]])),
     };
-    await ask(w, (s) => s.add(ID, body));
+    await ask(w, (s) => s.addBatch(ID, body));
   }
 }
 
@@ -93,15 +99,15 @@
   const w = world(seed, 1, 96);
   const used = { red: 0, blue: 0 };
   const [from, to] = [60_000, 240_000];
-  w.checker.onRun = (run) => {
+  w.checker.onRunEnded = (run) => {
     const ms = Math.max(0, Math.min(to, run.untilMs) - Math.max(from, run.sinceMs));
     used[run.job.team as 'red' | 'blue'] += ms * run.job.cpus;
   };
-  await w.run(3000);
+  await w.runUntil(3000);
   await ask(w, (s) => s.create({ graph: ID, class: 'video', team: 'red', priority: 'normal' }));
   // Jobs that fit into the guarantee, more of them than can run.
   for (let i = 0; i < 800; i += 1)
-    w.user(
+    w.startUser(
       jobSpec({
         id: `wk-${String(i).padStart(6, '0')}` as JobId,
         team: 'blue',
@@ -114,7 +120,7 @@
       null,
     );
   await addTasks(w, 4800, 1);
-  await w.run(270_000);
+  await w.runUntil(270_000);
   return used.red / (used.red + used.blue);
 }
 
@@ -134,35 +140,35 @@
   const taskOf = (job: JobId, piece: number): string | null => {
     const cotask = job.slice(job.lastIndexOf('.') + 1);
     for (let b = 0; b < tasks / BATCH; b += 1) {
-      const value = w.state.peek(stateKey(ID, `b${b}` as BatchId));
+      const value = w.store.peek(batchStateKey(ID, `b${b}` as BatchId));
       if (value === undefined) continue;
-      const part = decodeState(value).parts.find((p) => p[1] === cotask && p[2] === piece);
+      const part = decodeBatchState(value).parts.find((p) => p[1] === cotask && p[2] === piece);
       if (part !== undefined) return `b${b}:${part[0]}`;
     }
     return null;
   };
-  w.checker.onRun = (run) => {
+  w.checker.onRunEnded = (run) => {
     starts.push(run.sinceMs);
     // A start after the end is answered with the kept result at once: it did nothing.
     if (!run.done || run.untilMs - run.sinceMs < 10) return;
     const task = taskOf(run.job.id, run.task) ?? `${run.job.id}/${run.task}`;
     done.set(task, (done.get(task) ?? 0) + 1);
   };
-  await w.run(3000);
+  await w.runUntil(3000);
   await ask(w, (s) => s.create({ graph: ID, class: 'video', team: 'red', priority: 'normal' }));
   await addTasks(w, tasks, 5);
   await ask(w, (s) => s.seal(ID));
   const crashes: number[] = [];
   for (let i = 0; i < 20; i += 1) {
-    await w.run(w.time.now + 12_000 + w.random(4000));
-    const at = w.nodes.findIndex((n) => n.clock.alive && n.controller.leadership.holdsSurely());
+    await w.runUntil(w.time.now + 12_000 + w.random(4000));
+    const at = w.nodes.findIndex((n) => n.clock.alive && n.controller.leadership.holdsValidLease());
     if (at < 0) continue;
     crashes.push(w.time.now);
     w.crash(at);
   }
-  const phase = (): unknown => (w.state.peek(headKey(ID)) as { phase?: unknown } | undefined)?.phase;
-  for (let i = 0; i < 300 && phase() === 'sealed'; i += 1) await w.run(w.time.now + 5000);
-  const tally = (w.state.peek(headKey(ID)) as { tally?: { done?: number } } | undefined)?.tally;
+  const phase = (): unknown => (w.store.peek(graphKey(ID)) as { phase?: unknown } | undefined)?.phase;
+  for (let i = 0; i < 300 && phase() === 'sealed'; i += 1) await w.runUntil(w.time.now + 5000);
+  const tally = (w.store.peek(graphKey(ID)) as { tally?: { done?: number } } | undefined)?.tally;
   const gaps = crashes.flatMap((c) => {
     const next = starts.filter((s) => s > c).reduce((a, b) => Math.min(a, b), Infinity);
     return next === Infinity ? [] : [next - c];
@@ -185,20 +191,20 @@
 
 async function scale(tasks: number): Promise<Scale> {
   const w = world(1, 10, 900);
-  await w.run(3000);
+  await w.runUntil(3000);
   await ask(w, (s) => s.create({ graph: ID, class: 'video', team: 'red', priority: 'normal' }));
   const began = w.time.now;
-  const first = w.state.now();
+  const first = w.store.currentRevision();
   await addTasks(w, tasks, 10);
   const accepted = w.time.now;
   await ask(w, (s) => s.seal(ID));
-  const phase = (): unknown => (w.state.peek(headKey(ID)) as { phase?: unknown } | undefined)?.phase;
-  for (let i = 0; i < 2000 && phase() === 'sealed'; i += 1) await w.run(w.time.now + 1000);
+  const phase = (): unknown => (w.store.peek(graphKey(ID)) as { phase?: unknown } | undefined)?.phase;
+  for (let i = 0; i < 2000 && phase() === 'sealed'; i += 1) await w.runUntil(w.time.now + 1000);
   return {
     tasks,
     acceptedPerS: (tasks / (accepted - began)) * 1000,
     finishedPerS: (tasks / (w.time.now - began)) * 1000,
-    commitsPerTask: (w.state.now() - first) / tasks,
+    commitsPerTask: (w.store.currentRevision() - first) / tasks,
   };
 }
 
@@ -208,7 +214,7 @@
   collect();
   const before = process.memoryUsage().heapUsed;
   const began = performance.now();
-  const g = new Graph(ID);
+  const g = new TaskGraph(ID);
   for (let b = 0; b < tasks / BATCH; b += 1) {
     const batch: Batch = {
       id: `b${b}` as BatchId,
@@ -216,17 +222,17 @@
       shapes: [SHAPE],
       tasks: Array.from({ length: BATCH }, (_, i) => ({
         shape: 0,
-        after: b === 0 ? [] : [graphTaskId(`b${b - 1}` as BatchId, i)],
+        after: b === 0 ? [] : [formatGraphTaskId(`b${b - 1}` as BatchId, i)],
         held: false,
       })),
     };
-    g.add(batch);
+    g.addBatch(batch);
   }
   collect();
   const held = process.memoryUsage().heapUsed - before;
-  for (let ready = g.ready(); ready.length > 0; ready = g.ready())
+  for (let ready = g.readyTasks(); ready.length > 0; ready = g.readyTasks())
     for (const t of ready) {
-      g.submit(t);
+      g.markSubmitted(t);
       g.done(t);
     }
   return { tasks, bytesPerTask: held / tasks, msPerTask: (performance.now() - began) / tasks };
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -8,10 +8,10 @@
 import { graphsPart, measureGraphs } from './graphs.js';
 import type { PlansPart } from './plans.js';
 import { measurePlans, plansPart } from './plans.js';
-import type { SharesPart } from './shares.js';
-import { measureShares, sharesPart } from './shares.js';
-import type { LossPart } from './state-loss.js';
-import { measureStateLoss, stateLossPart } from './state-loss.js';
+import type { WorkerShardsPart } from './worker-shards.js';
+import { measureWorkerShards, workerShardsPart } from './worker-shards.js';
+import type { LossPart } from './store-data-loss.js';
+import { measureStoreDataLoss, storeDataLossPart } from './store-data-loss.js';
 import { measureTariff, tariffPart } from './tariff.js';
 import type { Pair } from './tariff.js';
 
@@ -44,8 +44,8 @@
   },
   shares: {
     what: 'workers held by every node: ends of nodes with and without shares',
-    all: measureShares,
-    part: (p) => sharesPart(p as SharesPart),
+    all: measureWorkerShards,
+    part: (p) => workerShardsPart(p as WorkerShardsPart),
   },
   digest: {
     what: 'whether the programs behave as before: a hash over all that they send on generated days',
@@ -54,8 +54,8 @@
   },
   'state-loss': {
     what: 'losses of the state service: noticing, rebuilding, what is lost, what it costs',
-    all: measureStateLoss,
-    part: (p) => stateLossPart(p as LossPart),
+    all: measureStoreDataLoss,
+    part: (p) => storeDataLossPart(p as LossPart),
   },
 };
 
--- a/packages/measure/src/night.ts
+++ b/packages/measure/src/night.ts
@@ -1,7 +1,7 @@
-import type { Log } from '@spurbridge/controller';
+import type { Logger } from '@spurbridge/controller';
 import type { TariffOptions } from '@spurbridge/tariff';
-import { TARIFF_DEFAULTS, tariffRoom } from '@spurbridge/tariff';
-import { SimFeed, World, ZONES, jobSpec, machineType } from '@spurbridge/testkit';
+import { DEFAULT_TARIFF_OPTIONS, deferralControllerFactory } from '@spurbridge/tariff';
+import { SimTariffFeed, World, ZONES, jobSpec, machineType } from '@spurbridge/testkit';
 import type { JobId, JobSpec, TariffDocument } from '@spurbridge/wire';
 
 /** A night of three hours, standing for one of twelve: everything in it is four times as fast. */
@@ -22,7 +22,7 @@
   readonly seed: number;
   readonly jobs: number;
   readonly deferral: boolean;
-  readonly log?: Log;
+  readonly log?: Logger;
 }
 
 export interface JobEnd {
@@ -79,8 +79,8 @@
 
 /** One night with or without deferral: the same jobs, the same troubles. */
 export async function playNight(o: NightOptions): Promise<NightResult> {
-  const options: TariffOptions = { ...TARIFF_DEFAULTS, classes: ['rerun'] };
-  let feed: SimFeed | null = null;
+  const options: TariffOptions = { ...DEFAULT_TARIFF_OPTIONS, classes: ['rerun'] };
+  let feed: SimTariffFeed | null = null;
   const w = new World({
     seed: o.seed,
     teams: TEAMS,
@@ -89,33 +89,39 @@
     capacity: 4,
     leaseS: 22,
     cancelS: 42,
-    stateLimits: { rps: 250, writeRps: 50, valueKb: 16, txnOps: 12 },
-    wallStart: WALL_START,
-    pollMs: 60_000,
+    storeLimits: { rps: 250, writeRps: 50, valueKb: 16, txnOps: 12 },
+    wallClockStartMs: WALL_START,
+    userPollMs: 60_000,
     ...(o.log === undefined ? {} : { log: o.log }),
     // For a third of the night every estimate is too short by half: the reruns overrun the window.
-    runMs: (job, task) => {
+    taskRunMs: (job, task) => {
       const overrun = job.class === 'rerun' && Number(job.id.slice(3)) % 3 === 0 ? 2 : 1;
       return job.estimateS * overrun * (700 + ((task * 7919 + Number(job.id.slice(3)) * 31) % 600));
     },
-    rooms: (host, network) => {
+    leaderComponents: (host, network) => {
       if (!o.deferral) return [];
-      feed ??= new SimFeed(network);
-      return [tariffRoom({ ...options, feed: { source: feed.source(host), seed: o.seed, silentS: 1800 } })];
+      feed ??= new SimTariffFeed(network);
+      return [
+        deferralControllerFactory({
+          ...options,
+          feed: { source: feed.source(host), seed: o.seed, silentS: 1800 },
+        }),
+      ];
     },
   });
-  const published = (): SimFeed => (feed ??= new SimFeed(w.network));
+  const published = (): SimTariffFeed => (feed ??= new SimTariffFeed(w.network));
   published().publish(tariff(1, CHEAP_UNTIL_MS, 0));
-  w.time.after(3_000_000, () => (published().silent = true));
-  w.time.after(4_200_000, () => (published().silent = false));
-  w.time.after(5_300_000, () => (published().silent = true));
-  w.time.after(5_700_000, () => (published().silent = false));
+  w.time.after(3_000_000, () => (published().isSilent = true));
+  w.time.after(4_200_000, () => (published().isSilent = false));
+  w.time.after(5_300_000, () => (published().isSilent = true));
+  w.time.after(5_700_000, () => (published().isSilent = false));
   w.time.after(ANNOUNCED_MS, () => {
     published().publish(tariff(2, CLOSES_EARLY_MS, ANNOUNCED_MS));
   });
   // A takeover with hundreds of jobs waiting, and machines lost in the window.
   w.time.after(4_500_000, () => {
-    for (let i = 0; i < 3; i += 1) if (w.nodes[i]?.controller.leadership.holdsSurely() === true) w.crash(i);
+    for (let i = 0; i < 3; i += 1)
+      if (w.nodes[i]?.controller.leadership.holdsValidLease() === true) w.crash(i);
   });
   w.time.after(6_500_000, () => {
     for (const x of [...w.workers.values()].filter((x) => x.alive).slice(0, 2)) x.die();
@@ -128,7 +134,7 @@
     w.time.after(at, () => {
       submittedAt.set(spec.id, w.time.now);
       left.set(spec.id, spec.tasks);
-      w.user(spec, cancelAt);
+      w.startUser(spec, cancelAt);
     });
   };
   let jobs = 0;
@@ -191,7 +197,7 @@
   let deferrableCost = 0;
   let cost = 0;
   const waits = new Map<string, number>();
-  w.checker.onRun = (run) => {
+  w.checker.onRunEnded = (run) => {
     let spent = 0;
     // Pieces of a second are fine enough for windows of minutes.
     for (let ms = run.sinceMs; ms < run.untilMs; ms += 1000)
@@ -206,7 +212,7 @@
     left.set(run.job.id, rest);
     if (rest === 0) doneAt.set(run.job.id, run.untilMs);
   };
-  await w.run(NIGHT_MS + 600_000);
+  await w.runUntil(NIGHT_MS + 600_000);
   const ends: JobEnd[] = [];
   for (const spec of w.checker.submitted.values()) {
     if (spec.deadlineS === null) continue;
@@ -219,7 +225,7 @@
     deferrableCost,
     cost,
     urgentWaitsS: [...waits.values()],
-    broken: w.checker.broken.length,
+    broken: w.checker.violations.length,
     feedRequests: published().requests,
   };
 }
--- a/packages/measure/src/optimum.ts
+++ b/packages/measure/src/optimum.ts
@@ -1,5 +1,5 @@
-import type { WallMs } from '@spurbridge/model';
-import type { WaitingJob } from '@spurbridge/tariff';
+import type { WallClockMs } from '@spurbridge/model';
+import type { DeferrableJob } from '@spurbridge/tariff';
 import { decideReleases } from '@spurbridge/tariff';
 import type { JobId } from '@spurbridge/wire';
 import solver from 'javascript-lp-solver';
@@ -86,8 +86,8 @@
     const ahead = running.reduce((sum, r) => sum + r.left, 0);
     const wanted = running.reduce((sum, r) => sum + r.job.cpus, 0);
     const made = decideReleases({
-      now: (at * 1000) as WallMs,
-      jobs: known.map((j): WaitingJob => ({
+      now: (at * 1000) as WallClockMs,
+      jobs: known.map((j): DeferrableJob => ({
         id: j.id,
         deferred: waiting.get(j.id) === true,
         team: 0,
@@ -97,13 +97,13 @@
         taskS: j.runS,
         leadS: 0,
         marginS: 0,
-        finishBy: (j.due * 1000) as WallMs,
+        finishBy: (j.due * 1000) as WallClockMs,
         startBy: null,
       })),
       teams: [{ cpus: CPUS, ahead, wanted }],
       pool: { cpus: CPUS, ahead, wanted },
-      starts: n.prices.map((_, i) => (i * SLOT_S * 1000) as WallMs),
-      until: (SLOTS * SLOT_S * 1000) as WallMs,
+      starts: n.prices.map((_, i) => (i * SLOT_S * 1000) as WallClockMs),
+      until: (SLOTS * SLOT_S * 1000) as WallClockMs,
       prices: [Float64Array.from(n.prices)],
       leastSaving: 0.01,
     });
@@ -132,10 +132,10 @@
 export function decisionMs(jobs: number): number {
   const generator = xoroshiro128plus(1);
   const below = (n: number): number => uniformInt(generator, 0, n - 1);
-  const starts = Array.from({ length: 48 }, (_, i) => (i * 900_000) as WallMs);
+  const starts = Array.from({ length: 48 }, (_, i) => (i * 900_000) as WallClockMs);
   const input = {
-    now: 0 as WallMs,
-    jobs: Array.from({ length: jobs }, (_, i): WaitingJob => {
+    now: 0 as WallClockMs,
+    jobs: Array.from({ length: jobs }, (_, i): DeferrableJob => {
       const cpus = 2 + below(60);
       return {
         id: `wk-${i}` as JobId,
@@ -147,14 +147,14 @@
         taskS: 80,
         leadS: 60,
         marginS: 150,
-        finishBy: (1_800_000 + below(40_000_000)) as WallMs,
+        finishBy: (1_800_000 + below(40_000_000)) as WallClockMs,
         startBy: null,
       };
     }),
     teams: Array.from({ length: 4 }, () => ({ cpus: 800, ahead: 50_000, wanted: 700 })),
     pool: { cpus: 2500, ahead: 200_000, wanted: 2400 },
     starts,
-    until: 43_200_000 as WallMs,
+    until: 43_200_000 as WallClockMs,
     prices: Array.from({ length: 4 }, () => Float64Array.from(starts, () => 1 + below(10))),
     leastSaving: 0.05,
   };
--- a/packages/measure/src/orders.ts
+++ b/packages/measure/src/orders.ts
@@ -1,5 +1,5 @@
 import type { JobView, MachineView, Occupant } from '@spurbridge/planner';
-import { plan } from '@spurbridge/planner';
+import { planTasks } from '@spurbridge/planner';
 import { jobSpec, machineType } from '@spurbridge/testkit';
 import type { JobId, MachineId } from '@spurbridge/wire';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -102,13 +102,13 @@
   };
   const place = (): void => {
     if (order === 'paper') {
-      const placed = plan({
+      const placed = planTasks({
         jobs: waiting.filter((c) => c.waiting > 0).map((c, i) => viewOf(c, i, now)),
         machines: machines.map((on, i) => machineOf(on, i, now)),
         teams: [TEAM],
-        starvationS: STARVATION_S,
-        headS: 0,
-        frugal: false,
+        starvationThresholdS: STARVATION_S,
+        placeAheadS: 0,
+        isCostAware: false,
         typicalTask: null,
       });
       const byId = new Map(waiting.map((c) => [c.id, c]));
@@ -159,19 +159,19 @@
   });
   return {
     spec,
-    pending: Array.from({ length: Math.min(200, c.waiting) }, (_, i) => i),
+    pendingTasks: Array.from({ length: Math.min(200, c.waiting) }, (_, i) => i),
     pendingCount: c.waiting,
-    unfinished: c.left,
-    zones: [],
-    summedWaitS: (now - c.arrivedS) * c.waiting,
+    unfinishedCount: c.left,
+    placedZones: [],
+    totalWaitS: (now - c.arrivedS) * c.waiting,
     ageS: now - c.arrivedS,
     estimateS: c.estimateS,
-    milestonesS: [],
+    completionMilestonesS: [],
     startMilestonesS: [],
-    patienceS: 2,
-    avoid: new Set(),
-    order,
-    startable: true,
+    toleratedWaitS: 2,
+    excludedMachines: new Set(),
+    submissionOrder: order,
+    isStartable: true,
   };
 }
 
@@ -185,11 +185,11 @@
       gpus: 0,
       memoryGb: 1,
       remainingS: Math.max(0.5, r.cotask.estimateS - ranS, ranS * 0.25 * Number(ranS > r.cotask.estimateS)),
-      lostS: ranS,
+      lostWorkS: ranS,
       priority: 'normal',
       team: TEAM.name,
-      stopping: false,
-      movable: true,
+      isStopping: false,
+      isPreemptible: true,
     };
   });
   return {
@@ -197,7 +197,7 @@
     type: TYPE,
     zone: 'a',
     spot: false,
-    takesTasks: true,
+    isSchedulable: true,
     images: new Map([['img', 1]]),
     slowness: 1,
     occupants,
--- a/packages/measure/src/plans.ts
+++ b/packages/measure/src/plans.ts
@@ -1,5 +1,5 @@
-import type { JobView, MachineView, Occupant, Plan, Snapshot } from '@spurbridge/planner';
-import { plan } from '@spurbridge/planner';
+import type { JobView, MachineView, Occupant, SchedulingPlan, ClusterSnapshot } from '@spurbridge/planner';
+import { planTasks } from '@spurbridge/planner';
 import { jobSpec, machineType } from '@spurbridge/testkit';
 import type { JobId, MachineId } from '@spurbridge/wire';
 import { parallel } from './parallel.js';
@@ -46,11 +46,11 @@
         gpus: 0,
         memoryGb: size,
         remainingS: isService ? Infinity : 0.5 + ((n * 7 + k * 13) % 200) / 10,
-        lostS: (n * 5 + k * 3) % 20,
+        lostWorkS: (n * 5 + k * 3) % 20,
         priority: isService ? 'production' : 'normal',
         team: TEAMS[(n + k) % 3] as string,
-        stopping: false,
-        movable: true,
+        isStopping: false,
+        isPreemptible: true,
       });
       k += 1;
     };
@@ -61,7 +61,7 @@
       type,
       zone: ZONES[n % 3] as string,
       spot: n % 2 === 0,
-      takesTasks: true,
+      isSchedulable: true,
       images: new Map([[`img-${n % 12}`, 1]]),
       slowness: 1 + (n % 10) / 100,
       occupants,
@@ -91,25 +91,25 @@
     const ageS = (i * 11) % 60;
     return {
       spec,
-      pending: Array.from({ length: tasks }, (_t, t) => t),
+      pendingTasks: Array.from({ length: tasks }, (_t, t) => t),
       pendingCount: tasks,
-      unfinished: tasks,
-      zones: [],
-      summedWaitS: ageS * tasks,
+      unfinishedCount: tasks,
+      placedZones: [],
+      totalWaitS: ageS * tasks,
       ageS,
       estimateS: Math.max(0.5, spec.estimateS),
-      milestonesS: isService ? [] : [120, 180],
+      completionMilestonesS: isService ? [] : [120, 180],
       startMilestonesS: isService ? [4] : [70],
-      patienceS: isService ? 4 : 2,
-      avoid: new Set(),
-      order: i,
-      startable: true,
+      toleratedWaitS: isService ? 4 : 2,
+      excludedMachines: new Set(),
+      submissionOrder: i,
+      isStartable: true,
     };
   });
 }
 
 /** The same load for each machine at every size. */
-function snapshotOf(p: PlansPart): Snapshot {
+function snapshotOf(p: PlansPart): ClusterSnapshot {
   const perMachine = { one: 0, usual: 0.006, burst: 0.25, freed: 0.06 }[p.load];
   const free = { one: 100, usual: 40, burst: 400, freed: 4 }[p.load];
   const cpus = p.machines * 16;
@@ -117,9 +117,9 @@
     machines: machinesOf(p.machines, free),
     jobs: jobsOf(Math.max(1, Math.round(p.machines * perMachine))),
     teams: TEAMS.map((name) => ({ name, cpus: cpus / 4, cpusMax: cpus, gpus: 0, gpusMax: 0 })),
-    starvationS: 30,
-    headS: 3,
-    frugal: true,
+    starvationThresholdS: 30,
+    placeAheadS: 3,
+    isCostAware: true,
     typicalTask: { cpus: 4, gpus: 0, memoryGb: 4 },
   };
 }
@@ -127,10 +127,10 @@
 export function plansPart(p: PlansPart): PlansResult {
   const s = snapshotOf(p);
   const took: number[] = [];
-  let last: Plan = plan(s);
+  let last: SchedulingPlan = planTasks(s);
   for (let i = 0; i < TIMES; i += 1) {
     const began = performance.now();
-    last = plan(s);
+    last = planTasks(s);
     took.push(performance.now() - began);
   }
   took.sort((a, b) => a - b);
@@ -139,9 +139,9 @@
     ...p,
     jobs: s.jobs.length,
     starts: last.starts.length,
-    unmet: last.unmet.length,
+    unmet: last.unplacedDemand.length,
     planMs: { median: figure(took[TIMES >> 1]), most: figure(took.at(-1)) },
-    steps: last.steps,
+    steps: last.queueVisits,
   };
 }
 
--- a/packages/measure/src/regress.ts
+++ b/packages/measure/src/regress.ts
@@ -2,8 +2,8 @@
 import { readFileSync, readdirSync } from 'node:fs';
 import { basename, join } from 'node:path';
 import { Argument, Command, InvalidArgumentError } from 'commander';
-import { playOwn } from './own/index.js';
-import { SiteError } from './own/variant.js';
+import { playSiteVariants } from './site-variants/index.js';
+import { SiteError } from './site-variants/variant.js';
 
 /** The bench and its sites are the operators' own: they are named by variables, never here. */
 const BENCH = 'SPURBRIDGE_BENCH';
@@ -127,7 +127,7 @@
     );
     return 2;
   }
-  const good = await playOwn({
+  const good = await playSiteVariants({
     bench,
     sites,
     factor: f.factor,
--- a/packages/measure/src/own/index.ts
+++ b/packages/measure/src/site-variants/index.ts
@@ -12,15 +12,24 @@
 import { basename, dirname, join } from 'node:path';
 import type { DayResult, Limits } from './report.js';
 import { printDay, printEnd, readDay } from './report.js';
-import type { Variation } from './variant.js';
-import { SiteError, dayNames, machinesOf, ownDays, readSite, vary, withDays, writeSite } from './variant.js';
+import type { SiteVariation } from './variant.js';
+import {
+  SiteError,
+  dayNames,
+  machinesOf,
+  additionalDays,
+  readSite,
+  applyVariation,
+  addDays,
+  writeSite,
+} from './variant.js';
 
 /** Our own days, in the bench's form. */
 const DAYS = 'days/bench';
 /** Companion of a site file that its bench reads. */
 const WIRE = 'wire.json';
 
-export interface OwnOptions extends Variation {
+export interface SiteVariantOptions extends SiteVariation {
   readonly bench: string;
   readonly sites: readonly string[];
   /** Names of days, standard or our own; empty: all of them. */
@@ -39,16 +48,16 @@
 }
 
 /** Writes the variant of a site into the folder and lists the days to be played on it. */
-function prepare(folder: string, path: string, o: OwnOptions): Play[] {
+function prepare(folder: string, path: string, o: SiteVariantOptions): Play[] {
   const site = basename(path, '.toml');
-  const varied = vary(readSite(readFileSync(path, 'utf8')), o);
+  const varied = applyVariation(readSite(readFileSync(path, 'utf8')), o);
   const texts = readdirSync(DAYS)
     .filter((f) => f.endsWith('.toml'))
     .sort()
     .map((f) => readFileSync(join(DAYS, f), 'utf8'));
-  const whole = withDays(
+  const whole = addDays(
     varied,
-    texts.flatMap((text) => ownDays(text, varied)),
+    texts.flatMap((text) => additionalDays(text, varied)),
   );
   const file = join(folder, `${site}-own.toml`);
   writeFileSync(file, writeSite(whole));
@@ -63,7 +72,7 @@
   return names.flatMap((day) => Array.from({ length: o.times }, () => ({ site, file, day, limits })));
 }
 
-function play(p: Play, folder: string, index: number, o: OwnOptions): Promise<DayResult> {
+function play(p: Play, folder: string, index: number, o: SiteVariantOptions): Promise<DayResult> {
   const report = join(folder, `${index}.json`);
   const args = ['run', p.file, p.day, '--log', 'info', '--report', report, '--why', o.why];
   return new Promise((resolve, reject) => {
@@ -81,7 +90,7 @@
 }
 
 /** Plays variants of sites, several days at once; true: no day failed. */
-export async function playOwn(o: OwnOptions): Promise<boolean> {
+export async function playSiteVariants(o: SiteVariantOptions): Promise<boolean> {
   const folder = mkdtempSync(join(tmpdir(), 'own-'));
   try {
     const plays = o.sites.flatMap((path) => prepare(folder, path, o));
--- a/packages/measure/src/own/report.ts
+++ b/packages/measure/src/site-variants/report.ts
@@ -1,4 +1,4 @@
-import { HALF } from '@spurbridge/model';
+import { MIN_SERVED_SHARE } from '@spurbridge/model';
 
 /** The parts of a bench report that are read; whatever else it holds is passed over. */
 interface BenchReport {
@@ -77,7 +77,8 @@
   const who = `class ${name}`;
   const rows: Reading[] = [];
   const add = (reading: string, share: number | null | undefined, isWarning = false): void => {
-    if (typeof share === 'number') rows.push({ who, reading, share, margin: share - HALF, isWarning });
+    if (typeof share === 'number')
+      rows.push({ who, reading, share, margin: share - MIN_SERVED_SHARE, isWarning });
   };
   if (c.jobs > 0) add('started', c.started / c.jobs);
   const isService = typeof c.up === 'number';
@@ -106,7 +107,7 @@
     for (const reading of isLargest ? ['ended', 'started'] : ['ended', 'replicas', 'in time']) {
       const share = said[reading];
       if (typeof share !== 'number') continue;
-      rows.push({ who, reading, share, margin: share - HALF, isWarning: reading === 'in time' });
+      rows.push({ who, reading, share, margin: share - MIN_SERVED_SHARE, isWarning: reading === 'in time' });
     }
     last.set(who, rows);
   }
@@ -134,7 +135,13 @@
   for (const [name, t] of Object.entries(r.teams ?? {})) {
     if (t.jobs === 0) continue;
     const share = t.started / t.jobs;
-    readings.push({ who: `team ${name}`, reading: 'started', share, margin: share - HALF, isWarning: false });
+    readings.push({
+      who: `team ${name}`,
+      reading: 'started',
+      share,
+      margin: share - MIN_SERVED_SHARE,
+      isWarning: false,
+    });
   }
   readings.push(...teamReadings(log));
   const rules = r.rules_broken?.by_kind ?? {};
--- a/packages/measure/src/own/variant.ts
+++ b/packages/measure/src/site-variants/variant.ts
@@ -2,7 +2,7 @@
 import { parse, stringify } from 'smol-toml';
 
 /** How a variant differs from the site that it is made from. */
-export interface Variation {
+export interface SiteVariation {
   /** Machines, limits, guarantees and load, all times this. */
   readonly factor: number;
   /** A process that ended is back after so many seconds. */
@@ -71,7 +71,7 @@
 }
 
 /** A site like the given one, with other sizes, names and times. */
-export function vary(given: TomlTable, v: Variation): TomlTable {
+export function applyVariation(given: TomlTable, v: SiteVariation): TomlTable {
   const site = structuredClone(given);
   for (const c of tables(site, 'capacity')) for (const f of ['count', 'spot']) scale(c, f, v.factor);
   for (const m of tables(site, 'machines')) scale(m, 'count', v.factor);
@@ -94,7 +94,7 @@
 }
 
 /** Days of our own, with a site's classes, zones and numbers of machines in the place of their stand-ins. */
-export function ownDays(text: string, site: TomlTable): TomlTable[] {
+export function additionalDays(text: string, site: TomlTable): TomlTable[] {
   const jobs = tables(site, 'jobs');
   const { zones } = table(site, 'nodes');
   const machines = machinesOf(site);
@@ -122,7 +122,7 @@
   });
 }
 
-export function withDays(site: TomlTable, days: readonly TomlTable[]): TomlTable {
+export function addDays(site: TomlTable, days: readonly TomlTable[]): TomlTable {
   return { ...site, day: [...tables(site, 'day'), ...days] };
 }
 
--- a/packages/measure/src/state-loss.ts
+++ b/packages/measure/src/store-data-loss.ts
@@ -1,19 +1,19 @@
 import { DDSketch } from '@datadog/sketches-js';
 import { decodeSnapshot, encodeSnapshot } from '@spurbridge/snapshot';
-import type { Loss } from '@spurbridge/testkit';
+import type { DataLoss } from '@spurbridge/testkit';
 import {
-  DAY_MS,
-  LOSSES,
-  MemoryFolder,
+  DAY_LENGTH_MS,
+  DATA_LOSSES,
+  InMemorySnapshotDirectory,
   World,
   ZONES,
-  drawUsers,
+  startGeneratedJobs,
   jobSpec,
   leaderOrFirst,
-  lose,
+  injectDataLoss,
   machineType,
   smallWorld,
-  trouble,
+  injectRandomFault,
 } from '@spurbridge/testkit';
 import type { JobId } from '@spurbridge/wire';
 import { parallel } from './parallel.js';
@@ -23,7 +23,7 @@
 
 export interface LossPart {
   readonly machines: number;
-  readonly loss: Loss | 'nothing';
+  readonly loss: DataLoss | 'nothing';
   readonly left: Left;
   readonly seed: number;
   /** A drawn small day of the tests' kind instead of a large one. */
@@ -72,11 +72,11 @@
     capacity: Math.ceil(part.machines / 6) + 4,
     leaseS: 22,
     cancelS: 42,
-    pollMs: 5000,
-    stateLimits: STATE,
+    userPollMs: 5000,
+    storeLimits: STATE,
     log,
     ...(part.left === 'a snapshot'
-      ? { snapshots: { folder: new MemoryFolder(), everyMs: SNAPSHOT_MS } }
+      ? { snapshots: { folder: new InMemorySnapshotDirectory(), everyMs: SNAPSHOT_MS } }
       : {}),
   });
   let next = 0;
@@ -84,7 +84,7 @@
   const replicas = part.machines * 2;
   for (let n = 0; n < replicas; n += 16)
     w.time.after(n % 4000, () => {
-      w.user(
+      w.startUser(
         jobSpec({
           id: id(),
           kind: 'service',
@@ -103,7 +103,7 @@
     const cancelAt = w.random(8) === 0 ? at + 9000 + w.random(30_000) : null;
     const tasks = Math.min(32, 4 + Math.floor(part.machines / 40));
     w.time.after(at, () => {
-      w.user(jobSpec({ id: id(), team: 'blue', tasks, cpus: 2, estimateS: 12, imageGb: 0.5 }), cancelAt);
+      w.startUser(jobSpec({ id: id(), team: 'blue', tasks, cpus: 2, estimateS: 12, imageGb: 0.5 }), cancelAt);
     });
   }
   return w;
@@ -129,13 +129,15 @@
   readonly error = (): void => undefined;
 }
 
-export async function stateLossPart(part: LossPart): Promise<LossResult | Readonly<Record<string, number>>> {
+export async function storeDataLossPart(
+  part: LossPart,
+): Promise<LossResult | Readonly<Record<string, number>>> {
   if (part.drawn === true) return drawnDay(part);
   const log = new Log();
   const w = largeWorld(part, log);
   log.w = w;
-  const { state, checker } = w;
-  if (part.loss !== 'nothing') lose(w, part.loss, LOSS_MS);
+  const { store: state, checker } = w;
+  if (part.loss !== 'nothing') injectDataLoss(w, part.loss, LOSS_MS);
   if (part.left !== 'all nodes')
     w.time.after(LOSS_MS + 1, () => {
       if (part.left === 'all but the leader') w.crash(leaderOrFirst(w));
@@ -148,19 +150,19 @@
       const services = [...checker.submitted.values()].filter((s) => s.kind === 'service');
       const tasks = services.reduce((sum, s) => sum + s.tasks, 0);
       wanted += tasks;
-      missing += Math.max(0, tasks - checker.countOn('service'));
+      missing += Math.max(0, tasks - checker.runningTasksOfKind('service'));
     }
     w.time.after(250, count);
   };
   count();
-  await w.run(LOSS_MS - 20_000);
-  const before = { requests: state.requests, changes: state.changes };
-  await w.run(LOSS_MS);
+  await w.runUntil(LOSS_MS - 20_000);
+  const before = { requests: state.requests, changes: state.mutations };
+  await w.runUntil(LOSS_MS);
   const standing = {
     requests: (state.requests - before.requests) / 20,
-    changes: (state.changes - before.changes) / 20,
+    changes: (state.mutations - before.changes) / 20,
   };
-  const copies = w.nodes[0]?.guard.remembered();
+  const copies = w.nodes[0]?.guard.replicaSnapshot();
   const began = performance.now();
   const bytes = encodeSnapshot(
     {
@@ -173,12 +175,12 @@
   );
   const snapshotMs = performance.now() - began;
   const snapshot = decodeSnapshot(bytes);
-  const copyBytes = copies?.copy.bytes() ?? 0;
+  const copyBytes = copies?.copy.sizeInBytes() ?? 0;
   const starts = checker.starts;
-  const { startsOfDone } = checker;
+  const { startsOfCompletedTasks: startsOfDone } = checker;
   let firstStartMs: number | null = null;
   while (w.time.now < END_MS) {
-    await w.run(w.time.now + 20);
+    await w.runUntil(w.time.now + 20);
     // What began to fetch its image before is no start of the rebuilt cluster's own.
     const soundAt = log.seen.get('state service sound');
     if (
@@ -189,8 +191,8 @@
       if (checker.starts > starts) firstStartMs = w.time.now - LOSS_MS;
   }
   const rulesBroken: Record<string, number> = {};
-  for (const b of checker.broken) rulesBroken[b.rule] = (rulesBroken[b.rule] ?? 0) + 1;
-  const lost = checker.broken.filter((b) => b.rule === 'forgotten' || b.rule === 'went_back');
+  for (const b of checker.violations) rulesBroken[b.rule] = (rulesBroken[b.rule] ?? 0) + 1;
+  const lost = checker.violations.filter((b) => b.rule === 'forgotten' || b.rule === 'went_back');
   return {
     ...part,
     noticedMs: round(log.seen.get('state service doubtful')),
@@ -198,7 +200,7 @@
     firstStartMs: round(firstStartMs ?? undefined),
     writtenMs: round(log.last.get('all written back')),
     replicaTimeLost: Number((missing / Math.max(1, wanted)).toFixed(5)),
-    startsOfDone: checker.startsOfDone - startsOfDone,
+    startsOfDone: checker.startsOfCompletedTasks - startsOfDone,
     jobsLost: new Set(lost.map((b) => /wk-\d+/.exec(b.what)?.[0])).size,
     rulesBroken,
     requestsPerS: Number(standing.requests.toFixed(1)),
@@ -224,14 +226,14 @@
   for (let seed = part.seed; seed < part.seed + DRAWN_EACH; seed += 1) {
     const w = smallWorld(seed);
     const at = 25_000 + w.random(70_000);
-    lose(w, LOSSES[seed % LOSSES.length] ?? 'emptied', at);
-    if (seed % 3 === 0) lose(w, 'emptied', at + 3000 + w.random(20_000));
-    for (let i = 0; i < 1 + (seed % 3); i += 1) trouble(w, false);
-    drawUsers(w);
-    await w.run(DAY_MS);
+    injectDataLoss(w, DATA_LOSSES[seed % DATA_LOSSES.length] ?? 'emptied', at);
+    if (seed % 3 === 0) injectDataLoss(w, 'emptied', at + 3000 + w.random(20_000));
+    for (let i = 0; i < 1 + (seed % 3); i += 1) injectRandomFault(w, false);
+    startGeneratedJobs(w);
+    await w.runUntil(DAY_LENGTH_MS);
     broken['days'] = (broken['days'] ?? 0) + 1;
     broken['starts'] = (broken['starts'] ?? 0) + w.checker.starts;
-    for (const b of w.checker.broken) broken[b.rule] = (broken[b.rule] ?? 0) + 1;
+    for (const b of w.checker.violations) broken[b.rule] = (broken[b.rule] ?? 0) + 1;
   }
   return broken;
 }
@@ -239,7 +241,7 @@
 const DRAWN_EACH = 40;
 const DRAWN_DAYS = 200;
 
-export async function measureStateLoss(say: (line: string) => void): Promise<unknown> {
+export async function measureStoreDataLoss(say: (line: string) => void): Promise<unknown> {
   const parts: LossPart[] = [];
   for (const machines of SIZES) {
     const big = machines === SIZES.at(-1);
--- a/packages/measure/src/shares.ts
+++ b/packages/measure/src/worker-shards.ts
@@ -11,7 +11,7 @@
 ] as const;
 type Trouble = (typeof TROUBLES)[number];
 
-export interface SharesPart {
+export interface WorkerShardsPart {
   readonly machines: number;
   readonly nodes: number;
   readonly trouble: Trouble;
@@ -19,7 +19,7 @@
   readonly shares: boolean;
 }
 
-interface SharesResult extends SharesPart {
+interface SharesResult extends WorkerShardsPart {
   /** Machines that each node held before the trouble. */
   readonly held: readonly number[];
   /** From the end of a process: until a node leads surely, a task starts, and all and 95 % of the workers know the leader. */
@@ -47,7 +47,7 @@
 const LARGEST = 10_000;
 
 /** A fleet of this many machines, each with tasks that outlast the measurement and a stream of short ones. */
-function fleet(p: SharesPart): World {
+function fleet(p: WorkerShardsPart): World {
   const w = new World({
     seed: 11,
     teams: [{ name: 'red', cpus: CPUS, cpusMax: CPUS, gpus: 0, gpusMax: 0 }],
@@ -57,14 +57,14 @@
     capacity: p.machines,
     leaseS: 22,
     cancelS: 42,
-    stateLimits: { rps: 2000, writeRps: 1000, valueKb: 16, txnOps: 12 },
-    runMs: (job) => (job.image === 'long' ? 10 * UP_MS : 3000),
+    storeLimits: { rps: 2000, writeRps: 1000, valueKb: 16, txnOps: 12 },
+    taskRunMs: (job) => (job.image === 'long' ? 10 * UP_MS : 3000),
   });
-  if (!p.shares) for (let i = 0; i < p.nodes; i += 1) w.earlier.add(`spur-${i}`);
+  if (!p.shares) for (let i = 0; i < p.nodes; i += 1) w.previousVersionNodes.add(`spur-${i}`);
   let jobs = 0;
   const submit = (tasks: number, cpus: number, image: string): void => {
     const id = `wk-${String(jobs++).padStart(6, '0')}` as JobId;
-    w.user(
+    w.startUser(
       jobSpec({ id, tasks, cpus, memoryGb: 1, image, imageGb: 0.2, estimateS: image === 'long' ? 600 : 3 }),
       null,
     );
@@ -77,16 +77,16 @@
   return w;
 }
 
-export async function sharesPart(p: SharesPart): Promise<SharesResult> {
+export async function workerShardsPart(p: WorkerShardsPart): Promise<SharesResult> {
   const w = fleet(p);
-  await w.run(UP_MS);
-  const { frames, bytes } = w.back;
-  await w.run(UP_MS + STEADY_MS);
-  const steady = { frames: w.back.frames - frames, bytes: w.back.bytes - bytes };
-  const held = w.held();
-  const leader = w.nodes.findIndex((n) => n.controller.leadership.holdsSurely());
-  const before = Math.max(...w.nodes.map((n) => n.controller.leadership.token));
-  const places = new Map([...w.workers.values()].map((x) => [x.id, x.reportsTo]));
+  await w.runUntil(UP_MS);
+  const { frames, bytes } = w.peerTraffic;
+  await w.runUntil(UP_MS + STEADY_MS);
+  const steady = { frames: w.peerTraffic.frames - frames, bytes: w.peerTraffic.bytes - bytes };
+  const held = w.machinesPerNode();
+  const leader = w.nodes.findIndex((n) => n.controller.leadership.holdsValidLease());
+  const before = Math.max(...w.nodes.map((n) => n.controller.leadership.fencingToken));
+  const places = new Map([...w.workers.values()].map((x) => [x.id, x.heartbeatNodeIndex]));
   const began = w.time.now;
   const other = (leader + 1) % p.nodes;
   const ended: Record<Trouble, readonly number[]> = {
@@ -107,27 +107,28 @@
   const moved = new Map<number, number>();
   const look = (): void => {
     const atS = (w.time.now - began) / 1000;
-    const lead = w.nodes.find((n) => n.clock.alive && n.controller.leadership.holdsSurely());
-    const token = lead?.controller.leadership.token ?? Infinity;
+    const lead = w.nodes.find((n) => n.clock.alive && n.controller.leadership.holdsValidLease());
+    const token = lead?.controller.leadership.fencingToken ?? Infinity;
     const isNew = token > before || p.trouble === 'another node';
     if (lead !== undefined && isNew) found.ledS ??= atS;
     // Starts that were on their way count for nobody: what follows the new leader's election does.
     if (found.ledS !== null && w.checker.starts > starts) found.startedS ??= atS;
     const up = [...w.workers.values()].filter((x) => x.alive);
     const know = up.filter(
-      (x) => x.highestToken >= token && w.nodes[x.reportsTo]?.clock.alive === true,
+      (x) => x.highestFencingToken >= token && w.nodes[x.heartbeatNodeIndex]?.clock.alive === true,
     ).length;
     if (know >= up.length * 0.95) found.most95S ??= atS;
     if (know === up.length) found.allS ??= atS;
     for (const x of up) {
-      if (places.get(x.id) === x.reportsTo) continue;
-      if (places.has(x.id) && atS < 30) moved.set(x.reportsTo, (moved.get(x.reportsTo) ?? 0) + 1);
-      places.set(x.id, x.reportsTo);
+      if (places.get(x.id) === x.heartbeatNodeIndex) continue;
+      if (places.has(x.id) && atS < 30)
+        moved.set(x.heartbeatNodeIndex, (moved.get(x.heartbeatNodeIndex) ?? 0) + 1);
+      places.set(x.id, x.heartbeatNodeIndex);
     }
     w.time.after(20, look);
   };
   look();
-  await w.run(began + AFTER_MS);
+  await w.runUntil(began + AFTER_MS);
   const perS = STEADY_MS / 1000;
   return {
     ...p,
@@ -136,15 +137,15 @@
     moved: [...moved.values()].reduce((a, b) => a + b, 0),
     movedToOne: Math.max(0, ...moved.values()),
     killedByLease: w.checker.killedByLease,
-    brokenRules: w.checker.broken.length,
+    brokenRules: w.checker.violations.length,
     frames: Math.round(steady.frames / perS),
     kilobytes: Math.round(steady.bytes / perS / 1000),
   };
 }
 
 /** Ends of nodes with and without shares, side by side. Processor time is not simulated here: docs/results.md has the bench's. */
-export async function measureShares(say: (line: string) => void): Promise<unknown> {
-  const parts: SharesPart[] = [];
+export async function measureWorkerShards(say: (line: string) => void): Promise<unknown> {
+  const parts: WorkerShardsPart[] = [];
   for (const machines of SIZES)
     for (const nodes of [3, 5])
       for (const trouble of TROUBLES)
--- a/packages/measure/test/own.test.ts
+++ b/packages/measure/test/site-variants.test.ts
@@ -1,8 +1,16 @@
 import assert from 'node:assert/strict';
 import { readFileSync, readdirSync } from 'node:fs';
 import { test } from 'node:test';
-import { printDay, printEnd, readDay } from '../src/own/report.js';
-import { SiteError, machinesOf, ownDays, readSite, vary, withDays, writeSite } from '../src/own/variant.js';
+import { printDay, printEnd, readDay } from '../src/site-variants/report.js';
+import {
+  SiteError,
+  machinesOf,
+  additionalDays,
+  readSite,
+  applyVariation,
+  addDays,
+  writeSite,
+} from '../src/site-variants/variant.js';
 
 const SITE = `
 name = "east"
@@ -42,7 +50,7 @@
 
 test('a variant has its machines, limits, load and times changed in proportion, and nothing else', () => {
   const given = readSite(SITE);
-  const site = vary(given, BASE);
+  const site = applyVariation(given, BASE);
   const text = writeSite(site);
   assert.equal(machinesOf(given), 30);
   assert.equal(machinesOf(site), 45);
@@ -58,18 +66,18 @@
   assert.ok(text.includes('restart_delay_s = 0.2') && text.includes('max_connections = 100\n'));
   assert.ok(text.includes('count = 3\n'), 'controllers are no machines');
   assert.equal(writeSite(readSite(text)), text);
-  const five = writeSite(vary(given, { ...BASE, nodes: 5, renamesZones: true }));
+  const five = writeSite(applyVariation(given, { ...BASE, nodes: 5, renamesZones: true }));
   assert.ok(five.includes('count = 5') && five.includes('"z-a"') && !five.includes('"b"'));
 });
 
 test('a site without its tables is refused with the field named', () => {
-  assert.throws(() => vary(readSite('name = "x"'), BASE), SiteError);
-  assert.throws(() => vary(readSite('[nodes]\nzones = 3'), BASE), /nodes\.zones/);
+  assert.throws(() => applyVariation(readSite('name = "x"'), BASE), SiteError);
+  assert.throws(() => applyVariation(readSite('[nodes]\nzones = 3'), BASE), /nodes\.zones/);
 });
 
 test('our own days take classes, zones and counts from the site', () => {
-  const site = vary(readSite(SITE), BASE);
-  const days = ownDays(
+  const site = applyVariation(readSite(SITE), BASE);
+  const days = additionalDays(
     `[[day]]
      name = "d"
      faults = [
@@ -84,15 +92,15 @@
     { kind: 'machine_die', count: 5n },
     { kind: 'spot_taken', share: 0.5 },
   ]);
-  assert.ok(writeSite(withDays(site, days)).includes('name = "d"'));
-  assert.throws(() => ownDays('[[day]]\nfaults = [{ class = "@gang" }]', site), /@gang/);
-  const [changed] = ownDays('[[day]]\njobs = [{ name = "@array", cancelled = 0.8 }]', site);
+  assert.ok(writeSite(addDays(site, days)).includes('name = "d"'));
+  assert.throws(() => additionalDays('[[day]]\nfaults = [{ class = "@gang" }]', site), /@gang/);
+  const [changed] = additionalDays('[[day]]\njobs = [{ name = "@array", cancelled = 0.8 }]', site);
   assert.deepEqual(changed?.['jobs'], [{ name: 'nightly', cancelled: 0.8 }]);
-  assert.throws(() => ownDays('[[day]]\njobs = [{ name = "@gang" }]', site), /@gang/);
+  assert.throws(() => additionalDays('[[day]]\njobs = [{ name = "@gang" }]', site), /@gang/);
   // Every day in the folder can be made for this site.
   const folder = new URL('../../../days/bench/', import.meta.url);
   for (const file of readdirSync(folder))
-    assert.ok(ownDays(readFileSync(new URL(file, folder), 'utf8'), site).length >= 4, file);
+    assert.ok(additionalDays(readFileSync(new URL(file, folder), 'utf8'), site).length >= 4, file);
 });
 
 const LIMITS = { sockets: 100, memoryMb: 200 };
--- a/packages/model/src/admission.ts
+++ b/packages/model/src/admission.ts
@@ -12,7 +12,7 @@
 export const EPSILON = 1e-6;
 
 /** Whether a machine of this type can ever hold one task of the job. */
-export function fitsType(spec: JobSpec, type: MachineType): boolean {
+export function fitsMachineType(spec: JobSpec, type: MachineType): boolean {
   return (
     (spec.types === null || spec.types.includes(type.name)) &&
     (spec.zone === null || type.zones.length === 0 || type.zones.includes(spec.zone)) &&
@@ -23,26 +23,26 @@
 }
 
 /** In how many zones tasks of the job may be at the same time; a type that names no zone may be in any. */
-function zonesFor(spec: JobSpec, fitting: readonly MachineType[]): number {
+function countAllowedZones(spec: JobSpec, fitting: readonly MachineType[]): number {
   if (spec.oneZone || spec.zone !== null) return 1;
   if (fitting.some((t) => t.zones.length === 0)) return Infinity;
   return new Set(fitting.flatMap((t) => t.zones)).size;
 }
 
 /** Why a job can never run, or null: docs/design.md, "What can never run". */
-export function neverRuns(
+export function rejectionReason(
   spec: JobSpec,
   teams: readonly Team[],
   types: readonly MachineType[],
 ): string | null {
   const team = teams.find((t) => t.name === spec.team);
   if (team === undefined) return 'unknown team';
-  const fitting = types.filter((t) => fitsType(spec, t));
+  const fitting = types.filter((t) => fitsMachineType(spec, t));
   if (fitting.length === 0) return 'a task fits no allowed machine type';
   const together = spec.kind === 'array' ? 1 : spec.tasks;
   if (spec.cpus * together > team.cpusMax + EPSILON || spec.gpus * together > team.gpusMax + EPSILON)
     return "the job needs more than the team's limit";
-  if (spec.kind === 'gang' && spec.spread && spec.tasks > 1 && zonesFor(spec, fitting) < 2)
+  if (spec.kind === 'gang' && spec.spread && spec.tasks > 1 && countAllowedZones(spec, fitting) < 2)
     return 'scatter: a gang that may be in one zone alone has all its tasks there';
   return null;
 }
--- a/packages/model/src/gang.ts
+++ b/packages/model/src/gang.ts
@@ -1,6 +1,6 @@
 import type { Attempt } from '@spurbridge/wire';
 import type { Placement } from './placement.js';
-import { Transitions } from './transition.js';
+import { TransitionTable } from './transition-table.js';
 
 /**
  * The life of a gang's attempt, read off its placements.
@@ -12,7 +12,7 @@
 export type GangState =
   'gone' | 'intended' | 'fetching' | 'waiting' | 'running' | 'saving' | 'breaking' | 'done';
 
-const transitions = new Transitions<GangState>('gang', {
+const gangTransitions = new TransitionTable<GangState>('gang', {
   gone: ['intended', 'fetching', 'waiting', 'running', 'saving', 'breaking', 'done'],
   // Before it has started a lost task may be replaced under the same attempt: hence the ways back.
   intended: ['fetching', 'waiting', 'running', 'saving', 'breaking', 'gone', 'done'],
@@ -26,47 +26,47 @@
 
 /** Tasks that run together under one attempt, or not at all. */
 export class Gang {
-  private phase: GangState = 'gone';
-  private shared: Attempt | null = null;
+  private currentState: GangState = 'gone';
+  private sharedAttempt: Attempt | null = null;
 
-  constructor(private readonly tasks: number) {}
+  constructor(private readonly taskCount: number) {}
 
   get state(): GangState {
-    return this.phase;
+    return this.currentState;
   }
 
   /** The attempt that its tasks share, while any of them may be on a machine. */
   get attempt(): Attempt | null {
-    return this.shared;
+    return this.sharedAttempt;
   }
 
   /** The only function that changes the gang's state. */
-  private enter(next: GangState): void {
-    if (next === this.phase) return;
-    transitions.check(this.phase, next);
-    this.phase = next;
+  private transitionTo(next: GangState): void {
+    if (next === this.currentState) return;
+    gangTransitions.assertAllowed(this.currentState, next);
+    this.currentState = next;
   }
 
   /** Follows what became of its tasks; called after every change to one of them. */
-  follow(placements: ReadonlyMap<number, Placement>, doneCount: number): void {
-    if (this.phase === 'done') return;
-    this.shared = null;
+  update(placements: ReadonlyMap<number, Placement>, doneCount: number): void {
+    if (this.currentState === 'done') return;
+    this.sharedAttempt = null;
     let next: GangState = 'waiting';
     for (const p of placements.values()) {
-      this.shared = p.attempt;
-      next = later(next, stageOf(p));
+      this.sharedAttempt = p.attempt;
+      next = furtherState(next, gangStateOf(p));
     }
-    const lost = placements.size + doneCount < this.tasks;
-    if (doneCount === this.tasks) next = 'done';
+    const lost = placements.size + doneCount < this.taskCount;
+    if (doneCount === this.taskCount) next = 'done';
     else if (placements.size === 0) next = 'gone';
-    else if (this.phase === 'breaking' || (this.started && lost)) next = 'breaking';
+    else if (this.currentState === 'breaking' || (this.hasStarted && lost)) next = 'breaking';
     // What has started has started, whatever a late report says.
-    else if (this.started) next = later(this.phase, next);
-    this.enter(next);
+    else if (this.hasStarted) next = furtherState(this.currentState, next);
+    this.transitionTo(next);
   }
 
-  private get started(): boolean {
-    return this.phase === 'running' || this.phase === 'saving';
+  private get hasStarted(): boolean {
+    return this.currentState === 'running' || this.currentState === 'saving';
   }
 
   /**
@@ -75,10 +75,10 @@
    * replacement would then wait for nobody.
    */
   awaitsReplacement(placements: ReadonlyMap<number, Placement>, doneCount: number): boolean {
-    if (this.phase !== 'fetching' && this.phase !== 'waiting') return false;
-    if (doneCount > 0 || placements.size === 0 || placements.size >= this.tasks) return false;
+    if (this.currentState !== 'fetching' && this.currentState !== 'waiting') return false;
+    if (doneCount > 0 || placements.size === 0 || placements.size >= this.taskCount) return false;
     for (const p of placements.values())
-      if (p.stop !== null || (p.state !== 'fetching' && p.state !== 'waiting')) return false;
+      if (p.stopRequest !== null || (p.state !== 'fetching' && p.state !== 'waiting')) return false;
     return true;
   }
 }
@@ -86,13 +86,14 @@
 const STAGES: readonly GangState[] = ['waiting', 'fetching', 'intended', 'running', 'saving', 'breaking'];
 
 /** Of two stages, the one that says more of the gang as a whole. */
-function later(a: GangState, b: GangState): GangState {
+function furtherState(a: GangState, b: GangState): GangState {
   return STAGES.indexOf(b) > STAGES.indexOf(a) ? b : a;
 }
 
-function stageOf(p: Placement): GangState {
+function gangStateOf(p: Placement): GangState {
   if (p.state === 'saving') return 'saving';
-  if (p.stop !== null) return p.stop.graceS > 0 && p.state === 'running' ? 'saving' : 'breaking';
+  if (p.stopRequest !== null)
+    return p.stopRequest.graceS > 0 && p.state === 'running' ? 'saving' : 'breaking';
   switch (p.state) {
     case 'intended':
     case 'waiting':
--- a/packages/model/src/index.ts
+++ b/packages/model/src/index.ts
@@ -5,6 +5,6 @@
 export * from './machine.js';
 export * from './record.js';
 export * from './admission.js';
-export { Transitions } from './transition.js';
-export * from './served.js';
+export { TransitionTable } from './transition-table.js';
+export * from './service-levels.js';
 export type { Objective } from './objective.js';
--- a/packages/model/src/job.ts
+++ b/packages/model/src/job.ts
@@ -1,28 +1,28 @@
-import type { Ms } from '@spurbridge/net';
-import type { Attempt, JobSpec, MachineId, Session, TaskPhase, Version } from '@spurbridge/wire';
-import { ABSENT } from '@spurbridge/wire';
+import type { MonotonicMs } from '@spurbridge/net';
+import type { Attempt, JobSpec, MachineId, AgentEpoch, TaskPhase, Version } from '@spurbridge/wire';
+import { KEY_ABSENT } from '@spurbridge/wire';
 import { Gang } from './gang.js';
 import type { Placement, PlacementState, StopReason } from './placement.js';
 import { placementTransitions } from './placement.js';
-import { Transitions } from './transition.js';
+import { TransitionTable } from './transition-table.js';
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
 /** One record in the state service holds this many consecutive tasks. */
-export interface Chunk {
+export interface TaskChunk {
   readonly index: number;
   version: Version;
   /** Increased by every change in memory; the record is durable when it equals `written`. */
-  edition: number;
-  written: number;
+  revision: number;
+  durableRevision: number;
   /** Attempts given so far. */
-  attempts: number;
+  attemptsIssued: number;
 }
 
 /** active -> done | cancelled. `closing`: all tasks are done, the job's record does not say so yet. */
 export type JobState = 'active' | 'closing' | 'done' | 'cancelled';
 
-const jobTransitions = new Transitions<JobState>('job', {
+const jobTransitions = new TransitionTable<JobState>('job', {
   active: ['closing', 'cancelled'],
   closing: ['done', 'cancelled'],
   done: [],
@@ -30,33 +30,33 @@
 });
 
 export class Job {
-  private phase: JobState = 'active';
+  private currentState: JobState = 'active';
   private readonly doneTasks: Uint8Array;
-  private readonly live = new Map<number, Mutable<Placement>>();
-  private doneTotal = 0;
-  private readonly givenUp = new Set<number>();
-  readonly chunks: Chunk[];
+  private readonly placementsByTask = new Map<number, Mutable<Placement>>();
+  private doneTaskCount = 0;
+  private readonly abandonedTasks = new Set<number>();
+  readonly chunks: TaskChunk[];
   /** What holds its tasks together, for a gang. */
   readonly gang: Gang | null;
   /** Consecutive failures of this job's tasks on different machines, without a success between. */
-  readonly failedOn = new Set<MachineId>();
-  errors = 0;
-  notBefore = 0 as Ms;
-  firstStartAt: Ms | null = null;
+  readonly failedMachines = new Set<MachineId>();
+  consecutiveFailures = 0;
+  backoffUntil = 0 as MonotonicMs;
+  firstStartedAt: MonotonicMs | null = null;
   /** Its cancellation was confirmed no earlier than this, by whichever node; null: it is not cancelled, or nobody knows. */
-  cancelledAt: Ms | null = null;
+  cancelledAt: MonotonicMs | null = null;
   /** Its cancellation was confirmed to its user after this, if it is cancelled; null: it may have been at any time. */
-  cancelledAfter: Ms | null = null;
+  cancelledAfter: MonotonicMs | null = null;
   /** Lowest task that may be pending: a cursor for jobs with very many tasks. */
-  private cursor = 0;
+  private firstPendingHint = 0;
   /** Since when tasks of this job have waited. */
-  waitingSince: Ms;
+  waitingSince: MonotonicMs;
 
   constructor(
     readonly spec: JobSpec,
     readonly chunkSize: number,
     public version: Version,
-    readonly submittedAt: Ms,
+    readonly submittedAt: MonotonicMs,
     /** The task graph that it is a part of, or null. */
     readonly graph: string | null = null,
   ) {
@@ -65,30 +65,30 @@
     this.gang = spec.kind === 'gang' ? new Gang(spec.tasks) : null;
     this.chunks = Array.from({ length: Math.ceil(spec.tasks / chunkSize) }, (_, index) => ({
       index,
-      version: ABSENT,
-      edition: 0,
-      written: 0,
-      attempts: 0,
+      version: KEY_ABSENT,
+      revision: 0,
+      durableRevision: 0,
+      attemptsIssued: 0,
     }));
   }
 
   get state(): JobState {
-    return this.phase;
+    return this.currentState;
   }
 
   /** The only function that changes the job's state. */
-  enter(next: JobState): void {
-    if (next === this.phase) return;
-    jobTransitions.check(this.phase, next);
-    this.phase = next;
+  transitionTo(next: JobState): void {
+    if (next === this.currentState) return;
+    jobTransitions.assertAllowed(this.currentState, next);
+    this.currentState = next;
   }
 
   get doneCount(): number {
-    return this.doneTotal;
+    return this.doneTaskCount;
   }
 
   get placements(): ReadonlyMap<number, Placement> {
-    return this.live;
+    return this.placementsByTask;
   }
 
   /** Done, or given up: either way nothing is to be started for it any more. */
@@ -98,23 +98,23 @@
 
   /** Tasks given up without being done: parts of a task graph that failed there or were cancelled. */
   get abandoned(): ReadonlySet<number> {
-    return this.givenUp;
+    return this.abandonedTasks;
   }
 
   /** Gives a task up that is on no machine. */
   abandon(task: number): void {
-    if (this.live.has(task)) throw new Error(`${this.spec.id}/${task} may still be on a machine`);
+    if (this.placementsByTask.has(task)) throw new Error(`${this.spec.id}/${task} may still be on a machine`);
     if (this.isDone(task)) return;
-    this.givenUp.add(task);
-    this.chunkOf(task).edition += 1;
-    this.restoreDone(task);
+    this.abandonedTasks.add(task);
+    this.chunkOf(task).revision += 1;
+    this.markDone(task);
   }
 
   restoreAbandoned(task: number): void {
-    this.givenUp.add(task);
+    this.abandonedTasks.add(task);
   }
 
-  chunkOf(task: number): Chunk {
+  chunkOf(task: number): TaskChunk {
     const chunk = this.chunks[Math.floor(task / this.chunkSize)];
     if (chunk === undefined) throw new Error(`${this.spec.id} has no task ${task}`);
     return chunk;
@@ -122,23 +122,24 @@
 
   isDurable(task: number): boolean {
     const chunk = this.chunkOf(task);
-    return chunk.edition === chunk.written;
+    return chunk.revision === chunk.durableRevision;
   }
 
   get pendingCount(): number {
-    return this.spec.tasks - this.doneTotal - this.live.size;
+    return this.spec.tasks - this.doneTaskCount - this.placementsByTask.size;
   }
 
   /** Up to `most` tasks that neither are done nor may be on a machine. */
-  pending(most: number): number[] {
+  pendingTasks(most: number): number[] {
     const found: number[] = [];
-    if (this.phase !== 'active') return found;
-    const isPending = (t: number): boolean => this.doneTasks[t] === 0 && !this.live.has(t);
+    if (this.currentState !== 'active') return found;
+    const isPending = (t: number): boolean => this.doneTasks[t] === 0 && !this.placementsByTask.has(t);
     // A task that is lost moves the cursor back (`gone`), so it may pass those on machines too: a plan
     // must not walk over a huge job's thousands of tasks each time.
-    while (this.cursor < this.spec.tasks && !isPending(this.cursor)) this.cursor += 1;
+    while (this.firstPendingHint < this.spec.tasks && !isPending(this.firstPendingHint))
+      this.firstPendingHint += 1;
     let left = Math.min(most, this.pendingCount);
-    for (let t = this.cursor; t < this.spec.tasks && left > 0; t += 1)
+    for (let t = this.firstPendingHint; t < this.spec.tasks && left > 0; t += 1)
       if (isPending(t)) {
         found.push(t);
         left -= 1;
@@ -147,147 +148,159 @@
   }
 
   /** Records the intent to run a task; nothing may be sent before the chunk is durable. */
-  intend(
+  recordIntent(
     task: number,
     machine: MachineId,
-    session: Session,
-    now: Ms,
+    session: AgentEpoch,
+    now: MonotonicMs,
     sharedAttempt: Attempt | null,
   ): Placement {
-    if (this.phase !== 'active' || this.isDone(task) || this.live.has(task))
+    if (this.currentState !== 'active' || this.isDone(task) || this.placementsByTask.has(task))
       throw new Error(`${this.spec.id}/${task} cannot be placed`);
     const chunk = this.chunkOf(task);
-    const attempt = sharedAttempt ?? ((chunk.attempts + 1) as Attempt);
-    chunk.attempts = Math.max(chunk.attempts, attempt);
-    chunk.edition += 1;
+    const attempt = sharedAttempt ?? ((chunk.attemptsIssued + 1) as Attempt);
+    chunk.attemptsIssued = Math.max(chunk.attemptsIssued, attempt);
+    chunk.revision += 1;
     const placement = {
       task,
       machine,
-      session,
+      agentEpoch: session,
       attempt,
       state: 'intended' as const,
-      restored: false,
-      since: now,
+      isRestored: false,
+      stateSince: now,
       placedAt: now,
-      runningAt: null,
-      stop: null,
+      runningSince: null,
+      stopRequest: null,
     };
-    this.live.set(task, placement);
-    this.followGang();
+    this.placementsByTask.set(task, placement);
+    this.updateGang();
     return placement;
   }
 
-  private followGang(): void {
-    this.gang?.follow(this.live, this.doneTotal);
+  private updateGang(): void {
+    this.gang?.update(this.placementsByTask, this.doneTaskCount);
   }
 
   /** Whether tasks that wait are to complete a gang whose others are there already. */
-  get awaitsReplacement(): boolean {
-    return this.gang?.awaitsReplacement(this.live, this.doneTotal) === true;
+  get awaitsReplacementTask(): boolean {
+    return this.gang?.awaitsReplacement(this.placementsByTask, this.doneTaskCount) === true;
   }
 
   /** The attempt that the tasks of a gang share: the present one while any of them is there. */
   gangAttempt(): Attempt {
     const shared = this.gang?.attempt ?? null;
     if (shared !== null) return shared;
-    return (Math.max(...this.chunks.map((c) => c.attempts)) + 1) as Attempt;
+    return (Math.max(...this.chunks.map((c) => c.attemptsIssued)) + 1) as Attempt;
   }
 
   restoreChunk(index: number, version: Version, attempts: number): void {
     const chunk = this.chunks[index];
     if (chunk === undefined) return;
     chunk.version = version;
-    chunk.attempts = attempts;
+    chunk.attemptsIssued = attempts;
   }
 
-  restoreDone(task: number): void {
+  markDone(task: number): void {
     if (task < this.spec.tasks && this.doneTasks[task] === 0) {
       this.doneTasks[task] = 1;
-      this.doneTotal += 1;
-      this.followGang();
+      this.doneTaskCount += 1;
+      this.updateGang();
     }
   }
 
-  restorePlacement(task: number, machine: MachineId, session: Session, attempt: Attempt, now: Ms): void {
-    this.live.set(task, {
+  restorePlacement(
+    task: number,
+    machine: MachineId,
+    session: AgentEpoch,
+    attempt: Attempt,
+    now: MonotonicMs,
+  ): void {
+    this.placementsByTask.set(task, {
       task,
       machine,
-      session,
+      agentEpoch: session,
       attempt,
       // A gang's tasks start together, whatever there is room for.
       state: this.gang === null ? 'queued' : 'starting',
-      restored: true,
-      since: now,
+      isRestored: true,
+      stateSince: now,
       placedAt: now,
-      runningAt: null,
-      stop: null,
+      runningSince: null,
+      stopRequest: null,
     });
-    this.followGang();
+    this.updateGang();
   }
 
   /** Takes over what its machine reports and no record placed. */
-  adopt(task: number, machine: MachineId, session: Session, attempt: Attempt, now: Ms): void {
+  adoptPlacement(
+    task: number,
+    machine: MachineId,
+    session: AgentEpoch,
+    attempt: Attempt,
+    now: MonotonicMs,
+  ): void {
     const chunk = this.chunkOf(task);
-    chunk.attempts = Math.max(chunk.attempts, attempt);
-    chunk.edition += 1;
+    chunk.attemptsIssued = Math.max(chunk.attemptsIssued, attempt);
+    chunk.revision += 1;
     this.restorePlacement(task, machine, session, attempt, now);
   }
 
   /** The only function that changes a placement's state. */
-  private move(placement: Mutable<Placement>, next: PlacementState, now: Ms): void {
+  private transitionPlacement(placement: Mutable<Placement>, next: PlacementState, now: MonotonicMs): void {
     if (placement.state === next) return;
-    placementTransitions.check(placement.state, next);
+    placementTransitions.assertAllowed(placement.state, next);
     placement.state = next;
-    placement.since = now;
-    if (next === 'running') placement.runningAt ??= now;
-    if (next !== 'gone') this.followGang();
+    placement.stateSince = now;
+    if (next === 'running') placement.runningSince ??= now;
+    if (next !== 'gone') this.updateGang();
   }
 
   /** The intent is durable: it may start once its machine has room; a gang's tasks at once. */
-  durable(task: number, attempt: Attempt, now: Ms): void {
-    const p = this.live.get(task);
+  markDurable(task: number, attempt: Attempt, now: MonotonicMs): void {
+    const p = this.placementsByTask.get(task);
     if (p !== undefined && p.attempt === attempt && p.state === 'intended')
-      this.move(p, this.gang === null ? 'queued' : 'starting', now);
+      this.transitionPlacement(p, this.gang === null ? 'queued' : 'starting', now);
   }
 
   /** Its machine has room: starts may go out from here on. */
-  roomFound(task: number, now: Ms): void {
-    const p = this.live.get(task);
-    if (p?.state === 'queued') this.move(p, 'starting', now);
+  markStarting(task: number, now: MonotonicMs): void {
+    const p = this.placementsByTask.get(task);
+    if (p?.state === 'queued') this.transitionPlacement(p, 'starting', now);
   }
 
-  reported(task: number, phase: Exclude<TaskPhase, 'exited'>, now: Ms): void {
-    const p = this.live.get(task);
+  applyReportedPhase(task: number, phase: Exclude<TaskPhase, 'exited'>, now: MonotonicMs): void {
+    const p = this.placementsByTask.get(task);
     if (p === undefined) return;
-    this.move(p, phase, now);
-    if (phase === 'running' && this.firstStartAt === null) this.firstStartAt = now;
+    this.transitionPlacement(p, phase, now);
+    if (phase === 'running' && this.firstStartedAt === null) this.firstStartedAt = now;
   }
 
   /** The task is not on the machine (any more): proven by the machine, its session or the cloud. */
-  gone(task: number, done: boolean, now: Ms): void {
-    const p = this.live.get(task);
+  removePlacement(task: number, done: boolean, now: MonotonicMs): void {
+    const p = this.placementsByTask.get(task);
     if (p === undefined) return;
-    this.move(p, 'gone', now);
-    this.live.delete(task);
-    this.chunkOf(task).edition += 1;
-    if (done) this.restoreDone(task);
+    this.transitionPlacement(p, 'gone', now);
+    this.placementsByTask.delete(task);
+    this.chunkOf(task).revision += 1;
+    if (done) this.markDone(task);
     else {
-      this.cursor = Math.min(this.cursor, task);
+      this.firstPendingHint = Math.min(this.firstPendingHint, task);
       this.waitingSince = now;
     }
-    this.followGang();
+    this.updateGang();
   }
 
-  askStop(task: number, graceS: number, reason: StopReason, now: Ms): void {
-    const p = this.live.get(task);
+  requestStop(task: number, graceS: number, reason: StopReason, now: MonotonicMs): void {
+    const p = this.placementsByTask.get(task);
     if (p === undefined) return;
     // A cancellation overrides a stop with grace: nobody has any use for what would be saved.
-    if (p.stop === null || (reason === 'cancelled' && p.stop.reason !== 'cancelled'))
-      p.stop = { at: now, graceS, reason };
-    this.followGang();
+    if (p.stopRequest === null || (reason === 'cancelled' && p.stopRequest.reason !== 'cancelled'))
+      p.stopRequest = { at: now, graceS, reason };
+    this.updateGang();
   }
 
-  doneRanges(chunk: Chunk): string {
+  formatDoneRanges(chunk: TaskChunk): string {
     const parts: string[] = [];
     const end = Math.min(this.spec.tasks, (chunk.index + 1) * this.chunkSize);
     for (let t = chunk.index * this.chunkSize; t < end; t += 1) {
