--- a/packages/model/src/machine.ts
+++ b/packages/model/src/machine.ts
@@ -1,6 +1,6 @@
-import type { Ms } from '@spurbridge/net';
-import type { MachineId, Session, Token } from '@spurbridge/wire';
-import { Transitions } from './transition.js';
+import type { MonotonicMs } from '@spurbridge/net';
+import type { MachineId, AgentEpoch, FencingToken } from '@spurbridge/wire';
+import { TransitionTable } from './transition-table.js';
 
 /**
  * booting -> ready -> silent -> ready | gone; ready -> draining -> releasing -> gone. A machine drained
@@ -10,7 +10,7 @@
  */
 export type MachineState = 'booting' | 'ready' | 'silent' | 'draining' | 'releasing' | 'gone';
 
-const transitions = new Transitions<MachineState>('machine', {
+const machineTransitions = new TransitionTable<MachineState>('machine', {
   booting: ['ready', 'draining', 'releasing', 'gone'],
   ready: ['silent', 'draining', 'releasing', 'gone'],
   silent: ['ready', 'draining', 'releasing', 'gone'],
@@ -19,47 +19,47 @@
   gone: [],
 });
 
-const SPEED_JOBS = 10;
-const SPEED_SURE = 4;
+const SLOWNESS_SAMPLE_JOBS = 10;
+const SLOWNESS_MIN_JOBS = 4;
 /** Jobs' worth of evidence that the machine is as fast as any other. */
-const SPEED_DOUBT = 2;
+const SLOWNESS_PRIOR_JOBS = 2;
 
 export class Machine {
-  private phase: MachineState = 'booting';
+  private currentState: MachineState = 'booting';
   address = '';
-  session: Session | null = null;
-  seq = -1;
-  token = 0 as Token;
+  agentEpoch: AgentEpoch | null = null;
+  lastSequence = -1;
+  fencingToken = 0 as FencingToken;
   /** Arrival of the newest report (steady clock of this process). */
-  heardAt: Ms | null = null;
+  lastHeartbeatAt: MonotonicMs | null = null;
   /** End of the time in which some leader may have answered one of its reports. */
-  answeredUntil: Ms;
+  latestPossibleRenewalAt: MonotonicMs;
   /** Until when a holder may answer its reports under a grant of this leader. */
-  grantedUntil = 0 as Ms;
-  noticeAt: Ms | null = null;
-  goneBy: Ms | null = null;
+  leaseDelegatedUntil = 0 as MonotonicMs;
+  preemptionNoticeAt: MonotonicMs | null = null;
+  preemptionDeadline: MonotonicMs | null = null;
   /** Images that it holds, the most recently used last, with their size. */
   readonly images = new Map<string, number>();
   /** Starts sent to /commands in this session whose answer is missing: they may arrive at any time. */
-  readonly unanswered = new Set<string>();
+  readonly unconfirmedStarts = new Set<string>();
   /** Jobs whose tasks failed here, without a success between. */
   readonly failedJobs = new Set<string>();
   /** Questions asked since it was last heard, and how many of them were not answered. */
-  probes = 0;
-  unansweredProbes = 0;
-  idleSince: Ms | null;
-  refusedUntil = 0 as Ms;
+  probesSent = 0;
+  probesUnanswered = 0;
+  idleSince: MonotonicMs | null;
+  backoffUntil = 0 as MonotonicMs;
   /** For each of the last jobs that ran here: run time over expected, as a logarithm. */
-  private readonly speeds = new Map<string, { sum: number; count: number }>();
-  private slow = 1;
-  sending = false;
+  private readonly slowdownsByJob = new Map<string, { sum: number; count: number }>();
+  private estimatedSlowness = 1;
+  isSendingCommands = false;
   /**
    * Whether it surely is of now: placed on by records, rented or listed, or heard with this leader's token or by a call. A
    * report alone may be an old one, of a machine that was given back long ago; nothing is placed there.
    */
-  isProven = true;
+  isConfirmed = true;
   /** Whether the cloud has listed it as running: its worker may have started tasks. */
-  listedRunning = false;
+  isListedRunning = false;
   drainReason = '';
 
   constructor(
@@ -68,56 +68,56 @@
     readonly zone: string,
     readonly spot: boolean,
     /** Rented by this service to meet demand, and not part of the fleet that it found. */
-    public rented: boolean,
-    readonly firstSeen: Ms,
+    public isProvisioned: boolean,
+    readonly firstSeenAt: MonotonicMs,
   ) {
-    this.answeredUntil = firstSeen;
-    this.idleSince = firstSeen;
+    this.latestPossibleRenewalAt = firstSeenAt;
+    this.idleSince = firstSeenAt;
   }
 
   get state(): MachineState {
-    return this.phase;
+    return this.currentState;
   }
 
   /** The only function that changes the machine's state. */
-  enter(next: MachineState): void {
-    if (next === this.phase) return;
-    transitions.check(this.phase, next);
-    this.phase = next;
+  transitionTo(next: MachineState): void {
+    if (next === this.currentState) return;
+    machineTransitions.assertAllowed(this.currentState, next);
+    this.currentState = next;
   }
 
-  get takesTasks(): boolean {
-    return this.phase === 'ready' && this.isProven;
+  get isSchedulable(): boolean {
+    return this.currentState === 'ready' && this.isConfirmed;
   }
 
   /**
    * A job's tasks share their owner's error, so it is jobs that are counted, not tasks: many tasks of
    * one job estimated too short must not condemn a machine.
    */
-  ran(job: string, ratio: number): void {
-    const seen = this.speeds.get(job) ?? { sum: 0, count: 0 };
-    this.speeds.delete(job);
-    this.speeds.set(job, { sum: seen.sum + Math.log(ratio), count: seen.count + 1 });
-    for (const oldest of this.speeds.keys()) {
-      if (this.speeds.size <= SPEED_JOBS) break;
-      this.speeds.delete(oldest);
+  recordRunTime(job: string, ratio: number): void {
+    const seen = this.slowdownsByJob.get(job) ?? { sum: 0, count: 0 };
+    this.slowdownsByJob.delete(job);
+    this.slowdownsByJob.set(job, { sum: seen.sum + Math.log(ratio), count: seen.count + 1 });
+    for (const oldest of this.slowdownsByJob.keys()) {
+      if (this.slowdownsByJob.size <= SLOWNESS_SAMPLE_JOBS) break;
+      this.slowdownsByJob.delete(oldest);
     }
     let sum = 0;
-    for (const s of this.speeds.values()) sum += s.sum / s.count;
-    this.slow = Math.max(1, Math.exp(sum / (this.speeds.size + SPEED_DOUBT)));
+    for (const s of this.slowdownsByJob.values()) sum += s.sum / s.count;
+    this.estimatedSlowness = Math.max(1, Math.exp(sum / (this.slowdownsByJob.size + SLOWNESS_PRIOR_JOBS)));
   }
 
   /** Observed run time over expected, held near 1 while little was seen; never below 1. */
   get slowness(): number {
-    return this.slow;
+    return this.estimatedSlowness;
   }
 
   /** Whether enough different jobs ran here to say that the machine is slow. */
   isSlow(factor: number): boolean {
-    return this.speeds.size >= SPEED_SURE && this.slowness > factor;
+    return this.slowdownsByJob.size >= SLOWNESS_MIN_JOBS && this.slowness > factor;
   }
 
-  useImage(image: string, sizeGb: number, cacheGb: number): void {
+  cacheImage(image: string, sizeGb: number, cacheGb: number): void {
     this.images.delete(image);
     this.images.set(image, sizeGb);
     let held = 0;
--- a/packages/model/test/model.test.ts
+++ b/packages/model/test/model.test.ts
@@ -1,24 +1,24 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import type { Ms } from '@spurbridge/net';
-import type { Attempt, JobId, MachineId, Session, Version } from '@spurbridge/wire';
-import { ABSENT } from '@spurbridge/wire';
+import type { MonotonicMs } from '@spurbridge/net';
+import type { Attempt, JobId, MachineId, AgentEpoch, Version } from '@spurbridge/wire';
+import { KEY_ABSENT } from '@spurbridge/wire';
 import { TEAMS, TYPES, jobSpec } from '@spurbridge/testkit';
 import {
   Job,
   Machine,
-  chunkSizeFor,
+  tasksPerChunk,
   decodeJob,
   encodeChunk,
   encodeJob,
-  neverRuns,
+  rejectionReason,
   restoreChunk,
 } from '../src/index.js';
-import type { WallMs } from '../src/index.js';
+import type { WallClockMs } from '../src/index.js';
 
 const id = 'wk-000001' as JobId;
-const at = 0 as Ms;
+const at = 0 as MonotonicMs;
 const machine = (n: number): MachineId => `n-${String(n).padStart(6, '0')}` as MachineId;
 
 type Step = { readonly op: 'intend' | 'durable' | 'run' | 'done' | 'lost' | 'stop'; readonly task: number };
@@ -35,33 +35,33 @@
   for (const { op, task } of list) {
     const p = job.placements.get(task);
     if (op === 'intend' && p === undefined && !job.isDone(task))
-      job.intend(task, machine(task), 1 as Session, at, null);
+      job.recordIntent(task, machine(task), 1 as AgentEpoch, at, null);
     else if (p === undefined) continue;
-    else if (op === 'durable') job.durable(task, p.attempt, at);
-    else if (op === 'run') job.reported(task, 'running', at);
-    else if (op === 'done') job.gone(task, true, at);
-    else if (op === 'lost') job.gone(task, false, at);
-    else if (op === 'stop') job.askStop(task, 1, 'drained', at);
+    else if (op === 'durable') job.markDurable(task, p.attempt, at);
+    else if (op === 'run') job.applyReportedPhase(task, 'running', at);
+    else if (op === 'done') job.removePlacement(task, true, at);
+    else if (op === 'lost') job.removePlacement(task, false, at);
+    else if (op === 'stop') job.requestStop(task, 1, 'drained', at);
   }
 }
 
 test('a task is pending, placed or done, never two of them, and attempts are never given twice', () => {
   fc.assert(
     fc.property(steps(12), (list) => {
-      const job = new Job(jobSpec({ id, tasks: 12 }), 5, ABSENT, at);
+      const job = new Job(jobSpec({ id, tasks: 12 }), 5, KEY_ABSENT, at);
       const given = new Set<string>();
       for (const step of list) {
         play(job, [step]);
         const p = job.placements.get(step.task);
         if (step.op === 'intend' && p?.state === 'intended') given.add(`${step.task}#${p.attempt}`);
-        const pending = new Set(job.pending(100));
+        const pending = new Set(job.pendingTasks(100));
         for (let t = 0; t < 12; t += 1) {
           const states = Number(pending.has(t)) + Number(job.placements.has(t)) + Number(job.isDone(t));
           assert.equal(states, 1, `task ${t}`);
         }
         assert.equal(job.pendingCount, pending.size);
       }
-      const most = Math.max(0, ...job.chunks.map((c) => c.attempts));
+      const most = Math.max(0, ...job.chunks.map((c) => c.attemptsIssued));
       for (const g of given) assert.ok(Number(g.split('#')[1]) <= most);
     }),
     { seed: 11, numRuns: 150 },
@@ -74,27 +74,27 @@
   const moves = fc.array(fc.record({ op, task: fc.nat(2) }), { maxLength: 60 });
   fc.assert(
     fc.property(moves, (list) => {
-      const job = new Job(jobSpec({ id, kind: 'gang', tasks: 3, checkpointS: 5 }), 8, ABSENT, at);
+      const job = new Job(jobSpec({ id, kind: 'gang', tasks: 3, checkpointS: 5 }), 8, KEY_ABSENT, at);
       const { gang } = job;
       assert.ok(gang !== null);
       let started = false;
       for (const { op: what, task } of list) {
         const p = job.placements.get(task);
-        const ready = job.placements.size === 0 || job.awaitsReplacement;
+        const ready = job.placements.size === 0 || job.awaitsReplacementTask;
         if (what === 'place') {
           if (p !== undefined || job.isDone(task) || !ready) continue;
           const attempt = job.gangAttempt();
-          job.intend(task, machine(task), 1 as Session, at, attempt);
-          job.durable(task, attempt, at);
+          job.recordIntent(task, machine(task), 1 as AgentEpoch, at, attempt);
+          job.markDurable(task, attempt, at);
         } else if (p === undefined) continue;
-        else if (what === 'done' || what === 'lost') job.gone(task, what === 'done', at);
-        else if (what === 'stop') job.askStop(task, task, 'drained', at);
-        else job.reported(task, what, at);
+        else if (what === 'done' || what === 'lost') job.removePlacement(task, what === 'done', at);
+        else if (what === 'stop') job.requestStop(task, task, 'drained', at);
+        else job.applyReportedPhase(task, what, at);
         if (job.placements.size === 0) started = false;
         else started ||= what === 'running' || what === 'saving';
         if (started) {
           assert.ok(['running', 'saving', 'breaking', 'done'].includes(gang.state), gang.state);
-          assert.ok(!job.awaitsReplacement);
+          assert.ok(!job.awaitsReplacementTask);
         }
         assert.equal(new Set([...job.placements.values()].map((x) => x.attempt)).size <= 1, true);
         assert.equal(gang.state === 'gone', job.placements.size === 0 && job.doneCount < 3);
@@ -106,12 +106,12 @@
 });
 
 test('a gang restored from its record alone is not taken for one that has not started', () => {
-  const job = new Job(jobSpec({ id, kind: 'gang', tasks: 2 }), 8, ABSENT, at);
-  job.restorePlacement(0, machine(0), 1 as Session, 4 as Attempt, at);
+  const job = new Job(jobSpec({ id, kind: 'gang', tasks: 2 }), 8, KEY_ABSENT, at);
+  job.restorePlacement(0, machine(0), 1 as AgentEpoch, 4 as Attempt, at);
   assert.equal(job.gangAttempt(), 4);
-  assert.ok(!job.awaitsReplacement);
-  job.reported(0, 'waiting', at);
-  assert.ok(job.awaitsReplacement);
+  assert.ok(!job.awaitsReplacementTask);
+  job.applyReportedPhase(0, 'waiting', at);
+  assert.ok(job.awaitsReplacementTask);
 });
 
 test('a job rebuilt from its records has the same tasks done and placed', () => {
@@ -122,7 +122,7 @@
       fc.nat(),
       (tasks, size, salt) => {
         const spec = jobSpec({ id, tasks });
-        const job = new Job(spec, size, ABSENT, at);
+        const job = new Job(spec, size, KEY_ABSENT, at);
         for (let t = 0; t < tasks; t += 1) {
           const what = (t * 7919 + salt) % 5;
           if (what === 0)
@@ -132,7 +132,7 @@
             ]);
           else if (what === 1) play(job, [{ op: 'intend', task: t }]);
         }
-        const again = new Job(spec, size, ABSENT, at);
+        const again = new Job(spec, size, KEY_ABSENT, at);
         for (const c of job.chunks) {
           const value: unknown = JSON.parse(JSON.stringify(encodeChunk(job, c)));
           restoreChunk(again, c.index, value, 9 as Version, at);
@@ -140,8 +140,8 @@
         assert.equal(again.doneCount, job.doneCount);
         assert.deepEqual([...again.placements.keys()].sort(), [...job.placements.keys()].sort());
         assert.deepEqual(
-          again.chunks.map((c) => c.attempts),
-          job.chunks.map((c) => c.attempts),
+          again.chunks.map((c) => c.attemptsIssued),
+          job.chunks.map((c) => c.attemptsIssued),
         );
       },
     ),
@@ -151,8 +151,13 @@
 
 test('a record with every task placed fits one value, also for the largest job', () => {
   for (const kb of [1, 4, 16]) {
-    const size = chunkSizeFor(kb);
-    const job = new Job(jobSpec({ id: `wk-${'9'.repeat(20)}` as JobId, tasks: 100_000 }), size, ABSENT, at);
+    const size = tasksPerChunk(kb);
+    const job = new Job(
+      jobSpec({ id: `wk-${'9'.repeat(20)}` as JobId, tasks: 100_000 }),
+      size,
+      KEY_ABSENT,
+      at,
+    );
     for (let t = 100_000 - size; t < 100_000; t += 1) play(job, [{ op: 'intend', task: t }]);
     const last = job.chunks.at(-1);
     assert.ok(last !== undefined);
@@ -161,37 +166,43 @@
 });
 
 test('placing a task of an ended job, or twice, is refused', () => {
-  const job = new Job(jobSpec({ id }), 8, ABSENT, at);
-  job.intend(0, machine(1), 1 as Session, at, null);
-  assert.throws(() => job.intend(0, machine(2), 1 as Session, at, null));
-  job.enter('cancelled');
-  assert.throws(() => job.intend(1, machine(2), 1 as Session, at, null));
+  const job = new Job(jobSpec({ id }), 8, KEY_ABSENT, at);
+  job.recordIntent(0, machine(1), 1 as AgentEpoch, at, null);
+  assert.throws(() => job.recordIntent(0, machine(2), 1 as AgentEpoch, at, null));
+  job.transitionTo('cancelled');
+  assert.throws(() => job.recordIntent(1, machine(2), 1 as AgentEpoch, at, null));
   assert.throws(() => {
-    job.enter('done');
+    job.transitionTo('done');
   });
-  assert.deepEqual(job.pending(10), []);
+  assert.deepEqual(job.pendingTasks(10), []);
 });
 
 test('a cancellation overrides a stop that would save', () => {
-  const job = new Job(jobSpec({ id }), 8, ABSENT, at);
-  job.intend(0, machine(1), 1 as Session, at, null);
-  job.askStop(0, 10, 'drained', at);
-  job.askStop(0, 0, 'cancelled', at);
-  assert.equal(job.placements.get(0)?.stop?.graceS, 0);
-  job.askStop(0, 10, 'preempted', at);
-  assert.equal(job.placements.get(0)?.stop?.reason, 'cancelled');
+  const job = new Job(jobSpec({ id }), 8, KEY_ABSENT, at);
+  job.recordIntent(0, machine(1), 1 as AgentEpoch, at, null);
+  job.requestStop(0, 10, 'drained', at);
+  job.requestStop(0, 0, 'cancelled', at);
+  assert.equal(job.placements.get(0)?.stopRequest?.graceS, 0);
+  job.requestStop(0, 10, 'preempted', at);
+  assert.equal(job.placements.get(0)?.stopRequest?.reason, 'cancelled');
 });
 
 test("a job's record survives being written and read", () => {
-  const record = { spec: jobSpec({ id }), phase: 'active' as const, at: 5 as WallMs, chunkSize: 256 };
-  for (const over of [{}, { phase: 'cancelled' as const, cancelledAt: 7 as WallMs }]) {
+  const record = {
+    spec: jobSpec({ id }),
+    phase: 'active' as const,
+    submittedAt: 5 as WallClockMs,
+    chunkSize: 256,
+  };
+  for (const over of [{}, { phase: 'cancelled' as const, cancelledAt: 7 as WallClockMs }]) {
     const written = { ...record, ...over };
     assert.deepEqual(decodeJob(JSON.parse(JSON.stringify(encodeJob(written)))), written);
   }
 });
 
 test('jobs that can never run are told so', () => {
-  const of = (over: Parameters<typeof jobSpec>[0]): string | null => neverRuns(jobSpec(over), TEAMS, TYPES);
+  const of = (over: Parameters<typeof jobSpec>[0]): string | null =>
+    rejectionReason(jobSpec(over), TEAMS, TYPES);
   assert.equal(of({ id }), null);
   assert.match(of({ id, team: 'nobody' }) ?? '', /team/);
   assert.match(of({ id, cpus: 17 }) ?? '', /type/);
@@ -204,13 +215,13 @@
   assert.match(of({ id, cpus: 16, tasks: 3, kind: 'service' }) ?? '', /limit/);
   // Sums of decimals are as long as the limit, and not longer by the last bit.
   const limit = [{ name: 'red', cpus: 0, cpusMax: 0.3, gpus: 0, gpusMax: 0 }];
-  assert.equal(neverRuns(jobSpec({ id, kind: 'gang', tasks: 3, cpus: 0.1 }), limit, TYPES), null);
+  assert.equal(rejectionReason(jobSpec({ id, kind: 'gang', tasks: 3, cpus: 0.1 }), limit, TYPES), null);
 });
 
 test('a gang that has to be in one zone, and in no zone with more than half of it, can never run', () => {
   const gang = { id, kind: 'gang' as const, tasks: 2, spread: true };
   const of = (over: Parameters<typeof jobSpec>[0], types = TYPES): string | null =>
-    neverRuns(jobSpec(over), TEAMS, types);
+    rejectionReason(jobSpec(over), TEAMS, types);
   assert.equal(of(gang), null);
   assert.match(of({ ...gang, oneZone: true }) ?? '', /scatter/);
   assert.match(of({ ...gang, zone: 'b' }) ?? '', /scatter/);
@@ -232,20 +243,20 @@
     ['a', 20],
     ['c', 10],
   ] as const)
-    m.useImage(image, gb, 40);
+    m.cacheImage(image, gb, 40);
   assert.deepEqual([...m.images.keys()], ['a', 'c']);
   assert.throws(() => {
-    m.enter('silent');
+    m.transitionTo('silent');
   });
 });
 
 // Two sound machines were drained because many tasks of one job had been estimated too short.
 test('a machine is called slow by different jobs, not by many tasks of one', () => {
   const m = new Machine(machine(1), 's4', 'a', false, true, at);
-  for (let task = 0; task < 30; task += 1) m.ran('wk-000001', 4);
+  for (let task = 0; task < 30; task += 1) m.recordRunTime('wk-000001', 4);
   assert.equal(m.isSlow(1.7), false);
-  for (let job = 2; job < 12; job += 1) m.ran(`wk-00000${job}`, 3);
+  for (let job = 2; job < 12; job += 1) m.recordRunTime(`wk-00000${job}`, 3);
   assert.equal(m.isSlow(1.7), true);
-  for (let job = 12; job < 40; job += 1) m.ran(`wk-0000${job}`, 0.9);
+  for (let job = 12; job < 40; job += 1) m.recordRunTime(`wk-0000${job}`, 0.9);
   assert.equal(m.slowness, 1);
 });
--- a/packages/net/src/budget.ts
+++ b/packages/net/src/budget.ts
@@ -1,13 +1,13 @@
 import type { Clock } from './clock.js';
 
 /** Lower is more urgent. */
-export type Urgency = 0 | 1 | 2 | 3;
+export type RequestPriority = 0 | 1 | 2 | 3;
 
 /**
  * A token bucket with priorities: less urgent work must leave a part of the bucket to the urgent.
  * `take` never waits; a caller refused here tries again later or answers 503.
  */
-export class Budget {
+export class RateLimiter {
   private tokens: number;
   private at: number;
 
@@ -26,7 +26,7 @@
     this.at = now;
   }
 
-  take(amount: number, urgency: Urgency): boolean {
+  tryAcquire(amount: number, urgency: RequestPriority): boolean {
     this.refill();
     const reserve = this.burst * 0.15 * urgency;
     // The most urgent may overdraw by one request: a renewal late by a token would cost the lease.
--- a/packages/net/src/clock.ts
+++ b/packages/net/src/clock.ts
@@ -1,18 +1,18 @@
 import type { Brand } from '@spurbridge/wire';
 
 /** A reading of this process's steady clock, in milliseconds. Never compared between processes. */
-export type Ms = Brand<number, 'Ms'>;
+export type MonotonicMs = Brand<number, 'Ms'>;
 
 export interface Clock {
-  now(): Ms;
+  now(): MonotonicMs;
   sleep(ms: number): Promise<void>;
 }
 
-export const steadyClock: Clock = {
-  now: () => performance.now() as Ms,
+export const monotonicClock: Clock = {
+  now: () => performance.now() as MonotonicMs,
   sleep: (ms) => new Promise((resolve) => setTimeout(resolve, ms)),
 };
 
-export function later(at: Ms, ms: number): Ms {
-  return (at + ms) as Ms;
+export function addMs(at: MonotonicMs, ms: number): MonotonicMs {
+  return (at + ms) as MonotonicMs;
 }
--- a/packages/net/src/http.ts
+++ b/packages/net/src/http.ts
@@ -1,18 +1,18 @@
 import http from 'node:http';
 
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: unknown;
 }
 
 /** No answer: the request may or may not have been executed, now or later. */
-export class NoAnswerError extends Error {
+export class NoResponseError extends Error {
   constructor(
     reason: string,
     /** True when the request certainly never left this process. */
     readonly notSent: boolean,
     /** True when this process had nothing left to send it with, such as a socket: it says nothing of the other side. */
-    readonly isOurs = false,
+    readonly isLocalFault = false,
   ) {
     super(reason);
   }
@@ -38,11 +38,11 @@
   }
 
   /** Whether a call is under way. */
-  get busy(): boolean {
+  get isBusy(): boolean {
     return this.calls > 0;
   }
 
-  async call(method: HttpMethod, path: string, body: unknown, timeoutMs: number): Promise<HttpAnswer> {
+  async call(method: HttpMethod, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse> {
     this.calls += 1;
     try {
       return await this.request(method, path, body, timeoutMs);
@@ -51,7 +51,7 @@
     }
   }
 
-  private request(method: HttpMethod, path: string, body: unknown, timeoutMs: number): Promise<HttpAnswer> {
+  private request(method: HttpMethod, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse> {
     return new Promise((resolve, reject) => {
       const payload = body === undefined ? undefined : Buffer.from(JSON.stringify(body));
       let connected = false;
@@ -60,7 +60,7 @@
         if (settled) return;
         settled = true;
         clearTimeout(timer);
-        reject(new NoAnswerError(reason, !connected, isOurs));
+        reject(new NoResponseError(reason, !connected, isOurs));
         request.destroy();
       };
       const request = http.request(
--- a/packages/net/test/budget.test.ts
+++ b/packages/net/test/budget.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import type { Ms } from '../src/index.js';
-import { Budget } from '../src/index.js';
+import type { MonotonicMs } from '../src/index.js';
+import { RateLimiter } from '../src/index.js';
 
 test('a budget never grants more than its rate and burst, and keeps a reserve for the urgent', () => {
   const step = fc.record({
@@ -13,18 +13,18 @@
   fc.assert(
     fc.property(fc.array(step, { maxLength: 200 }), (steps) => {
       let now = 0;
-      const clock = { now: () => now as Ms, sleep: () => Promise.resolve() };
-      const budget = new Budget(clock, 20, 20);
+      const clock = { now: () => now as MonotonicMs, sleep: () => Promise.resolve() };
+      const budget = new RateLimiter(clock, 20, 20);
       let granted = 0;
       for (const s of steps) {
         now += s.wait;
-        if (budget.take(s.amount, s.urgency as 0 | 1 | 2 | 3)) granted += s.amount;
+        if (budget.tryAcquire(s.amount, s.urgency as 0 | 1 | 2 | 3)) granted += s.amount;
         assert.ok(granted <= 20 + (now / 1000) * 20 + 1 + 1e-6);
       }
     }),
     { seed: 7, numRuns: 200 },
   );
-  const budget = new Budget({ now: () => 0 as Ms, sleep: () => Promise.resolve() }, 20, 20);
-  while (budget.take(1, 3));
-  assert.ok(budget.take(1, 0), 'the least urgent cannot use everything up');
+  const budget = new RateLimiter({ now: () => 0 as MonotonicMs, sleep: () => Promise.resolve() }, 20, 20);
+  while (budget.tryAcquire(1, 3));
+  assert.ok(budget.tryAcquire(1, 0), 'the least urgent cannot use everything up');
 });
--- a/packages/planner/src/pace.ts
+++ b/packages/planner/src/fleet/burst-rate.ts
@@ -1,35 +1,36 @@
-import { fitsType } from '@spurbridge/model';
+import { fitsMachineType } from '@spurbridge/model';
 import type { MachineType } from '@spurbridge/wire';
-import type { FleetInput } from './fleet.js';
-import type { Unmet } from './plan/index.js';
-import type { Rents } from './rents.js';
+import type { FleetInput } from './plan-fleet.js';
+import type { UnplacedDemand } from '../scheduling/index.js';
+import type { ScaleOutRequests } from './scale-out-requests.js';
 
 /** Arrivals are uneven: so much more than the fleet must come before it is a burst. */
-const BURST = 1.2;
+const BURST_FACTOR = 1.2;
 
 /**
  * Rents for the work that arrives while machines boot. Met only once each job was predicted to be late, a burst of a minute
  * had its machines half a minute after its end, and they worked off what was late already.
  */
-export function keepPace(
+export function scaleOutForBurst(
   input: FleetInput,
-  rents: Rents,
+  rents: ScaleOutRequests,
   /** What looking after one more machine is taken to cost. */
   attention: number,
 ): void {
-  const { policy, types, machines, available } = input;
-  const waiting = input.unmet.find(isWaiting);
-  if (!policy.frugal || waiting === undefined) return;
+  const { policy, types, machines, hasCapacity: available } = input;
+  const waiting = input.unplacedDemand.find(isWaiting);
+  if (!policy.isCostAware || waiting === undefined) return;
   let capacity = 0;
-  for (const m of machines) if (m.takesTasks || m.booting) capacity += m.type.cpus - m.steadyCpus;
+  for (const m of machines)
+    if (m.isSchedulable || m.isBooting) capacity += m.type.cpus - m.nonPreemptibleCpus;
   for (const r of rents.list()) capacity += r.count * (types.find((t) => t.name === r.type)?.cpus ?? 0);
-  if (policy.burstCpus < capacity * BURST) return;
+  if (policy.burstCpus < capacity * BURST_FACTOR) return;
   const { spec } = waiting.job;
   const options: { type: MachineType; zone: string; spot: boolean; score: number }[] = [];
   for (const type of types)
     for (const zone of type.zones)
       for (const spot of spec.spot ? [true, false] : [false]) {
-        if (!fitsType(spec, type) || (spec.zone !== null && spec.zone !== zone)) continue;
+        if (!fitsMachineType(spec, type) || (spec.zone !== null && spec.zone !== zone)) continue;
         if (!available(type.name, zone, spot)) continue;
         const places = Math.max(1, Math.floor(type.cpus / Math.max(spec.cpus, 0.01)));
         options.push({
@@ -50,6 +51,6 @@
     rents.add(o.type, o.zone, o.spot, Math.floor((count + i) / alike.length));
 }
 
-function isWaiting(u: Unmet): boolean {
-  return u.job.spec.kind === 'array' && u.withinLimit && u.startsInS > 0;
+function isWaiting(u: UnplacedDemand): boolean {
+  return u.job.spec.kind === 'array' && u.isWithinLimit && u.startsInS > 0;
 }
--- a/packages/planner/src/fleet.ts
+++ b/packages/planner/src/fleet/plan-fleet.ts
@@ -1,31 +1,31 @@
-import { fitsType } from '@spurbridge/model';
+import { fitsMachineType } from '@spurbridge/model';
 import type { JobSpec, MachineId, MachineType } from '@spurbridge/wire';
-import { keepPace } from './pace.js';
-import type { Unmet } from './plan/index.js';
-import { Rents } from './rents.js';
-import { Reserve } from './reserve.js';
+import { scaleOutForBurst } from './burst-rate.js';
+import type { UnplacedDemand } from '../scheduling/index.js';
+import { ScaleOutRequests } from './scale-out-requests.js';
+import { SpareCapacity } from './spare-capacity.js';
 
 export interface FleetMachine {
   readonly id: MachineId;
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  readonly booting: boolean;
+  readonly isBooting: boolean;
   /** May be given back when it is not needed. */
-  readonly returnable: boolean;
+  readonly canScaleIn: boolean;
   readonly idleS: number;
   readonly usedCpus: number;
   readonly usedGpus: number;
-  readonly takesTasks: boolean;
+  readonly isSchedulable: boolean;
   readonly images: ReadonlyMap<string, number>;
   /** Services' tasks on it. */
   readonly replicas: readonly Replica[];
   readonly usedMemoryGb: number;
   /** Of that, what cannot be stopped for a service: services and gangs. */
-  readonly steadyCpus: number;
-  readonly steadyMemoryGb: number;
+  readonly nonPreemptibleCpus: number;
+  readonly nonPreemptibleMemoryGb: number;
   /** Nothing on it started or was stopped lately, and nothing on it keeps it from being drained. */
-  readonly settled: boolean;
+  readonly isStable: boolean;
 }
 
 /** A service's task, as far as moving it goes. */
@@ -39,54 +39,55 @@
   /** A move must not wait for its image: only machines that hold it will do. */
   readonly image: string;
   /** What binds the zones of a job's replicas, shared by them all; null when nothing does. */
-  readonly beside: Beside | null;
+  readonly zoneSpread: ZoneSpread | null;
 }
 
 /** The zones that a job's tasks hold, and what they must keep to. */
-export interface Beside {
-  readonly held: ReadonlyMap<string, number>;
+export interface ZoneSpread {
+  readonly replicasByZone: ReadonlyMap<string, number>;
   /** At most this many in one zone. */
-  readonly most: number;
+  readonly maxPerZone: number;
   readonly oneZone: boolean;
 }
 
 /** Whether one of a job's replicas may move between zones. */
-function mayMove(b: Beside, from: string, to: string): boolean {
+function canMoveZone(b: ZoneSpread, from: string, to: string): boolean {
   if (from === to) return true;
-  if (b.oneZone) return b.held.size === 0 || (b.held.size === 1 && b.held.get(from) === 1);
-  return (b.held.get(to) ?? 0) < b.most;
+  if (b.oneZone)
+    return b.replicasByZone.size === 0 || (b.replicasByZone.size === 1 && b.replicasByZone.get(from) === 1);
+  return (b.replicasByZone.get(to) ?? 0) < b.maxPerZone;
 }
 
 export interface FleetPolicy {
   /** An empty machine is kept this long. */
-  readonly idleS: number;
+  readonly scaleInIdleS: number;
   /** CPUs, in use or free, that the recent past says will be needed. */
   readonly targetCpus: number;
-  readonly targetOrdinaryCpus: number;
+  readonly targetOnDemandCpus: number;
   /** In a burst, the CPUs that would keep up with the arrays that arrive; 0: they come as usual. */
   readonly burstCpus: number;
   /** Whether services spread over the zones: spare ordinary room is kept in more than one. */
-  readonly spreads: boolean;
+  readonly spreadsServices: boolean;
   /** Whether money is weighed against speed: spare machines go back, and dear ones are a last resort. */
-  readonly frugal: boolean;
+  readonly isCostAware: boolean;
   /** Whether to look for a machine that can be emptied: that is dear, and need not be done each time. */
-  readonly consolidates: boolean;
+  readonly isConsolidating: boolean;
   /** As many machines as the controller looks after with ease: beyond half of it, larger ones are preferred. */
-  readonly easyMachines: number;
+  readonly manageableMachines: number;
   /** Work that would start within this share of a machine's boot time is left to the queue. */
-  readonly bootShare: number;
+  readonly minQueueBootShare: number;
 }
 
 export interface FleetInput {
   readonly types: readonly MachineType[];
   readonly machines: readonly FleetMachine[];
-  readonly unmet: readonly Unmet[];
+  readonly unplacedDemand: readonly UnplacedDemand[];
   readonly policy: FleetPolicy;
   /** False while a type, zone and kind was lately refused for want of capacity. */
-  readonly available: (type: string, zone: string, spot: boolean) => boolean;
+  readonly hasCapacity: (type: string, zone: string, spot: boolean) => boolean;
 }
 
-export interface Rent {
+export interface ScaleOutRequest {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
@@ -94,13 +95,13 @@
 }
 
 export interface FleetPlan {
-  readonly rent: readonly Rent[];
-  readonly release: readonly MachineId[];
+  readonly scaleOut: readonly ScaleOutRequest[];
+  readonly scaleIn: readonly MachineId[];
   /** A machine whose replicas fit elsewhere: it is drained so that it can go back. */
   readonly drain: MachineId | null;
 }
 
-interface Coming {
+interface IncomingMachine {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
@@ -120,9 +121,9 @@
  * How many of the job's tasks one place on a machine can run one after another before its deadline.
  * Renting a place for each waiting task bought twice the machines that a start with none needed.
  */
-function turns(u: Unmet, readyInS: number): number {
+function tasksInSuccession(u: UnplacedDemand, readyInS: number): number {
   const { spec, ageS, estimateS } = u.job;
-  if (spec.deadlineS === null || spec.kind !== 'array' || u.guaranteed) return 1;
+  if (spec.deadlineS === null || spec.kind !== 'array' || u.isGuaranteed) return 1;
   return Math.max(1, Math.floor((spec.deadlineS - ageS - readyInS) / (Math.max(estimateS, 0.5) * IN_TURN)));
 }
 
@@ -138,8 +139,8 @@
 
 /** What to rent for work that no machine can take soon, and which empty machines to give back. */
 export function planFleet(input: FleetInput): FleetPlan {
-  const coming: Coming[] = input.machines
-    .filter((m) => m.booting)
+  const coming: IncomingMachine[] = input.machines
+    .filter((m) => m.isBooting)
     .map((m) => ({
       type: m.type,
       zone: m.zone,
@@ -151,57 +152,64 @@
       gpus: m.type.gpus - m.usedGpus,
       memoryGb: m.type.memoryGb - m.usedMemoryGb,
     }));
-  const rents = new Rents();
+  const rents = new ScaleOutRequests();
   const perZone = new Map<string, number>();
   const typical = typicalPrice(input.types);
   const attention = (): number => {
     let count = input.machines.length;
     for (const r of rents.list()) count += r.count;
-    return Math.max(0, count / input.policy.easyMachines - 0.5) * typical;
+    return Math.max(0, count / input.policy.manageableMachines - 0.5) * typical;
   };
   for (const m of input.machines) perZone.set(m.zone, (perZone.get(m.zone) ?? 0) + m.type.cpus);
-  for (const u of input.unmet) if (u.withinLimit) meet(input, u, coming, rents, perZone, attention);
-  keepPace(input, rents, attention());
+  for (const u of input.unplacedDemand)
+    if (u.isWithinLimit) scaleOutFor(input, u, coming, rents, perZone, attention);
+  scaleOutForBurst(input, rents, attention());
   // Until it is needed the reserve is open to work that can be stopped: replicas of a lost machine must find room at once, and a
   // boot later is too late.
-  const reserve = new Reserve(input);
-  const release = surplus(input, reserve);
-  const drain = release.length > 0 || !input.policy.consolidates ? null : consolidate(input, reserve);
-  if (input.policy.frugal) reserve.keep(rents);
-  const swapped = drain?.swapCpus === undefined ? null : swap(input, drain.swapCpus);
+  const reserve = new SpareCapacity(input);
+  const release = findScaleIn(input, reserve);
+  const drain = release.length > 0 || !input.policy.isConsolidating ? null : consolidate(input, reserve);
+  if (input.policy.isCostAware) reserve.scaleOut(rents);
+  const swapped = drain?.swapCpus === undefined ? null : spotReplacement(input, drain.swapCpus);
   return {
-    rent: swapped === null ? rents.list() : [...rents.list(), swapped],
-    release,
+    scaleOut: swapped === null ? rents.list() : [...rents.list(), swapped],
+    scaleIn: release,
     drain: drain === null || drain.swapCpus !== undefined ? null : drain.id,
   };
 }
 
-function meet(
+function scaleOutFor(
   input: FleetInput,
-  u: Unmet,
-  coming: Coming[],
-  rents: Rents,
+  u: UnplacedDemand,
+  coming: IncomingMachine[],
+  rents: ScaleOutRequests,
   perZone: Map<string, number>,
   attention: () => number,
 ): void {
   const spec = u.job.spec;
-  let zone = spec.zone ?? (spec.oneZone ? (u.job.zones[0] ?? u.zone ?? roomiest(u, coming)) : null);
-  let left = u.tasks;
-  if (spec.zone === null && zone !== null && u.job.zones.length === 0 && !mayRent(input, spec, zone)) {
+  let zone =
+    spec.zone ?? (spec.oneZone ? (u.job.placedZones[0] ?? u.zone ?? zoneWithMostRoom(u, coming)) : null);
+  let left = u.taskCount;
+  if (
+    spec.zone === null &&
+    zone !== null &&
+    u.job.placedZones.length === 0 &&
+    !canScaleOut(input, spec, zone)
+  ) {
     // The zone where part of it has room has no more to give: the whole of it goes to another one.
     zone = null;
-    left = Math.max(left, u.job.pending.length);
+    left = Math.max(left, u.job.pendingTasks.length);
   }
   const inZone = new Map<string, number>();
-  for (const z of u.job.zones) inZone.set(z, (inZone.get(z) ?? 0) + 1);
+  for (const z of u.job.placedZones) inZone.set(z, (inZone.get(z) ?? 0) + 1);
   const zoneMost = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
   const allowed = (type: MachineType, z: string, spot: boolean): boolean =>
-    fitsType(spec, type) &&
+    fitsMachineType(spec, type) &&
     (zone === null || z === zone) &&
     (!spot || spec.spot) &&
     (inZone.get(z) ?? 0) < zoneMost;
-  const takeFrom = (c: Coming): void => {
-    const share = 1 / turns(u, c.readyInS);
+  const takeFrom = (c: IncomingMachine): void => {
+    const share = 1 / tasksInSuccession(u, c.readyInS);
     while (
       left > 0 &&
       c.cpus >= spec.cpus &&
@@ -221,7 +229,7 @@
     if (allowed(c.type, c.zone, c.spot)) takeFrom(c);
   }
   const slackS =
-    spec.deadlineS === null || u.guaranteed
+    spec.deadlineS === null || u.isGuaranteed
       ? 0
       : Math.max(0, spec.deadlineS - u.job.ageS - u.job.estimateS * 1.5 - u.startsInS);
   while (left > 0) {
@@ -229,16 +237,21 @@
     const each = attention();
     for (const type of input.types) {
       // A machine that would be ready no sooner than the queue gets there is not worth its price.
-      if (u.startsInS < type.bootS * input.policy.bootShare) continue;
+      if (u.startsInS < type.bootS * input.policy.minQueueBootShare) continue;
       if (slackS > type.bootS) continue;
       const zones = type.zones.length > 0 ? type.zones : [...perZone.keys()];
       for (const z of zones)
         for (const spot of spec.spot ? [true, false] : [false]) {
-          if (!allowed(type, z, spot) || !input.available(type.name, z, spot)) continue;
-          if (input.policy.frugal && spec.spot && !spot && !pressing(u, type, input.policy.burstCpus > 0))
+          if (!allowed(type, z, spot) || !input.hasCapacity(type.name, z, spot)) continue;
+          if (
+            input.policy.isCostAware &&
+            spec.spot &&
+            !spot &&
+            !needsOnDemand(u, type, input.policy.burstCpus > 0)
+          )
             continue;
-          const places = placesOn(spec, type);
-          const fit = Math.min(left, places * turns(u, type.bootS));
+          const places = countFittingTasks(spec, type);
+          const fit = Math.min(left, places * tasksInSuccession(u, type.bootS));
           if (fit < 1) continue;
           const price = spot ? type.spotPrice : type.price;
           const crowd = (perZone.get(z) ?? 0) * 1e-5;
@@ -250,7 +263,7 @@
     if (spec.oneZone) zone = best.zone;
     rents.add(best.type, best.zone, best.spot, 1);
     perZone.set(best.zone, (perZone.get(best.zone) ?? 0) + best.type.cpus);
-    const c: Coming = {
+    const c: IncomingMachine = {
       type: best.type,
       zone: best.zone,
       spot: best.spot,
@@ -266,12 +279,12 @@
   }
 }
 
-function mayRent(input: FleetInput, spec: JobSpec, zone: string): boolean {
+function canScaleOut(input: FleetInput, spec: JobSpec, zone: string): boolean {
   return input.types.some(
     (t) =>
-      fitsType(spec, t) &&
+      fitsMachineType(spec, t) &&
       (t.zones.length === 0 || t.zones.includes(zone)) &&
-      (input.available(t.name, zone, false) || (spec.spot && input.available(t.name, zone, true))),
+      (input.hasCapacity(t.name, zone, false) || (spec.spot && input.hasCapacity(t.name, zone, true))),
   );
 }
 
@@ -279,22 +292,22 @@
  * The zone where most tasks of a job bound to one fit what is under way: counted over all zones, a gang
  * was met by halves and nothing was rented for it.
  */
-function roomiest(u: Unmet, coming: readonly Coming[]): string | null {
+function zoneWithMostRoom(u: UnplacedDemand, coming: readonly IncomingMachine[]): string | null {
   const { spec } = u.job;
   const places = new Map<string, number>();
   for (const c of coming) {
-    if ((c.spot && !spec.spot) || !fitsType(spec, c.type)) continue;
-    const fit = placesOn(spec, c);
+    if ((c.spot && !spec.spot) || !fitsMachineType(spec, c.type)) continue;
+    const fit = countFittingTasks(spec, c);
     if (fit > 0) places.set(c.zone, (places.get(c.zone) ?? 0) + fit);
   }
   let best: string | null = null;
   for (const [zone, n] of places)
-    if (best === null || Math.min(n, u.tasks) > Math.min(places.get(best) ?? 0, u.tasks)) best = zone;
+    if (best === null || Math.min(n, u.taskCount) > Math.min(places.get(best) ?? 0, u.taskCount)) best = zone;
   return best;
 }
 
 /** How many tasks of this size fit. */
-function placesOn(spec: JobSpec, on: { cpus: number; gpus: number; memoryGb: number }): number {
+function countFittingTasks(spec: JobSpec, on: { cpus: number; gpus: number; memoryGb: number }): number {
   return Math.min(
     Math.floor(on.cpus / Math.max(spec.cpus, 1e-9) + 1e-9),
     Math.floor(on.memoryGb / Math.max(spec.memoryGb, 1e-9) + 1e-9),
@@ -308,11 +321,12 @@
  */
 export function effectiveCpus(spec: JobSpec, types: readonly MachineType[]): number {
   let least = Infinity;
-  for (const t of types) if (fitsType(spec, t)) least = Math.min(least, shareOf(spec, t) * t.cpus);
+  for (const t of types)
+    if (fitsMachineType(spec, t)) least = Math.min(least, dominantShare(spec, t) * t.cpus);
   return least === Infinity ? spec.cpus : least;
 }
 
-function shareOf(need: { cpus: number; gpus: number; memoryGb: number }, t: MachineType): number {
+function dominantShare(need: { cpus: number; gpus: number; memoryGb: number }, t: MachineType): number {
   const share = (wanted: number, of: number): number => (wanted > 0 ? wanted / of : 0);
   return Math.max(share(need.cpus, t.cpus), share(need.gpus, t.gpus), share(need.memoryGb, t.memoryGb));
 }
@@ -322,11 +336,11 @@
 const LONG_QUEUE = 2;
 
 /** Ordinary machines for work that may use spot ones: only where its deadline would be missed. */
-function pressing(u: Unmet, type: MachineType, isBurst: boolean): boolean {
+function needsOnDemand(u: UnplacedDemand, type: MachineType, isBurst: boolean): boolean {
   const { spec, ageS, estimateS } = u.job;
   const queuedS = ageS + u.startsInS * IN_TURN + estimateS * IN_TURN;
   const rentedS = ageS + type.bootS + spec.imageGb / type.fetchGbPerS + estimateS;
-  const helps = u.job.milestonesS.some((m) => queuedS > m && rentedS <= m);
+  const helps = u.job.completionMilestonesS.some((m) => queuedS > m && rentedS <= m);
   if (spec.deadlineS === null) return ageS > LATE_START_S || helps;
   // In a burst, waiting until a job is late rents machines that come up when all are late. On a usual minute the queue is
   // shorter than it seems, and spot machines will do; before there are any machines, those asked for are under way.
@@ -335,45 +349,45 @@
   return spec.deadlineS - ageS < estimateS * 1.3 + type.bootS + 10;
 }
 
-interface Emptied {
+interface Consolidation {
   readonly id: MachineId;
   /** Spot CPUs to be rented first, so that the work beside the replicas keeps its room. */
   readonly swapCpus?: number;
 }
 
 /** The machine whose emptying saves most for each replica that has to move, if they all fit elsewhere. */
-function consolidate(input: FleetInput, reserve: Reserve): Emptied | null {
+function consolidate(input: FleetInput, reserve: SpareCapacity): Consolidation | null {
   const { policy } = input;
-  const waits = (u: Unmet): boolean => u.job.spec.kind === 'service' || u.startsInS > WAITS_S;
-  if (!policy.frugal || input.unmet.some((u) => u.withinLimit && waits(u))) return null;
-  if (input.machines.some((m) => m.booting)) return null;
-  const ready = input.machines.filter((m) => m.takesTasks);
+  const waits = (u: UnplacedDemand): boolean => u.job.spec.kind === 'service' || u.startsInS > WAITS_S;
+  if (!policy.isCostAware || input.unplacedDemand.some((u) => u.isWithinLimit && waits(u))) return null;
+  if (input.machines.some((m) => m.isBooting)) return null;
+  const ready = input.machines.filter((m) => m.isSchedulable);
   const total = ready.reduce((sum, m) => sum + m.type.cpus, 0);
   const options: { machine: FleetMachine; gain: number; missing: number }[] = [];
   for (const m of ready) {
-    if (!m.returnable || m.replicas.length === 0 || !m.settled) continue;
-    if (!m.spot && !reserve.maySpare(m)) continue;
+    if (!m.canScaleIn || m.replicas.length === 0 || !m.isStable) continue;
+    if (!m.spot && !reserve.canRemove(m)) continue;
     const missing = policy.targetCpus - (total - m.type.cpus);
     if (m.spot && missing > 0) continue;
     const price = m.spot ? m.type.spotPrice : m.type.price;
-    const waste = 1 - m.replicas.reduce((sum, r) => sum + shareOf(r, m.type), 0);
+    const waste = 1 - m.replicas.reduce((sum, r) => sum + dominantShare(r, m.type), 0);
     const gain = (price * waste) / m.replicas.length;
     if (waste >= LEAST_WASTE) options.push({ machine: m, gain, missing });
   }
   // Whether everything fits elsewhere is dear to find out: only the most gainful are tried.
   options.sort((a, b) => b.gain - a.gain);
   for (const { machine, missing } of options.slice(0, MOST_TRIED))
-    if (fitElsewhere(machine, ready))
+    if (replicasFitElsewhere(machine, ready))
       return missing > 0 ? { id: machine.id, swapCpus: missing } : { id: machine.id };
   return null;
 }
 
 /** Spot machines in place of an ordinary one that mostly runs work which may use them. */
-function swap(input: FleetInput, cpus: number): Rent | null {
+function spotReplacement(input: FleetInput, cpus: number): ScaleOutRequest | null {
   let best: { type: MachineType; zone: string; price: number } | null = null;
   for (const type of input.types)
     for (const zone of type.zones) {
-      if (type.cpus < Math.min(cpus, LEAST_SWAP_CPUS) || !input.available(type.name, zone, true)) continue;
+      if (type.cpus < Math.min(cpus, LEAST_SWAP_CPUS) || !input.hasCapacity(type.name, zone, true)) continue;
       const price = type.spotPrice / type.cpus;
       if (best === null || price < best.price) best = { type, zone, price };
     }
@@ -390,7 +404,7 @@
 /** A machine used better than this is left alone. */
 const LEAST_WASTE = 0.2;
 
-function fitElsewhere(from: FleetMachine, ready: readonly FleetMachine[]): boolean {
+function replicasFitElsewhere(from: FleetMachine, ready: readonly FleetMachine[]): boolean {
   const free = ready
     .filter((m) => m.id !== from.id)
     .map((m) => ({
@@ -409,7 +423,7 @@
         r.gpus <= f.gpus &&
         (!f.m.spot || r.spot) &&
         (r.zone === null || r.zone === f.m.zone) &&
-        (r.beside === null || mayMove(r.beside, from.zone, f.m.zone)) &&
+        (r.zoneSpread === null || canMoveZone(r.zoneSpread, from.zone, f.m.zone)) &&
         (r.types === null || r.types.includes(f.m.type.name)),
     );
     if (to === undefined) return false;
@@ -423,30 +437,32 @@
 /** Spot machines are cheap to keep: they are given back this many times later. */
 const SPOT_KEEP = 2;
 
-function surplus(input: FleetInput, reserve: Reserve): MachineId[] {
+function findScaleIn(input: FleetInput, reserve: SpareCapacity): MachineId[] {
   const { policy } = input;
   // Work that waits for machines of one kind is no reason to keep others that it may not use.
   const wanted = (m: FleetMachine): boolean =>
-    input.unmet.some((u) => u.withinLimit && (!m.spot || u.job.spec.spot) && fitsType(u.job.spec, m.type));
+    input.unplacedDemand.some(
+      (u) => u.isWithinLimit && (!m.spot || u.job.spec.spot) && fitsMachineType(u.job.spec, m.type),
+    );
   let total = 0;
-  for (const m of input.machines) if (m.takesTasks || m.booting) total += m.type.cpus;
+  for (const m of input.machines) if (m.isSchedulable || m.isBooting) total += m.type.cpus;
   const price = (m: FleetMachine): number => (m.spot ? m.type.spotPrice : m.type.price) / m.type.cpus;
   const release: MachineId[] = [];
   const idle = input.machines
     .filter(
       (m) =>
-        m.returnable &&
+        m.canScaleIn &&
         m.usedCpus === 0 &&
-        m.takesTasks &&
-        m.idleS >= policy.idleS * (m.spot ? SPOT_KEEP : 1) &&
+        m.isSchedulable &&
+        m.idleS >= policy.scaleInIdleS * (m.spot ? SPOT_KEEP : 1) &&
         !wanted(m),
     )
     .sort((a, b) => price(b) - price(a));
   for (const m of idle) {
     if (total - m.type.cpus < policy.targetCpus) continue;
-    if (!m.spot && !reserve.maySpare(m)) continue;
+    if (!m.spot && !reserve.canRemove(m)) continue;
     total -= m.type.cpus;
-    if (!m.spot) reserve.spared(m);
+    if (!m.spot) reserve.remove(m);
     release.push(m.id);
   }
   return release;
--- a/packages/planner/src/rents.ts
+++ b/packages/planner/src/fleet/scale-out-requests.ts
@@ -1,9 +1,9 @@
 import type { MachineType } from '@spurbridge/wire';
-import type { Rent } from './fleet.js';
+import type { ScaleOutRequest } from './plan-fleet.js';
 
 /** What one plan of the fleet rents, by type, zone and kind. */
-export class Rents {
-  private readonly all = new Map<string, { -readonly [K in keyof Rent]: Rent[K] }>();
+export class ScaleOutRequests {
+  private readonly all = new Map<string, { -readonly [K in keyof ScaleOutRequest]: ScaleOutRequest[K] }>();
 
   add(type: MachineType, zone: string, spot: boolean, count: number): void {
     if (count <= 0) return;
@@ -13,7 +13,7 @@
     this.all.set(key, rent);
   }
 
-  list(): Rent[] {
+  list(): ScaleOutRequest[] {
     return [...this.all.values()];
   }
 }
--- a/packages/planner/src/reserve.ts
+++ b/packages/planner/src/fleet/spare-capacity.ts
@@ -1,26 +1,26 @@
 import type { MachineType } from '@spurbridge/wire';
-import type { FleetInput, FleetMachine } from './fleet.js';
-import type { Rents } from './rents.js';
+import type { FleetInput, FleetMachine } from './plan-fleet.js';
+import type { ScaleOutRequests } from './scale-out-requests.js';
 
 /** Machines rented for the reserve by one plan of the fleet. */
-const MOST_AT_ONCE = 4;
+const MAX_MACHINES_PER_PLAN = 4;
 
 /**
  * Ordinary room that services may take at once: free, or held by work that can be stopped for them. Where services spread
  * over zones, a zone's room serves only as far as the others have as much: all of the reserve once lay in one zone, and half
  * of every new service waited for a machine to boot in another.
  */
-export class Reserve {
+export class SpareCapacity {
   private readonly zones = new Map<string, number>();
   private cpus = 0;
   private steady = 0;
 
   constructor(private readonly input: FleetInput) {
     for (const m of input.machines) {
-      if (m.spot || !(m.takesTasks || m.booting)) continue;
+      if (m.spot || !(m.isSchedulable || m.isBooting)) continue;
       this.cpus += m.type.cpus;
-      this.steady += m.type.cpus - spare(m);
-      this.add(m.zone, spare(m));
+      this.steady += m.type.cpus - preemptibleCpus(m);
+      this.add(m.zone, preemptibleCpus(m));
     }
   }
 
@@ -37,12 +37,12 @@
       sum += left;
       most = Math.max(most, left);
     }
-    return this.input.policy.spreads ? Math.min(sum, 2 * (sum - most)) : sum;
+    return this.input.policy.spreadsServices ? Math.min(sum, 2 * (sum - most)) : sum;
   }
 
   /** How much is missing of what the recent past says will be needed. */
   private missing(lessIn: string | null = null, less = 0): number {
-    const { targetOrdinaryCpus } = this.input.policy;
+    const { targetOnDemandCpus: targetOrdinaryCpus } = this.input.policy;
     return Math.max(
       targetOrdinaryCpus - (this.cpus - less),
       targetOrdinaryCpus - this.steady - this.usable(lessIn, less),
@@ -50,19 +50,19 @@
   }
 
   /** Whether an ordinary machine may be given back or emptied without falling short. */
-  maySpare(m: FleetMachine): boolean {
+  canRemove(m: FleetMachine): boolean {
     return this.missing(m.zone, m.type.cpus) <= 0;
   }
 
   /** A machine is given back. */
-  spared(m: FleetMachine): void {
+  remove(m: FleetMachine): void {
     this.cpus -= m.type.cpus;
-    this.add(m.zone, -spare(m));
+    this.add(m.zone, -preemptibleCpus(m));
   }
 
   /** Rents a machine for what is missing, where it is missing most. */
-  keep(rents: Rents): void {
-    const { types, available } = this.input;
+  scaleOut(rents: ScaleOutRequests): void {
+    const { types, hasCapacity: available } = this.input;
     for (const r of rents.list()) {
       const type = types.find((t) => t.name === r.type);
       if (r.spot || type === undefined) continue;
@@ -71,7 +71,7 @@
     }
     const missing = this.missing();
     if (missing <= 0) return;
-    const isShort = this.input.policy.spreads && this.usable(null, 0) < this.sum();
+    const isShort = this.input.policy.spreadsServices && this.usable(null, 0) < this.sum();
     let best: { type: MachineType; zone: string; score: number; room: number } | null = null;
     for (const type of types)
       for (const zone of type.zones) {
@@ -85,7 +85,12 @@
       }
     if (best === null) return;
     // Several at once where much is missing, as after the loss of a zone; which zone is short of most may change with each.
-    rents.add(best.type, best.zone, false, Math.min(MOST_AT_ONCE, Math.ceil(missing / best.type.cpus)));
+    rents.add(
+      best.type,
+      best.zone,
+      false,
+      Math.min(MAX_MACHINES_PER_PLAN, Math.ceil(missing / best.type.cpus)),
+    );
   }
 
   private sum(): number {
@@ -96,7 +101,7 @@
 }
 
 /** CPUs of a machine that services may have, by what runs out first. */
-function spare(m: FleetMachine): number {
-  const share = Math.max(m.steadyCpus / m.type.cpus, m.steadyMemoryGb / m.type.memoryGb);
+function preemptibleCpus(m: FleetMachine): number {
+  const share = Math.max(m.nonPreemptibleCpus / m.type.cpus, m.nonPreemptibleMemoryGb / m.type.memoryGb);
   return m.type.cpus * Math.max(0, 1 - share);
 }
--- a/packages/planner/src/heap.ts
+++ b/packages/planner/src/heap.ts
@@ -1,10 +1,10 @@
 /** A binary heap: the least element by `compare` is on top. */
-export class Heap<T> {
+export class BinaryHeap<T> {
   private readonly items: T[] = [];
 
   constructor(private readonly compare: (a: T, b: T) => number) {}
 
-  before(a: T, b: T): boolean {
+  isBefore(a: T, b: T): boolean {
     return this.compare(a, b) < 0;
   }
 
--- a/packages/planner/src/index.ts
+++ b/packages/planner/src/index.ts
@@ -1,4 +1,4 @@
-export * from './snapshot.js';
-export { Heap } from './heap.js';
-export * from './plan/index.js';
-export * from './fleet.js';
+export * from './cluster-snapshot.js';
+export { BinaryHeap } from './heap.js';
+export * from './scheduling/index.js';
+export * from './fleet/plan-fleet.js';
--- a/packages/planner/src/plan/evaluate.ts
+++ b/packages/planner/src/scheduling/evaluate.ts
@@ -1,11 +1,11 @@
-import type { JobView } from '../snapshot.js';
+import type { JobView } from '../cluster-snapshot.js';
 import { NumberHeap } from '../heap.js';
-import type { Ground } from './ground.js';
-import { SAME_S } from './ground.js';
-import type { Queue } from './queue.js';
-import type { Sized } from './sized.js';
-import type { Choice, Evaluation } from './types.js';
-import { allows, fetchSeconds } from './types.js';
+import type { SchedulingPass } from './scheduling-pass.js';
+import { COST_GRAIN_S } from './scheduling-pass.js';
+import type { MachineQueue } from './machine-queue.js';
+import type { EarliestStartIndex } from './earliest-start-index.js';
+import type { TaskAssignment, JobEvaluation } from './types.js';
+import { isMachineAllowed, imageFetchS } from './types.js';
 
 /** A service that takes a whole task's place on a machine is worth waiting this long to avoid. */
 const FRAGMENT_S = 2;
@@ -25,21 +25,21 @@
 /** Queues that are looked at in turn. */
 interface Front {
   readonly heap: NumberHeap;
-  readonly order: Sized;
+  readonly order: EarliestStartIndex;
   /** The next place in the order that was not looked at. */
   next: number;
 }
 
 /** Where each task would go, and when the job would complete; changes nothing. */
-export function evaluate(g: Ground, job: JobView): Evaluation {
+export function evaluate(g: SchedulingPass, job: JobView): JobEvaluation {
   const spec = job.spec;
   if (spec.oneZone) {
-    let best: Evaluation | null = null;
-    const held = job.zones[0];
-    const zones = held !== undefined ? [held] : [...new Set(g.s.machines.map((m) => m.zone))];
+    let best: JobEvaluation | null = null;
+    const held = job.placedZones[0];
+    const zones = held !== undefined ? [held] : [...new Set(g.snapshot.machines.map((m) => m.zone))];
     for (const zone of zones) {
       const e = evaluateIn(g, job, zone);
-      if (best === null || e.unplaced < best.unplaced || e.completionS < best.completionS) best = e;
+      if (best === null || e.unplacedCount < best.unplacedCount || e.completionS < best.completionS) best = e;
     }
     if (best !== null) return best;
   }
@@ -47,73 +47,77 @@
 }
 
 /** Estimates the start and end of a task in a queue; false when it never fits there. */
-export function estimate(g: Ground, job: JobView, at: number, q: Queue): boolean {
+export function estimate(g: SchedulingPass, job: JobView, at: number, q: MachineQueue): boolean {
   const { spec } = job;
   const m = q.machine;
-  g.steps += 1;
+  g.queueVisits += 1;
   const startS = q.earliestStart(spec);
   if (startS === Infinity) return false;
   const service = spec.kind === 'service';
-  const busy = startS + fetchSeconds(job, m);
+  const busy = startS + imageFetchS(job, m);
   // A service never completes: what counts for it is when it serves.
   const endS = service ? busy : busy + Math.max(job.estimateS, 0.5) * m.slowness;
-  let costS = endS + (g.s.frugal && spec.spot && !m.spot ? DEAR_S : 0);
+  let costS = endS + (g.snapshot.isCostAware && spec.spot && !m.spot ? DEAR_S : 0);
   if (spec.kind === 'gang') {
     // A gang waits for the slowest of its places, and estimates of what runs there are off.
     if (startS > 0) costS += GANG_DOUBT_S + startS * (1 + job.ageS / GANG_DOUBT_AGE_S);
   }
   if (service) {
-    if (g.s.typicalTask !== null) costS += q.slotsLost(spec, g.s.typicalTask) * FRAGMENT_S;
-    if (endS > job.patienceS) costS += MISS_S;
+    if (g.snapshot.typicalTask !== null) costS += q.slotsLost(spec, g.snapshot.typicalTask) * FRAGMENT_S;
+    if (endS > job.toleratedWaitS) costS += MISS_S;
   }
-  g.startS[at] = startS;
-  g.endS[at] = endS;
-  g.bucket[at] = Math.floor(costS / SAME_S);
+  g.startsS[at] = startS;
+  g.endsS[at] = endS;
+  g.costBuckets[at] = Math.floor(costS / COST_GRAIN_S);
   return true;
 }
 
-export function evaluateIn(g: Ground, job: JobView, zone: string | null): Evaluation {
+export function evaluateIn(g: SchedulingPass, job: JobView, zone: string | null): JobEvaluation {
   const spec = job.spec;
   const service = spec.kind === 'service';
   const balanced = spec.spread || service;
-  const changed = new Map<number, { before: Queue; after: Queue }>();
+  const changed = new Map<number, { before: MachineQueue; after: MachineQueue }>();
   const perZone = new Int32Array(g.zones.length);
-  for (const z of job.zones) {
+  for (const z of job.placedZones) {
     const i = g.zones.indexOf(z);
     if (i >= 0) perZone[i] = (perZone[i] as number) + 1;
   }
   const zoneMost = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
   const n = g.queues.length;
-  const { uses, place } = g;
+  const { taskCounts: uses, preferenceRanks: place } = g;
   // Cost, use and rank in one number, so that comparing machines is comparing numbers.
   const key = (at: number): number =>
-    ((g.bucket[at] as number) * USES + (balanced ? (uses[at] as number) : 0)) * n + (place[at] as number);
+    ((g.costBuckets[at] as number) * USES + (balanced ? (uses[at] as number) : 0)) * n +
+    (place[at] as number);
   // One heap of machines for each zone where the zones are to be balanced, otherwise one for all.
   const zones = zone !== null ? [zone] : balanced ? g.zones : [null];
-  const fronts = zones.map((z) => ({ heap: new NumberHeap(), order: g.sized(spec, z), next: 0 }));
-  const frontOf = (at: number): Front => fronts[zones.length > 1 ? (g.zoneOf[at] as number) : 0] as Front;
+  const fronts = zones.map((z) => ({ heap: new NumberHeap(), order: g.startIndex(spec, z), next: 0 }));
+  const frontOf = (at: number): Front =>
+    fronts[zones.length > 1 ? (g.zoneIndexes[at] as number) : 0] as Front;
   const leastRunS = service ? 0 : Math.max(job.estimateS, 0.5) * g.leastSlowness;
   // Queues come into the heap only as far as their lower bound is no worse than what is on top of it.
   const fill = (f: Front): void => {
     const { heap, order } = f;
     while (f.next < order.size) {
       const top = heap.peek();
-      const at = order.at[f.next] as number;
-      const least = Math.floor(((order.fromS[f.next] as number) + leastRunS) / SAME_S) * USES * n;
+      const at = order.queueIndexes[f.next] as number;
+      const least =
+        Math.floor(((order.earliestStartsS[f.next] as number) + leastRunS) / COST_GRAIN_S) * USES * n;
       // The plain plan looks at all of them.
       if (top !== undefined && least + (place[at] as number) > top && g.options.exhaustive !== true) return;
-      const q = g.queues[at] as Queue;
-      order.looked(f.next, q);
+      const q = g.queues[at] as MachineQueue;
+      order.recordVisit(f.next, q);
       f.next += 1;
       const m = q.machine;
-      if (!allows(job, m) || (job.avoid.size > 0 && job.avoid.has(m.id))) continue;
+      if (!isMachineAllowed(job, m) || (job.excludedMachines.size > 0 && job.excludedMachines.has(m.id)))
+        continue;
       uses[at] = 0;
       if (estimate(g, job, at, q)) heap.push(key(at));
     }
   };
-  const choices: Choice[] = [];
+  const choices: TaskAssignment[] = [];
   let completionS = 0;
-  for (const task of job.pending) {
+  for (const task of job.pendingTasks) {
     let best = -1;
     let least = Infinity;
     for (const [i, f] of fronts.entries()) {
@@ -122,12 +126,12 @@
       fill(f);
       const top = f.heap.peek();
       if (top === undefined) continue;
-      const at = g.atPlace[top % n] as number;
-      const inZone = perZone[g.zoneOf[at] as number] as number;
+      const at = g.queuesByPreference[top % n] as number;
+      const inZone = perZone[g.zoneIndexes[at] as number] as number;
       if (inZone >= zoneMost) continue;
       if (best >= 0 && balanced) {
         const costs = Math.floor(top / (USES * n)) - Math.floor(least / (USES * n));
-        const byZone = inZone - (perZone[g.zoneOf[best] as number] as number);
+        const byZone = inZone - (perZone[g.zoneIndexes[best] as number] as number);
         if ((costs || byZone || top - least) >= 0) continue;
       }
       best = at;
@@ -136,24 +140,32 @@
     if (best < 0) break;
     let q = changed.get(best);
     if (q === undefined) {
-      const before = g.queues[best] as Queue;
+      const before = g.queues[best] as MachineQueue;
       q = { before, after: before.copy() };
       changed.set(best, q);
     }
-    const startS = g.startS[best] as number;
-    const endS = g.endS[best] as number;
-    choices.push({ task, at: best, startS, endS });
+    const startS = g.startsS[best] as number;
+    const endS = g.endsS[best] as number;
+    choices.push({ task, queueIndex: best, startS, endS });
     completionS = Math.max(completionS, endS);
     q.after.add(spec, startS, service ? Infinity : endS);
     uses[best] = (uses[best] as number) + 1;
-    const z = g.zoneOf[best] as number;
+    const z = g.zoneIndexes[best] as number;
     perZone[z] = (perZone[z] as number) + 1;
     const { heap } = frontOf(best);
     if (estimate(g, job, best, q.after)) heap.replaceTop(key(best));
     else heap.pop();
   }
-  const unplaced = job.pending.length - choices.length;
+  const unplaced = job.pendingTasks.length - choices.length;
   if (unplaced > 0) completionS = Infinity;
-  else if (job.pendingCount > job.pending.length) completionS *= job.pendingCount / job.pending.length;
-  return { job, completionS, choices, changed, unplaced, epoch: g.epoch };
+  else if (job.pendingCount > job.pendingTasks.length)
+    completionS *= job.pendingCount / job.pendingTasks.length;
+  return {
+    job,
+    completionS,
+    assignments: choices,
+    changedQueues: changed,
+    unplacedCount: unplaced,
+    passRevision: g.revision,
+  };
 }
--- a/packages/planner/src/plan/queue.ts
+++ b/packages/planner/src/scheduling/machine-queue.ts
@@ -1,17 +1,17 @@
-import type { MachineView } from '../snapshot.js';
+import type { MachineView } from '../cluster-snapshot.js';
 import { EPSILON } from '@spurbridge/model';
 
 /** What bounds when a job can be done, beside memory. */
-export type Pooled = 'cpus' | 'gpus';
+export type ResourceDimension = 'cpus' | 'gpus';
 
-interface Load {
+interface ResourceHold {
   cpus: number;
   gpus: number;
   memoryGb: number;
   endS: number;
 }
 
-export interface Need {
+export interface ResourceRequest {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
@@ -22,7 +22,7 @@
  * order of the queue, so nothing is placed to start before `lastStartS`. What ends before that is
  * forgotten, and what is free then is kept summed up.
  */
-export class Queue {
+export class MachineQueue {
   lastStartS = 0;
   cpus: number;
   gpus: number;
@@ -33,14 +33,14 @@
 
   private constructor(
     readonly machine: MachineView,
-    private readonly loads: Load[],
+    private readonly holds: ResourceHold[],
   ) {
     this.cpus = machine.type.cpus;
     this.gpus = machine.type.gpus;
     this.memoryGb = machine.type.memoryGb;
   }
 
-  static of(machine: MachineView): Queue {
+  static of(machine: MachineView): MachineQueue {
     const loads = machine.occupants.map((o) => ({
       cpus: o.cpus,
       gpus: o.gpus,
@@ -49,12 +49,12 @@
       endS: Math.max(o.remainingS, 0.2),
     }));
     loads.sort((a, b) => a.endS - b.endS);
-    const queue = new Queue(machine, loads);
-    for (const l of loads) queue.take(l, l.endS);
+    const queue = new MachineQueue(machine, loads);
+    for (const l of loads) queue.occupy(l, l.endS);
     return queue;
   }
 
-  private take(need: Need, endS: number): void {
+  private occupy(need: ResourceRequest, endS: number): void {
     this.cpus -= need.cpus;
     this.gpus -= need.gpus;
     this.memoryGb -= need.memoryGb;
@@ -64,8 +64,8 @@
     this.serviceMemoryGb += need.memoryGb;
   }
 
-  copy(): Queue {
-    const copy = new Queue(this.machine, [...this.loads]);
+  copy(): MachineQueue {
+    const copy = new MachineQueue(this.machine, [...this.holds]);
     copy.lastStartS = this.lastStartS;
     copy.cpus = this.cpus;
     copy.gpus = this.gpus;
@@ -77,7 +77,7 @@
   }
 
   /** Earliest start of a task of this size, or Infinity. */
-  earliestStart(need: Need): number {
+  earliestStart(need: ResourceRequest): number {
     const t = this.machine.type;
     if (need.cpus > t.cpus + EPSILON || need.gpus > t.gpus + EPSILON || need.memoryGb > t.memoryGb + EPSILON)
       return Infinity;
@@ -85,7 +85,7 @@
     let gpus = this.gpus - need.gpus;
     let memory = this.memoryGb - need.memoryGb;
     if (cpus >= -EPSILON && gpus >= -EPSILON && memory >= -EPSILON) return this.lastStartS;
-    for (const l of this.loads) {
+    for (const l of this.holds) {
       cpus += l.cpus;
       gpus += l.gpus;
       memory += l.memoryGb;
@@ -94,48 +94,48 @@
     return Infinity;
   }
 
-  add(need: Need, startS: number, endS: number): void {
+  add(need: ResourceRequest, startS: number, endS: number): void {
     if (startS > this.lastStartS) {
       this.lastStartS = startS;
       let over = 0;
-      for (const l of this.loads) {
+      for (const l of this.holds) {
         if (l.endS > startS) break;
         over += 1;
         this.cpus += l.cpus;
         this.gpus += l.gpus;
         this.memoryGb += l.memoryGb;
       }
-      if (over > 0) this.loads.splice(0, over);
+      if (over > 0) this.holds.splice(0, over);
     }
-    this.take(need, endS);
-    let at = this.loads.length;
-    while (at > 0 && (this.loads[at - 1] as Load).endS > endS) at -= 1;
-    this.loads.splice(at, 0, { cpus: need.cpus, gpus: need.gpus, memoryGb: need.memoryGb, endS });
+    this.occupy(need, endS);
+    let at = this.holds.length;
+    while (at > 0 && (this.holds[at - 1] as ResourceHold).endS > endS) at -= 1;
+    this.holds.splice(at, 0, { cpus: need.cpus, gpus: need.gpus, memoryGb: need.memoryGb, endS });
   }
 
   /** What comes free of a resource, by time: what is free at the queue's end counts from there. */
-  releases(of: Pooled, into: Float64Array, grainS: number): void {
-    if (this[of] > 0) tally(into, this.lastStartS / grainS, this[of]);
-    for (const l of this.loads) if (l.endS < Infinity && l[of] > 0) tally(into, l.endS / grainS, l[of]);
+  addReleasesTo(of: ResourceDimension, into: Float64Array, grainS: number): void {
+    if (this[of] > 0) addToBucket(into, this.lastStartS / grainS, this[of]);
+    for (const l of this.holds) if (l.endS < Infinity && l[of] > 0) addToBucket(into, l.endS / grainS, l[of]);
   }
 
   /** How many tasks of a size fit beside services alone, now and with one more service. */
-  slotsLost(service: Need, task: Need): number {
+  slotsLost(service: ResourceRequest, task: ResourceRequest): number {
     const cpus = this.machine.type.cpus - this.serviceCpus;
     const gpus = this.machine.type.gpus - this.serviceGpus;
     const memory = this.machine.type.memoryGb - this.serviceMemoryGb;
-    const before = slotsFor(task, cpus, gpus, memory);
-    return before - slotsFor(task, cpus - service.cpus, gpus - service.gpus, memory - service.memoryGb);
+    const before = countTaskSlots(task, cpus, gpus, memory);
+    return before - countTaskSlots(task, cpus - service.cpus, gpus - service.gpus, memory - service.memoryGb);
   }
 }
 
 /** Adds an amount at a place, rounded down; what is beyond the last one is counted there. */
-function tally(into: Float64Array, at: number, amount: number): void {
+function addToBucket(into: Float64Array, at: number, amount: number): void {
   const i = Math.min(into.length - 1, Math.floor(at));
   into[i] = (into[i] as number) + amount;
 }
 
-function slotsFor(task: Need, cpus: number, gpus: number, memoryGb: number): number {
+function countTaskSlots(task: ResourceRequest, cpus: number, gpus: number, memoryGb: number): number {
   const byGpus = task.gpus > 0 ? gpus / task.gpus : Infinity;
   const least = Math.min(cpus / task.cpus, byGpus, memoryGb / Math.max(task.memoryGb, EPSILON));
   return Math.max(0, Math.floor(least + EPSILON));
--- a/packages/planner/src/plan/preempt.ts
+++ b/packages/planner/src/scheduling/preemption.ts
@@ -1,25 +1,26 @@
-import type { JobView, MachineView, Occupant } from '../snapshot.js';
-import { PRIORITY_ORDER } from '../snapshot.js';
-import type { Ground } from './ground.js';
+import type { JobView, MachineView, Occupant } from '../cluster-snapshot.js';
+import { PRIORITY_RANK } from '../cluster-snapshot.js';
+import type { SchedulingPass } from './scheduling-pass.js';
 import { EPSILON } from '@spurbridge/model';
-import { allows, fetchSeconds } from './types.js';
+import { isMachineAllowed, imageFetchS } from './types.js';
 
 /** Stopping a task and starting another in its place takes about this long. */
-const STOP_S = 0.3;
+const TASK_SWITCH_S = 0.3;
 /** Less than this gained is not worth stopping a task for. */
-const PREEMPT_GAIN_S = 0.7;
+const MIN_PREEMPTION_GAIN_S = 0.7;
 
 /** Whether anything runs that this job might be made room from. */
-export function mayPreempt(g: Ground, job: JobView, guaranteed: boolean): boolean {
-  const order = PRIORITY_ORDER[job.spec.priority];
-  if (g.lowest > order) return true;
+export function canPreempt(g: SchedulingPass, job: JobView, guaranteed: boolean): boolean {
+  const order = PRIORITY_RANK[job.spec.priority];
+  if (g.lowestPreemptibleRank > order) return true;
   if (!guaranteed) return false;
-  for (const [team, lowest] of g.lowestBeyond) if (team !== job.spec.team && lowest >= order) return true;
+  for (const [team, lowest] of g.lowestRankBeyondGuarantee)
+    if (team !== job.spec.team && lowest >= order) return true;
   return false;
 }
 
 /** A machine on which something may be stopped, or is being stopped, for jobs of some kind. */
-interface Site {
+interface PreemptionCandidate {
   readonly machine: MachineView;
   /** What may be stopped, that which loses least first. */
   readonly victims: readonly Occupant[];
@@ -31,47 +32,52 @@
 }
 
 /** Sites by what their victims depend on, kept for one plan: many jobs of a kind look for room. */
-export type Sites = Map<string, readonly Site[]>;
+export type PreemptionCandidates = Map<string, readonly PreemptionCandidate[]>;
 
-function sitesFor(g: Ground, job: JobView, guaranteed: boolean): readonly Site[] {
-  const rank = PRIORITY_ORDER[job.spec.priority];
+function candidatesFor(g: SchedulingPass, job: JobView, guaranteed: boolean): readonly PreemptionCandidate[] {
+  const rank = PRIORITY_RANK[job.spec.priority];
   const key = guaranteed ? `${rank}/${job.spec.team}` : `${rank}`;
-  let sites = g.sites.get(key);
+  let sites = g.preemptionCandidates.get(key);
   if (sites === undefined) {
-    sites = findSites(g, rank, guaranteed ? job.spec.team : null);
-    g.sites.set(key, sites);
+    sites = findCandidates(g, rank, guaranteed ? job.spec.team : null);
+    g.preemptionCandidates.set(key, sites);
   }
   return sites;
 }
 
-function findSites(g: Ground, rank: number, guaranteedTeam: string | null): Site[] {
-  const sites: Site[] = [];
-  for (const m of g.s.machines) {
-    g.steps += 1;
-    if (!m.takesTasks) continue;
+function findCandidates(
+  g: SchedulingPass,
+  rank: number,
+  guaranteedTeam: string | null,
+): PreemptionCandidate[] {
+  const sites: PreemptionCandidate[] = [];
+  for (const m of g.snapshot.machines) {
+    g.queueVisits += 1;
+    if (!m.isSchedulable) continue;
     let { cpus, gpus, memoryGb } = m.type;
     let stopping = false;
     const victims: Occupant[] = [];
     for (const o of m.occupants) {
-      if (o.stopping) {
+      if (o.isStopping) {
         stopping = true;
         continue;
       }
       cpus -= o.cpus;
       gpus -= o.gpus;
       memoryGb -= o.memoryGb;
-      const order = PRIORITY_ORDER[o.priority];
-      const isBeyond = guaranteedTeam !== null && o.team !== guaranteedTeam && g.beyond.has(o.job);
-      if (o.movable && (order > rank || (isBeyond && order >= rank))) victims.push(o);
+      const order = PRIORITY_RANK[o.priority];
+      const isBeyond =
+        guaranteedTeam !== null && o.team !== guaranteedTeam && g.jobsBeyondGuarantee.has(o.job);
+      if (o.isPreemptible && (order > rank || (isBeyond && order >= rank))) victims.push(o);
     }
     if (victims.length === 0 && !stopping) continue;
-    victims.sort((a, b) => a.lostS - b.lostS);
+    victims.sort((a, b) => a.lostWorkS - b.lostWorkS);
     sites.push({ machine: m, victims, stopping, cpus, gpus, memoryGb });
   }
   return sites;
 }
 
-interface Option {
+interface PreemptionOption {
   readonly stops: readonly Occupant[];
   readonly lostS: number;
   readonly endS: number;
@@ -85,7 +91,7 @@
  * how many tasks room is being made.
  */
 export function preempt(
-  g: Ground,
+  g: SchedulingPass,
   job: JobView,
   ends: readonly number[],
   guaranteed: boolean,
@@ -96,14 +102,14 @@
   const waits = [...ends].sort((a, b) => b - a);
   let next = 0;
   const perZone = new Map<string, number>();
-  for (const z of job.zones) perZone.set(z, (perZone.get(z) ?? 0) + 1);
+  for (const z of job.placedZones) perZone.set(z, (perZone.get(z) ?? 0) + 1);
   const zoneMost = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
-  const options: Option[] = [];
+  const options: PreemptionOption[] = [];
   const runS = spec.kind === 'service' ? 0 : job.estimateS;
-  for (const site of sitesFor(g, job, guaranteed)) {
+  for (const site of candidatesFor(g, job, guaranteed)) {
     const m = site.machine;
-    g.steps += 1;
-    if (!allows(job, m) || job.avoid.has(m.id)) continue;
+    g.queueVisits += 1;
+    if (!isMachineAllowed(job, m) || job.excludedMachines.has(m.id)) continue;
     if (zone !== null && m.zone !== zone) continue;
     let { cpus, gpus, memoryGb } = site;
     if (site.stopping && cpus >= spec.cpus && gpus >= spec.gpus && memoryGb >= spec.memoryGb) {
@@ -112,22 +118,22 @@
       continue;
     }
     if (site.victims.length === 0) continue;
-    const fetchS = fetchSeconds(job, m);
-    const endS = STOP_S + fetchS + runS * m.slowness;
+    const fetchS = imageFetchS(job, m);
+    const endS = TASK_SWITCH_S + fetchS + runS * m.slowness;
     let from = 0;
     let lostS = 0;
     for (const [i, v] of site.victims.entries()) {
-      if (g.stopped.has(v)) {
+      if (g.preempted.has(v)) {
         if (from === i) from += 1;
         continue;
       }
-      lostS += v.lostS * v.cpus;
+      lostS += v.lostWorkS * v.cpus;
       cpus += v.cpus;
       gpus += v.gpus;
       memoryGb += v.memoryGb;
       if (cpus + EPSILON < spec.cpus || gpus + EPSILON < spec.gpus || memoryGb + EPSILON < spec.memoryGb)
         continue;
-      const stops = site.victims.slice(from, i + 1).filter((x) => !g.stopped.has(x));
+      const stops = site.victims.slice(from, i + 1).filter((x) => !g.preempted.has(x));
       options.push({ stops, lostS: lostS + fetchS * 4, endS, zone: m.zone });
       from = i + 1;
       lostS = 0;
@@ -141,13 +147,13 @@
   for (const option of options) {
     const waitS = waits[next];
     if (waitS === undefined) break;
-    if (option.endS + PREEMPT_GAIN_S > waitS) continue;
+    if (option.endS + MIN_PREEMPTION_GAIN_S > waitS) continue;
     if ((perZone.get(option.zone) ?? 0) >= zoneMost) continue;
     perZone.set(option.zone, (perZone.get(option.zone) ?? 0) + 1);
     stopped.push(...option.stops);
     next += 1;
   }
   if (spec.kind === 'gang' && next < waits.length) return 0;
-  for (const o of stopped) g.stop(o, spec.id);
+  for (const o of stopped) g.preempt(o, spec.id);
   return Math.min(next, waits.length);
 }
--- a/packages/planner/src/plan/guarantees.ts
+++ b/packages/planner/src/scheduling/quota-guarantee.ts
@@ -1,13 +1,14 @@
-import type { JobView, Snapshot } from '../snapshot.js';
-import { PATIENT } from './order.js';
+import type { JobView, ClusterSnapshot } from '../cluster-snapshot.js';
+import { OVERDUE_FACTOR } from './job-order.js';
 import { EPSILON } from '@spurbridge/model';
 
 /** How many of its milestones a job cannot meet any more, even if all of it started now. */
-function lateness(j: JobView): number {
-  const last = j.milestonesS.at(-1);
-  if (last === undefined || j.pending.length === 0 || j.ageS > last * PATIENT) return 0;
-  return j.milestonesS.filter((m, i) => j.ageS + j.estimateS > m && j.ageS > (j.startMilestonesS[i] ?? -1))
-    .length;
+function countMissedMilestones(j: JobView): number {
+  const last = j.completionMilestonesS.at(-1);
+  if (last === undefined || j.pendingTasks.length === 0 || j.ageS > last * OVERDUE_FACTOR) return 0;
+  return j.completionMilestonesS.filter(
+    (m, i) => j.ageS + j.estimateS > m && j.ageS > (j.startMilestonesS[i] ?? -1),
+  ).length;
 }
 
 /**
@@ -15,17 +16,17 @@
  * own jobs it is not for the late ones: its oldest jobs, all late already in a burst, went ahead of every
  * job that could still be in time.
  */
-export function withinGuarantee(s: Snapshot): Set<JobView> {
+export function jobsWithinGuarantee(s: ClusterSnapshot): Set<JobView> {
   const used = new Map<string, { cpus: number; gpus: number }>();
   const inside = new Set<JobView>();
-  const ranked = s.jobs.map((job) => ({ job, late: lateness(job) }));
-  ranked.sort((a, b) => a.late - b.late || a.job.order - b.job.order);
+  const ranked = s.jobs.map((job) => ({ job, late: countMissedMilestones(job) }));
+  ranked.sort((a, b) => a.late - b.late || a.job.submissionOrder - b.job.submissionOrder);
   for (const { job: j } of ranked) {
     const team = s.teams.find((t) => t.name === j.spec.team);
     if (team === undefined) continue;
     const sum = used.get(team.name) ?? { cpus: 0, gpus: 0 };
-    sum.cpus += j.spec.cpus * j.unfinished;
-    sum.gpus += j.spec.gpus * j.unfinished;
+    sum.cpus += j.spec.cpus * j.unfinishedCount;
+    sum.gpus += j.spec.gpus * j.unfinishedCount;
     used.set(team.name, sum);
     if (sum.cpus <= team.cpus + EPSILON && sum.gpus <= team.gpus + EPSILON) inside.add(j);
   }
--- a/packages/planner/src/plan/pool.ts
+++ b/packages/planner/src/scheduling/resource-pool.ts
@@ -1,42 +1,42 @@
 import type { JobSpec } from '@spurbridge/wire';
-import type { Pooled, Queue } from './queue.js';
+import type { ResourceDimension, MachineQueue } from './machine-queue.js';
 import { EPSILON } from '@spurbridge/model';
 
 /** Beyond this, when something starts is as good as never. */
 const HORIZON_S = 4096;
 /** What comes free is counted by this much of time, never later than it does: the pool bounds from below. */
-const GRAIN_S = 0.25;
+const TIME_GRAIN_S = 0.25;
 /** What comes free later than this is counted there. */
-const LATEST = 4096;
+const GRAIN_COUNT = 4096;
 
 /** A resource coming free over time, as one pool: what no queue can beat. */
-export class Pool {
-  private readonly atS: number[] = [0];
-  private readonly amount: number[] = [0];
+export class ResourcePool {
+  private readonly timesS: number[] = [0];
+  private readonly freeAmounts: number[] = [0];
   /** How much of it, times seconds, the pool has given by each of these times. */
-  private readonly given: number[] = [0];
+  private readonly suppliedWork: number[] = [0];
 
-  constructor(queues: readonly Queue[], of: Pooled) {
-    const grains = new Float64Array(LATEST + 1);
-    for (const q of queues) q.releases(of, grains, GRAIN_S);
-    this.amount[0] = grains[0] as number;
+  constructor(queues: readonly MachineQueue[], of: ResourceDimension) {
+    const grains = new Float64Array(GRAIN_COUNT + 1);
+    for (const q of queues) q.addReleasesTo(of, grains, TIME_GRAIN_S);
+    this.freeAmounts[0] = grains[0] as number;
     let last = 0;
-    for (let i = 1; i <= LATEST; i += 1) {
+    for (let i = 1; i <= GRAIN_COUNT; i += 1) {
       const amount = grains[i] as number;
       if (amount === 0) continue;
-      const atS = i * GRAIN_S;
-      const span = atS - (this.atS[last] as number);
-      this.given.push((this.given[last] as number) + span * (this.amount[last] as number));
-      this.amount.push((this.amount[last] as number) + amount);
-      this.atS.push(atS);
+      const atS = i * TIME_GRAIN_S;
+      const span = atS - (this.timesS[last] as number);
+      this.suppliedWork.push((this.suppliedWork[last] as number) + span * (this.freeAmounts[last] as number));
+      this.freeAmounts.push((this.freeAmounts[last] as number) + amount);
+      this.timesS.push(atS);
       last += 1;
     }
   }
 
   /** When this much is free together at first, if nothing takes any. */
-  freeAt(amount: number): number {
-    const i = firstAtLeast(this.amount, amount - EPSILON);
-    return this.atS[i] ?? Infinity;
+  earliestFreeS(amount: number): number {
+    const i = firstAtLeast(this.freeAmounts, amount - EPSILON);
+    return this.timesS[i] ?? Infinity;
   }
 
   /**
@@ -44,7 +44,7 @@
    * again after that. The bound by work alone let tasks start before anything was free for them, and a
    * burst was rented for a minute late.
    */
-  startedAt(amount: number, runS: number): number {
+  earliestStartedS(amount: number, runS: number): number {
     const started = (atS: number): number => {
       let sum = 0;
       for (let t = atS; t >= 0 && sum < amount; t -= Math.max(runS, 0.5)) sum += this.amountAt(t);
@@ -67,18 +67,18 @@
   }
 
   private amountAt(t: number): number {
-    const i = firstAtLeast(this.atS, t + EPSILON);
-    return i === 0 ? 0 : (this.amount[i - 1] as number);
+    const i = firstAtLeast(this.timesS, t + EPSILON);
+    return i === 0 ? 0 : (this.freeAmounts[i - 1] as number);
   }
 
   /** When the pool can have given this much work at the earliest. */
-  doneAt(work: number): number {
-    const i = firstAtLeast(this.given, work);
+  earliestDoneS(work: number): number {
+    const i = firstAtLeast(this.suppliedWork, work);
     const from = Math.max(0, i - 1);
-    const amount = this.amount[from] as number;
-    const rest = work - (this.given[from] as number);
-    if (rest <= 0) return this.atS[from] as number;
-    return amount <= 0 ? Infinity : (this.atS[from] as number) + rest / amount;
+    const amount = this.freeAmounts[from] as number;
+    const rest = work - (this.suppliedWork[from] as number);
+    if (rest <= 0) return this.timesS[from] as number;
+    return amount <= 0 ? Infinity : (this.timesS[from] as number) + rest / amount;
   }
 }
 
@@ -95,6 +95,6 @@
 }
 
 /** The resources that bound when a job can be done. */
-export function pooled(s: JobSpec): readonly Pooled[] {
+export function pooledDimensions(s: JobSpec): readonly ResourceDimension[] {
   return s.gpus > 0 ? ['cpus', 'gpus'] : ['cpus'];
 }
--- a/packages/planner/src/plan/types.ts
+++ b/packages/planner/src/scheduling/types.ts
@@ -1,42 +1,42 @@
 import type { JobId, MachineId } from '@spurbridge/wire';
-import type { JobView, MachineView } from '../snapshot.js';
-import type { Queue } from './queue.js';
-import type { Sized } from './sized.js';
+import type { JobView, MachineView } from '../cluster-snapshot.js';
+import type { MachineQueue } from './machine-queue.js';
+import type { EarliestStartIndex } from './earliest-start-index.js';
 
-export interface Start {
+export interface TaskStart {
   readonly job: JobId;
   readonly task: number;
   readonly machine: MachineId;
 }
 
-export interface Stop {
+export interface TaskPreemption {
   readonly job: JobId;
   readonly task: number;
   /** The job that room is made for. */
-  readonly inFavourOf: JobId;
+  readonly preemptor: JobId;
 }
 
 /** Work that no machine can take at once: the fleet is sized by it. */
-export interface Unmet {
+export interface UnplacedDemand {
   readonly job: JobView;
-  readonly tasks: number;
+  readonly taskCount: number;
   /** Seconds until the last of these tasks would start on the machines there are. */
   readonly startsInS: number;
   /** Whether the team's limit lets it start at all now. */
-  readonly withinLimit: boolean;
-  readonly guaranteed: boolean;
+  readonly isWithinLimit: boolean;
+  readonly isGuaranteed: boolean;
   /** Where the rest of a job bound to one zone has its places, or null. */
   readonly zone: string | null;
 }
 
-export interface Plan {
-  readonly starts: readonly Start[];
+export interface SchedulingPlan {
+  readonly starts: readonly TaskStart[];
   /** Tasks for the heads of machines' queues: they start once what runs there has ended, within `headS` by the estimates. */
-  readonly heads: readonly Start[];
-  readonly stops: readonly Stop[];
-  readonly unmet: readonly Unmet[];
+  readonly queuedStarts: readonly TaskStart[];
+  readonly preemptions: readonly TaskPreemption[];
+  readonly unplacedDemand: readonly UnplacedDemand[];
   /** How many times a queue was looked at. */
-  readonly steps: number;
+  readonly queueVisits: number;
 }
 
 export interface PlanOptions {
@@ -47,42 +47,45 @@
   readonly exhaustive?: boolean;
 }
 
-export interface Choice {
+export interface TaskAssignment {
   readonly task: number;
   /** Index of the machine's queue. */
-  readonly at: number;
+  readonly queueIndex: number;
   readonly startS: number;
   readonly endS: number;
 }
 
-export interface Evaluation {
+export interface JobEvaluation {
   readonly job: JobView;
   readonly completionS: number;
-  readonly choices: readonly Choice[];
+  readonly assignments: readonly TaskAssignment[];
   /** The queues as they would become, by index, and what they were made from. */
-  readonly changed: ReadonlyMap<number, { readonly before: Queue; readonly after: Queue }>;
-  readonly unplaced: number;
+  readonly changedQueues: ReadonlyMap<
+    number,
+    { readonly before: MachineQueue; readonly after: MachineQueue }
+  >;
+  readonly unplacedCount: number;
   /** How many placements the plan had made. */
-  readonly epoch: number;
+  readonly passRevision: number;
 }
 
 /** Waiting jobs that are alike in what decides whether any of their tasks could start now. */
-export interface Kind {
-  readonly sample: JobView;
+export interface JobShape {
+  readonly exampleJob: JobView;
   /** Jobs of the kind that are still to be settled. */
-  left: number;
+  waitingCount: number;
   /** Queues in the order of when the smallest task of its class could start. */
-  readonly order: Sized;
+  readonly startIndex: EarliestStartIndex;
   /** Every queue before this place is known not to take such a task now. */
-  cursor: number;
-  readonly mayPreempt: boolean;
+  startIndexCursor: number;
+  readonly canPreempt: boolean;
 }
 
-export function fetchSeconds(job: JobView, machine: MachineView): number {
+export function imageFetchS(job: JobView, machine: MachineView): number {
   return machine.images.has(job.spec.image) ? 0 : job.spec.imageGb / machine.type.fetchGbPerS;
 }
 
-export function allows(job: JobView, m: MachineView): boolean {
+export function isMachineAllowed(job: JobView, m: MachineView): boolean {
   const s = job.spec;
   return (
     (s.types === null || s.types.includes(m.type.name)) &&
--- a/packages/planner/test/fleet.test.ts
+++ b/packages/planner/test/fleet.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { JobId, MachineId, MachineType } from '@spurbridge/wire';
 import { TYPES, jobSpec } from '@spurbridge/testkit';
-import type { FleetInput, FleetMachine, Replica, Unmet } from '../src/index.js';
+import type { FleetInput, FleetMachine, Replica, UnplacedDemand } from '../src/index.js';
 import { planFleet } from '../src/index.js';
 
 const [s4, m16] = TYPES as readonly [MachineType, MachineType];
@@ -14,7 +14,7 @@
   types: null,
   zone: null,
   image: 'img',
-  beside: null,
+  zoneSpread: null,
 };
 
 function machine(n: number, type: MachineType, over: Partial<FleetMachine> = {}): FleetMachine {
@@ -23,46 +23,49 @@
     type,
     zone: 'a',
     spot: false,
-    booting: false,
-    returnable: true,
+    isBooting: false,
+    canScaleIn: true,
     idleS: 0,
     usedCpus: 0,
     usedGpus: 0,
     usedMemoryGb: 0,
-    steadyCpus: 0,
-    steadyMemoryGb: 0,
-    takesTasks: true,
+    nonPreemptibleCpus: 0,
+    nonPreemptibleMemoryGb: 0,
+    isSchedulable: true,
     images: new Map([['img', 1]]),
     replicas: [],
-    settled: true,
+    isStable: true,
     ...over,
   };
 }
 
-function unmet(over: Partial<Parameters<typeof jobSpec>[0]>, more: Partial<Unmet> = {}): Unmet {
+function unmet(
+  over: Partial<Parameters<typeof jobSpec>[0]>,
+  more: Partial<UnplacedDemand> = {},
+): UnplacedDemand {
   const spec = jobSpec({ id: 'wk-000001' as JobId, ...over });
   const job = {
     spec,
-    pending: [],
+    pendingTasks: [],
     pendingCount: spec.tasks,
-    unfinished: spec.tasks,
-    zones: [],
-    summedWaitS: 0,
+    unfinishedCount: spec.tasks,
+    placedZones: [],
+    totalWaitS: 0,
     ageS: 0,
     estimateS: spec.estimateS,
-    milestonesS: [],
+    completionMilestonesS: [],
     startMilestonesS: [],
-    patienceS: 1,
-    avoid: new Set<MachineId>(),
-    order: 0,
-    startable: true,
+    toleratedWaitS: 1,
+    excludedMachines: new Set<MachineId>(),
+    submissionOrder: 0,
+    isStartable: true,
   };
   return {
     job,
-    tasks: spec.tasks,
+    taskCount: spec.tasks,
     startsInS: Infinity,
-    withinLimit: true,
-    guaranteed: true,
+    isWithinLimit: true,
+    isGuaranteed: true,
     zone: null,
     ...more,
   };
@@ -72,25 +75,25 @@
   return {
     types: TYPES,
     machines: [],
-    unmet: [],
+    unplacedDemand: [],
     policy: {
-      frugal: true,
-      consolidates: true,
-      idleS: 25,
+      isCostAware: true,
+      isConsolidating: true,
+      scaleInIdleS: 25,
       targetCpus: 0,
-      targetOrdinaryCpus: 0,
-      spreads: false,
+      targetOnDemandCpus: 0,
+      spreadsServices: false,
       burstCpus: 0,
-      easyMachines: 100,
-      bootShare: 0.5,
+      manageableMachines: 100,
+      minQueueBootShare: 0.5,
     },
-    available: () => true,
+    hasCapacity: () => true,
     ...over,
   };
 }
 
 const rented = (over: Partial<FleetInput>): number =>
-  planFleet(input(over)).rent.reduce(
+  planFleet(input(over)).scaleOut.reduce(
     (n, r) => n + r.count * (TYPES.find((t) => t.name === r.type)?.cpus ?? 0),
     0,
   );
@@ -99,25 +102,28 @@
 test('work that arrives faster than the fleet can take it is rented for before it is late', () => {
   const policy = { ...input({}).policy, burstCpus: 160 };
   const machines = [machine(1, m16, { usedCpus: 16 })];
-  const early = unmet({ cpus: 4, tasks: 2, spot: true, deadlineS: 600 }, { startsInS: 2, guaranteed: false });
+  const early = unmet(
+    { cpus: 4, tasks: 2, spot: true, deadlineS: 600 },
+    { startsInS: 2, isGuaranteed: false },
+  );
   const cpus = (over: Partial<FleetInput>): number =>
-    planFleet(input({ machines, policy, unmet: [early], ...over })).rent.reduce(
+    planFleet(input({ machines, policy, unplacedDemand: [early], ...over })).scaleOut.reduce(
       (sum, r) => sum + r.count * (TYPES.find((t) => t.name === r.type)?.cpus ?? 0),
       0,
     );
   assert.ok(cpus({}) >= 144 && cpus({}) < 176, `${cpus({})} CPUs`);
   assert.equal(cpus({ policy: { ...policy, burstCpus: 18 } }), 0, 'uneven arrivals are no burst');
-  assert.equal(cpus({ unmet: [] }), 0, 'nothing waits');
+  assert.equal(cpus({ unplacedDemand: [] }), 0, 'nothing waits');
   const refused = planFleet(
-    input({ machines, policy, unmet: [early], available: (_t, _z, spot) => !spot }),
-  ).rent;
+    input({ machines, policy, unplacedDemand: [early], hasCapacity: (_t, _z, spot) => !spot }),
+  ).scaleOut;
   assert.ok(refused.length > 0 && refused.every((r) => !r.spot), 'ordinary ones where spot ones are refused');
 });
 
 // All of the reserve lay in one zone: half of every new service waited for a machine to boot in another.
 test('spare room for services that spread over zones is kept in more than one, and only there where it helps', () => {
-  const policy = { ...input({}).policy, targetOrdinaryCpus: 64, spreads: true };
-  const full = { usedCpus: 16, steadyCpus: 16 };
+  const policy = { ...input({}).policy, targetOnDemandCpus: 64, spreadsServices: true };
+  const full = { usedCpus: 16, nonPreemptibleCpus: 16 };
   const machines = [
     machine(1, m16, { zone: 'a' }),
     machine(2, m16, { zone: 'a', idleS: 100 }),
@@ -125,46 +131,50 @@
     machine(4, m16, { zone: 'c', ...full }),
   ];
   const rent = (over: Partial<FleetInput>): (string | undefined)[] =>
-    planFleet(input({ machines, policy, ...over })).rent.map((r) => r.zone);
+    planFleet(input({ machines, policy, ...over })).scaleOut.map((r) => r.zone);
   assert.deepEqual(rent({}), ['b']);
   assert.deepEqual(
-    rent({ available: (_t, zone) => zone === 'a' }),
+    rent({ hasCapacity: (_t, zone) => zone === 'a' }),
     [],
     'more in the roomiest zone helps nobody',
   );
-  assert.deepEqual(rent({ policy: { ...policy, spreads: false } }), [], 'enough, were zones no matter');
+  assert.deepEqual(
+    rent({ policy: { ...policy, spreadsServices: false } }),
+    [],
+    'enough, were zones no matter',
+  );
   const even = [...machines, machine(5, m16, { zone: 'b' })];
   assert.deepEqual(rent({ machines: even }), []);
   // What is spare in the roomiest zone alone may go back, what the others need may not.
-  assert.deepEqual(planFleet(input({ machines: even, policy })).release, ['n-2']);
+  assert.deepEqual(planFleet(input({ machines: even, policy })).scaleIn, ['n-2']);
   const idle = even.map((m) => (m.id === 'n-5' ? { ...m, idleS: 100 } : { ...m, idleS: 0 }));
-  assert.deepEqual(planFleet(input({ machines: idle, policy })).release, []);
+  assert.deepEqual(planFleet(input({ machines: idle, policy })).scaleIn, []);
 });
 
 test('work that waits is met by spot machines where it may use them', () => {
-  const result = planFleet(input({ unmet: [unmet({ tasks: 4, cpus: 2 })] }));
-  assert.ok(result.rent.length > 0 && result.rent.every((r) => r.spot));
-  const service = planFleet(input({ unmet: [unmet({ kind: 'service', spot: false })] }));
-  assert.ok(service.rent.length > 0 && service.rent.every((r) => !r.spot));
+  const result = planFleet(input({ unplacedDemand: [unmet({ tasks: 4, cpus: 2 })] }));
+  assert.ok(result.scaleOut.length > 0 && result.scaleOut.every((r) => r.spot));
+  const service = planFleet(input({ unplacedDemand: [unmet({ kind: 'service', spot: false })] }));
+  assert.ok(service.scaleOut.length > 0 && service.scaleOut.every((r) => !r.spot));
 });
 
 test('machines under way count, and what the limit keeps back rents nothing', () => {
-  const coming = [machine(1, m16, { booting: true, spot: true, takesTasks: false })];
-  assert.equal(rented({ unmet: [unmet({ tasks: 8, cpus: 2 })], machines: coming }), 0);
-  assert.ok(rented({ unmet: [unmet({ tasks: 9, cpus: 2 })], machines: coming }) > 0);
-  assert.equal(rented({ unmet: [unmet({}, { withinLimit: false })] }), 0);
+  const coming = [machine(1, m16, { isBooting: true, spot: true, isSchedulable: false })];
+  assert.equal(rented({ unplacedDemand: [unmet({ tasks: 8, cpus: 2 })], machines: coming }), 0);
+  assert.ok(rented({ unplacedDemand: [unmet({ tasks: 9, cpus: 2 })], machines: coming }) > 0);
+  assert.equal(rented({ unplacedDemand: [unmet({}, { isWithinLimit: false })] }), 0);
   // Not heard since a takeover, and full of what the records say.
-  const full = [machine(1, m16, { booting: true, spot: true, takesTasks: false, usedCpus: 16 })];
-  assert.ok(rented({ unmet: [unmet({ tasks: 8, cpus: 2 })], machines: full }) > 0);
+  const full = [machine(1, m16, { isBooting: true, spot: true, isSchedulable: false, usedCpus: 16 })];
+  assert.ok(rented({ unplacedDemand: [unmet({ tasks: 8, cpus: 2 })], machines: full }) > 0);
 });
 
 // With 800 small machines, a leader on a sixth of a core was behind for half a minute in a takeover.
 test('where machines are many, larger ones are preferred at a slightly higher price', () => {
   const types = TYPES.map((t) => (t.name === 's4' ? { ...t, spotPrice: t.spotPrice * 0.9 } : t));
   const rent = (easyMachines: number): string[] => {
-    const policy = { ...input({}).policy, easyMachines };
+    const policy = { ...input({}).policy, manageableMachines: easyMachines };
     const job = unmet({ tasks: 64, cpus: 4, gpus: 0, memoryGb: 8 });
-    return planFleet(input({ types, unmet: [job], policy })).rent.map((r) => r.type);
+    return planFleet(input({ types, unplacedDemand: [job], policy })).scaleOut.map((r) => r.type);
   };
   assert.deepEqual(new Set(rent(1000)), new Set(['s4']));
   assert.ok(rent(20).includes('m16'));
@@ -173,7 +183,9 @@
 // A start with no machines rented a place for each of thousands of waiting tasks.
 test('tasks that can take turns before their deadline rent no place each', () => {
   const rentedFor = (deadlineS: number | null, guaranteed: boolean): number =>
-    rented({ unmet: [unmet({ tasks: 64, cpus: 2, estimateS: 10, deadlineS }, { guaranteed })] });
+    rented({
+      unplacedDemand: [unmet({ tasks: 64, cpus: 2, estimateS: 10, deadlineS }, { isGuaranteed: guaranteed })],
+    });
   assert.equal(rentedFor(null, false), 128);
   assert.equal(rentedFor(20, false), 128);
   assert.equal(rentedFor(60, true), 128);
@@ -182,9 +194,9 @@
 });
 
 test('without spot capacity, ordinary machines are rented for arrays only under a deadline', () => {
-  const noSpot = { available: (_t: string, _z: string, spot: boolean) => !spot };
-  assert.equal(rented({ ...noSpot, unmet: [unmet({ deadlineS: 500, estimateS: 5 })] }), 0);
-  assert.ok(rented({ ...noSpot, unmet: [unmet({ deadlineS: 12, estimateS: 5 })] }) > 0);
+  const noSpot = { hasCapacity: (_t: string, _z: string, spot: boolean) => !spot };
+  assert.equal(rented({ ...noSpot, unplacedDemand: [unmet({ deadlineS: 500, estimateS: 5 })] }), 0);
+  assert.ok(rented({ ...noSpot, unplacedDemand: [unmet({ deadlineS: 12, estimateS: 5 })] }) > 0);
 });
 
 test('idle machines go back down to what the recent past needed, the dearest first', () => {
@@ -193,10 +205,10 @@
     machine(2, s4, { idleS: 30 }),
     machine(3, m16, { usedCpus: 8 }),
   ];
-  assert.deepEqual(planFleet(input({ machines })).release, ['n-2', 'n-1']);
+  assert.deepEqual(planFleet(input({ machines })).scaleIn, ['n-2', 'n-1']);
   const policy = { ...input({}).policy, targetCpus: 20 };
-  assert.deepEqual(planFleet(input({ machines, policy })).release, ['n-2']);
-  assert.deepEqual(planFleet(input({ machines, unmet: [unmet({})] })).release, []);
+  assert.deepEqual(planFleet(input({ machines, policy })).scaleIn, ['n-2']);
+  assert.deepEqual(planFleet(input({ machines, unplacedDemand: [unmet({})] })).scaleIn, []);
 });
 
 // Half the ordinary CPUs stood empty beside replicas that would have fitted on fewer machines.
@@ -209,49 +221,57 @@
     planFleet(
       input({
         machines: [
-          { ...loose, settled: false },
-          { ...other, settled: false },
+          { ...loose, isStable: false },
+          { ...other, isStable: false },
         ],
       }),
     ).drain,
     null,
   );
   // Moved to a machine without its image, a replica was away for the seconds of the fetch.
-  const bare = { ...other, images: new Map<string, number>(), settled: false };
+  const bare = { ...other, images: new Map<string, number>(), isStable: false };
   assert.equal(planFleet(input({ machines: [loose, bare] })).drain, null);
   // At most one in a zone: there is another one in the zone of the other machine.
   const held = new Map([
     ['a', 1],
     ['b', 1],
   ]);
-  const away = { ...other, zone: 'b', settled: false };
-  const pinned = { ...loose, replicas: [{ ...replica, beside: { held, most: 1, oneZone: false } }] };
+  const away = { ...other, zone: 'b', isStable: false };
+  const pinned = {
+    ...loose,
+    replicas: [{ ...replica, zoneSpread: { replicasByZone: held, maxPerZone: 1, oneZone: false } }],
+  };
   assert.equal(planFleet(input({ machines: [pinned, away] })).drain, null);
-  const free = { ...loose, replicas: [{ ...replica, beside: { held, most: 2, oneZone: false } }] };
+  const free = {
+    ...loose,
+    replicas: [{ ...replica, zoneSpread: { replicasByZone: held, maxPerZone: 2, oneZone: false } }],
+  };
   assert.equal(planFleet(input({ machines: [free, away] })).drain, 'n-1');
 });
 
 // Replicas of a lost machine waited 40 s for a new one to boot.
 test('ordinary room for the loss of one machine is rented ahead', () => {
-  const policy = { ...input({}).policy, targetOrdinaryCpus: 24 };
+  const policy = { ...input({}).policy, targetOnDemandCpus: 24 };
   const machines = [machine(1, m16, { usedCpus: 12, replicas: [replica] })];
   const result = planFleet(input({ machines, policy }));
-  assert.ok(result.rent.length > 0 && result.rent.every((r) => !r.spot));
-  const coming = [...machines, machine(2, m16, { booting: true, takesTasks: false })];
-  assert.deepEqual(planFleet(input({ machines: coming, policy })).rent, []);
+  assert.ok(result.scaleOut.length > 0 && result.scaleOut.every((r) => !r.spot));
+  const coming = [...machines, machine(2, m16, { isBooting: true, isSchedulable: false })];
+  assert.deepEqual(planFleet(input({ machines: coming, policy })).scaleOut, []);
 });
 
 test('cheap machines go back while only ordinary ones are wanted', () => {
   const idle = { idleS: 100 };
   const machines = [machine(1, s4, { spot: true, ...idle }), machine(2, s4, idle)];
   const waiting = unmet({ kind: 'gang', spot: false, cpus: 2, tasks: 1 }, { startsInS: 5 });
-  assert.deepEqual(planFleet(input({ machines, unmet: [waiting] })).release, ['n-1']);
+  assert.deepEqual(planFleet(input({ machines, unplacedDemand: [waiting] })).scaleIn, ['n-1']);
 });
 
 test('a gang bound to a zone is not met by machines under way in two', () => {
-  const half = (n: number, zone: string): FleetMachine => machine(n, s4, { zone, booting: true });
+  const half = (n: number, zone: string): FleetMachine => machine(n, s4, { zone, isBooting: true });
   const gang = unmet({ kind: 'gang', spot: false, oneZone: true, cpus: 4, memoryGb: 2, tasks: 2 });
-  const { rent } = planFleet(input({ machines: [half(1, 'a'), half(2, 'b')], unmet: [gang] }));
+  const { scaleOut: rent } = planFleet(
+    input({ machines: [half(1, 'a'), half(2, 'b')], unplacedDemand: [gang] }),
+  );
   assert.deepEqual(
     rent.map((r) => [r.zone, r.count]),
     [['a', 1]],
@@ -262,7 +282,7 @@
   const g8 = TYPES[2] as MachineType;
   const fits = { ...replica, gpus: 2 };
   const from = machine(1, g8, { replicas: [fits], usedCpus: 2, usedGpus: 2, usedMemoryGb: 2 });
-  const to = (usedGpus: number): FleetMachine => machine(2, g8, { usedCpus: 2, usedGpus, settled: false });
+  const to = (usedGpus: number): FleetMachine => machine(2, g8, { usedCpus: 2, usedGpus, isStable: false });
   const drained = (usedGpus: number): unknown => planFleet(input({ machines: [from, to(usedGpus)] })).drain;
   assert.equal(drained(3), null);
   assert.equal(drained(2), from.id);
@@ -271,10 +291,10 @@
 test('without spot capacity, a burst is met with ordinary machines while they let it be in time', () => {
   const rented = (ageS: number, startsInS: number): number => {
     const u = unmet({ tasks: 4, estimateS: 20 }, { startsInS });
-    const job = { ...u.job, ageS, milestonesS: [60] };
+    const job = { ...u.job, ageS, completionMilestonesS: [60] };
     const noSpot = (_type: string, _zone: string, spot: boolean): boolean => !spot;
-    const plan = planFleet(input({ unmet: [{ ...u, job }], available: noSpot }));
-    return plan.rent.reduce((n, r) => n + r.count, 0);
+    const plan = planFleet(input({ unplacedDemand: [{ ...u, job }], hasCapacity: noSpot }));
+    return plan.scaleOut.reduce((n, r) => n + r.count, 0);
   };
   assert.ok(rented(10, 60) > 0);
   assert.equal(rented(10, 5), 0);
@@ -283,11 +303,13 @@
 test('a gang whose zone has no more to give is rented for as a whole in another', () => {
   const gang = unmet(
     { kind: 'gang', spot: false, oneZone: true, cpus: 4, memoryGb: 2, tasks: 3 },
-    { tasks: 1, zone: 'a' },
+    { taskCount: 1, zone: 'a' },
   );
-  const whole = { ...gang, job: { ...gang.job, pending: [0, 1, 2] } };
-  const rented = (available: FleetInput['available']): Set<string> =>
-    new Set(planFleet(input({ unmet: [whole], available })).rent.map((r) => r.zone));
+  const whole = { ...gang, job: { ...gang.job, pendingTasks: [0, 1, 2] } };
+  const rented = (available: FleetInput['hasCapacity']): Set<string> =>
+    new Set(
+      planFleet(input({ unplacedDemand: [whole], hasCapacity: available })).scaleOut.map((r) => r.zone),
+    );
   assert.deepEqual([...rented(() => true)], ['a']);
   const elsewhere = rented((_type, zone) => zone !== 'a');
   assert.equal(elsewhere.size, 1);
--- a/packages/recovery/src/audit.ts
+++ b/packages/recovery/src/epoch-store/audit-selector.ts
@@ -1,8 +1,8 @@
-import type { Condition, Revision } from '@spurbridge/wire';
-import type { Copy } from './copy.js';
+import type { Compare, Revision } from '@spurbridge/wire';
+import type { Replica } from '../replica/replica.js';
 
 /** Chooses what the store is asked to confirm: what changed last, then everything in turn. */
-export class Auditor {
+export class AuditSelector {
   private readonly recent = new Set<string>();
   private turn: Iterator<string> | null = null;
   /** Keys that were absent at a revision which the watch had not reached. */
@@ -21,8 +21,8 @@
     this.recent.add(key);
   }
 
-  choose(copy: Copy, isStoodInFor: (key: string) => boolean): Condition[] {
-    const chosen = new Map<string, Condition>();
+  choose(copy: Replica, isStoodInFor: (key: string) => boolean): Compare[] {
+    const chosen = new Map<string, Compare>();
     const add = (key: string): void => {
       const seen = copy.get(key);
       if (seen !== undefined && !isStoodInFor(key)) chosen.set(key, { key, version: seen.version });
@@ -49,7 +49,7 @@
   }
 
   /** A suspect that the watch, now past its revision, did not show as deleted. */
-  lost(copy: Copy): string | null {
+  lost(copy: Replica): string | null {
     for (const [key, at] of this.suspects) {
       if (copy.revision < at) continue;
       this.suspects.delete(key);
--- a/packages/recovery/src/view.ts
+++ b/packages/recovery/src/epoch-store/epoch-store.ts
@@ -1,25 +1,25 @@
-import { JOB_PREFIX } from '@spurbridge/model';
-import type { Clock, Ms, Urgency } from '@spurbridge/net';
+import { JOB_KEY_PREFIX } from '@spurbridge/model';
+import type { Clock, MonotonicMs, RequestPriority } from '@spurbridge/net';
 import type {
   CommitOutcome,
   ListOutcome,
   ReadOutcome,
-  Refusal,
-  StateStore,
-  TouchOutcome,
+  RequestFailure,
+  KeyValueStore,
+  LeaseRenewalOutcome,
   WatchOutcome,
 } from '@spurbridge/store';
 import { LEADER_KEY } from '@spurbridge/store';
-import type { Change, Condition, Item, LeaseId, Revision, Version, WatchEvent } from '@spurbridge/wire';
-import { ABSENT } from '@spurbridge/wire';
-import { Auditor } from './audit.js';
-import type { Seen } from './copy.js';
-import { Copy, contradiction, isKept } from './copy.js';
-import type { Epoch } from './epoch.js';
-import { EPOCH_KEY, decodeEpoch, isControlKey } from './epoch.js';
-import type { Opened } from './gathering.js';
-import { TOMBSTONE_VALUE, isTombstone } from './gathering.js';
-import { Overlay } from './overlay.js';
+import type { Mutation, Compare, KeyValue, LeaseId, Revision, Version, WatchEvent } from '@spurbridge/wire';
+import { KEY_ABSENT } from '@spurbridge/wire';
+import { AuditSelector } from './audit-selector.js';
+import type { ReplicaEntry } from '../replica/replica.js';
+import { Replica, findContradiction, isNeverDeleted } from '../replica/replica.js';
+import type { Epoch } from '../epoch/epoch-record.js';
+import { EPOCH_KEY, decodeEpoch, isControlKey } from '../epoch/epoch-record.js';
+import type { OpenEpoch } from '../phases/store-recovery.js';
+import { TOMBSTONE_VALUE, isTombstone } from '../phases/store-recovery.js';
+import { RepairOverlay } from '../replica/repair-overlay.js';
 
 /** Changes are taken in together: a watch for each of them would cost as many requests. */
 const WATCH_PAUSE_MS = 300;
@@ -30,17 +30,17 @@
 const RETRY_MS = 150;
 /** Users repeat a submission for so long: until then an id that is not known may yet come. */
 const RETRIES_MS = 60_000;
-export const REFUSED: Refusal = { outcome: 'refused' };
-const UNKNOWN: Refusal = { outcome: 'unknown' };
+export const REFUSED: RequestFailure = { outcome: 'refused' };
+const UNKNOWN: RequestFailure = { outcome: 'unknown' };
 
-export interface ViewParts {
-  readonly raw: StateStore;
+export interface EpochStoreDependencies {
+  readonly raw: KeyValueStore;
   readonly clock: Clock;
   readonly txnOps: number;
   /** Something cannot be in a sound store. */
   readonly doubt: (evidence: string) => void;
   /** Whether this is still the epoch that is trusted. */
-  readonly isCurrent: (view: View) => boolean;
+  readonly isCurrent: (view: EpochStore) => boolean;
   /** Whether all that was ever written is known to have been read. */
   readonly isContinuous: () => boolean;
   /** The copy has changed. */
@@ -48,24 +48,24 @@
 }
 
 /** The state service in one epoch, with this node's copy: every answer is held against what was known. */
-export class View {
+export class EpochStore {
   readonly epoch: Epoch;
-  readonly copy = new Copy();
-  readonly overlay: Overlay;
+  readonly copy = new Replica();
+  readonly overlay: RepairOverlay;
   /** Keys of pages, and tombstones, to be removed once everything is written back. */
   leftovers: readonly string[];
   /** Highest revision known to have been in this epoch. */
   claimed: number;
-  private readonly fence: Condition;
-  private readonly auditor: Auditor;
-  private readonly enteredAt: Ms;
+  private readonly fence: Compare;
+  private readonly auditor: AuditSelector;
+  private readonly enteredAt: MonotonicMs;
   private audits = 0;
   /** All that was durable before this is in the copy; null until it was followed once. */
-  private knownAt: Ms | null = null;
+  private knownAt: MonotonicMs | null = null;
 
   constructor(
-    private readonly p: ViewParts,
-    o: Opened,
+    private readonly p: EpochStoreDependencies,
+    o: OpenEpoch,
   ) {
     const { epoch, fence, revision } = o;
     const atFence = o.pending.map((r) => ({
@@ -74,14 +74,14 @@
       // Newer than all from before the fence, older than all that is written after it.
       version: fence.version,
     }));
-    this.copy.replace([...o.items, ...atFence], revision);
+    this.copy.replaceAll([...o.items, ...atFence], revision);
     this.epoch = epoch;
     this.fence = fence;
-    this.overlay = new Overlay(o.pending, fence.version);
+    this.overlay = new RepairOverlay(o.pending, fence.version);
     this.leftovers = [...o.leftovers];
     this.claimed = revision;
     this.enteredAt = p.clock.now();
-    this.auditor = new Auditor(p.txnOps * 4 - 2);
+    this.auditor = new AuditSelector(p.txnOps * 4 - 2);
   }
 
   private get isCurrent(): boolean {
@@ -113,7 +113,7 @@
     const listed = await this.list('', 0);
     if (listed.outcome !== 'listed' || !this.isCurrent) return this.p.clock.sleep(RETRY_MS);
     // A stand-in is no newer than the fence; those that were written since are in the list as themselves.
-    this.copy.replace(
+    this.copy.replaceAll(
       listed.items.map((i) => (i.version < 0 ? { ...i, version: this.fence.version } : i)),
       listed.revision,
     );
@@ -130,11 +130,11 @@
   private take(events: readonly WatchEvent[], revision: Revision): void {
     const plain = events.map((e) => plainEvent(e));
     for (const e of plain) this.changed(e, e.version);
-    this.copy.watched(plain, revision);
+    this.copy.applyWatchEvents(plain, revision);
   }
 
   /** A key was written or deleted: no page stands in for it any more, and it is audited soon. */
-  private changed(c: Change, version: Version): void {
+  private changed(c: Mutation, version: Version): void {
     const key = keyOf(c);
     this.overlay.changed(key, version);
     if ('put' in c && !isControlKey(key)) this.auditor.changed(key);
@@ -161,7 +161,7 @@
         if (!this.isCurrent) return;
       } else if (found.outcome === 'absent') {
         // Deleted meanwhile, or lost: the watch shows a deletion.
-        if (!this.believes(key, known, ABSENT, undefined)) return;
+        if (!this.believes(key, known, KEY_ABSENT, undefined)) return;
         this.auditor.suspect(key, found.revision);
       }
     }
@@ -170,7 +170,7 @@
   }
 
   /** A transaction without changes; a fence that fails it ends the trust. */
-  private async compare(conditions: readonly Condition[]): Promise<CommitOutcome> {
+  private async compare(conditions: readonly Compare[]): Promise<CommitOutcome> {
     return this.fenced(await this.asked(() => this.p.raw.commit([this.fence, ...conditions], [], 0)));
   }
 
@@ -182,8 +182,8 @@
 
   /** Every answer's revision must be at least what was known when it was asked for. */
   private async asked<T extends { readonly outcome: string; readonly revision?: Revision }>(
-    call: () => Promise<T | Refusal>,
-  ): Promise<T | Refusal> {
+    call: () => Promise<T | RequestFailure>,
+  ): Promise<T | RequestFailure> {
     const { claimed } = this;
     const answer = await call();
     if (!('revision' in answer) || answer.revision === undefined || !this.isCurrent) return answer;
@@ -197,7 +197,7 @@
 
   // --- the state service as everybody else uses it -----------------------------------------------------
 
-  async read(key: string, urgency: Urgency): Promise<ReadOutcome> {
+  async read(key: string, urgency: RequestPriority): Promise<ReadOutcome> {
     const known = this.copy.get(key);
     const found = await this.asked<Extract<ReadOutcome, { outcome: 'found' | 'absent' }>>(() =>
       this.p.raw.read(key, urgency),
@@ -214,27 +214,27 @@
       return this.believes(key, known, found.item.version, found.item.value) ? found : REFUSED;
     }
     if (found.outcome !== 'absent') return found;
-    const standIn = this.overlay.standIn(key, ABSENT);
+    const standIn = this.overlay.standIn(key, KEY_ABSENT);
     if (standIn !== null) return { outcome: 'found', item: standIn };
-    if (!this.believes(key, known, ABSENT, undefined)) return REFUSED;
+    if (!this.believes(key, known, KEY_ABSENT, undefined)) return REFUSED;
     // Without a whole copy, an id that is not known may have been accepted all the same.
     const early = this.p.clock.now() - this.enteredAt < RETRIES_MS;
-    return key.startsWith(JOB_PREFIX) && !this.p.isContinuous() && early ? REFUSED : found;
+    return key.startsWith(JOB_KEY_PREFIX) && !this.p.isContinuous() && early ? REFUSED : found;
   }
 
-  private believes(key: string, known: Seen | undefined, version: Version, value: unknown): boolean {
-    const why = contradiction(key, known, version, value);
+  private believes(key: string, known: ReplicaEntry | undefined, version: Version, value: unknown): boolean {
+    const why = findContradiction(key, known, version, value);
     if (why !== null) this.p.doubt(why);
     return why === null;
   }
 
-  async list(prefix: string, urgency: Urgency): Promise<ListOutcome> {
+  async list(prefix: string, urgency: RequestPriority): Promise<ListOutcome> {
     const listed = await this.asked<Extract<ListOutcome, { outcome: 'listed' }>>(() =>
       this.p.raw.list(prefix, urgency),
     );
     if (!this.isCurrent) return REFUSED;
     if (listed.outcome !== 'listed') return listed;
-    const items: Item[] = [];
+    const items: KeyValue[] = [];
     const present = new Set<string>();
     for (const i of listed.items) {
       present.add(i.key);
@@ -247,10 +247,10 @@
       items.push(standIn ?? i);
     }
     for (const i of this.overlay.absentBelow(prefix)) if (!present.has(i.key)) items.push(i);
-    if (JOB_PREFIX.startsWith(prefix))
+    if (JOB_KEY_PREFIX.startsWith(prefix))
       for (const [key, known] of this.copy.entries())
         if (
-          isKept(key, known) &&
+          isNeverDeleted(key, known) &&
           known.version <= listed.revision &&
           !present.has(key) &&
           !this.overlay.has(key)
@@ -262,23 +262,23 @@
   }
 
   async commit(
-    conditions: readonly Condition[],
-    changes: readonly Change[],
-    urgency: Urgency,
+    conditions: readonly Compare[],
+    changes: readonly Mutation[],
+    urgency: RequestPriority,
   ): Promise<CommitOutcome> {
-    const real: Condition[] = [this.fence];
+    const real: Compare[] = [this.fence];
     const failed: string[] = [];
     for (const c of conditions) {
       const version = this.overlay.real(c);
       // A record that was seen is not taken for one that never was, whatever the store says now.
-      const known = c.version === ABSENT ? this.copy.get(c.key) : undefined;
-      const lost = known !== undefined && isKept(c.key, known);
+      const known = c.version === KEY_ABSENT ? this.copy.get(c.key) : undefined;
+      const lost = known !== undefined && isNeverDeleted(c.key, known);
       if (version === null || lost) failed.push(c.key);
       else real.push({ key: c.key, version });
     }
     if (failed.length > 0) return { outcome: 'conflict', failed, revision: this.claimed as Revision };
     const buried: string[] = [];
-    const written = changes.map((c): Change => {
+    const written = changes.map((c): Mutation => {
       if ('put' in c || !this.overlay.has(c.delete)) return c;
       // Its page would stand in for it again: a tombstone stays until the pages are gone.
       buried.push(c.delete);
@@ -288,7 +288,7 @@
     if (!this.isCurrent) return outcome.outcome === 'committed' ? UNKNOWN : outcome;
     if (outcome.outcome !== 'committed') return outcome;
     this.leftovers = [...this.leftovers, ...buried];
-    this.copy.committed(
+    this.copy.applyCommit(
       changes.filter((c) => !isControlKey(keyOf(c))),
       outcome.revision,
     );
@@ -298,7 +298,7 @@
   }
 
   async watch(prefix: string, after: Revision, waitMs: number): Promise<WatchOutcome> {
-    const seen = await this.asked<Exclude<WatchOutcome, Refusal>>(() =>
+    const seen = await this.asked<Exclude<WatchOutcome, RequestFailure>>(() =>
       this.p.raw.watch(prefix, after, waitMs),
     );
     if (!this.isCurrent) return REFUSED;
@@ -306,7 +306,7 @@
   }
 
   /** A renewal counts only if fence and leader's record stand: the id may be somebody else's by now. */
-  async renewLease(lease: LeaseId, held: Condition): Promise<TouchOutcome> {
+  async renewLease(lease: LeaseId, held: Compare): Promise<LeaseRenewalOutcome> {
     const [touched, compared] = await Promise.all([this.p.raw.renewLease(lease, held), this.compare([held])]);
     if (compared.outcome === 'conflict') return { outcome: 'ended' };
     if (compared.outcome !== 'committed') return touched.outcome === 'ended' ? touched : UNKNOWN;
@@ -314,7 +314,7 @@
   }
 }
 
-function keyOf(c: Change): string {
+function keyOf(c: Mutation): string {
   return 'put' in c ? c.put : c.delete;
 }
 
--- a/packages/recovery/src/epoch.ts
+++ b/packages/recovery/src/epoch/epoch-record.ts
@@ -1,4 +1,4 @@
-import type { Brand, NodeId, Token, Version } from '@spurbridge/wire';
+import type { Brand, NodeId, FencingToken, Version } from '@spurbridge/wire';
 import { read } from '@spurbridge/wire';
 
 /** Number of one uninterrupted life of the state service; 0 stands for none. */
@@ -7,7 +7,7 @@
 export const NO_EPOCH = 0 as EpochNumber;
 export const EPOCH_KEY = 'epoch';
 export const FENCE_PREFIX = 'e/';
-export const PAGES_PREFIX = 'm/';
+export const CONTRIBUTION_PREFIX = 'm/';
 const LEADER_KEY = 'leader';
 /** More revisions than a state service makes in a millisecond, and in a second: what floors rise by. */
 const FLOOR_STEP_MS = 2 ** 10;
@@ -40,7 +40,10 @@
 /** Keys that are about the store itself, or about who leads: no part of any copy. */
 export function isControlKey(key: string): boolean {
   return (
-    key === EPOCH_KEY || key === LEADER_KEY || key.startsWith(FENCE_PREFIX) || key.startsWith(PAGES_PREFIX)
+    key === EPOCH_KEY ||
+    key === LEADER_KEY ||
+    key.startsWith(FENCE_PREFIX) ||
+    key.startsWith(CONTRIBUTION_PREFIX)
   );
 }
 
@@ -59,9 +62,9 @@
       floor: read.count(o, 'floor'),
       phase: read.oneOf(o, 'phase', ['gathering', 'open']),
       after: read.count(o, 'after'),
-      by: read.str(o, 'by') as NodeId,
-      first: read.bool(o, 'first'),
-      continuous: read.bool(o, 'continuous'),
+      by: read.string(o, 'by') as NodeId,
+      first: read.boolean(o, 'first'),
+      continuous: read.boolean(o, 'continuous'),
     };
   } catch {
     return null;
@@ -69,15 +72,15 @@
 }
 
 /** Token of a leader elected at this revision of the epoch. */
-export function tokenIn(floor: number, version: Version): Token {
-  return (floor + version) as Token;
+export function fencingTokenAt(floor: number, version: Version): FencingToken {
+  return (floor + version) as FencingToken;
 }
 
 /**
  * The floor of the next epoch: above the last one that is known and every token that anybody was seen to use, and above
  * all that may have been used without anybody remembering, by the time of day in milliseconds.
  */
-export function nextFloor(last: number, seen: Token, wallMs: number): number {
+export function nextTokenFloor(last: number, seen: FencingToken, wallMs: number): number {
   // By the second, two epochs shortly after one another had the same floor, and gave a token twice.
   return Math.max(Math.max(last, seen) + FLOOR_STEP, Math.floor(wallMs) * FLOOR_STEP_MS);
 }
--- a/packages/recovery/src/index.ts
+++ b/packages/recovery/src/index.ts
@@ -1,12 +1,19 @@
-export { GuardedStore } from './guard.js';
-export type { GuardParts } from './guard.js';
-export type { SnapshotMemory, SnapshotShelf } from './shelf-memory.js';
-export { Copy } from './copy.js';
-export type { Seen } from './copy.js';
-export { merge } from './merge.js';
-export { Gathering, isTombstone } from './gathering.js';
-export type { Memory } from './merge.js';
-export type { SoundnessState } from './soundness.js';
-export * from './epoch.js';
-export { compress, digestOf, encodePages, markerKey, pagesOf, readContributions } from './pages.js';
-export type { Contribution, Marker } from './pages.js';
+export { RecoverableStore } from './recoverable-store.js';
+export type { RecoverableStoreDependencies } from './recoverable-store.js';
+export type { SnapshotReplica, SnapshotSource } from './snapshot-source.js';
+export { Replica } from './replica/replica.js';
+export type { ReplicaEntry } from './replica/replica.js';
+export { mergeReplicas } from './replica/merge.js';
+export { StoreRecovery, isTombstone } from './phases/store-recovery.js';
+export type { EpochReplica } from './replica/merge.js';
+export type { IntegrityState } from './store-integrity.js';
+export * from './epoch/epoch-record.js';
+export {
+  compress,
+  sha256Hex,
+  encodePages,
+  markerKey,
+  contributionKeyPrefix,
+  readContributions,
+} from './phases/contribution-codec.js';
+export type { Contribution, ContributionMarker } from './phases/contribution-codec.js';
--- a/packages/recovery/src/peer-claims.ts
+++ b/packages/recovery/src/peer-observations.ts
@@ -1,5 +1,5 @@
-import type { Clock, Ms } from '@spurbridge/net';
-import type { MachineId, NodeId, PeerStatus, Token } from '@spurbridge/wire';
+import type { Clock, MonotonicMs } from '@spurbridge/net';
+import type { MachineId, NodeId, PeerStatus, FencingToken } from '@spurbridge/wire';
 
 /** A peer not heard for this long is no longer counted on. */
 const PEER_MS = 4000;
@@ -9,20 +9,20 @@
 const FRESH_WORKERS = 20;
 
 interface Peer {
-  readonly at: Ms;
+  readonly at: MonotonicMs;
   /** Since when it has named this epoch. */
-  readonly since: Ms;
+  readonly since: MonotonicMs;
   readonly status: PeerStatus;
 }
 
 /** What peers and workers have said of the state service, without a judgement. */
-export class PeerClaims {
+export class PeerObservations {
   private readonly peers = new Map<NodeId, Peer>();
   /** Workers that have never seen a token; and how many machines the cloud lists. */
   private readonly fresh = new Set<MachineId>();
   private listed: number | null = null;
   /** Highest token that anybody showed. */
-  token = 0 as Token;
+  token = 0 as FencingToken;
   /** Highest number of an epoch that anybody named. */
   highest = 0;
 
@@ -45,7 +45,7 @@
   }
 
   /** Whether the token is higher than all before. */
-  tokenShown(token: Token): boolean {
+  tokenShown(token: FencingToken): boolean {
     if (token <= this.token) return false;
     this.token = token;
     return true;
--- a/packages/recovery/src/pages.ts
+++ b/packages/recovery/src/phases/contribution-codec.ts
@@ -1,70 +1,70 @@
 import { createHash } from 'node:crypto';
 import { brotliCompressSync, brotliDecompressSync, constants } from 'node:zlib';
-import type { Item, NodeId, Token, Version } from '@spurbridge/wire';
-import { JOB_PREFIX, TASKS_PREFIX } from '@spurbridge/model';
+import type { KeyValue, NodeId, FencingToken, Version } from '@spurbridge/wire';
+import { JOB_KEY_PREFIX, TASK_KEY_PREFIX } from '@spurbridge/model';
 import { read } from '@spurbridge/wire';
-import { PAGES_PREFIX } from './epoch.js';
-import type { Repair } from './merge.js';
+import { CONTRIBUTION_PREFIX } from '../epoch/epoch-record.js';
+import type { RecordRepair } from '../replica/merge.js';
 
 /** Room in a value for what is around the text of a page. */
 const FRAME_BYTES = 256;
 const QUALITY = 4;
 
 /** A node's word in a gathering epoch: it gives no orders any more, and what it remembers is on so many pages. */
-export interface Marker {
+export interface ContributionMarker {
   readonly pages: number;
   /** SHA-256 of the compressed bytes. */
   readonly digest: string;
   /** Token under which this process has led last; 0 if never. */
-  readonly led: Token;
+  readonly led: FencingToken;
   /** Highest token that it has seen. */
-  readonly seen: Token;
+  readonly seen: FencingToken;
   /** Whether its copy was continuous. */
   readonly continuous: boolean;
   /** Highest lease id that it was granted. */
   readonly lease: number;
 }
 
-export function pagesOf(id: string, node: NodeId): string {
-  return `${PAGES_PREFIX}${id}/${node}/`;
+export function contributionKeyPrefix(id: string, node: NodeId): string {
+  return `${CONTRIBUTION_PREFIX}${id}/${node}/`;
 }
 
 export function markerKey(id: string, node: NodeId): string {
-  return `${pagesOf(id, node)}done`;
+  return `${contributionKeyPrefix(id, node)}done`;
 }
 
 export function compress(text: string): Buffer {
   return brotliCompressSync(text, { params: { [constants.BROTLI_PARAM_QUALITY]: QUALITY } });
 }
 
-export function digestOf(bytes: Uint8Array): string {
+export function sha256Hex(bytes: Uint8Array): string {
   return createHash('sha256').update(bytes).digest('hex');
 }
 
 /** Most needed first: open jobs, then their tasks, then the rest. */
-export function rank(key: string): number {
-  return key.startsWith(JOB_PREFIX) ? 0 : key.startsWith(TASKS_PREFIX) ? 1 : 2;
+export function writeBackPriority(key: string): number {
+  return key.startsWith(JOB_KEY_PREFIX) ? 0 : key.startsWith(TASK_KEY_PREFIX) ? 1 : 2;
 }
 
 /** Repairs as pages of at most `valueKb` KiB, as values of the store. */
 export function encodePages(
-  repairs: readonly Repair[],
+  repairs: readonly RecordRepair[],
   valueKb: number,
 ): { readonly pages: readonly string[]; readonly digest: string } {
   if (repairs.length === 0) return { pages: [], digest: '' };
-  const ordered = [...repairs].sort((a, b) => rank(a.key) - rank(b.key));
+  const ordered = [...repairs].sort((a, b) => writeBackPriority(a.key) - writeBackPriority(b.key));
   const bytes = compress(JSON.stringify(ordered.map((r) => [r.key, r.epoch, r.version, r.over, r.text])));
   const text = bytes.toString('base64');
   const most = valueKb * 1024 - FRAME_BYTES;
   const pages: string[] = [];
   for (let i = 0; i < text.length; i += most) pages.push(text.slice(i, i + most));
-  return { pages, digest: digestOf(bytes) };
+  return { pages, digest: sha256Hex(bytes) };
 }
 
-function decodePages(pages: readonly string[], digest: string): Repair[] {
+function decodePages(pages: readonly string[], digest: string): RecordRepair[] {
   if (pages.length === 0) return [];
   const bytes = Buffer.from(pages.join(''), 'base64');
-  if (digestOf(bytes) !== digest) throw new Error('the checksum does not match');
+  if (sha256Hex(bytes) !== digest) throw new Error('the checksum does not match');
   const entries = read.asArray(JSON.parse(brotliDecompressSync(bytes).toString()), 'pages');
   return entries.map((entry) => {
     const [key, epoch, version, over, text] = read.asArray(entry, 'page entry');
@@ -76,17 +76,23 @@
 export interface Contribution {
   readonly id: string;
   readonly node: NodeId;
-  readonly marker: Marker;
-  readonly repairs: readonly Repair[];
+  readonly marker: ContributionMarker;
+  readonly repairs: readonly RecordRepair[];
 }
 
 /** What nodes have contributed, from all keys below `m/`. Damaged pages are told and passed over. */
-export function readContributions(items: Iterable<Item>, damaged: (what: string) => void): Contribution[] {
-  const byPrefix = new Map<string, { id: string; node: NodeId; pages: string[]; marker: Marker | null }>();
+export function readContributions(
+  items: Iterable<KeyValue>,
+  damaged: (what: string) => void,
+): Contribution[] {
+  const byPrefix = new Map<
+    string,
+    { id: string; node: NodeId; pages: string[]; marker: ContributionMarker | null }
+  >();
   for (const item of items) {
     const [, id, node, part] = item.key.split('/');
-    if (!item.key.startsWith(PAGES_PREFIX) || id === undefined || node === undefined) continue;
-    const prefix = pagesOf(id, node as NodeId);
+    if (!item.key.startsWith(CONTRIBUTION_PREFIX) || id === undefined || node === undefined) continue;
+    const prefix = contributionKeyPrefix(id, node as NodeId);
     const found = byPrefix.get(prefix) ?? { id, node: node as NodeId, pages: [], marker: null };
     byPrefix.set(prefix, found);
     try {
@@ -94,13 +100,13 @@
       if (part === 'done')
         found.marker = {
           pages: read.count(o, 'pages'),
-          digest: read.str(o, 'digest'),
-          led: read.count(o, 'led') as Token,
-          seen: read.count(o, 'seen') as Token,
-          continuous: read.bool(o, 'continuous'),
+          digest: read.string(o, 'digest'),
+          led: read.count(o, 'led') as FencingToken,
+          seen: read.count(o, 'seen') as FencingToken,
+          continuous: read.boolean(o, 'continuous'),
           lease: read.count(o, 'lease'),
         };
-      else found.pages[Number(part)] = read.str(o, 'text');
+      else found.pages[Number(part)] = read.string(o, 'text');
     } catch (e) {
       damaged(`${item.key}: ${String(e)}`);
     }
--- a/packages/recovery/src/gathering.ts
+++ b/packages/recovery/src/phases/store-recovery.ts
@@ -1,13 +1,13 @@
 import { randomUUID } from 'node:crypto';
-import type { WallMs } from '@spurbridge/model';
-import type { Clock, Ms } from '@spurbridge/net';
-import { later } from '@spurbridge/net';
-import type { StateStore } from '@spurbridge/store';
+import type { WallClockMs } from '@spurbridge/model';
+import type { Clock, MonotonicMs } from '@spurbridge/net';
+import { addMs } from '@spurbridge/net';
+import type { KeyValueStore } from '@spurbridge/store';
 import { LEADER_KEY, LEASE_TTL_MS } from '@spurbridge/store';
-import type { Change, Condition, Item, NodeId, Revision, Token, Version } from '@spurbridge/wire';
-import { ABSENT } from '@spurbridge/wire';
-import { Copy } from './copy.js';
-import type { Epoch, EpochNumber } from './epoch.js';
+import type { Mutation, Compare, KeyValue, NodeId, Revision, FencingToken, Version } from '@spurbridge/wire';
+import { KEY_ABSENT } from '@spurbridge/wire';
+import { Replica } from '../replica/replica.js';
+import type { Epoch, EpochNumber } from '../epoch/epoch-record.js';
 import {
   EPOCH_KEY,
   FENCE_PREFIX,
@@ -15,14 +15,14 @@
   encodeEpoch,
   fenceKey,
   isControlKey,
-  nextFloor,
-} from './epoch.js';
-import type { Memory, Repair } from './merge.js';
-import { merge } from './merge.js';
-import type { Contribution, Marker } from './pages.js';
-import type { Pending } from './overlay.js';
-import { standsOver } from './overlay.js';
-import { encodePages, markerKey, pagesOf, readContributions } from './pages.js';
+  nextTokenFloor,
+} from '../epoch/epoch-record.js';
+import type { EpochReplica, RecordRepair } from '../replica/merge.js';
+import { mergeReplicas } from '../replica/merge.js';
+import type { Contribution, ContributionMarker } from './contribution-codec.js';
+import type { PendingRepair } from '../replica/repair-overlay.js';
+import { standsOver } from '../replica/repair-overlay.js';
+import { encodePages, markerKey, contributionKeyPrefix, readContributions } from './contribution-codec.js';
 
 const RETRY_MS = 150;
 const POLL_MS = 100;
@@ -40,26 +40,26 @@
 const TOMBSTONE = 'gone';
 
 /** What a node brings into a gathering. */
-export interface Bringing {
+export interface LocalRecoveryState {
   /** Number of the epoch that its copy belongs to; 0 without a copy. */
-  readonly copyOf: EpochNumber;
+  readonly replicaEpoch: EpochNumber;
   /** Highest number that it has met, its own or a peer's. */
-  readonly highest: number;
+  readonly highestKnownEpoch: number;
   readonly deployment: string | null;
   /** Floor of its copy's epoch. */
-  readonly floor: number;
-  readonly led: Token;
-  readonly seen: Token;
+  readonly tokenFloor: number;
+  readonly lastLedToken: FencingToken;
+  readonly highestSeenToken: FencingToken;
   readonly continuous: boolean;
-  readonly lease: number;
+  readonly highestLeaseId: number;
   /** Its copy, and a snapshot where there is one. */
-  readonly memories: readonly Memory[];
+  readonly replicas: readonly EpochReplica[];
 }
 
-export interface GatheringParts {
-  readonly raw: StateStore;
+export interface StoreRecoveryDependencies {
+  readonly raw: KeyValueStore;
   readonly clock: Clock;
-  readonly wallNow: () => WallMs;
+  readonly wallNow: () => WallClockMs;
   /** Ids that never come again. */
   readonly newId?: () => string;
   readonly node: NodeId;
@@ -67,21 +67,21 @@
   readonly nodes: number;
   readonly valueKb: number;
   readonly log: { info(fields: object, message: string): void };
-  readonly brings: () => Bringing;
+  readonly localState: () => LocalRecoveryState;
   /** Peers heard of late, and the highest epoch that one of them is in. */
-  readonly heard: () => { readonly peers: readonly NodeId[]; readonly ahead: number };
+  readonly reachablePeers: () => { readonly peers: readonly NodeId[]; readonly ahead: number };
   /** An epoch of this number was met. */
-  readonly met: (number: number) => void;
+  readonly onEpochObserved: (number: number) => void;
   /** This node takes part in one of this number. */
-  readonly joins: (number: number) => void;
+  readonly onEpochJoined: (number: number) => void;
 }
 
 /** An open epoch as a node finds it. */
-export interface Opened {
+export interface OpenEpoch {
   readonly epoch: Epoch;
-  readonly fence: Condition;
-  readonly items: readonly Item[];
-  readonly pending: readonly Pending[];
+  readonly fence: Compare;
+  readonly items: readonly KeyValue[];
+  readonly pending: readonly PendingRepair[];
   /** Keys of pages, and tombstones, to be removed once everything is written back. */
   readonly leftovers: readonly string[];
   readonly revision: Revision;
@@ -105,46 +105,47 @@
 }
 
 /** The steps from a doubted store to an open epoch (docs/state-loss.md). It decides nothing for longer than a try. */
-export class Gathering {
+export class StoreRecovery {
   /** Ids of epochs that this process moved the fence to: another's under our name is from an earlier life. */
-  private readonly mine = new Map<string, Ms>();
-  private watched: { id: string; since: Ms } | null = null;
+  private readonly mine = new Map<string, MonotonicMs>();
+  private watched: { id: string; since: MonotonicMs } | null = null;
 
-  constructor(private readonly p: GatheringParts) {}
+  constructor(private readonly p: StoreRecoveryDependencies) {}
 
   /** Whether this process began the epoch itself. */
-  hasBegun(epoch: Epoch): boolean {
+  hasInitiated(epoch: Epoch): boolean {
     return this.mine.has(epoch.id);
   }
 
   /** One try: an epoch that is open now and later than the copy's, or null to begin again. */
-  async attempt(): Promise<Opened | null> {
-    const found = await this.find();
+  async attempt(): Promise<OpenEpoch | null> {
+    const found = await this.readEpochRecord();
     if (found === null) return this.pause();
-    const b = this.p.brings();
+    const b = this.p.localState();
     const { epoch } = found;
-    if (epoch !== null) this.p.met(epoch.number);
-    const joins = epoch !== null && epoch.number > b.copyOf && epoch.number >= b.highest;
+    if (epoch !== null) this.p.onEpochObserved(epoch.number);
+    const joins = epoch !== null && epoch.number > b.replicaEpoch && epoch.number >= b.highestKnownEpoch;
     if (!joins || this.isStalled(epoch)) {
       // A peer that is heard is in a later epoch: one of two stores is the old one, and it is not ours to move.
-      if (this.p.heard().ahead > Math.max(b.copyOf, epoch?.number ?? 0) && !joins) return this.pause();
+      if (this.p.reachablePeers().ahead > Math.max(b.replicaEpoch, epoch?.number ?? 0) && !joins)
+        return this.pause();
       await this.moveFence(found, b, false);
       return this.pause(20);
     }
-    this.p.joins(epoch.number);
+    this.p.onEpochJoined(epoch.number);
     return epoch.phase === 'open' ? this.enterLate(epoch) : this.gather(epoch, found.version);
   }
 
   /** The very first start, of a store that never held anything. */
-  async begin(): Promise<void> {
-    const found = await this.find();
-    if (found?.epoch === null) await this.moveFence(found, this.p.brings(), true);
+  async initializeStore(): Promise<void> {
+    const found = await this.readEpochRecord();
+    if (found?.epoch === null) await this.moveFence(found, this.p.localState(), true);
   }
 
   /** What the record says now; null: no answer. */
-  async find(): Promise<Found | null> {
+  async readEpochRecord(): Promise<Found | null> {
     const found = await this.p.raw.read(EPOCH_KEY, 0);
-    if (found.outcome === 'absent') return { epoch: null, version: ABSENT };
+    if (found.outcome === 'absent') return { epoch: null, version: KEY_ABSENT };
     if (found.outcome !== 'found') return null;
     return { epoch: decodeEpoch(found.item.value), version: found.item.version };
   }
@@ -162,21 +163,27 @@
     return now - this.watched.since > STALLED_MS;
   }
 
-  private async moveFence(found: Found, b: Bringing, first: boolean): Promise<void> {
+  private async moveFence(found: Found, b: LocalRecoveryState, first: boolean): Promise<void> {
     const fences = await this.p.raw.list(FENCE_PREFIX, 0);
     if (fences.outcome !== 'listed') return;
     const newId = this.p.newId ?? randomUUID;
-    const number = Math.max(b.highest, b.copyOf, found.epoch?.number ?? 0) + 1;
+    const number = Math.max(b.highestKnownEpoch, b.replicaEpoch, found.epoch?.number ?? 0) + 1;
     const epoch: Epoch = {
       number: number as EpochNumber,
       id: newId(),
       deployment: b.deployment ?? found.epoch?.deployment ?? newId(),
-      floor: first ? 0 : nextFloor(Math.max(b.floor, found.epoch?.floor ?? 0), b.seen, this.p.wallNow()),
+      floor: first
+        ? 0
+        : nextTokenFloor(
+            Math.max(b.tokenFloor, found.epoch?.floor ?? 0),
+            b.highestSeenToken,
+            this.p.wallNow(),
+          ),
       phase: first ? 'open' : 'gathering',
       // A gathering that never opened wrote no records: what it came after stands for them.
       after:
         found.epoch === null
-          ? b.copyOf
+          ? b.replicaEpoch
           : found.epoch.phase === 'open'
             ? found.epoch.number
             : found.epoch.after,
@@ -201,7 +208,7 @@
 
   // --- gathering ---------------------------------------------------------------------------------
 
-  private async gather(epoch: Epoch, version: Version): Promise<Opened | null> {
+  private async gather(epoch: Epoch, version: Version): Promise<OpenEpoch | null> {
     const isMover = epoch.by === this.p.node;
     if (!isMover) await this.awaitMarker(epoch, epoch.by, FIRST_MS);
     if (!(await this.contribute(epoch))) return this.pause();
@@ -216,11 +223,11 @@
     );
     if (outcome.outcome !== 'committed') return this.pause();
     this.p.log.info({ epoch: epoch.number, continuous, contributors: markers.size }, 'epoch opened');
-    return this.load({ ...epoch, phase: 'open', continuous }, true);
+    return this.loadOpenEpoch({ ...epoch, phase: 'open', continuous }, true);
   }
 
   private async awaitMarker(epoch: Epoch, node: NodeId, mostMs: number): Promise<void> {
-    const until = later(this.p.clock.now(), mostMs);
+    const until = addMs(this.p.clock.now(), mostMs);
     while (this.p.clock.now() < until) {
       const found = await this.p.raw.read(markerKey(epoch.id, node), 0);
       if (found.outcome === 'found') return;
@@ -233,18 +240,18 @@
     const { raw, node, valueKb } = this.p;
     const listed = await raw.list('', 0);
     if (listed.outcome !== 'listed') return false;
-    const b = this.p.brings();
+    const b = this.p.localState();
     const { base, others } = this.baseOf(epoch, listed.items);
     // A version above the count of revisions would be given again: such a record is written anew as it is.
     const ahead = listed.items
       .filter((i) => i.version > listed.latest && !isControlKey(i.key) && !base.pages.has(i.key))
       .map((i) => ({ key: i.key, epoch: epoch.after, version: i.version, text: JSON.stringify(i.value) }));
-    const due = merge(base, [...b.memories, ...others]);
+    const due = mergeReplicas(base, [...b.replicas, ...others]);
     const known = new Set(due.map((r) => r.key));
     const repairs = [...due, ...ahead.filter((r) => !known.has(r.key))].map((r) => ({
       ...r,
       // What stands in the store itself is what an entry replaces, also where a page had replaced it before.
-      over: base.own.get(r.key)?.version ?? ABSENT,
+      over: base.own.get(r.key)?.version ?? KEY_ABSENT,
     }));
     const { pages, digest } = encodePages(repairs, valueKb);
     const fence = listed.items.find((i) => i.key === fenceKey(epoch.id));
@@ -253,16 +260,16 @@
     for (let i = 0; i < pages.length; i += PAGES_A_COMMIT) {
       const changes = pages
         .slice(i, i + PAGES_A_COMMIT)
-        .map((text, k) => ({ put: `${pagesOf(epoch.id, node)}${i + k}`, value: { text } }));
+        .map((text, k) => ({ put: `${contributionKeyPrefix(epoch.id, node)}${i + k}`, value: { text } }));
       if (!(await this.insist(conditions, changes))) return false;
     }
-    const marker: Marker = {
+    const marker: ContributionMarker = {
       pages: pages.length,
       digest,
-      led: b.led,
-      seen: b.seen,
+      led: b.lastLedToken,
+      seen: b.highestSeenToken,
       continuous: b.continuous,
-      lease: b.lease,
+      lease: b.highestLeaseId,
     };
     const put = { put: markerKey(epoch.id, node), value: marker };
     if (!(await this.insist(conditions, [put]))) return false;
@@ -276,13 +283,16 @@
   /** The store with the pages of this epoch over it; pages of epochs that never opened are memories of their own. */
   private baseOf(
     epoch: Epoch,
-    items: readonly Item[],
+    items: readonly KeyValue[],
   ): {
-    readonly base: Memory & { readonly own: Copy; readonly pages: ReadonlyMap<string, Repair> };
-    readonly others: readonly Memory[];
+    readonly base: EpochReplica & {
+      readonly own: Replica;
+      readonly pages: ReadonlyMap<string, RecordRepair>;
+    };
+    readonly others: readonly EpochReplica[];
   } {
-    const own = new Copy();
-    own.replace(
+    const own = new Replica();
+    own.replaceAll(
       items.filter((i) => !isTombstone(i.value)),
       0 as Revision,
     );
@@ -303,14 +313,14 @@
     return { base, others };
   }
 
-  private contributions(items: readonly Item[]): Contribution[] {
+  private contributions(items: readonly KeyValue[]): Contribution[] {
     return readContributions(items, (what) => {
       this.p.log.info({ what }, 'pages cannot be read');
     });
   }
 
   /** Commits until confirmed; false once a condition fails or a few tries were in vain. */
-  private async insist(conditions: readonly Condition[], changes: readonly Change[]): Promise<boolean> {
+  private async insist(conditions: readonly Compare[], changes: readonly Mutation[]): Promise<boolean> {
     for (let n = 0; n < 20; n += 1) {
       const outcome = await this.p.raw.commit(conditions, changes, 0);
       if (outcome.outcome === 'committed') return true;
@@ -321,7 +331,7 @@
   }
 
   /** The markers, once all controllers have left theirs, or long enough after the move; null: begin again. */
-  private async collect(epoch: Epoch): Promise<Map<NodeId, Marker> | null> {
+  private async collect(epoch: Epoch): Promise<Map<NodeId, ContributionMarker> | null> {
     const { raw, clock, nodes } = this.p;
     const movedAt = this.mine.get(epoch.id);
     for (;;) {
@@ -331,7 +341,7 @@
         const markers = new Map(this.contributions(listed.items).map((c) => [c.node, c.marker]));
         if (!markers.has(this.p.node)) return null;
         if (markers.size >= nodes) return markers;
-        const missing = this.p.heard().peers.filter((peer) => !markers.has(peer));
+        const missing = this.p.reachablePeers().peers.filter((peer) => !markers.has(peer));
         if (sinceMs > BELIEF_MS && (missing.length === 0 || sinceMs > PATIENCE_MS)) return markers;
       } else if (sinceMs > STALLED_MS) return null;
       await clock.sleep(POLL_MS);
@@ -339,7 +349,7 @@
   }
 
   /** Takes leases until their ids are past all that were granted before the loss. */
-  private async passLeases(markers: ReadonlyMap<NodeId, Marker>): Promise<boolean> {
+  private async passLeases(markers: ReadonlyMap<NodeId, ContributionMarker>): Promise<boolean> {
     const past = Math.max(0, ...[...markers.values()].map((m) => m.lease));
     for (let n = 0; n < MOST_LEASES; n += 1) {
       const granted = await this.p.raw.grantLease(100);
@@ -350,13 +360,13 @@
     return true;
   }
 
-  private async awaitOpening(epoch: Epoch): Promise<Opened | null> {
-    const until = later(this.p.clock.now(), STALLED_MS);
+  private async awaitOpening(epoch: Epoch): Promise<OpenEpoch | null> {
+    const until = addMs(this.p.clock.now(), STALLED_MS);
     while (this.p.clock.now() < until) {
-      const found = await this.find();
+      const found = await this.readEpochRecord();
       if (found !== null) {
         if (found.epoch?.id !== epoch.id) return null;
-        if (found.epoch.phase === 'open') return this.load(found.epoch, true);
+        if (found.epoch.phase === 'open') return this.loadOpenEpoch(found.epoch, true);
       }
       await this.p.clock.sleep(POLL_MS);
     }
@@ -366,21 +376,21 @@
   // --- entering ----------------------------------------------------------------------------------
 
   /** Enters an epoch that opened without this node: what only it remembers of jobs is put back at once. */
-  private async enterLate(epoch: Epoch): Promise<Opened | null> {
+  private async enterLate(epoch: Epoch): Promise<OpenEpoch | null> {
     for (;;) {
-      const opened = await this.load(epoch);
+      const opened = await this.loadOpenEpoch(epoch);
       if (opened === null) return null;
-      const { memories } = this.p.brings();
+      const { replicas: memories } = this.p.localState();
       if (memories.length === 0) return opened;
-      const view = new Copy();
-      view.replace([...opened.items, ...opened.pending.map(itemOf)], opened.revision);
-      const store: Memory = { epoch: epoch.number, get: (k) => view.get(k), keys: () => view.keys() };
+      const view = new Replica();
+      view.replaceAll([...opened.items, ...opened.pending.map(itemOf)], opened.revision);
+      const store: EpochReplica = { epoch: epoch.number, get: (k) => view.get(k), keys: () => view.keys() };
       // Only what users were told: of tasks the workers tell the leader more than an old copy.
-      const due = merge(store, memories).filter((r) => r.key.startsWith('j/') && isNews(r, store));
+      const due = mergeReplicas(store, memories).filter((r) => r.key.startsWith('j/') && isNews(r, store));
       if (due.length === 0) return opened;
       const over = new Map(opened.items.map((i) => [i.key, i.version]));
       for (const r of due) {
-        const conditions = [opened.fence, { key: r.key, version: over.get(r.key) ?? ABSENT }];
+        const conditions = [opened.fence, { key: r.key, version: over.get(r.key) ?? KEY_ABSENT }];
         if (!(await this.insist(conditions, [{ put: r.key, value: JSON.parse(r.text) as unknown }])))
           return this.pause();
       }
@@ -389,16 +399,16 @@
   }
 
   /** Reads an open epoch whole. */
-  async load(epoch: Epoch, gathered = false): Promise<Opened | null> {
+  async loadOpenEpoch(epoch: Epoch, gathered = false): Promise<OpenEpoch | null> {
     const listed = await this.p.raw.list('', 0);
     if (listed.outcome !== 'listed') return this.pause();
     const fence = listed.items.find((i) => i.key === fenceKey(epoch.id));
     if (fence === undefined) return this.pause();
     const versions = new Map(listed.items.map((i) => [i.key, i.version]));
     const here = this.contributions(listed.items).filter((c) => c.id === epoch.id);
-    const pending: Pending[] = [];
+    const pending: PendingRepair[] = [];
     for (const r of standing(here).values()) {
-      const there = versions.get(r.key) ?? ABSENT;
+      const there = versions.get(r.key) ?? KEY_ABSENT;
       if (standsOver(r.over, there, fence.version)) pending.push({ key: r.key, over: there, text: r.text });
     }
     const replaced = new Set(pending.map((r) => r.key));
@@ -417,31 +427,32 @@
   }
 }
 
-function itemOf(p: Pending): Item {
+function itemOf(p: PendingRepair): KeyValue {
   return { key: p.key, value: JSON.parse(p.text) as unknown, version: p.over };
 }
 
 /** A late copy's word about a job counts where the job is unknown, or open there and over in the copy. */
-function isNews(r: Repair, store: Memory): boolean {
+function isNews(r: RecordRepair, store: EpochReplica): boolean {
   const there = store.get(r.key);
   return there === undefined || !r.text.includes('"phase":"active"');
 }
 
 /** Of all contributions, what stands for each key. */
-function standing(contributions: readonly Contribution[]): Map<string, Repair> {
-  const found = new Map<string, Repair>();
-  const nothing: Memory = { epoch: 0, get: () => undefined, keys: () => [] };
+function standing(contributions: readonly Contribution[]): Map<string, RecordRepair> {
+  const found = new Map<string, RecordRepair>();
+  const nothing: EpochReplica = { epoch: 0, get: () => undefined, keys: () => [] };
   const memories = contributions.flatMap((c) => memoriesOf(c.repairs));
   const over = new Map(contributions.flatMap((c) => c.repairs.map((r) => [r.key, r.over] as const)));
-  for (const r of merge(nothing, memories)) found.set(r.key, { ...r, over: over.get(r.key) ?? ABSENT });
+  for (const r of mergeReplicas(nothing, memories))
+    found.set(r.key, { ...r, over: over.get(r.key) ?? KEY_ABSENT });
   return found;
 }
 
 /** Repairs as memories, one for each epoch in which they were seen. */
-function memoriesOf(repairs: readonly Repair[]): Memory[] {
-  const byEpoch = new Map<number, Map<string, Repair>>();
+function memoriesOf(repairs: readonly RecordRepair[]): EpochReplica[] {
+  const byEpoch = new Map<number, Map<string, RecordRepair>>();
   for (const r of repairs) {
-    const of = byEpoch.get(r.epoch) ?? new Map<string, Repair>();
+    const of = byEpoch.get(r.epoch) ?? new Map<string, RecordRepair>();
     byEpoch.set(r.epoch, of.set(r.key, r));
   }
   return [...byEpoch].map(([epoch, of]) => ({ epoch, get: (key) => of.get(key), keys: () => of.keys() }));
@@ -451,7 +462,7 @@
  * Whether the last leader's own copy is among those that were merged, and nobody added records without knowing whether
  * they are the last word: then no intent is missing.
  */
-export function isContinuous(markers: ReadonlyMap<NodeId, Marker>): boolean {
+export function isContinuous(markers: ReadonlyMap<NodeId, ContributionMarker>): boolean {
   const all = [...markers.values()];
   const seen = Math.max(...all.map((m) => m.seen));
   const last = all.find((m) => m.led === seen);
--- a/packages/recovery/src/write-back.ts
+++ b/packages/recovery/src/phases/write-back.ts
@@ -1,21 +1,21 @@
-import type { Clock, Urgency } from '@spurbridge/net';
-import type { CommitOutcome, StateStore } from '@spurbridge/store';
-import { isControlKey } from './epoch.js';
-import { rank } from './pages.js';
-import type { View } from './view.js';
+import type { Clock, RequestPriority } from '@spurbridge/net';
+import type { CommitOutcome, KeyValueStore } from '@spurbridge/store';
+import { isControlKey } from '../epoch/epoch-record.js';
+import { writeBackPriority } from './contribution-codec.js';
+import type { EpochStore } from '../epoch-store/epoch-store.js';
 
 const WRITE_BACK_MS = 250;
 /** Least urgent of all: work that waits for a record gets it written by its own commit. */
-const URGENCY: Urgency = 3;
+const URGENCY: RequestPriority = 3;
 
 export interface WriteBackParts {
-  readonly store: Pick<StateStore, 'commit' | 'read'>;
+  readonly store: Pick<KeyValueStore, 'commit' | 'read'>;
   readonly clock: Clock;
   readonly log: { info(fields: object, message: string): void };
   /** Changes in one commit. */
   readonly most: number;
   /** The epoch that is trusted now. */
-  readonly view: () => View | null;
+  readonly view: () => EpochStore | null;
 }
 
 /** Markers and pages first: a tombstone that went before its page would bring the record back. */
@@ -31,7 +31,7 @@
     await p.clock.sleep(WRITE_BACK_MS);
     const view = p.view();
     if (view === null || !goesOn()) continue;
-    const batch = view.overlay.first(p.most, rank);
+    const batch = view.overlay.first(p.most, writeBackPriority);
     if (batch.length > 0) {
       const outcome = await p.store.commit(
         batch.map((i) => ({ key: i.key, version: i.version })),
@@ -55,7 +55,7 @@
   for (const key of outcome.failed) await p.store.read(key, URGENCY);
 }
 
-async function clean(p: WriteBackParts, view: View): Promise<void> {
+async function clean(p: WriteBackParts, view: EpochStore): Promise<void> {
   const now = [...view.leftovers].sort((a, b) => order(a) - order(b)).slice(0, p.most);
   const outcome = await p.store.commit(
     [],
--- a/packages/recovery/src/guard.ts
+++ b/packages/recovery/src/recoverable-store.ts
@@ -1,41 +1,41 @@
 import { jobKey } from '@spurbridge/model';
-import type { WallMs } from '@spurbridge/model';
-import type { Clock, Ms, Urgency } from '@spurbridge/net';
+import type { WallClockMs } from '@spurbridge/model';
+import type { Clock, MonotonicMs, RequestPriority } from '@spurbridge/net';
 import type {
   CommitOutcome,
-  GrantOutcome,
+  LeaseGrantOutcome,
   ListOutcome,
   ReadOutcome,
-  StateStore,
-  TouchOutcome,
+  KeyValueStore,
+  LeaseRenewalOutcome,
   WatchOutcome,
 } from '@spurbridge/store';
 import type {
-  Change,
-  Condition,
-  Item,
+  Mutation,
+  Compare,
+  KeyValue,
   JobId,
   LeaseId,
   MachineId,
   NodeId,
   PeerStatus,
   Revision,
-  Token,
+  FencingToken,
   Version,
 } from '@spurbridge/wire';
-import type { Copy } from './copy.js';
-import { phaseOf } from './copy.js';
-import type { Epoch, EpochNumber } from './epoch.js';
-import { NO_EPOCH, isControlKey, tokenIn } from './epoch.js';
-import type { Bringing, Opened } from './gathering.js';
-import { Gathering } from './gathering.js';
-import { PeerClaims } from './peer-claims.js';
-import type { Memory } from './merge.js';
-import type { SnapshotMemory, SnapshotShelf } from './shelf-memory.js';
-import { whyLater } from './shelf-memory.js';
-import { Soundness } from './soundness.js';
-import { REFUSED, View } from './view.js';
-import { writeBack } from './write-back.js';
+import type { Replica } from './replica/replica.js';
+import { jobPhaseOf } from './replica/replica.js';
+import type { Epoch, EpochNumber } from './epoch/epoch-record.js';
+import { NO_EPOCH, isControlKey, fencingTokenAt } from './epoch/epoch-record.js';
+import type { LocalRecoveryState, OpenEpoch } from './phases/store-recovery.js';
+import { StoreRecovery } from './phases/store-recovery.js';
+import { PeerObservations } from './peer-observations.js';
+import type { EpochReplica } from './replica/merge.js';
+import type { SnapshotReplica, SnapshotSource } from './snapshot-source.js';
+import { findMissingFromSnapshot } from './snapshot-source.js';
+import { StoreIntegrity } from './store-integrity.js';
+import { REFUSED, EpochStore } from './epoch-store/epoch-store.js';
+import { writeBack } from './phases/write-back.js';
 
 const AUDIT_MS = 1000;
 const RETRY_MS = 150;
@@ -44,83 +44,86 @@
 const FIRST_ALONE_MS = 2000;
 const ASK_MS = 100;
 
-export interface GuardParts {
-  readonly raw: StateStore;
+export interface RecoverableStoreDependencies {
+  readonly raw: KeyValueStore;
   readonly clock: Clock;
-  readonly wallNow: () => WallMs;
+  readonly wallNow: () => WallClockMs;
   readonly newId?: () => string;
   readonly node: NodeId;
   readonly nodes: number;
   readonly limits: { readonly valueKb: number; readonly txnOps: number };
   readonly log: { info(fields: object, message: string): void };
   /** Machines that the cloud lists as running, or null without an answer: asked only where no epoch is found. */
-  readonly machines: () => Promise<number | null>;
+  readonly countRunningMachines: () => Promise<number | null>;
   /** Told of every change of trust, after it. */
-  readonly changed: () => void;
+  readonly onIntegrityChanged: () => void;
   /** Told when the copy has changed. */
-  readonly copied?: () => void;
-  readonly shelf?: SnapshotShelf;
+  readonly onReplicaChanged?: () => void;
+  readonly shelf?: SnapshotSource;
 }
 
 /**
  * A state service that can be doubted (docs/state-loss.md). It is the raw one as long as nothing speaks against it;
  * otherwise every call is refused until an epoch is open in which what the nodes remember was put back.
  */
-export class GuardedStore implements StateStore {
-  private readonly soundness: Soundness;
+export class RecoverableStore implements KeyValueStore {
+  private readonly soundness: StoreIntegrity;
   /** The epoch that it follows, or has followed and doubts. */
-  private view: View | null = null;
+  private view: EpochStore | null = null;
   /** Number of the epoch that it helps to gather, or follows. */
   private joined = 0;
   private isContinuous = false;
   private deployment: string | null = null;
-  private ledToken = 0 as Token;
+  private ledToken = 0 as FencingToken;
   private lease = 0;
-  private doubtedAt: Ms | null = null;
-  private readonly startedAt: Ms;
-  private readonly claims: PeerClaims;
-  private readonly gathering: Gathering;
-  private snapshot: SnapshotMemory | null = null;
+  private doubtedAt: MonotonicMs | null = null;
+  private readonly startedAt: MonotonicMs;
+  private readonly claims: PeerObservations;
+  private readonly gathering: StoreRecovery;
+  private snapshot: SnapshotReplica | null = null;
 
-  constructor(private readonly p: GuardParts) {
+  constructor(private readonly p: RecoverableStoreDependencies) {
     this.startedAt = p.clock.now();
-    this.soundness = new Soundness((from, to, evidence) => {
-      p.log.info({ from, to, evidence, epoch: this.era, revision: this.view?.claimed ?? 0 }, 'state service');
+    this.soundness = new StoreIntegrity((from, to, evidence) => {
+      p.log.info(
+        { from, to, evidence, epoch: this.generation, revision: this.view?.claimed ?? 0 },
+        'state service',
+      );
     });
-    this.claims = new PeerClaims(p.clock, p.machines);
-    this.gathering = new Gathering({
+    this.claims = new PeerObservations(p.clock, p.countRunningMachines);
+    this.gathering = new StoreRecovery({
       ...p,
       valueKb: p.limits.valueKb,
-      brings: () => this.brings(),
-      heard: () => this.claims.heard(),
-      met: (number) => {
+      localState: () => this.brings(),
+      reachablePeers: () => this.claims.heard(),
+      onEpochObserved: (number) => {
         this.claims.met(number);
       },
-      joins: (number) => {
+      onEpochJoined: (number) => {
         if (number === this.joined) return;
         this.joined = number;
-        p.changed();
+        p.onIntegrityChanged();
       },
     });
   }
 
-  get trusted(): boolean {
+  get isTrusted(): boolean {
     return this.soundness.state === 'sound';
   }
 
   /** Number of the epoch that its copy belongs to. */
-  get era(): EpochNumber {
+  get generation(): EpochNumber {
     return this.view?.epoch.number ?? NO_EPOCH;
   }
 
   /** What is trusted now. */
-  private get sound(): View | null {
-    return this.trusted ? this.view : null;
+  private get sound(): EpochStore | null {
+    return this.isTrusted ? this.view : null;
   }
 
   /** Whether it followed the epoch without a gap: what it read is all that was written. */
   get continuous(): boolean {
-    return this.trusted && this.isContinuous;
+    return this.isTrusted && this.isContinuous;
   }
 
   /** Whether this epoch opened without the last leader's copy. */
@@ -131,11 +134,11 @@
   /** Phase of a job by its record; null: no such record was ever seen. */
   phaseOf(id: JobId): string | null {
     const seen = this.view?.copy.get(jobKey(id));
-    return seen === undefined ? null : phaseOf(seen.text);
+    return seen === undefined ? null : jobPhaseOf(seen.text);
   }
 
   /** A record by this node's copy, while the state service is trusted; undefined: none is known. */
-  recordOf(key: string): Item | undefined {
+  replicatedRecord(key: string): KeyValue | undefined {
     const seen = this.sound?.copy.get(key);
     if (seen === undefined) return undefined;
     return { key, value: JSON.parse(seen.text) as unknown, version: seen.version };
@@ -147,16 +150,16 @@
   }
 
   /** The copy as a consistent memory up to its revision, for a snapshot; null while the store is not trusted. */
-  remembered(): { readonly epoch: Epoch; readonly revision: Revision; readonly copy: Copy } | null {
+  replicaSnapshot(): { readonly epoch: Epoch; readonly revision: Revision; readonly copy: Replica } | null {
     const { sound } = this;
     return sound === null ? null : { epoch: sound.epoch, revision: sound.copy.revision, copy: sound.copy };
   }
 
-  tokenOf(version: Version): Token {
-    return tokenIn(this.view?.epoch.floor ?? 0, version);
+  fencingTokenOf(version: Version): FencingToken {
+    return fencingTokenAt(this.view?.epoch.floor ?? 0, version);
   }
 
-  failingSince(): Ms | null {
+  failingSince(): MonotonicMs | null {
     return this.doubtedAt ?? this.p.raw.failingSince();
   }
 
@@ -164,18 +167,18 @@
 
   /** What peers are told of this node's trust. */
   status(): Pick<PeerStatus, 'epoch' | 'epochId' | 'revision' | 'trusted' | 'continuous'> {
-    const { trusted, continuous, view } = this;
+    const { isTrusted: trusted, continuous, view } = this;
     return {
-      epoch: Math.max(this.era, this.joined),
+      epoch: Math.max(this.generation, this.joined),
       // Of the epoch that it follows, or has followed and doubts; not of one that it only helps to gather.
-      epochId: this.joined > this.era ? '' : (view?.epoch.id ?? ''),
+      epochId: this.joined > this.generation ? '' : (view?.epoch.id ?? ''),
       revision: this.sound?.claimed ?? 0,
       trusted,
       continuous,
     };
   }
 
-  peerSaid(status: PeerStatus): void {
+  receivePeerStatus(status: PeerStatus): void {
     this.claims.peerSaid(status);
     const { sound } = this;
     if (sound === null) return;
@@ -194,13 +197,13 @@
   }
 
   /** A worker reported with this token. */
-  workerSaid(machine: MachineId, token: Token): void {
+  receiveWorkerToken(machine: MachineId, token: FencingToken): void {
     if (this.soundness.state === 'unattached' && token === 0) this.claims.freshWorker(machine);
     this.tokenShown(token);
   }
 
   /** A worker, or a leader's record, showed this token. */
-  private tokenShown(token: Token): void {
+  private tokenShown(token: FencingToken): void {
     if (!this.claims.tokenShown(token)) return;
     // A leader of this epoch was elected at that revision: the store must have reached it.
     const { view } = this;
@@ -208,38 +211,38 @@
       view.claimed = Math.max(view.claimed, token - view.epoch.floor);
   }
 
-  led(token: Token): void {
+  recordElection(token: FencingToken): void {
     this.ledToken = token;
     this.tokenShown(token);
   }
 
   /** The leader knows what is on every machine: nothing written before can be missing from now on. */
   settled(): void {
-    if (this.trusted) this.isContinuous = true;
+    if (this.isTrusted) this.isContinuous = true;
   }
 
   /** Something cannot be in a sound store: nothing it says is acted on until the copies were put back. */
   doubt(evidence: string): void {
     if (this.soundness.state !== 'sound' && this.soundness.state !== 'unattached') return;
     this.doubtedAt = this.p.clock.now();
-    this.soundness.enter('doubtful', evidence);
-    this.p.changed();
+    this.soundness.transitionTo('doubtful', evidence);
+    this.p.onIntegrityChanged();
   }
 
-  private brings(): Bringing {
-    const { view, era } = this;
-    const own: Memory[] =
+  private brings(): LocalRecoveryState {
+    const { view, generation: era } = this;
+    const own: EpochReplica[] =
       view === null ? [] : [{ epoch: era, get: (k) => view.copy.get(k), keys: () => view.copy.keys() }];
     return {
-      copyOf: era,
-      highest: Math.max(this.claims.highest, era),
+      replicaEpoch: era,
+      highestKnownEpoch: Math.max(this.claims.highest, era),
       deployment: this.deployment,
-      floor: view?.epoch.floor ?? 0,
-      led: this.ledToken,
-      seen: this.claims.token,
+      tokenFloor: view?.epoch.floor ?? 0,
+      lastLedToken: this.ledToken,
+      highestSeenToken: this.claims.token,
       continuous: this.isContinuous,
-      lease: this.lease,
-      memories: this.snapshot === null ? own : [...own, this.snapshot],
+      highestLeaseId: this.lease,
+      replicas: this.snapshot === null ? own : [...own, this.snapshot],
     };
   }
 
@@ -255,7 +258,7 @@
       } catch (e) {
         // Whatever was read could not be understood: a store that holds such things is not trusted.
         this.p.log.info({ error: String(e) }, 'state service cannot be read');
-        if (this.soundness.state === 'rebuilding') this.soundness.enter('doubtful', String(e));
+        if (this.soundness.state === 'rebuilding') this.soundness.transitionTo('doubtful', String(e));
         else this.doubt(String(e));
         await this.p.clock.sleep(RETRY_MS);
       }
@@ -269,7 +272,7 @@
       case 'sound':
         return this.sound?.follow();
       case 'doubtful':
-        this.soundness.enter('rebuilding', 'what the nodes remember is gathered');
+        this.soundness.transitionTo('rebuilding', 'what the nodes remember is gathered');
         return;
       case 'rebuilding': {
         const opened = await this.gathering.attempt();
@@ -279,7 +282,7 @@
   }
 
   private async attach(): Promise<void> {
-    const found = await this.gathering.find();
+    const found = await this.gathering.readEpochRecord();
     if (found === null) return this.p.clock.sleep(RETRY_MS);
     const { epoch } = found;
     await this.takeSnapshot(epoch?.deployment ?? null);
@@ -288,10 +291,10 @@
     if (epoch.phase !== 'open' || epoch.number < ahead)
       return this.doubt(`epoch ${epoch.number} is ${epoch.phase}, of others ${ahead}`);
     const known = this.claims.revisionOf(epoch.id);
-    const opened = await this.gathering.load(epoch);
+    const opened = await this.gathering.loadOpenEpoch(epoch);
     if (opened === null) return;
     if (opened.latest < known) return this.doubt(`revision ${opened.latest} was read, a peer knows ${known}`);
-    const later = this.snapshot === null ? null : whyLater(this.snapshot, opened);
+    const later = this.snapshot === null ? null : findMissingFromSnapshot(this.snapshot, opened);
     if (later !== null) return this.doubt(later);
     this.enter(opened);
   }
@@ -316,13 +319,13 @@
       const listed = await this.p.raw.list('', 0);
       if (listed.outcome !== 'listed') await this.p.clock.sleep(RETRY_MS);
       else if (listed.items.some((i) => !isControlKey(i.key))) this.doubt('records without an epoch');
-      else await this.gathering.begin();
+      else await this.gathering.initializeStore();
     }
   }
 
-  private enter(o: Opened): void {
+  private enter(o: OpenEpoch): void {
     const { epoch, revision } = o;
-    this.view = new View(
+    this.view = new EpochStore(
       {
         raw: this.p.raw,
         clock: this.p.clock,
@@ -332,20 +335,23 @@
         },
         isCurrent: (view) => this.sound === view,
         isContinuous: () => this.isContinuous,
-        copied: () => this.p.copied?.(),
+        copied: () => this.p.onReplicaChanged?.(),
       },
       o,
     );
     this.joined = epoch.number;
     this.deployment = epoch.deployment;
     // A node that comes later knows of the epoch's opening only what its peers say.
-    const begun = epoch.first && this.gathering.hasBegun(epoch);
+    const begun = epoch.first && this.gathering.hasInitiated(epoch);
     this.isContinuous = this.claims.attests(epoch.id) || begun || (o.gathered && epoch.continuous);
     this.snapshot = null;
     this.doubtedAt = null;
-    this.soundness.enter('sound', `epoch ${epoch.number} at ${revision}, ${o.pending.length} to write back`);
-    this.p.changed();
-    this.p.copied?.();
+    this.soundness.transitionTo(
+      'sound',
+      `epoch ${epoch.number} at ${revision}, ${o.pending.length} to write back`,
+    );
+    this.p.onIntegrityChanged();
+    this.p.onReplicaChanged?.();
     const impossible = o.items.find((i) => i.version > o.latest);
     if (impossible !== undefined) this.doubt(`${impossible.key} is later than the store`);
   }
@@ -359,18 +365,18 @@
 
   // --- the state service as everybody else uses it -----------------------------------------------------
 
-  async read(key: string, urgency: Urgency): Promise<ReadOutcome> {
+  async read(key: string, urgency: RequestPriority): Promise<ReadOutcome> {
     return this.sound?.read(key, urgency) ?? REFUSED;
   }
 
-  async list(prefix: string, urgency: Urgency): Promise<ListOutcome> {
+  async list(prefix: string, urgency: RequestPriority): Promise<ListOutcome> {
     return this.sound?.list(prefix, urgency) ?? REFUSED;
   }
 
   async commit(
-    conditions: readonly Condition[],
-    changes: readonly Change[],
-    urgency: Urgency,
+    conditions: readonly Compare[],
+    changes: readonly Mutation[],
+    urgency: RequestPriority,
   ): Promise<CommitOutcome> {
     return this.sound?.commit(conditions, changes, urgency) ?? REFUSED;
   }
@@ -379,19 +385,19 @@
     return this.sound?.watch(prefix, after, waitMs) ?? REFUSED;
   }
 
-  async grantLease(ttlMs: number): Promise<GrantOutcome> {
-    if (!this.trusted) return REFUSED;
+  async grantLease(ttlMs: number): Promise<LeaseGrantOutcome> {
+    if (!this.isTrusted) return REFUSED;
     const granted = await this.p.raw.grantLease(ttlMs);
     if (granted.outcome === 'granted') this.lease = Math.max(this.lease, granted.lease);
     return granted;
   }
 
-  async renewLease(lease: LeaseId, held: Condition): Promise<TouchOutcome> {
+  async renewLease(lease: LeaseId, held: Compare): Promise<LeaseRenewalOutcome> {
     return this.sound?.renewLease(lease, held) ?? REFUSED;
   }
 
-  endLease(lease: LeaseId): Promise<void> {
-    return this.trusted ? this.p.raw.endLease(lease) : Promise.resolve();
+  revokeLease(lease: LeaseId): Promise<void> {
+    return this.isTrusted ? this.p.raw.revokeLease(lease) : Promise.resolve();
   }
 
   /** Writes what pages hold back as records of their own, for as long as `goesOn`. */
--- a/packages/recovery/src/overlay.ts
+++ b/packages/recovery/src/replica/repair-overlay.ts
@@ -1,13 +1,13 @@
-import type { Condition, Item, Version } from '@spurbridge/wire';
+import type { Compare, KeyValue, Version } from '@spurbridge/wire';
 
 /** An entry of a page: stands in for its key while that has the version `over`. */
-export interface Pending {
+export interface PendingRepair {
   readonly key: string;
   readonly over: Version;
   readonly text: string;
 }
 
-interface Entry extends Pending {
+interface Entry extends PendingRepair {
   over: Version;
   /** Names the entry in conditions: negative, so that no version of the store is like it. */
   readonly virtual: Version;
@@ -22,11 +22,11 @@
 }
 
 /** Entries of pages that stand in for their keys until those are written again. */
-export class Overlay {
+export class RepairOverlay {
   private readonly entries = new Map<string, Entry>();
 
   constructor(
-    pending: readonly Pending[],
+    pending: readonly PendingRepair[],
     private readonly fencedAt: Version,
   ) {
     pending.forEach((p, i) => this.entries.set(p.key, { ...p, virtual: -(i + 1) as Version }));
@@ -41,7 +41,7 @@
   }
 
   /** What stands in for a key that the store has at this version; null where the store's own stands. */
-  standIn(key: string, version: Version): Item | null {
+  standIn(key: string, version: Version): KeyValue | null {
     const e = this.entries.get(key);
     if (e === undefined) return null;
     if (!standsOver(e.over, version, this.fencedAt)) {
@@ -52,12 +52,12 @@
     return itemOf(e);
   }
 
-  absentBelow(prefix: string): Item[] {
+  absentBelow(prefix: string): KeyValue[] {
     return [...this.entries.values()].filter((e) => e.key.startsWith(prefix) && e.over === 0).map(itemOf);
   }
 
   /** The store's version for a condition that was read here; null where it cannot hold any more. */
-  real(c: Condition): Version | null {
+  real(c: Compare): Version | null {
     const e = this.entries.get(c.key);
     if (c.version < 0) return e?.virtual === c.version ? e.over : null;
     return e === undefined ? c.version : null;
@@ -69,7 +69,7 @@
   }
 
   /** Some entries, those of the lowest rank first. */
-  first(most: number, rank: (key: string) => number): Item[] {
+  first(most: number, rank: (key: string) => number): KeyValue[] {
     return [...this.entries.values()]
       .sort((a, b) => rank(a.key) - rank(b.key))
       .slice(0, most)
@@ -77,6 +77,6 @@
   }
 }
 
-function itemOf(e: Entry): Item {
+function itemOf(e: Entry): KeyValue {
   return { key: e.key, value: JSON.parse(e.text) as unknown, version: e.virtual };
 }
--- a/packages/recovery/src/soundness.ts
+++ b/packages/recovery/src/store-integrity.ts
@@ -1,33 +1,33 @@
-import { Transitions } from '@spurbridge/model';
+import { TransitionTable } from '@spurbridge/model';
 
 /**
  * Whether a node trusts the state service. `unattached`: it has read nothing yet. `doubtful`: something was seen that
  * cannot be in a sound store. `rebuilding`: it takes part in an epoch that gathers what the nodes remember.
  */
-export type SoundnessState = 'unattached' | 'sound' | 'doubtful' | 'rebuilding';
+export type IntegrityState = 'unattached' | 'sound' | 'doubtful' | 'rebuilding';
 
-const transitions = new Transitions<SoundnessState>('state service', {
+const transitions = new TransitionTable<IntegrityState>('state service', {
   unattached: ['sound', 'doubtful', 'rebuilding'],
   sound: ['doubtful'],
   doubtful: ['rebuilding'],
   rebuilding: ['sound', 'doubtful'],
 });
 
-export class Soundness {
-  private current: SoundnessState = 'unattached';
+export class StoreIntegrity {
+  private current: IntegrityState = 'unattached';
 
   constructor(
-    private readonly changed: (from: SoundnessState, to: SoundnessState, evidence: string) => void,
+    private readonly changed: (from: IntegrityState, to: IntegrityState, evidence: string) => void,
   ) {}
 
-  get state(): SoundnessState {
+  get state(): IntegrityState {
     return this.current;
   }
 
   /** The only function that changes the state. */
-  enter(next: SoundnessState, evidence: string): void {
+  transitionTo(next: IntegrityState, evidence: string): void {
     if (next === this.current) return;
-    transitions.check(this.current, next);
+    transitions.assertAllowed(this.current, next);
     const before = this.current;
     this.current = next;
     this.changed(before, next, evidence);
--- a/packages/recovery/test/audit.test.ts
+++ b/packages/recovery/test/audit-selector.test.ts
@@ -1,22 +1,23 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Revision, Version } from '@spurbridge/wire';
-import { Auditor } from '../src/audit.js';
-import { Copy } from '../src/index.js';
+import { AuditSelector } from '../src/epoch-store/audit-selector.js';
+import { Replica } from '../src/index.js';
 
 const KEY = 't/wk-000001/0';
 const at = (n: number): Revision => n as Revision;
 
 /** A copy that was told of the key at these versions, and then followed the store up to a revision. */
-function copyOf(versions: readonly number[], upTo: number): Copy {
-  const copy = new Copy();
-  for (const v of versions) copy.watched([{ put: KEY, value: { n: v }, version: v as Version }], at(v));
-  copy.watched([], at(upTo));
+function copyOf(versions: readonly number[], upTo: number): Replica {
+  const copy = new Replica();
+  for (const v of versions)
+    copy.applyWatchEvents([{ put: KEY, value: { n: v }, version: v as Version }], at(v));
+  copy.applyWatchEvents([], at(upTo));
   return copy;
 }
 
 test('a key that was absent, and that no deletion was shown of, is lost once the watch is past that', () => {
-  const auditor = new Auditor(4);
+  const auditor = new AuditSelector(4);
   auditor.suspect(KEY, at(8));
   assert.equal(auditor.lost(copyOf([5], 7)), null);
   assert.equal(auditor.lost(copyOf([5], 8)), KEY);
@@ -24,10 +25,10 @@
 });
 
 test('a key that was deleted and written again since it was absent is not lost', () => {
-  const auditor = new Auditor(4);
+  const auditor = new AuditSelector(4);
   const copy = copyOf([5], 6);
   auditor.suspect(KEY, at(8));
-  copy.watched([{ delete: KEY, version: 7 as Version }], at(8));
-  copy.watched([{ put: KEY, value: { n: 9 }, version: 9 as Version }], at(9));
+  copy.applyWatchEvents([{ delete: KEY, version: 7 as Version }], at(8));
+  copy.applyWatchEvents([{ put: KEY, value: { n: 9 }, version: 9 as Version }], at(9));
   assert.equal(auditor.lost(copy), null);
 });
--- a/packages/recovery/test/memory.test.ts
+++ b/packages/recovery/test/replica.test.ts
@@ -2,31 +2,31 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { decodeJob, encodeJob } from '@spurbridge/model';
-import type { WallMs } from '@spurbridge/model';
+import type { WallClockMs } from '@spurbridge/model';
 import { jobSpec } from '@spurbridge/testkit';
-import type { Item, JobId, NodeId, Revision, Token, Version } from '@spurbridge/wire';
-import type { Memory } from '../src/index.js';
+import type { KeyValue, JobId, NodeId, Revision, FencingToken, Version } from '@spurbridge/wire';
+import type { EpochReplica } from '../src/index.js';
 import {
-  Copy,
+  Replica,
   decodeEpoch,
   encodeEpoch,
   encodePages,
   markerKey,
-  merge,
-  nextFloor,
-  pagesOf,
+  mergeReplicas,
+  nextTokenFloor,
+  contributionKeyPrefix,
   readContributions,
 } from '../src/index.js';
 import type { Epoch } from '../src/index.js';
-import { contradiction } from '../src/copy.js';
+import { findContradiction } from '../src/replica/replica.js';
 
 const idOf = (n: number): JobId => `wk-${String(n).padStart(6, '0')}` as JobId;
 const record = (n: number, phase: 'active' | 'done' | 'cancelled') =>
-  encodeJob({ spec: jobSpec({ id: idOf(n) }), phase, at: 5 as WallMs, chunkSize: 256 });
+  encodeJob({ spec: jobSpec({ id: idOf(n) }), phase, submittedAt: 5 as WallClockMs, chunkSize: 256 });
 
-function memoryOf(epoch: number, items: readonly Item[]): Memory & { readonly copy: Copy } {
-  const copy = new Copy();
-  copy.replace(items, 0 as Revision);
+function memoryOf(epoch: number, items: readonly KeyValue[]): EpochReplica & { readonly copy: Replica } {
+  const copy = new Replica();
+  copy.replaceAll(items, 0 as Revision);
   return { copy, epoch, get: (k) => copy.get(k), keys: () => copy.keys() };
 }
 
@@ -40,10 +40,10 @@
 );
 const itemsOf = (
   rs: readonly { n: number; phase: 'active' | 'done' | 'cancelled'; version: number }[],
-): Item[] =>
+): KeyValue[] =>
   rs.map((r) => ({ key: `j/${idOf(r.n)}`, value: record(r.n, r.phase), version: r.version as Version }));
 
-const phaseIn = (m: Memory, key: string): string | null => {
+const phaseIn = (m: EpochReplica, key: string): string | null => {
   const seen = m.get(key);
   return seen === undefined ? null : decodeJob(JSON.parse(seen.text)).phase;
 };
@@ -53,7 +53,8 @@
     fc.property(items, fc.array(items, { minLength: 1, maxLength: 3 }), (inStore, inCopies) => {
       const store = memoryOf(1, itemsOf(inStore));
       const copies = inCopies.map((c) => memoryOf(1, itemsOf(c)));
-      for (const r of merge(store, copies)) store.copy.put(r.key, JSON.parse(r.text), 1000 as Version);
+      for (const r of mergeReplicas(store, copies))
+        store.copy.put(r.key, JSON.parse(r.text), 1000 as Version);
       for (const m of copies)
         for (const key of m.keys()) {
           const now = phaseIn(store, key);
@@ -62,7 +63,7 @@
         }
       // Done again it changes nothing: an interrupted rebuild ends the same.
       assert.deepEqual(
-        merge(store, copies).filter((r) => phaseIn(store, r.key) === 'active'),
+        mergeReplicas(store, copies).filter((r) => phaseIn(store, r.key) === 'active'),
         [],
       );
     }),
@@ -72,8 +73,8 @@
 test('a copy of a later epoch beats the store, whatever the versions', () => {
   const store = memoryOf(1, [{ key: 't/wk-1/0', value: { tries: 9 }, version: 900 as Version }]);
   const copy = memoryOf(2, [{ key: 't/wk-1/0', value: { tries: 2 }, version: 7 as Version }]);
-  assert.equal(merge(store, [copy])[0]?.text, '{"tries":2}');
-  assert.deepEqual(merge(copy, [store]), []);
+  assert.equal(mergeReplicas(store, [copy])[0]?.text, '{"tries":2}');
+  assert.deepEqual(mergeReplicas(copy, [store]), []);
 });
 
 test('pages hold what was put in, fit the values, and damaged ones are passed over', () => {
@@ -92,13 +93,13 @@
       const marker = {
         pages: pages.length,
         digest,
-        led: 3 as Token,
-        seen: 4 as Token,
+        led: 3 as FencingToken,
+        seen: 4 as FencingToken,
         continuous: true,
         lease: 5,
       };
-      const stored: Item[] = pages.map((text, i) => ({
-        key: `${pagesOf('x', node)}${i}`,
+      const stored: KeyValue[] = pages.map((text, i) => ({
+        key: `${contributionKeyPrefix('x', node)}${i}`,
         value: { text: damage && i === 0 ? `AAAA${text.slice(4)}` : text },
         version: 1 as Version,
       }));
@@ -120,7 +121,7 @@
 });
 
 test('a copy folds jobs that are over, once they have no task records left, and still answers for them', () => {
-  const copy = new Copy();
+  const copy = new Replica();
   copy.put('j/wk-000001', record(1, 'active'), 3 as Version);
   copy.put('t/wk-000001/0', { tries: 1, done: '', placed: [] }, 4 as Version);
   copy.put('j/wk-000001', record(1, 'cancelled'), 5 as Version);
@@ -135,12 +136,12 @@
 
 test('what cannot be in a sound store is told, and what is only newer or reordered is not', () => {
   const known = { version: 7 as Version, text: '{"a":1,"b":2}' };
-  assert.equal(contradiction('t/x/0', known, 7 as Version, { b: 2, a: 1 }), null);
-  assert.equal(contradiction('t/x/0', known, 8 as Version, { a: 9 }), null);
-  assert.equal(contradiction('t/x/0', known, 0 as Version, undefined), null);
-  assert.match(contradiction('t/x/0', known, 6 as Version, { a: 1, b: 2 }) ?? '', /was at 7/);
-  assert.match(contradiction('t/x/0', known, 7 as Version, '?') ?? '', /another value/);
-  assert.match(contradiction('j/x', known, 0 as Version, undefined) ?? '', /gone/);
+  assert.equal(findContradiction('t/x/0', known, 7 as Version, { b: 2, a: 1 }), null);
+  assert.equal(findContradiction('t/x/0', known, 8 as Version, { a: 9 }), null);
+  assert.equal(findContradiction('t/x/0', known, 0 as Version, undefined), null);
+  assert.match(findContradiction('t/x/0', known, 6 as Version, { a: 1, b: 2 }) ?? '', /was at 7/);
+  assert.match(findContradiction('t/x/0', known, 7 as Version, '?') ?? '', /another value/);
+  assert.match(findContradiction('j/x', known, 0 as Version, undefined) ?? '', /gone/);
 });
 
 test('an epoch is read as it was written; anything else counts as lost', () => {
@@ -167,9 +168,9 @@
       fc.nat(2 ** 40),
       fc.integer({ min: 1.6e12, max: 7e12 }),
       (last, seen, wall) => {
-        const floor = nextFloor(last, seen as Token, wall);
+        const floor = nextTokenFloor(last, seen as FencingToken, wall);
         assert.ok(floor > last && floor > seen && Number.isSafeInteger(floor + 2 ** 30));
-        assert.ok(nextFloor(0, 0 as Token, wall + 1) > floor || floor > wall * 1024);
+        assert.ok(nextTokenFloor(0, 0 as FencingToken, wall + 1) > floor || floor > wall * 1024);
       },
     ),
   );
--- a/packages/recovery/test/model.test.ts
+++ b/packages/recovery/test/state-loss-model.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Guards } from './model.js';
-import { ALL, explore } from './model.js';
+import type { Guards } from './state-loss-model.js';
+import { ALL, explore } from './state-loss-model.js';
 
 const PLACED = ['node 0 leads with 2', 'node 0 places on 1', 'node 0 starts on 1', 'a late start arrives'];
 const LATE = [
--- a/packages/scale/src/capacity.ts
+++ b/packages/scale/src/capacity.ts
@@ -1,6 +1,6 @@
 import { linearRegression, rSquared } from 'simple-statistics';
 import { RUN_SETTINGS } from './controller-settings.js';
-import { PLAN } from './options.js';
+import { CAPACITY_PLAN } from './options.js';
 import type { ScaleResult, StepResult } from './results.js';
 
 /** What a figure grows with. */
@@ -160,7 +160,7 @@
 ];
 
 /** A straight line through the measured steps. */
-export interface Fit {
+export interface LinearFit {
   readonly base: number;
   readonly slope: number;
   /** Root of the mean squared distance of the steps from the line. */
@@ -171,7 +171,7 @@
 }
 
 /** Fits value = base + slope x driver; needs two points at the least. */
-export function fit(points: readonly (readonly [number, number])[]): Fit {
+export function fitLine(points: readonly (readonly [number, number])[]): LinearFit {
   const data = points.map(([x, y]) => [x, y]);
   const { m: slope, b: base } = linearRegression(data);
   const line = (x: number): number => base + slope * x;
@@ -183,14 +183,14 @@
 
 /** The drivers at the operators' plan, for one region and for all at one leader. */
 const PART: Readonly<Record<DriverName, number>> = {
-  'starts/s': PLAN.starts / PLAN.regions,
-  workers: PLAN.workers / PLAN.regions,
-  tasks: PLAN.running / PLAN.workers,
+  'starts/s': CAPACITY_PLAN.starts / CAPACITY_PLAN.regions,
+  workers: CAPACITY_PLAN.workers / CAPACITY_PLAN.regions,
+  tasks: CAPACITY_PLAN.running / CAPACITY_PLAN.workers,
 };
 const WHOLE: Readonly<Record<DriverName, number>> = {
-  'starts/s': PLAN.starts,
-  workers: PLAN.workers,
-  tasks: PLAN.running / PLAN.workers,
+  'starts/s': CAPACITY_PLAN.starts,
+  workers: CAPACITY_PLAN.workers,
+  tasks: CAPACITY_PLAN.running / CAPACITY_PLAN.workers,
 };
 
 function number(value: number, digits: number): string {
@@ -207,7 +207,7 @@
 }
 
 /** How far beyond the measured range a point lies. */
-function range(f: Fit, at: number): string {
+function range(f: LinearFit, at: number): string {
   if (at <= f.most * 1.05 && at >= f.least * 0.95) return 'measured';
   return at > f.most ? `extrapolated x${(at / f.most).toFixed(1)}` : 'below the range';
 }
@@ -219,7 +219,7 @@
 
 function slopeTable(steps: readonly StepResult[]): string {
   const rows = METRICS.map((m) => {
-    const f = fit(steps.map((s) => [DRIVERS[m.driver](s), m.of(s)] as const));
+    const f = fitLine(steps.map((s) => [DRIVERS[m.driver](s), m.of(s)] as const));
     const part = f.base + f.slope * PART[m.driver];
     const whole = f.base + f.slope * WHOLE[m.driver];
     const atPart = `${number(part, m.digits)} (${range(f, PART[m.driver])})`;
@@ -361,7 +361,7 @@
       .map((s) => [
         name,
         String(s.endedJobs),
-        number((s.endedJobs ?? 0) / (PLAN.jobsADay / PLAN.regions), 1),
+        number((s.endedJobs ?? 0) / (CAPACITY_PLAN.jobsADay / CAPACITY_PLAN.regions), 1),
         s.readySeconds === null || s.readySeconds === undefined ? 'never' : number(s.readySeconds, 2),
         number(s.roles.leader.residentMb, 0),
         number(s.roles.node.residentMb, 0),
--- a/packages/scale/src/child-main.ts
+++ b/packages/scale/src/child-main.ts
@@ -1,7 +1,7 @@
 import { Meter } from './child.js';
 import { runCloud } from './cloud-server.js';
 import type { Role } from './messages.js';
-import { runState } from './state-server.js';
+import { runStore } from './store-server.js';
 import { runUsers } from './users.js';
 import { runWorkers } from './worker-host.js';
 
@@ -11,7 +11,7 @@
   const meter = new Meter();
   switch (role.role) {
     case 'state':
-      return runState(role, meter);
+      return runStore(role, meter);
     case 'cloud':
       return runCloud(role, meter);
     case 'workers':
--- a/packages/scale/src/child.ts
+++ b/packages/scale/src/child.ts
@@ -78,12 +78,12 @@
 }
 
 /** Tells the driver; a driver that is gone ends this process. */
-export function tell(notice: Notice): void {
+export function notifyDriver(notice: Notice): void {
   if (process.connected) process.send?.(notice);
 }
 
 /** Carries out the driver's orders, and ends with it. */
-export function obey(carryOut: (order: Order) => void): void {
+export function handleOrders(carryOut: (order: Order) => void): void {
   process.on('message', (order) => {
     carryOut(order as Order);
   });
