--- a/packages/scale/src/cloud-server.ts
+++ b/packages/scale/src/cloud-server.ts
@@ -1,19 +1,19 @@
-import { SteadyTimeline } from '@spurbridge/hollow';
+import { MonotonicTimeline } from '@spurbridge/simulated-worker';
 import { SimCloud } from '@spurbridge/testkit';
 import type { MachineId, MachineType } from '@spurbridge/wire';
 import {
   PATHS,
   formatMachineList,
-  formatMachineNames,
-  formatTypes,
-  parseMachineNames,
+  formatRentalResponse,
+  formatMachineTypes,
+  parseReleaseRequest,
   parseRentalRequest,
 } from '@spurbridge/wire';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { splitAddress, workerAddress } from './addresses.js';
 import type { Meter } from './child.js';
-import { obey, tell } from './child.js';
+import { handleOrders, notifyDriver } from './child.js';
 import type { RunEvent } from './events.js';
 import { jsonServer } from './json-server.js';
 import type { CloudRole } from './messages.js';
@@ -46,7 +46,7 @@
   const random = (below: number): number => (below <= 0 ? 0 : uniformInt(generator, 0, below - 1));
   const isUp = new Set<MachineId>();
   const type = machineType(role.zones);
-  const time = new SteadyTimeline();
+  const time = new MonotonicTimeline();
   let gone: RunEvent[] = [];
   const cloud = new SimCloud(time, {
     types: [type],
@@ -54,31 +54,31 @@
     listLagMs: role.listLagMs,
     random,
     bootMs: (t) => t.bootS * (LEAST_BOOT + random(BOOT_SPAN)),
-    up: (id, t, zone, spot) => {
+    onMachineUp: (id, t, zone, spot) => {
       isUp.add(id);
-      tell({ notice: 'up', machines: [{ id, type: t.name, zone, spot }] });
+      notifyDriver({ notice: 'up', machines: [{ id, type: t.name, zone, spot }] });
     },
-    ended: (id) => {
+    onMachineEnded: (id) => {
       gone.push({ kind: 'machineGone', at: time.now, machine: id });
-      tell({ notice: 'ended', machines: [id] });
+      notifyDriver({ notice: 'ended', machines: [id] });
     },
-    isUp: (id) => isUp.has(id),
+    isMachineUp: (id) => isUp.has(id),
   });
   const app = jsonServer();
-  app.get(PATHS.types, (_request, reply) => {
+  app.get(PATHS.machineTypes, (_request, reply) => {
     meter.count('requests');
-    return reply.send(formatTypes(cloud.types));
+    return reply.send(formatMachineTypes(cloud.types));
   });
   app.post(PATHS.rentals, (request, reply) => {
     meter.count('requests');
     const outcome = cloud.rent(parseRentalRequest(request.body), 'controllers');
     if (outcome.outcome !== 'rented') return reply.code(503).send({ error: 'no capacity' });
     meter.count('rented', outcome.machines.length);
-    return reply.send(formatMachineNames(outcome.machines));
+    return reply.send(formatRentalResponse(outcome.machines));
   });
   app.post(PATHS.release, (request, reply) => {
     meter.count('requests');
-    const names = parseMachineNames(request.body);
+    const names = parseReleaseRequest(request.body);
     meter.count('released', names.length);
     cloud.release(names);
     return reply.send({});
@@ -92,20 +92,21 @@
     return reply.send(formatMachineList(listed, later.length > page.length));
   });
   await app.listen(splitAddress(role.listen));
-  obey((order) => {
-    if (order.order === 'fail') for (const id of order.machines) cloud.fail(id);
-    else if (order.order === 'read') tell({ notice: 'reading', reading: meter.read() });
+  handleOrders((order) => {
+    if (order.order === 'fail') for (const id of order.machines) cloud.failMachine(id);
+    else if (order.order === 'read') notifyDriver({ notice: 'reading', reading: meter.read() });
   });
   setInterval(() => {
     const events = gone;
     gone = [];
-    tell({ notice: 'events', events, until: time.now - 1 });
+    notifyDriver({ notice: 'events', events, until: time.now - 1 });
   }, BATCH_MS);
   stand(cloud, type, role);
-  tell({ notice: 'ready' });
+  notifyDriver({ notice: 'ready' });
 }
 
 /** The fleet stands there from the start, spread over the zones. */
 function stand(cloud: SimCloud, type: MachineType, role: CloudRole): void {
-  for (let n = 0; n < role.machines; n += 1) cloud.stand(type, role.zones[n % role.zones.length] as string);
+  for (let n = 0; n < role.machines; n += 1)
+    cloud.addRunningMachine(type, role.zones[n % role.zones.length] as string);
 }
--- a/packages/scale/src/command.ts
+++ b/packages/scale/src/command.ts
@@ -4,11 +4,11 @@
 import { Command } from 'commander';
 import { KEPT_RUNS } from './capacity-command.js';
 import type { RawOptions, ScaleOptions, Step } from './options.js';
-import { OptionsError, PLAN, parseOptions } from './options.js';
+import { OptionsError, CAPACITY_PLAN, parseOptions } from './options.js';
 import { ProcessError } from './processes.js';
 import type { ScaleResult, StepResult } from './results.js';
 import { StepRun } from './step-run.js';
-import { TROUBLES } from './troubles.js';
+import { FAULTS } from './faults.js';
 
 const PROGRAMS = ['target/main.js', 'target/scale-child.js'];
 
@@ -58,7 +58,7 @@
   let stopped = 'all steps were played';
   for (const step of o.steps) {
     say(`step: ${step.regions} region(s), ${step.share} of its part`);
-    const troubles = o.troubles && isWholePart(step) ? TROUBLES : [];
+    const troubles = o.troubles && isWholePart(step) ? FAULTS : [];
     const result = await new StepRun(o, step, say).run(troubles);
     steps.push(result);
     const why = whyStop(result, memoryMb);
@@ -145,12 +145,12 @@
 export function scaleCommand(): Command {
   return new Command('scale')
     .description('the shipped program under load on loopback, with workers that have no real tasks')
-    .option('--workers <n>', 'workers of all regions', String(PLAN.workers))
-    .option('--regions <n>', 'regions', String(PLAN.regions))
-    .option('--zones <n>', 'zones of all regions', String(PLAN.zones))
-    .option('--teams <n>', 'teams', String(PLAN.teams))
-    .option('--starts <n>', 'task starts a second, of all regions', String(PLAN.starts))
-    .option('--running <n>', 'tasks that run at once, of all regions', String(PLAN.running))
+    .option('--workers <n>', 'workers of all regions', String(CAPACITY_PLAN.workers))
+    .option('--regions <n>', 'regions', String(CAPACITY_PLAN.regions))
+    .option('--zones <n>', 'zones of all regions', String(CAPACITY_PLAN.zones))
+    .option('--teams <n>', 'teams', String(CAPACITY_PLAN.teams))
+    .option('--starts <n>', 'task starts a second, of all regions', String(CAPACITY_PLAN.starts))
+    .option('--running <n>', 'tasks that run at once, of all regions', String(CAPACITY_PLAN.running))
     .option('--nodes <n>', 'controller nodes of each region', '3')
     .option('--seconds <n>', 'how long each step is measured', '60')
     .option('--seed <n>', 'what is drawn', '1')
--- a/packages/scale/src/configuration-load.ts
+++ b/packages/scale/src/configuration-load.ts
@@ -1,5 +1,5 @@
 import { DDSketch } from '@datadog/sketches-js';
-import { ConfigClient, StaleVersionError } from '@spurbridge/configuration';
+import { ConfigurationClient, StaleVersionError } from '@spurbridge/configuration';
 import type { ConfigurationChange } from '@spurbridge/configuration';
 import { MACHINE_CPUS } from './cloud-server.js';
 import { summary } from './child.js';
@@ -33,8 +33,8 @@
 
 /** Changes teams of one region while jobs run, and measures until each change is in force. */
 export class ConfigurationLoad {
-  private readonly nodes: ConfigClient[];
-  private readonly client: ConfigClient;
+  private readonly nodes: ConfigurationClient[];
+  private readonly client: ConfigurationClient;
   private readonly inForce = new DDSketch();
   private readonly afterCommit = new DDSketch();
   private readonly counts = { asked: 0, committed: 0, conflicts: 0, failed: 0, lagged: 0 };
@@ -47,8 +47,8 @@
     nodes: readonly NodeAddress[],
     changesAnHour: number,
   ) {
-    this.nodes = nodes.map((n) => new ConfigClient([n.address]));
-    this.client = new ConfigClient(nodes.map((n) => n.address));
+    this.nodes = nodes.map((n) => new ConfigurationClient([n.address]));
+    this.client = new ConfigurationClient(nodes.map((n) => n.address));
     this.timer = setInterval(() => {
       this.begin([this.change(this.counts.asked)]);
     }, HOUR_MS / changesAnHour);
@@ -104,7 +104,7 @@
   }
 
   /** Asks one node which version it goes by itself until that is new enough. */
-  private async waitFor(node: ConfigClient, version: number): Promise<boolean> {
+  private async waitFor(node: ConfigurationClient, version: number): Promise<boolean> {
     const until = performance.now() + MOST_WAIT_MS;
     while (performance.now() < until) {
       const own = await node.status().then(
--- a/packages/scale/src/events.ts
+++ b/packages/scale/src/events.ts
@@ -80,9 +80,13 @@
 }
 
 /** Tells the rule checker of an event; the checker's clock has to stand at the event's time. */
-export function judge(checker: RuleChecker, event: RunEvent, find: (id: JobId) => JobSpec | undefined): void {
+export function applyEvent(
+  checker: RuleChecker,
+  event: RunEvent,
+  find: (id: JobId) => JobSpec | undefined,
+): void {
   if (event.kind === 'machineGone') {
-    checker.machineGone(event.machine);
+    checker.machineLost(event.machine);
     return;
   }
   const spec = find(event.job);
@@ -90,22 +94,22 @@
   switch (event.kind) {
     case 'started': {
       const { machine, zone, type, spot } = event;
-      checker.started(spec, event.task, event.attempt, { machine, zone, type, spot });
+      checker.taskStarted(spec, event.task, event.attempt, { machine, zone, type, spot });
       return;
     }
     case 'left':
-      checker.left(event.job, event.task, event.machine, event.done);
+      checker.taskStopped(event.job, event.task, event.machine, event.done);
       return;
     case 'completed':
-      checker.completed(spec, event.attempt);
+      checker.gangCompleted(spec, event.attempt);
       return;
     case 'submitted':
-      checker.submit(spec);
+      checker.jobSubmitted(spec);
       return;
     case 'cancelAsked':
-      checker.cancelAsked(event.job);
+      checker.cancellationRequested(event.job);
       return;
     case 'told':
-      checker.told(event.job, event.call, event.code, event.phase, event.askedAt);
+      checker.responseReceived(event.job, event.call, event.code, event.phase, event.askedAt);
   }
 }
--- a/packages/scale/src/troubles.ts
+++ b/packages/scale/src/faults.ts
@@ -1,15 +1,15 @@
 import type { Region } from './region.js';
 
 /** Something that goes wrong in one region while the run goes on. */
-export interface Trouble {
+export interface Fault {
   readonly name: string;
   /** How long the run is watched after it was played, in seconds. */
   readonly watchS: number;
-  readonly play: (region: Region, sleep: (seconds: number) => Promise<void>) => Promise<void>;
+  readonly inject: (region: Region, sleep: (seconds: number) => Promise<void>) => Promise<void>;
 }
 
 /** A process may be back within a fraction of a second. */
-export const QUICKLY_S = 0.2;
+export const QUICK_RESTART_S = 0.2;
 const RACK_MACHINES = 40;
 const ZONE_STOP_S = 40;
 const RESTARTS = 2;
@@ -29,21 +29,21 @@
 }
 
 /** Troubles of the letter that one region's part can be given. */
-export const TROUBLES: readonly Trouble[] = [
+export const FAULTS: readonly Fault[] = [
   {
     name: 'leader ended, back after 0.2 s',
     watchS: 30,
-    play: (region, sleep) => endLeader(region, QUICKLY_S, sleep),
+    inject: (region, sleep) => endLeader(region, QUICK_RESTART_S, sleep),
   },
   {
     name: 'leader ended, back after 8 s',
     watchS: 30,
-    play: (region, sleep) => endLeader(region, 8, sleep),
+    inject: (region, sleep) => endLeader(region, 8, sleep),
   },
   {
     name: 'a rack of 40 machines fails',
     watchS: 40,
-    play: (region) => {
+    inject: (region) => {
       const zone = region.shape.zones[0] as string;
       region.failMachines(region.machinesIn(zone).slice(0, RACK_MACHINES));
       return Promise.resolve();
@@ -52,7 +52,7 @@
   {
     name: 'a zone stands still for 40 s',
     watchS: 40,
-    play: async (region, sleep) => {
+    inject: async (region, sleep) => {
       const host = region.hosts.get(region.shape.zones.at(-1) as string);
       host?.signal('SIGSTOP');
       await sleep(ZONE_STOP_S);
@@ -62,7 +62,7 @@
   {
     name: 'two machines replaced in a minute',
     watchS: 60,
-    play: (region) => {
+    inject: (region) => {
       const zone = region.shape.zones[0] as string;
       region.failMachines(region.machinesIn(zone).slice(0, RESTARTS));
       return Promise.resolve();
--- a/packages/scale/src/json-server.ts
+++ b/packages/scale/src/json-server.ts
@@ -1,6 +1,6 @@
 import Fastify from 'fastify';
 import type { FastifyInstance } from 'fastify';
-import { MalformedError } from '@spurbridge/wire';
+import { ValidationError } from '@spurbridge/wire';
 
 /** An HTTP server of JSON bodies, as the protocols have it: what is malformed gets 400. */
 export function jsonServer(): FastifyInstance {
@@ -10,7 +10,7 @@
     try {
       done(null, body === '' ? null : JSON.parse(body as string));
     } catch {
-      done(new MalformedError('body', 'JSON'), undefined);
+      done(new ValidationError('body', 'JSON'), undefined);
     }
   });
   app.setErrorHandler((error: Error, _request, reply) => reply.code(400).send({ error: error.message }));
--- a/packages/scale/src/messages.ts
+++ b/packages/scale/src/messages.ts
@@ -10,7 +10,7 @@
   readonly gangPeerMs: number;
 }
 
-export interface StateRole {
+export interface StoreRole {
   readonly role: 'state';
   readonly listen: string;
   readonly rps: number;
@@ -50,7 +50,7 @@
 }
 
 /** What a process of the run is, as it is told when it starts. */
-export type Role = StateRole | CloudRole | WorkersRole | UsersRole;
+export type Role = StoreRole | CloudRole | WorkersRole | UsersRole;
 
 /** One machine that is up. */
 export interface MachineUp {
--- a/packages/scale/src/options.ts
+++ b/packages/scale/src/options.ts
@@ -1,5 +1,5 @@
 import { existsSync } from 'node:fs';
-import { LONE_WORKERS } from './region.js';
+import { DEDICATED_WORKERS } from './region.js';
 
 /** What a scale run is asked to play; all counts are of the whole deployment. */
 export interface ScaleOptions {
@@ -39,7 +39,7 @@
 }
 
 /** The operators' plan for two years. */
-export const PLAN = {
+export const CAPACITY_PLAN = {
   workers: 2700,
   regions: 4,
   zones: 16,
@@ -128,7 +128,7 @@
     mistakes.push('--running: less than --starts, tasks would run under a second');
   const deployFile = String(raw['deploy']);
   if (!existsSync(deployFile)) mistakes.push(`--deploy: there is no file '${deployFile}'`);
-  const hosts = Math.ceil(counts.zones / counts.regions) + LONE_WORKERS.length;
+  const hosts = Math.ceil(counts.zones / counts.regions) + DEDICATED_WORKERS.length;
   const perRegion = counts.nodes + STAND_INS + hosts;
   if (perRegion * Math.max(0, ...steps.map((s) => s.regions)) > MOST_PROCESSES)
     mistakes.push(`--nodes: more than ${MOST_PROCESSES} processes in all`);
--- a/packages/scale/src/region-judge.ts
+++ b/packages/scale/src/region-rule-checker.ts
@@ -2,15 +2,15 @@
 import { RuleChecker } from '@spurbridge/testkit';
 import { RUN_SETTINGS } from './controller-settings.js';
 import type { RunEvent } from './events.js';
-import { EventOrder, judge } from './events.js';
-import type { Tally } from './tally.js';
+import { EventOrder, applyEvent } from './events.js';
+import type { RunStatistics } from './run-statistics.js';
 import type { Workload } from './workload.js';
 
 const SWEEP_MS = 500;
 
 /** Holds one region's events against the rules, in the order of their times. */
-export class RegionJudge {
-  readonly order = new EventOrder((event) => {
+export class RegionRuleChecker {
+  readonly eventOrder = new EventOrder((event) => {
     this.take(event);
   });
   private readonly checker: RuleChecker;
@@ -21,14 +21,14 @@
   constructor(
     teams: readonly Team[],
     private readonly workload: Workload,
-    private readonly tally: Tally,
+    private readonly tally: RunStatistics,
   ) {
     this.checker = new RuleChecker(() => this.eventAt, teams, RUN_SETTINGS.workers.cancel_s * 1000);
   }
 
   /** What was broken until now, a line each. */
-  get broken(): string[] {
-    return this.checker.broken.map((b) => `${b.rule}: ${b.what}`);
+  get violations(): string[] {
+    return this.checker.violations.map((b) => `${b.rule}: ${b.what}`);
   }
 
   private take(event: RunEvent): void {
@@ -37,7 +37,7 @@
       this.checker.sweep();
       this.sweptAt = event.at;
     }
-    judge(this.checker, event, (id) => this.workload.find(id));
-    this.tally.take(event);
+    applyEvent(this.checker, event, (id) => this.workload.find(id));
+    this.tally.record(event);
   }
 }
--- a/packages/scale/src/region.ts
+++ b/packages/scale/src/region.ts
@@ -14,15 +14,15 @@
 
 const CHILD_PROGRAM = 'target/scale-child.js';
 /** Some workers have a process of their own each, so that the processor time and memory of one can be read. */
-export const LONE_WORKERS = ['worker 1', 'worker 2', 'worker 3'] as const;
+export const DEDICATED_WORKERS = ['worker 1', 'worker 2', 'worker 3'] as const;
 
 export interface RegionEvents {
   /** Events of the process with this name, complete until then. */
-  readonly batch: (source: string, events: readonly RunEvent[], until: number) => void;
-  readonly begins: (source: string) => void;
-  readonly ended: (source: string) => void;
+  readonly onEvents: (source: string, events: readonly RunEvent[], until: number) => void;
+  readonly onProcessStarted: (source: string) => void;
+  readonly onProcessEnded: (source: string) => void;
   /** A process ended though nobody asked it to. */
-  readonly unexpected: (name: string, code: number | null) => void;
+  readonly onUnexpectedExit: (name: string, code: number | null) => void;
 }
 
 const LOOK_MS = 20;
@@ -101,7 +101,7 @@
       txnOps,
     });
     await this.state.ready();
-    for (const host of [...zones, ...LONE_WORKERS]) {
+    for (const host of [...zones, ...DEDICATED_WORKERS]) {
       const process = this.child(host, {
         role: 'workers',
         region,
@@ -162,7 +162,7 @@
 
   private child(name: string, role: Role): RunProcess {
     const source = this.sourceOf(name);
-    if (role.role !== 'state') this.events.begins(source);
+    if (role.role !== 'state') this.events.onProcessStarted(source);
     return this.processes.start({
       name: source,
       args: [CHILD_PROGRAM, JSON.stringify(role)],
@@ -171,8 +171,8 @@
         this.onNotice(source, notice);
       },
       onEnd: (code) => {
-        this.events.ended(source);
-        this.events.unexpected(source, code);
+        this.events.onProcessEnded(source);
+        this.events.onUnexpectedExit(source, code);
       },
     });
   }
@@ -194,7 +194,7 @@
         this.onLine(log, line);
       },
       onEnd: (code) => {
-        this.events.unexpected(name, code);
+        this.events.onUnexpectedExit(name, code);
       },
     });
   }
@@ -224,7 +224,7 @@
   private onNotice(source: string, notice: Notice): void {
     switch (notice.notice) {
       case 'events':
-        this.events.batch(source, notice.events, notice.until);
+        this.events.onEvents(source, notice.events, notice.until);
         return;
       case 'up':
         for (const m of notice.machines) this.place(m);
@@ -242,9 +242,9 @@
 
   /** Machines spread over the fleet get a process of their own each, every other one that of its zone. */
   private place(m: MachineUp): void {
-    const every = Math.max(1, Math.floor(this.shape.workers / LONE_WORKERS.length));
+    const every = Math.max(1, Math.floor(this.shape.workers / DEDICATED_WORKERS.length));
     const lone =
-      this.placed % every === every - 1 ? LONE_WORKERS[Math.floor(this.placed / every)] : undefined;
+      this.placed % every === every - 1 ? DEDICATED_WORKERS[Math.floor(this.placed / every)] : undefined;
     const host = lone ?? m.zone;
     this.placed += 1;
     this.hostOf.set(m.id, host);
--- a/packages/scale/src/results.ts
+++ b/packages/scale/src/results.ts
@@ -18,7 +18,7 @@
 export type RoleName = (typeof ROLES)[number];
 
 /** A summary of a trouble that was played while the run went on. */
-export interface TroubleResult {
+export interface FaultResult {
   readonly trouble: string;
   readonly watchedS: number;
   readonly startsPerS: number;
@@ -72,7 +72,7 @@
   readonly endedJobs?: number;
   readonly elections: number;
   readonly brokenRules: readonly string[];
-  readonly troubles: readonly TroubleResult[];
+  readonly troubles: readonly FaultResult[];
   /** Changes of configuration of the first region; null: none were made. */
   readonly configuration?: ConfigurationResult | null;
   /** Share of the machine's cores that all processes on it used, and memory that those of the run held. */
--- a/packages/scale/src/tally.ts
+++ b/packages/scale/src/run-statistics.ts
@@ -8,10 +8,10 @@
 const EMPTY: LatencySummary = { count: 0, p50: 0, p99: 0, most: 0 };
 
 /** Counts starts and the waits of urgent tasks over a stretch of time. */
-export class Tally {
+export class RunStatistics {
   starts = 0;
-  tasksCame = 0;
-  jobs = 0;
+  tasksSubmitted = 0;
+  jobsSubmitted = 0;
   private readonly running = new Set<string>();
   private readonly waiting = new Map<string, number>();
   private waits = new DDSketch();
@@ -23,14 +23,14 @@
   /** Begins anew; what runs and what waits stays known. */
   reset(): void {
     this.starts = 0;
-    this.tasksCame = 0;
-    this.jobs = 0;
+    this.tasksSubmitted = 0;
+    this.jobsSubmitted = 0;
     this.waits = new DDSketch();
     this.lastStartAt = null;
     this.longestPauseMs = 0;
   }
 
-  take(event: RunEvent): void {
+  record(event: RunEvent): void {
     switch (event.kind) {
       case 'submitted':
         this.submitted(event.job, event.at);
@@ -54,8 +54,8 @@
     const spec = this.find(id);
     if (spec === undefined) return;
     if (spec.kind !== 'service') {
-      this.tasksCame += spec.tasks;
-      this.jobs += 1;
+      this.tasksSubmitted += spec.tasks;
+      this.jobsSubmitted += 1;
     }
     if (spec.class === 'urgent')
       for (let task = 0; task < spec.tasks; task += 1) this.waiting.set(`${id}/${task}`, at);
@@ -78,20 +78,20 @@
     for (const name of this.waiting.keys()) if (name.startsWith(`${id}/`)) this.waiting.delete(name);
   }
 
-  get runningNow(): number {
+  get runningTasks(): number {
     return this.running.size;
   }
 
-  get urgent(): LatencySummary {
+  get urgentLatency(): LatencySummary {
     return this.waits.count === 0 ? EMPTY : summary(this.waits);
   }
 
   /** Urgent tasks that have waited for longer than the aim and have not started. */
-  notStarted(now: number): number {
+  countOverdue(now: number): number {
     return [...this.waiting.values()].filter((at) => now - at > RUN_SETTINGS.urgentWithinS * 1000).length;
   }
 
-  get pauseS(): number {
+  get longestPauseS(): number {
     return this.longestPauseMs / 1000;
   }
 }
--- a/packages/scale/src/step-run.ts
+++ b/packages/scale/src/step-run.ts
@@ -1,5 +1,5 @@
 import type { Team } from '@spurbridge/model';
-import { SteadyTimeline } from '@spurbridge/hollow';
+import { MonotonicTimeline } from '@spurbridge/simulated-worker';
 import type { JobId, JobSpec } from '@spurbridge/wire';
 import { MACHINE_CPUS } from './cloud-server.js';
 import { ConfigurationLoad } from './configuration-load.js';
@@ -7,16 +7,16 @@
 import { limitOf } from './controller-settings.js';
 import type { LatencySummary, Reading } from './messages.js';
 import type { ScaleOptions, Step } from './options.js';
-import { PLAN } from './options.js';
+import { CAPACITY_PLAN } from './options.js';
 import type { RunProcess } from './processes.js';
 import { Processes } from './processes.js';
-import { RegionJudge } from './region-judge.js';
-import { LONE_WORKERS, Region } from './region.js';
-import type { RoleName, RoleUsage, StepResult, TroubleResult } from './results.js';
-import { Tally } from './tally.js';
-import type { Trouble } from './troubles.js';
-import { QUICKLY_S, endLeader } from './troubles.js';
-import { MachineLoad, UsageWatch, meanUsage } from './usage.js';
+import { RegionRuleChecker } from './region-rule-checker.js';
+import { DEDICATED_WORKERS, Region } from './region.js';
+import type { RoleName, RoleUsage, StepResult, FaultResult } from './results.js';
+import { RunStatistics } from './run-statistics.js';
+import type { Fault } from './faults.js';
+import { QUICK_RESTART_S, endLeader } from './faults.js';
+import { MachineLoad, ProcessUsageSampler, meanUsage } from './usage.js';
 import { JOBS_A_REGION, Workload } from './workload.js';
 
 /** Jobs at the peak, as a multiple of the day's mean: an assumption of docs/CAPACITY.md. */
@@ -39,12 +39,12 @@
 
 /** One step: regions are started, warmed up, measured, troubled and ended. */
 export class StepRun {
-  private readonly time = new SteadyTimeline();
+  private readonly time = new MonotonicTimeline();
   private readonly processes = new Processes();
   private readonly regions: Region[] = [];
   /** Each region is judged by itself: names of machines and limits of teams are its own. */
-  private readonly judges: RegionJudge[] = [];
-  private readonly tally: Tally;
+  private readonly judges: RegionRuleChecker[] = [];
+  private readonly tally: RunStatistics;
   private readonly ends: string[] = [];
 
   constructor(
@@ -52,7 +52,7 @@
     private readonly step: Step,
     private readonly say: (line: string) => void,
   ) {
-    this.tally = new Tally((id) => this.find(id));
+    this.tally = new RunStatistics((id) => this.find(id));
     for (let region = 0; region < step.regions; region += 1) this.addRegion(o.firstRegion + region);
   }
 
@@ -95,12 +95,12 @@
       startsPerS: this.part(this.o.starts),
       running: Math.round(this.part(this.o.running)),
       jobsPerS: Math.min(
-        (PLAN.jobsADay / this.o.regions / DAY_S) * PEAK_FACTOR,
+        (CAPACITY_PLAN.jobsADay / this.o.regions / DAY_S) * PEAK_FACTOR,
         this.part(this.o.starts) / LEAST_TASKS,
       ),
       zones: this.zonesOf(region),
     };
-    const judge = new RegionJudge(this.teams(), new Workload(workload), this.tally);
+    const judge = new RegionRuleChecker(this.teams(), new Workload(workload), this.tally);
     this.judges.push(judge);
     this.regions.push(
       new Region(
@@ -108,16 +108,16 @@
         workload,
         this.processes,
         {
-          batch: (source, events, until) => {
-            judge.order.batch(source, events, until);
+          onEvents: (source, events, until) => {
+            judge.eventOrder.batch(source, events, until);
           },
-          begins: (source) => {
-            judge.order.add(source, this.time.now);
+          onProcessStarted: (source) => {
+            judge.eventOrder.add(source, this.time.now);
           },
-          ended: (source) => {
-            judge.order.remove(source);
+          onProcessEnded: (source) => {
+            judge.eventOrder.remove(source);
           },
-          unexpected: (name, code) => {
+          onUnexpectedExit: (name, code) => {
             this.ends.push(`${name} (${code ?? 'signal'})`);
             this.say(`  ${name} ended by itself: ${code ?? 'signal'}`);
           },
@@ -136,7 +136,7 @@
   }
 
   /** Plays the step; every process is ended, whatever happens. */
-  async run(troubles: readonly Trouble[]): Promise<StepResult> {
+  async run(troubles: readonly Fault[]): Promise<StepResult> {
     const interrupted = (): void => {
       void this.processes.endAll().then(() => process.exit(130));
     };
@@ -152,7 +152,7 @@
     }
   }
 
-  private async play(troubles: readonly Trouble[]): Promise<StepResult> {
+  private async play(troubles: readonly Fault[]): Promise<StepResult> {
     for (const region of this.regions) await region.start();
     await this.sleep(1);
     for (const region of this.regions) await region.startUsers();
@@ -171,7 +171,7 @@
     // Read before the last changes are waited for: what starts meanwhile is not of the measured time.
     const result = this.result(stretch, warmS);
     const configuration = (await load?.end()) ?? null;
-    const troubled: TroubleResult[] = [];
+    const troubled: FaultResult[] = [];
     for (const trouble of troubles) troubled.push(await this.trouble(trouble));
     await this.drain();
     return { ...result, configuration, troubles: troubled, ends: this.ends, brokenRules: this.brokenRules() };
@@ -187,7 +187,7 @@
     const everyS = this.o.endLeaderEvery;
     if (everyS === 0) return undefined;
     return setInterval(() => {
-      for (const region of this.regions) void endLeader(region, QUICKLY_S, (s) => this.sleep(s));
+      for (const region of this.regions) void endLeader(region, QUICK_RESTART_S, (s) => this.sleep(s));
     }, everyS * 1000);
   }
 
@@ -197,7 +197,7 @@
   }
 
   private brokenRules(): string[] {
-    return this.judges.flatMap((j) => j.broken);
+    return this.judges.flatMap((j) => j.violations);
   }
 
   private sleep(seconds: number): Promise<void> {
@@ -214,8 +214,8 @@
       const rate = (this.tally.starts - starts) / spanS;
       starts = this.tally.starts;
       this.say(
-        `  ${what}: ${this.tally.runningNow} tasks run, ${rate.toFixed(0)} starts a second, ` +
-          `urgent p99 ${this.tally.urgent.p99} ms, ${this.brokenRules().length} rules broken`,
+        `  ${what}: ${this.tally.runningTasks} tasks run, ${rate.toFixed(0)} starts a second, ` +
+          `urgent p99 ${this.tally.urgentLatency.p99} ms, ${this.brokenRules().length} rules broken`,
       );
     }
   }
@@ -234,7 +234,7 @@
   private async measure(seconds: number): Promise<Stretch> {
     const before = await this.readAll();
     const load = new MachineLoad();
-    const watch = new UsageWatch(this.processes.running);
+    const watch = new ProcessUsageSampler(this.processes.running);
     const began = performance.now();
     await this.watch(seconds, 'measuring');
     const usage = watch.end();
@@ -243,22 +243,22 @@
     return { seconds: (performance.now() - began) / 1000, usage, before, after, machineCpu };
   }
 
-  private async trouble(trouble: Trouble): Promise<TroubleResult> {
+  private async trouble(trouble: Fault): Promise<FaultResult> {
     this.say(`  trouble: ${trouble.name}`);
     const region = this.regions[0] as Region;
     const killedBefore = this.killed(await this.readAll());
     const brokenBefore = this.brokenRules().length;
     this.tally.reset();
     const began = performance.now();
-    await trouble.play(region, (s) => this.sleep(s));
+    await trouble.inject(region, (s) => this.sleep(s));
     await this.watch(trouble.watchS, trouble.name);
     const watchedS = (performance.now() - began) / 1000;
     return {
       trouble: trouble.name,
       watchedS,
       startsPerS: this.tally.starts / watchedS,
-      longestPauseS: this.tally.pauseS,
-      urgentMs: this.tally.urgent,
+      longestPauseS: this.tally.longestPauseS,
+      urgentMs: this.tally.urgentLatency,
       killedByLease: this.killed(await this.readAll()) - killedBefore,
       brokenRules: this.brokenRules().length - brokenBefore,
     };
@@ -298,10 +298,10 @@
       warmS,
       seconds: round(s.seconds),
       startsAskedPerS: round(this.part(o.starts)),
-      tasksCamePerS: round(tally.tasksCame / s.seconds / regions),
+      tasksCamePerS: round(tally.tasksSubmitted / s.seconds / regions),
       startsPerS: round(tally.starts / s.seconds / regions),
-      jobsPerS: round(tally.jobs / s.seconds / regions),
-      running: Math.round(tally.runningNow / regions),
+      jobsPerS: round(tally.jobsSubmitted / s.seconds / regions),
+      running: Math.round(tally.runningTasks / regions),
       roles: this.roles(s),
       tasksOnLoneWorker: round(this.loneTasks(s)),
       state: {
@@ -314,8 +314,8 @@
       commandsPerS: round(hosted('commands') / s.seconds),
       unanswered: hosted('unanswered'),
       redirects: hosted('redirects'),
-      urgentMs: tally.urgent,
-      urgentNotStarted: tally.notStarted(this.time.now),
+      urgentMs: tally.urgentLatency,
+      urgentNotStarted: tally.countOverdue(this.time.now),
       acceptedMs: this.worst(s, 'accepted'),
       users: this.userCounts(s),
       killedByLease: this.killed(s.after) - this.killed(s.before),
@@ -397,7 +397,7 @@
   }
 
   private get loneProcesses(): RunProcess[] {
-    return this.regions.flatMap((r) => LONE_WORKERS.flatMap((name) => r.hosts.get(name) ?? []));
+    return this.regions.flatMap((r) => DEDICATED_WORKERS.flatMap((name) => r.hosts.get(name) ?? []));
   }
 
   /** Tasks on each of the workers that are alone: mean of the two readings. */
--- a/packages/scale/src/state-server.ts
+++ b/packages/scale/src/store-server.ts
@@ -1,25 +1,25 @@
-import { SteadyTimeline } from '@spurbridge/hollow';
-import type { WallMs } from '@spurbridge/model';
+import { MonotonicTimeline } from '@spurbridge/simulated-worker';
+import type { WallClockMs } from '@spurbridge/model';
 import { encodeJob, jobKey } from '@spurbridge/model';
-import { SimState, jobSpec } from '@spurbridge/testkit';
-import type { Item, JobId, LeaseId, Revision, Version } from '@spurbridge/wire';
+import { SimKeyValueStore, jobSpec } from '@spurbridge/testkit';
+import type { KeyValue, JobId, LeaseId, Revision, Version } from '@spurbridge/wire';
 import {
   PATHS,
-  formatEvents,
-  formatFailed,
-  formatItem,
-  formatItems,
-  formatLease,
+  formatWatchResponse,
+  formatConflict,
+  formatKeyValue,
+  formatKeyValuePage,
+  formatLeaseId,
   formatRevision,
-  parseCommit,
-  parseTtlMs,
+  parseTransaction,
+  parseLeaseTtlMs,
 } from '@spurbridge/wire';
 import type { FastifyInstance, FastifyReply } from 'fastify';
 import { splitAddress } from './addresses.js';
 import type { Meter } from './child.js';
-import { obey, tell } from './child.js';
+import { handleOrders, notifyDriver } from './child.js';
 import { jsonServer } from './json-server.js';
-import type { StateRole } from './messages.js';
+import type { StoreRole } from './messages.js';
 
 const KEPT_CHANGES = 10_000;
 const KEEP_EVERY_MS = 1000;
@@ -40,38 +40,38 @@
 }
 
 /** The stand-in of the state service over HTTP, with its limits. */
-export class StateServer {
+export class KeyValueStoreServer {
   readonly app: FastifyInstance = jsonServer();
-  private readonly state: SimState;
+  private readonly state: SimKeyValueStore;
   private listed: {
     readonly prefix: string;
     readonly revision: Revision;
-    readonly items: readonly Item[];
+    readonly items: readonly KeyValue[];
   } | null = null;
 
   constructor(
-    role: Pick<StateRole, 'rps' | 'writeRps' | 'valueKb' | 'txnOps'>,
+    role: Pick<StoreRole, 'rps' | 'writeRps' | 'valueKb' | 'txnOps'>,
     private readonly meter: Meter,
   ) {
-    this.state = new SimState(new SteadyTimeline(), role);
+    this.state = new SimKeyValueStore(new MonotonicTimeline(), role);
     setInterval(() => {
-      this.state.keepLatest(KEPT_CHANGES);
+      this.state.trimHistory(KEPT_CHANGES);
     }, KEEP_EVERY_MS).unref();
     this.routes();
   }
 
   /** Puts records of jobs that ended long ago in place, as the controllers write them. */
-  remember(endedJobs: number): void {
+  seedEndedJobs(endedJobs: number): void {
     for (let n = 0; n < endedJobs; n += 1) {
       const spec = jobSpec({ id: `wk-old-${n}` as JobId, team: `team-${n % TEAMS_OF_OLD_JOBS}` });
-      const record = { spec, phase: 'done' as const, at: 0 as WallMs, chunkSize: 256 };
+      const record = { spec, phase: 'done' as const, submittedAt: 0 as WallClockMs, chunkSize: 256 };
       this.state.commit([], [{ put: jobKey(spec.id), value: encodeJob(record) }]);
     }
-    this.state.keepLatest(0);
+    this.state.trimHistory(0);
   }
 
   private get revision(): Revision {
-    return this.state.now();
+    return this.state.currentRevision();
   }
 
   /** Whether the limits let a request with so many changes through; otherwise it was answered. */
@@ -93,8 +93,8 @@
       if (this.admits(reply, 0)) this.list(request.query, reply);
       return reply;
     });
-    app.post(PATHS.commit, (request, reply) => {
-      const { conditions, changes } = parseCommit(request.body);
+    app.post(PATHS.transactions, (request, reply) => {
+      const { compares: conditions, mutations: changes } = parseTransaction(request.body);
       if (!this.admits(reply, changes.length)) return reply;
       const outcome = this.state.commit(conditions, changes);
       switch (outcome.outcome) {
@@ -102,21 +102,21 @@
           return reply.send(formatRevision(outcome.revision));
         case 'conflict':
           this.meter.count('conflicts');
-          return reply.code(409).send(formatFailed(outcome.failed, outcome.revision));
+          return reply.code(409).send(formatConflict(outcome.failed, outcome.revision));
         default:
           return reply.code(400).send({ error: 'no such lease' });
       }
     });
     app.post(PATHS.leases, (request, reply) => {
       if (!this.admits(reply, 0)) return reply;
-      const granted = this.state.grant(parseTtlMs(request.body));
+      const granted = this.state.grantLease(parseLeaseTtlMs(request.body));
       return granted.outcome === 'granted'
-        ? reply.send(formatLease(granted.lease))
+        ? reply.send(formatLeaseId(granted.lease))
         : reply.code(503).send({ error: 'not granted' });
     });
     app.post<{ Params: { id: string } }>(`${PATHS.leases}/:id/touch`, (request, reply) => {
       if (!this.admits(reply, 0)) return reply;
-      const { outcome } = this.state.renew(Number(request.params.id));
+      const { outcome } = this.state.renewLease(Number(request.params.id));
       return reply.code(outcome === 'renewed' ? 200 : 404).send({});
     });
     app.delete<{ Params: { id: string } }>(`${PATHS.leases}/:id`, (request, reply) => {
@@ -132,7 +132,7 @@
 
   private read(key: string, reply: FastifyReply): void {
     const found = this.state.read(key);
-    if (found.outcome === 'found') void reply.send(formatItem(found.item));
+    if (found.outcome === 'found') void reply.send(formatKeyValue(found.item));
     else void reply.code(404).send(formatRevision(this.revision));
   }
 
@@ -142,11 +142,11 @@
     const first = from === '' ? 0 : firstAfter(items, from);
     const most = Math.min(MOST_ITEMS, Number(query.most ?? MOST_ITEMS));
     const page = items.slice(first, first + most);
-    void reply.send(formatItems(page, first + most < items.length, this.revision));
+    void reply.send(formatKeyValuePage(page, first + most < items.length, this.revision));
   }
 
   /** All items of a prefix; kept while nothing changes, so that the pages of one list cost one look. */
-  private itemsBelow(prefix: string): readonly Item[] {
+  private itemsBelow(prefix: string): readonly KeyValue[] {
     if (this.listed?.prefix === prefix && this.listed.revision === this.revision) return this.listed.items;
     const listed = this.state.list(prefix);
     const items = listed.outcome === 'listed' ? listed.items : [];
@@ -158,17 +158,17 @@
     const prefix = query.starts ?? '';
     const from = Number(query.from ?? 0) as Version;
     const answer = (): void => {
-      if (this.state.keepsSince(from))
-        void reply.send(formatEvents(this.revision, this.state.since(prefix, from)));
+      if (this.state.hasEventsSince(from))
+        void reply.send(formatWatchResponse(this.revision, this.state.eventsSince(prefix, from)));
       else void reply.code(410).send({ error: 'too old' });
     };
     const waitMs = Math.min(MOST_WAIT_MS, Number(query.blockMs ?? 0));
-    if (waitMs === 0 || !this.state.keepsSince(from) || this.state.since(prefix, from).length > 0) {
+    if (waitMs === 0 || !this.state.hasEventsSince(from) || this.state.eventsSince(prefix, from).length > 0) {
       answer();
       return;
     }
     let isAnswered = false;
-    this.state.wait(prefix, from, waitMs, () => {
+    this.state.waitForChange(prefix, from, waitMs, () => {
       if (isAnswered) return;
       isAnswered = true;
       answer();
@@ -177,27 +177,27 @@
 }
 
 /** Index of the first item whose key comes after this one; the items are in the order of their keys. */
-function firstAfter(items: readonly Item[], key: string): number {
+function firstAfter(items: readonly KeyValue[], key: string): number {
   let low = 0;
   let high = items.length;
   while (low < high) {
     const middle = (low + high) >> 1;
-    if ((items[middle] as Item).key > key) high = middle;
+    if ((items[middle] as KeyValue).key > key) high = middle;
     else low = middle + 1;
   }
   return low;
 }
 
 /** A process that is the state service of one region. */
-export async function runState(role: StateRole, meter: Meter): Promise<void> {
-  const server = new StateServer(role, meter);
+export async function runStore(role: StoreRole, meter: Meter): Promise<void> {
+  const server = new KeyValueStoreServer(role, meter);
   await server.app.listen(splitAddress(role.listen));
-  obey((order) => {
-    if (order.order === 'read') tell({ notice: 'reading', reading: meter.read() });
+  handleOrders((order) => {
+    if (order.order === 'read') notifyDriver({ notice: 'reading', reading: meter.read() });
     else if (order.order === 'remember') {
-      server.remember(order.endedJobs);
-      tell({ notice: 'remembered' });
+      server.seedEndedJobs(order.endedJobs);
+      notifyDriver({ notice: 'remembered' });
     }
   });
-  tell({ notice: 'ready' });
+  notifyDriver({ notice: 'ready' });
 }
--- a/packages/scale/src/usage.ts
+++ b/packages/scale/src/usage.ts
@@ -8,7 +8,7 @@
 const SAMPLE_MS = 1000;
 
 /** Watches what processes use, second by second, between two moments. */
-export class UsageWatch {
+export class ProcessUsageSampler {
   private readonly began = new Map<RunProcess, ProcessUsage>();
   private readonly last = new Map<RunProcess, { readonly usage: ProcessUsage; readonly at: number }>();
   private readonly peaks = new Map<RunProcess, number>();
--- a/packages/scale/src/users.ts
+++ b/packages/scale/src/users.ts
@@ -1,10 +1,10 @@
-import { SteadyTimeline } from '@spurbridge/hollow';
-import type { HttpAnswer } from '@spurbridge/net';
-import { JsonClient, NoAnswerError } from '@spurbridge/net';
+import { MonotonicTimeline } from '@spurbridge/simulated-worker';
+import type { HttpResponse } from '@spurbridge/net';
+import { JsonClient, NoResponseError } from '@spurbridge/net';
 import type { JobPhase, JobSpec } from '@spurbridge/wire';
-import { PATHS, formatSubmission, parsePhase } from '@spurbridge/wire';
+import { PATHS, formatSubmission, parseJobPhase } from '@spurbridge/wire';
 import type { Meter } from './child.js';
-import { obey, tell } from './child.js';
+import { handleOrders, notifyDriver } from './child.js';
 import type { RunEvent } from './events.js';
 import type { UsersRole } from './messages.js';
 import { Workload } from './workload.js';
@@ -26,7 +26,7 @@
 
 /** Users of one region: jobs come at their own times, whether the service is slow or not. */
 class Users {
-  private readonly time = new SteadyTimeline();
+  private readonly time = new MonotonicTimeline();
   private readonly workload: Workload;
   private readonly clients: JsonClient[];
   private events: RunEvent[] = [];
@@ -44,7 +44,7 @@
     setInterval(() => {
       const { events } = this;
       this.events = [];
-      tell({ notice: 'events', events, until: this.time.now - 1 });
+      notifyDriver({ notice: 'events', events, until: this.time.now - 1 });
     }, BATCH_MS);
     this.workload.services().forEach((spec, n) => {
       this.time.after(n * SERVICE_GAP_MS, () => {
@@ -86,7 +86,7 @@
 
   constructor(
     private readonly spec: JobSpec,
-    private readonly time: SteadyTimeline,
+    private readonly time: MonotonicTimeline,
     private readonly meter: Meter,
     private readonly emit: (event: RunEvent) => void,
     private readonly client: () => JsonClient,
@@ -160,18 +160,18 @@
   private async ask(call: Call): Promise<number | null> {
     const askedAt = this.time.now;
     this.meter.count(call);
-    let answer: HttpAnswer;
+    let answer: HttpResponse;
     try {
       answer = await this.send(call);
     } catch (e) {
-      if (!(e instanceof NoAnswerError)) throw e;
+      if (!(e instanceof NoResponseError)) throw e;
       this.meter.count(`${call} unanswered`);
       return null;
     }
     this.meter.latency(call, this.time.now - askedAt);
     if (answer.status >= 400) this.meter.count(`${call} ${answer.status}`);
     const isSaid = answer.status === 200 || answer.status === 201;
-    const phase = isSaid ? parsePhase(answer.body) : null;
+    const phase = isSaid ? parseJobPhase(answer.body) : null;
     this.emit({
       kind: 'told',
       at: this.time.now,
@@ -185,7 +185,7 @@
     return answer.status;
   }
 
-  private send(call: Call): Promise<HttpAnswer> {
+  private send(call: Call): Promise<HttpResponse> {
     const path = `${PATHS.jobs}/${this.spec.id}`;
     switch (call) {
       case 'submit':
@@ -205,9 +205,9 @@
 /** A process that is all users of one region. */
 export function runUsers(role: UsersRole, meter: Meter): void {
   const users = new Users(role, meter);
-  obey((order) => {
-    if (order.order === 'read') tell({ notice: 'reading', reading: meter.read() });
+  handleOrders((order) => {
+    if (order.order === 'read') notifyDriver({ notice: 'reading', reading: meter.read() });
   });
-  tell({ notice: 'ready' });
+  notifyDriver({ notice: 'ready' });
   users.run();
 }
--- a/packages/scale/src/worker-host.ts
+++ b/packages/scale/src/worker-host.ts
@@ -1,16 +1,22 @@
 import type { Server } from 'node:http';
 import { createServer } from 'node:http';
-import type { ReportOutcome, TaskObserver, WorkerHost } from '@spurbridge/hollow';
-import { GangRegistry, HollowWorker, SteadyTimeline } from '@spurbridge/hollow';
-import { JsonClient, NoAnswerError } from '@spurbridge/net';
-import type { JobId, MachineId, WorkerReport } from '@spurbridge/wire';
-import { PATHS, formatReport, parseDirectCommands, parseRedirect, parseReportAnswer } from '@spurbridge/wire';
+import type { HeartbeatResult, TaskObserver, WorkerHost } from '@spurbridge/simulated-worker';
+import { GangRegistry, SimulatedWorker, MonotonicTimeline } from '@spurbridge/simulated-worker';
+import { JsonClient, NoResponseError } from '@spurbridge/net';
+import type { JobId, MachineId, Heartbeat } from '@spurbridge/wire';
+import {
+  PATHS,
+  formatHeartbeat,
+  parseDirectCommands,
+  parseRedirect,
+  parseHeartbeatResponse,
+} from '@spurbridge/wire';
 import type { FastifyInstance, FastifyReply, FastifyRequest } from 'fastify';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { splitAddress, workerAddress } from './addresses.js';
 import type { Meter } from './child.js';
-import { obey, tell } from './child.js';
+import { handleOrders, notifyDriver } from './child.js';
 import { machineType } from './cloud-server.js';
 import type { RunEvent } from './events.js';
 import { jsonServer } from './json-server.js';
@@ -29,39 +35,39 @@
   private readonly doneTasks = new Set<string>();
   killedByLease = 0;
 
-  constructor(private readonly time: SteadyTimeline) {}
+  constructor(private readonly time: MonotonicTimeline) {}
 
-  started: TaskObserver['started'] = (job, task, attempt, at) => {
+  taskStarted: TaskObserver['taskStarted'] = (job, task, attempt, at) => {
     this.events.push({ kind: 'started', at: this.time.now, job: job.id, task, attempt, ...at });
   };
 
-  left(job: JobId, task: number, machine: MachineId, isDone: boolean, atMs = this.time.now): void {
+  taskStopped(job: JobId, task: number, machine: MachineId, isDone: boolean, atMs = this.time.now): void {
     this.events.push({ kind: 'left', at: atMs, job, task, machine, done: isDone });
     if (isDone) this.doneTasks.add(`${job}/${task}`);
   }
 
-  completed: TaskObserver['completed'] = (job, attempt) => {
+  gangCompleted: TaskObserver['gangCompleted'] = (job, attempt) => {
     this.events.push({ kind: 'completed', at: this.time.now, job: job.id, attempt });
     for (let task = 0; task < job.tasks; task += 1) this.doneTasks.add(`${job.id}/${task}`);
   };
 
-  isDone(job: JobId, task: number): boolean {
+  isTaskDone(job: JobId, task: number): boolean {
     return this.doneTasks.has(`${job}/${task}`);
   }
 
   flush(): void {
     const { events } = this;
     this.events = [];
-    tell({ notice: 'events', events, until: this.time.now - LATEST_STAMP_MS });
+    notifyDriver({ notice: 'events', events, until: this.time.now - LATEST_STAMP_MS });
   }
 }
 
 /** Workers without real tasks that share this process; each has an address and connections of its own. */
 class HollowWorkers {
-  private readonly time = new SteadyTimeline();
+  private readonly time = new MonotonicTimeline();
   private readonly log = new EventLog(this.time);
-  private readonly workers = new Map<MachineId, HollowWorker>();
-  private readonly byHost = new Map<string, HollowWorker>();
+  private readonly workers = new Map<MachineId, SimulatedWorker>();
+  private readonly byHost = new Map<string, SimulatedWorker>();
   private readonly servers = new Map<MachineId, Server>();
   /** The connection on which each worker reports, and to which node. */
   private readonly links = new Map<MachineId, { readonly node: string; readonly client: JsonClient }>();
@@ -82,11 +88,11 @@
       ...role.times,
       gangs: new GangRegistry(() => this.workers.values()),
       random: (below) => (below <= 0 ? 0 : uniformInt(this.generator, 0, below - 1)),
-      job: (id) => workload.find(id),
-      fails: () => false,
-      runMs: (job, task) => workload.runMs(job, task),
+      findJob: (id) => workload.find(id),
+      taskFails: () => false,
+      taskRunMs: (job, task) => workload.runMs(job, task),
       addressOf: (id) => workerAddress(role.region, id),
-      report: (worker, node, report) => this.report(worker, node, report),
+      sendHeartbeat: (worker, node, report) => this.report(worker, node, report),
     };
     this.routes();
   }
@@ -96,21 +102,21 @@
     setInterval(() => {
       this.log.flush();
     }, BATCH_MS);
-    obey((order) => {
+    handleOrders((order) => {
       if (order.order === 'up') for (const m of order.machines) this.up(m);
       else if (order.order === 'end') for (const id of order.machines) this.end(id);
       else if (order.order === 'read') {
         const reading = this.meter.read();
         const counts = { ...reading.counts, killedByLease: this.log.killedByLease };
-        tell({ notice: 'reading', reading: { ...reading, counts, tasks: this.tasks } });
+        notifyDriver({ notice: 'reading', reading: { ...reading, counts, tasks: this.tasks } });
       }
     });
-    tell({ notice: 'ready' });
+    notifyDriver({ notice: 'ready' });
   }
 
   private get tasks(): number {
     let sum = 0;
-    for (const worker of this.workers.values()) sum += worker.taken().length;
+    for (const worker of this.workers.values()) sum += worker.occupyingTasks().length;
     return sum;
   }
 
@@ -121,7 +127,7 @@
     });
     server.keepAliveTimeout = 120_000;
     server.listen(port, host, () => {
-      const worker = new HollowWorker(m.id, machineType([]), m.zone, m.spot, this.host);
+      const worker = new SimulatedWorker(m.id, machineType([]), m.zone, m.spot, this.host);
       this.workers.set(m.id, worker);
       this.byHost.set(host, worker);
     });
@@ -145,21 +151,23 @@
     this.app.post(PATHS.commands, (request, reply) => {
       const worker = this.called(request);
       if (worker === undefined) return reply.code(503).send({});
-      const { token, session, commands } = parseDirectCommands(request.body);
+      const { token, agentEpoch: session, commands } = parseDirectCommands(request.body);
       this.meter.count('commands');
-      worker.commands(token, session, commands, (isExecuted, report) => {
-        void reply.code(isExecuted ? 200 : 409).send(formatReport(report));
+      worker.receiveCommands(token, session, commands, (isExecuted, report) => {
+        void reply.code(isExecuted ? 200 : 409).send(formatHeartbeat(report));
       });
       return reply;
     });
     this.app.get(PATHS.show, (request, reply: FastifyReply) => {
       const worker = this.called(request);
       this.meter.count('shows');
-      return worker === undefined ? reply.code(503).send({}) : reply.send(formatReport(worker.makeReport()));
+      return worker === undefined
+        ? reply.code(503).send({})
+        : reply.send(formatHeartbeat(worker.makeHeartbeat()));
     });
   }
 
-  private called(request: FastifyRequest): HollowWorker | undefined {
+  private called(request: FastifyRequest): SimulatedWorker | undefined {
     return this.byHost.get(request.socket.localAddress ?? '');
   }
 
@@ -174,23 +182,23 @@
   }
 
   private async report(
-    worker: HollowWorker,
+    worker: SimulatedWorker,
     node: string,
-    report: WorkerReport,
-  ): Promise<ReportOutcome | null> {
+    report: Heartbeat,
+  ): Promise<HeartbeatResult | null> {
     const began = this.time.now;
     this.meter.count('reports');
     try {
       const answer = await this.linkOf(worker.id, node).call(
         'POST',
-        PATHS.report,
-        formatReport(report),
+        PATHS.heartbeat,
+        formatHeartbeat(report),
         ANSWER_MS,
       );
       this.meter.latency('report', this.time.now - began);
       switch (answer.status) {
         case 200:
-          return { code: 200, ...parseReportAnswer(answer.body) };
+          return { code: 200, ...parseHeartbeatResponse(answer.body) };
         case 421:
           this.meter.count('redirects');
           return { code: 421, leader: parseRedirect(answer.body) ?? '' };
@@ -199,7 +207,7 @@
           return { code: 503 };
       }
     } catch (e) {
-      if (!(e instanceof NoAnswerError)) throw e;
+      if (!(e instanceof NoResponseError)) throw e;
       this.meter.count('unanswered');
       return null;
     }
--- a/packages/scale/test/capacity.test.ts
+++ b/packages/scale/test/capacity.test.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { KEPT_RUNS, capacityTables, fit, keptRuns } from '../src/index.js';
+import { KEPT_RUNS, capacityTables, fitLine, keptRuns } from '../src/index.js';
 
 const BEGIN = '<!-- tables: npm run -s measure -- capacity -->';
 const END = '<!-- end of tables -->';
@@ -20,7 +20,7 @@
   const some = fc.integer({ min: -1000, max: 1000 });
   fc.assert(
     fc.property(some, some, (base, slope) => {
-      const found = fit([1, 2, 5, 9].map((x) => [x, base + slope * x] as const));
+      const found = fitLine([1, 2, 5, 9].map((x) => [x, base + slope * x] as const));
       assert.ok(Math.abs(found.base - base) < 1e-6);
       assert.ok(Math.abs(found.slope - slope) < 1e-6);
       assert.ok(found.residual < 1e-6);
--- a/packages/scale/test/configuration.test.ts
+++ b/packages/scale/test/configuration.test.ts
@@ -31,10 +31,10 @@
   teams: TEAMS,
 };
 const silent = {
-  batch: () => undefined,
-  begins: () => undefined,
-  ended: () => undefined,
-  unexpected: () => undefined,
+  onEvents: () => undefined,
+  onProcessStarted: () => undefined,
+  onProcessEnded: () => undefined,
+  onUnexpectedExit: () => undefined,
 };
 const launch = { deployFile: 'deploy/live-configuration.toml', endedJobs: 0 };
 const region = new Region(shape, nothing, processes, silent, launch);
--- a/packages/shares/src/index.ts
+++ /dev/null
@@ -1,4 +0,0 @@
-export * from './grant.js';
-export * from './balance.js';
-export * from './share.js';
-export * from './pending.js';
--- a/packages/hollow/src/timeline.ts
+++ b/packages/simulated-worker/src/timeline.ts
@@ -9,7 +9,7 @@
 }
 
 /** The machine's monotonic clock: the same for all of its processes, so that their events can be put in order. */
-export class SteadyTimeline implements Timeline {
+export class MonotonicTimeline implements Timeline {
   private readonly originMs = Number(process.hrtime.bigint()) / 1e6 - performance.now();
 
   get now(): number {
--- a/packages/hollow/src/worker.ts
+++ b/packages/simulated-worker/src/worker.ts
@@ -5,11 +5,11 @@
   JobSpec,
   MachineId,
   MachineType,
-  Session,
+  AgentEpoch,
   TaskPhase,
-  Token,
+  FencingToken,
   WorkerCommand,
-  WorkerReport,
+  Heartbeat,
 } from '@spurbridge/wire';
 import type { GangRegistry } from './gangs.js';
 import type { Timeline } from './timeline.js';
@@ -24,13 +24,13 @@
 }
 
 /** What a controller answers to a report. */
-export type ReportOutcome =
-  | { readonly code: 200; readonly token: Token; readonly commands: readonly WorkerCommand[] }
+export type HeartbeatResult =
+  | { readonly code: 200; readonly token: FencingToken; readonly commands: readonly WorkerCommand[] }
   | { readonly code: 421; readonly leader: string }
   | { readonly code: 503 };
 
 /** Where a task was started. */
-export interface StartedAt {
+export interface TaskPlacement {
   readonly machine: MachineId;
   readonly zone: string;
   readonly type: string;
@@ -40,13 +40,13 @@
 /** Told of what happens to tasks on a worker. */
 export interface TaskObserver {
   /** The task has its image and is on the machine from now on. */
-  started(job: JobSpec, task: number, attempt: Attempt, at: StartedAt): void;
+  taskStarted(job: JobSpec, task: number, attempt: Attempt, at: TaskPlacement): void;
   /** The task is off the machine; by `atMs` at the latest, where that is before now. */
-  left(job: JobId, task: number, machine: MachineId, isDone: boolean, atMs?: number): void;
+  taskStopped(job: JobId, task: number, machine: MachineId, isDone: boolean, atMs?: number): void;
   /** All tasks of a gang are done at once. */
-  completed(job: JobSpec, attempt: Attempt): void;
+  gangCompleted(job: JobSpec, attempt: Attempt): void;
   /** Whether the task was done before: its result is kept. */
-  isDone(job: JobId, task: number): boolean;
+  isTaskDone(job: JobId, task: number): boolean;
   /** Tasks that ended with a lease that nobody renewed. */
   killedByLease: number;
 }
@@ -64,22 +64,22 @@
   readonly gangs: GangRegistry;
   readonly random: (below: number) => number;
   /** The description of a job; undefined: no such job. */
-  job(id: JobId): JobSpec | undefined;
+  findJob(id: JobId): JobSpec | undefined;
   /** Whether this run of the task ends with an error. */
-  readonly fails: (job: JobSpec, task: number) => boolean;
+  readonly taskFails: (job: JobSpec, task: number) => boolean;
   /** How long the task runs, in milliseconds. */
-  runMs(job: JobSpec, task: number): number;
+  taskRunMs(job: JobSpec, task: number): number;
   /** The address at which the worker takes direct commands. */
   addressOf(id: MachineId): string;
   /** Sends a report to a node; null: no answer in time. */
-  report(worker: HollowWorker, node: string, report: WorkerReport): Promise<ReportOutcome | null>;
+  sendHeartbeat(worker: SimulatedWorker, node: string, report: Heartbeat): Promise<HeartbeatResult | null>;
 }
 
 /**
  * A worker without real tasks: it keeps the protocol's tokens, sessions, lease, images and gangs, and its tasks are timers.
  * The same code runs under simulated time and on the machine's own clock.
  */
-export class HollowWorker {
+export class SimulatedWorker {
   private session = 1;
   private seq = 0;
   private token = 0;
@@ -93,8 +93,8 @@
   private lastReport = -Infinity;
   alive = true;
   /** While set, every task that starts here fails. */
-  faulty = false;
-  noticeEnds: number | null = null;
+  failsAllTasks = false;
+  preemptionAtMs: number | null = null;
 
   constructor(
     readonly id: MachineId,
@@ -126,7 +126,7 @@
     for (const t of this.tasks.values())
       if (t.phase !== 'exited') {
         running += 1;
-        this.host.observer.left(t.job.id, t.task, this.id, false, atMs);
+        this.host.observer.taskStopped(t.job.id, t.task, this.id, false, atMs);
       }
     this.tasks.clear();
     return running;
@@ -143,17 +143,17 @@
   }
 
   /** Highest token that it has seen. */
-  get highestToken(): number {
+  get highestFencingToken(): number {
     return this.token;
   }
 
   /** Index of the node that it reports to, in the order of the nodes' names. */
-  get reportsTo(): number {
+  get heartbeatNodeIndex(): number {
     return this.node % this.host.nodes.length;
   }
 
   /** The tasks that take room on the machine, also those that fetch. */
-  taken(): readonly { readonly job: JobSpec }[] {
+  occupyingTasks(): readonly { readonly job: JobSpec }[] {
     return [...this.tasks.values()].filter((t) => t.phase !== 'exited');
   }
 
@@ -166,7 +166,7 @@
     this.hanging = true;
   }
 
-  get hangs(): boolean {
+  get isHanging(): boolean {
     return this.hanging;
   }
 
@@ -188,7 +188,7 @@
     run();
   }
 
-  makeReport(): WorkerReport {
+  makeHeartbeat(): Heartbeat {
     this.seq += 1;
     return {
       machine: this.id,
@@ -196,10 +196,11 @@
       type: this.type.name,
       zone: this.zone,
       spot: this.spot,
-      session: this.session as Session,
-      seq: this.seq,
-      token: this.token as Token,
-      noticeS: this.noticeEnds === null ? null : Math.max(0, (this.noticeEnds - this.now) / 1000),
+      agentEpoch: this.session as AgentEpoch,
+      sequence: this.seq,
+      fencingToken: this.token as FencingToken,
+      preemptionNoticeS:
+        this.preemptionAtMs === null ? null : Math.max(0, (this.preemptionAtMs - this.now) / 1000),
       tasks: [...this.tasks.values()].map((t) => ({
         job: t.job.id,
         task: t.task,
@@ -234,7 +235,7 @@
     const sentAt = this.now;
     const { session } = this;
     const node = this.host.nodes[this.node % this.host.nodes.length] as string;
-    void this.host.report(this, node, this.makeReport()).then((answer) => {
+    void this.host.sendHeartbeat(this, node, this.makeHeartbeat()).then((answer) => {
       this.act(() => {
         this.reporting = false;
         // An answer that comes after four seconds, or for an earlier session, is dropped.
@@ -272,11 +273,11 @@
   }
 
   /** A message to /commands; null when nothing answers. */
-  commands(
+  receiveCommands(
     token: number,
     session: number,
     commands: readonly WorkerCommand[],
-    answer: (executed: boolean, report: WorkerReport) => void,
+    answer: (executed: boolean, report: Heartbeat) => void,
   ): void {
     this.act(() => {
       const valid = token >= this.token && session === this.session;
@@ -284,7 +285,7 @@
         this.seeToken(token);
         this.execute(commands);
       }
-      answer(valid, this.makeReport());
+      answer(valid, this.makeHeartbeat());
     });
   }
 
@@ -301,7 +302,7 @@
 
   private start(id: JobId, task: number, attempt: Attempt): void {
     const name = `${id}/${task}`;
-    const job = this.host.job(id);
+    const job = this.host.findJob(id);
     const old = this.tasks.get(name);
     if (old?.attempt === attempt || job === undefined) return;
     if (old !== undefined && old.phase !== 'exited') return;
@@ -332,19 +333,19 @@
 
   private begin(t: HollowTask): void {
     this.images.add(t.job.image);
-    this.host.observer.started(t.job, t.task, t.attempt, {
+    this.host.observer.taskStarted(t.job, t.task, t.attempt, {
       machine: this.id,
       zone: this.zone,
       type: this.type.name,
       spot: this.spot,
     });
-    if (this.faulty) this.end(t, 'error');
-    else if (this.host.observer.isDone(t.job.id, t.task)) this.end(t, 'done');
+    if (this.failsAllTasks) this.end(t, 'error');
+    else if (this.host.observer.isTaskDone(t.job.id, t.task)) this.end(t, 'done');
     else if (t.job.kind === 'gang') {
       t.phase = 'waiting';
       this.changed();
       const gang = this.host.gangs.attempt(t.job, t.attempt);
-      const mates = this.host.gangs.members(t.job, t.attempt);
+      const mates = this.host.gangs.activeMembers(t.job, t.attempt);
       if (mates.length === t.job.tasks && !gang.started) {
         gang.started = true;
         for (const m of mates) m.worker.runTask(t.job, m.task);
@@ -367,15 +368,15 @@
     t.phase = 'running';
     this.changed();
     if (job.kind === 'service') return;
-    this.host.time.after(this.host.runMs(job, job.kind === 'gang' ? 0 : task), () => {
+    this.host.time.after(this.host.taskRunMs(job, job.kind === 'gang' ? 0 : task), () => {
       this.act(() => {
         // What was cleared with an earlier session completes nothing.
         if (t.phase !== 'running' || this.tasks.get(`${job.id}/${task}`) !== t) return;
-        if (job.kind === 'gang' && !this.host.observer.isDone(job.id, task)) {
-          if (this.host.gangs.members(job, t.attempt).length < job.tasks) return this.end(t, 'peers');
-          this.host.observer.completed(job, t.attempt);
+        if (job.kind === 'gang' && !this.host.observer.isTaskDone(job.id, task)) {
+          if (this.host.gangs.activeMembers(job, t.attempt).length < job.tasks) return this.end(t, 'peers');
+          this.host.observer.gangCompleted(job, t.attempt);
         }
-        this.end(t, this.host.fails(job, task) ? 'error' : 'done');
+        this.end(t, this.host.taskFails(job, task) ? 'error' : 'done');
       });
     });
     if (job.kind === 'gang') this.watchMates(t);
@@ -383,15 +384,15 @@
 
   /** A task of a running gang that lost another, or was not told of a stop in time, exits. */
   private watchMates(t: HollowTask): void {
-    const { haltAt } = this.host.gangs.attempt(t.job, t.attempt);
+    const { firstStopAtMs: haltAt } = this.host.gangs.attempt(t.job, t.attempt);
     const untilStop = haltAt === null ? Infinity : haltAt + this.host.gangPeerMs - this.now;
     this.host.time.after(Math.max(1, Math.min(this.host.gangPeerMs / 2, untilStop)), () => {
       this.act(() => {
         if (t.phase !== 'running') return;
         const gang = this.host.gangs.attempt(t.job, t.attempt);
-        const late = gang.haltAt !== null && this.now >= gang.haltAt + this.host.gangPeerMs;
-        if (this.host.observer.isDone(t.job.id, t.task)) this.end(t, 'done');
-        else if (!late && this.host.gangs.members(t.job, t.attempt).length === t.job.tasks)
+        const late = gang.firstStopAtMs !== null && this.now >= gang.firstStopAtMs + this.host.gangPeerMs;
+        if (this.host.observer.isTaskDone(t.job.id, t.task)) this.end(t, 'done');
+        else if (!late && this.host.gangs.activeMembers(t.job, t.attempt).length === t.job.tasks)
           this.watchMates(t);
         else this.end(t, 'peers');
       });
@@ -399,7 +400,7 @@
   }
 
   /** All have saved: their progress is safe, and all exit. */
-  finishSave(job: JobSpec, task: number): void {
+  finishCheckpoint(job: JobSpec, task: number): void {
     const t = this.tasks.get(`${job.id}/${task}`);
     if (t?.phase === 'saving') this.end(t, 'stopped', true);
   }
@@ -407,21 +408,21 @@
   /** An orderly stop holds only if every task of the gang hears of it within `gang_peer_s` of the first. */
   private saveGang(t: HollowTask): void {
     const gang = this.host.gangs.attempt(t.job, t.attempt);
-    gang.haltAt ??= this.now;
-    gang.told.add(t.task);
+    gang.firstStopAtMs ??= this.now;
+    gang.toldToStop.add(t.task);
     this.host.time.after(t.job.saveS * 1000, () => {
       this.act(() => {
         if (t.phase !== 'saving') return;
-        gang.saved.add(t.task);
-        const mates = this.host.gangs.members(t.job, t.attempt);
-        if (gang.saved.size < t.job.tasks || mates.length < t.job.tasks) return;
-        gang.safe = true;
-        for (const m of mates) m.worker.finishSave(t.job, m.task);
+        gang.savedTasks.add(t.task);
+        const mates = this.host.gangs.activeMembers(t.job, t.attempt);
+        if (gang.savedTasks.size < t.job.tasks || mates.length < t.job.tasks) return;
+        gang.isCheckpointed = true;
+        for (const m of mates) m.worker.finishCheckpoint(t.job, m.task);
       });
     });
-    this.host.time.after(Math.max(0, gang.haltAt + this.host.gangPeerMs - this.now), () => {
+    this.host.time.after(Math.max(0, gang.firstStopAtMs + this.host.gangPeerMs - this.now), () => {
       this.act(() => {
-        if (t.phase === 'saving' && gang.told.size < t.job.tasks) this.end(t, 'stopped');
+        if (t.phase === 'saving' && gang.toldToStop.size < t.job.tasks) this.end(t, 'stopped');
       });
     });
     // A task that was told but is lost before it has saved leaves the others with nothing to wait for.
@@ -459,7 +460,7 @@
     t.phase = 'exited';
     t.cause = cause;
     t.saved = saved;
-    this.host.observer.left(t.job.id, t.task, this.id, cause === 'done');
+    this.host.observer.taskStopped(t.job.id, t.task, this.id, cause === 'done');
     this.changed();
   }
 }
--- a/packages/snapshot/src/format.ts
+++ b/packages/snapshot/src/format.ts
@@ -1,12 +1,12 @@
 import { brotliDecompressSync } from 'node:zlib';
-import type { Seen } from '@spurbridge/recovery';
-import { compress, digestOf } from '@spurbridge/recovery';
+import type { ReplicaEntry } from '@spurbridge/recovery';
+import { compress, sha256Hex } from '@spurbridge/recovery';
 import type { Revision, Version } from '@spurbridge/wire';
-import { MalformedError, read } from '@spurbridge/wire';
+import { ValidationError, read } from '@spurbridge/wire';
 
 const FORMAT = 'spurbridge-snapshot';
 /** Raised by every change that older programs could not read. */
-export const FORMAT_VERSION = 1;
+export const SNAPSHOT_FORMAT_VERSION = 1;
 const MOST_HEADER = 4096;
 
 /** What a snapshot says of itself, before anything is unpacked. */
@@ -26,41 +26,45 @@
 
 /** A state service's records up to one revision; a memory to be merged (docs/state-loss.md). */
 export interface Snapshot extends SnapshotHeader {
-  get(key: string): Seen | undefined;
+  get(key: string): ReplicaEntry | undefined;
   keys(): IterableIterator<string>;
 }
 
 /** Why a file is no snapshot that may be used. */
-export class BadSnapshotError extends Error {}
+export class SnapshotFormatError extends Error {}
 
 /** One line of JSON, then the records, compressed. */
 export function encodeSnapshot(
   h: Pick<SnapshotHeader, 'deployment' | 'epoch' | 'revision' | 'takenAt'>,
-  entries: Iterable<readonly [string, Seen]>,
+  entries: Iterable<readonly [string, ReplicaEntry]>,
 ): Buffer {
   const records = [...entries].map(([key, s]) => [key, s.version, s.text]);
   const plain = JSON.stringify(records);
   const body = compress(plain);
   const header = {
     format: FORMAT,
-    version: FORMAT_VERSION,
+    version: SNAPSHOT_FORMAT_VERSION,
     ...h,
     takenAt: Math.round(h.takenAt),
     records: records.length,
     plainBytes: Buffer.byteLength(plain),
-    digest: digestOf(body),
+    digest: sha256Hex(body),
   };
   return Buffer.concat([Buffer.from(`${JSON.stringify(header)}\n`), body]);
 }
 
 /** The header alone. Throws `BadSnapshotError`, which says what is wrong. */
-export function decodeHeader(bytes: Buffer): { readonly header: SnapshotHeader; readonly bodyAt: number } {
+export function decodeSnapshotHeader(bytes: Buffer): {
+  readonly header: SnapshotHeader;
+  readonly bodyAt: number;
+} {
   const end = bytes.subarray(0, MOST_HEADER).indexOf('\n');
-  if (end < 0) throw new BadSnapshotError('no header: this is no snapshot, or it was cut short');
+  if (end < 0) throw new SnapshotFormatError('no header: this is no snapshot, or it was cut short');
   try {
     const o = read.asObject(JSON.parse(bytes.subarray(0, end).toString()), 'header');
-    if (o['format'] !== FORMAT) throw new MalformedError('format', FORMAT);
-    if (o['version'] !== FORMAT_VERSION) throw new MalformedError('version', String(FORMAT_VERSION));
+    if (o['format'] !== FORMAT) throw new ValidationError('format', FORMAT);
+    if (o['version'] !== SNAPSHOT_FORMAT_VERSION)
+      throw new ValidationError('version', String(SNAPSHOT_FORMAT_VERSION));
     const header: SnapshotHeader = {
       deployment: read.name(o, 'deployment'),
       epoch: read.count(o, 'epoch', 1),
@@ -68,32 +72,32 @@
       takenAt: read.count(o, 'takenAt'),
       records: read.count(o, 'records'),
       plainBytes: read.count(o, 'plainBytes'),
-      digest: read.str(o, 'digest'),
+      digest: read.string(o, 'digest'),
     };
     return { header, bodyAt: end + 1 };
   } catch (e) {
-    throw new BadSnapshotError(e instanceof Error ? e.message : String(e));
+    throw new SnapshotFormatError(e instanceof Error ? e.message : String(e));
   }
 }
 
 /** Reads and checks a whole snapshot. Throws `BadSnapshotError`. */
 export function decodeSnapshot(bytes: Buffer): Snapshot {
-  const { header, bodyAt } = decodeHeader(bytes);
+  const { header, bodyAt } = decodeSnapshotHeader(bytes);
   const body = bytes.subarray(bodyAt);
-  if (digestOf(body) !== header.digest)
-    throw new BadSnapshotError('the checksum does not match: it is damaged');
-  const seen = new Map<string, Seen>();
+  if (sha256Hex(body) !== header.digest)
+    throw new SnapshotFormatError('the checksum does not match: it is damaged');
+  const seen = new Map<string, ReplicaEntry>();
   try {
     for (const entry of read.asArray(JSON.parse(brotliDecompressSync(body).toString()), 'records')) {
       const [key, version, text] = read.asArray(entry, 'record');
       if (typeof key !== 'string' || typeof version !== 'number' || typeof text !== 'string')
-        throw new MalformedError('record', 'a key, a version and a value');
+        throw new ValidationError('record', 'a key, a version and a value');
       seen.set(key, { version: version as Version, text });
     }
   } catch (e) {
-    throw new BadSnapshotError(e instanceof Error ? e.message : String(e));
+    throw new SnapshotFormatError(e instanceof Error ? e.message : String(e));
   }
   if (seen.size !== header.records)
-    throw new BadSnapshotError(`records: expected ${header.records}, found ${seen.size}`);
+    throw new SnapshotFormatError(`records: expected ${header.records}, found ${seen.size}`);
   return { ...header, get: (key) => seen.get(key), keys: () => seen.keys() };
 }
--- a/packages/snapshot/src/index.ts
+++ b/packages/snapshot/src/index.ts
@@ -1,4 +1,4 @@
 export * from './format.js';
-export * from './keeper.js';
+export * from './snapshotter.js';
 export * from './restore.js';
-export * from './shelf.js';
+export * from './repository.js';
--- a/packages/snapshot/src/shelf.ts
+++ b/packages/snapshot/src/repository.ts
@@ -1,24 +1,24 @@
 import { mkdir, readFile, readdir, rename, rm, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
-import type { SnapshotShelf } from '@spurbridge/recovery';
+import type { SnapshotSource } from '@spurbridge/recovery';
 import type { Snapshot, SnapshotHeader } from './format.js';
-import { BadSnapshotError, decodeHeader, decodeSnapshot } from './format.js';
+import { SnapshotFormatError, decodeSnapshotHeader, decodeSnapshot } from './format.js';
 
 const SUFFIX = '.snapshot';
 
 /** Where snapshots lie: a directory, or a stand-in of one. Names sort by epoch, then by revision. */
-export interface Folder {
-  names(): Promise<readonly string[]>;
+export interface SnapshotDirectory {
+  listNames(): Promise<readonly string[]>;
   read(name: string): Promise<Buffer>;
   /** Whole or not at all. */
   write(name: string, bytes: Buffer): Promise<void>;
   remove(name: string): Promise<void>;
 }
 
-export class Directory implements Folder {
+export class FileSystemSnapshotDirectory implements SnapshotDirectory {
   constructor(private readonly path: string) {}
 
-  async names(): Promise<readonly string[]> {
+  async listNames(): Promise<readonly string[]> {
     await mkdir(this.path, { recursive: true });
     return (await readdir(this.path)).filter((n) => n.endsWith(SUFFIX)).sort();
   }
@@ -44,21 +44,21 @@
   return `${String(h.epoch).padStart(8, '0')}-${String(h.revision).padStart(14, '0')}-${node}${SUFFIX}`;
 }
 
-export type Verdict =
+export type SnapshotInspection =
   | { readonly name: string; readonly header: SnapshotHeader; readonly bytes: number }
   | { readonly name: string; readonly wrong: string };
 
 /** Snapshots in a folder, newest first; what is damaged or another deployment's is passed over with the reason. */
-export class Shelf implements SnapshotShelf {
+export class SnapshotRepository implements SnapshotSource {
   constructor(
-    private readonly folder: Folder,
+    private readonly folder: SnapshotDirectory,
     private readonly refused: (name: string, reason: string) => void,
   ) {}
 
   async latest(deployment: string | null): Promise<Snapshot | null> {
     let names: readonly string[];
     try {
-      names = await this.folder.names();
+      names = await this.folder.listNames();
     } catch (e) {
       this.refused('the directory', String(e));
       return null;
@@ -81,28 +81,28 @@
         return { wrong: `it is of deployment ${snapshot.deployment}, not ${deployment}` };
       return snapshot;
     } catch (e) {
-      return { wrong: e instanceof BadSnapshotError ? e.message : String(e) };
+      return { wrong: e instanceof SnapshotFormatError ? e.message : String(e) };
     }
   }
 
   /** Every snapshot with its header, or what is wrong with it; `whole` also checks what it holds. */
-  async verdicts(whole: boolean): Promise<Verdict[]> {
-    const found: Verdict[] = [];
-    for (const name of await this.folder.names()) {
+  async inspect(whole: boolean): Promise<SnapshotInspection[]> {
+    const found: SnapshotInspection[] = [];
+    for (const name of await this.folder.listNames()) {
       try {
         const bytes = await this.folder.read(name);
-        const header = whole ? decodeSnapshot(bytes) : decodeHeader(bytes).header;
+        const header = whole ? decodeSnapshot(bytes) : decodeSnapshotHeader(bytes).header;
         found.push({ name, header, bytes: bytes.length });
       } catch (e) {
-        found.push({ name, wrong: e instanceof BadSnapshotError ? e.message : String(e) });
+        found.push({ name, wrong: e instanceof SnapshotFormatError ? e.message : String(e) });
       }
     }
     return found;
   }
 
-  async keep(name: string, bytes: Buffer, most: number): Promise<void> {
+  async save(name: string, bytes: Buffer, most: number): Promise<void> {
     await this.folder.write(name, bytes);
-    const names = await this.folder.names();
+    const names = await this.folder.listNames();
     for (const old of names.slice(0, Math.max(0, names.length - most))) await this.folder.remove(old);
   }
 }
--- a/packages/snapshot/src/restore.ts
+++ b/packages/snapshot/src/restore.ts
@@ -1,9 +1,16 @@
-import type { WallMs } from '@spurbridge/model';
+import type { WallClockMs } from '@spurbridge/model';
 import type { Clock } from '@spurbridge/net';
-import type { EpochNumber, Memory } from '@spurbridge/recovery';
-import { Copy, Gathering, decodeEpoch, isControlKey, isTombstone, merge } from '@spurbridge/recovery';
-import type { StateStore } from '@spurbridge/store';
-import type { NodeId, Revision, Token } from '@spurbridge/wire';
+import type { EpochNumber, EpochReplica } from '@spurbridge/recovery';
+import {
+  Replica,
+  StoreRecovery,
+  decodeEpoch,
+  isControlKey,
+  isTombstone,
+  mergeReplicas,
+} from '@spurbridge/recovery';
+import type { KeyValueStore } from '@spurbridge/store';
+import type { NodeId, Revision, FencingToken } from '@spurbridge/wire';
 import type { Snapshot } from './format.js';
 import { encodeSnapshot } from './format.js';
 
@@ -11,41 +18,42 @@
 const SETTLE_MS = 200;
 const ROUNDS = 20;
 
-export interface StateTools {
-  readonly raw: StateStore;
+export interface SnapshotToolOptions {
+  readonly raw: KeyValueStore;
   readonly clock: Clock;
-  readonly wallNow: () => WallMs;
+  readonly wallNow: () => WallClockMs;
   readonly valueKb: number;
   /** Number of controllers, which take part when the fence moves. */
-  readonly nodes: number;
+  readonly controllerCount: number;
   readonly log: { info(fields: object, message: string): void };
 }
 
-export class StateToolError extends Error {}
+export class SnapshotToolError extends Error {}
 
 interface StoreNow {
-  readonly copy: Copy;
+  readonly copy: Replica;
   readonly epoch: number;
   readonly deployment: string | null;
   readonly floor: number;
 }
 
 /** Reads a whole state service that is being written to, consistently as of one revision. */
-async function readNow(t: StateTools): Promise<StoreNow> {
+async function readNow(t: SnapshotToolOptions): Promise<StoreNow> {
   const listed = await t.raw.list('', 1);
-  if (listed.outcome !== 'listed') throw new StateToolError('the state service does not answer');
-  const copy = new Copy();
-  copy.replace(
+  if (listed.outcome !== 'listed') throw new SnapshotToolError('the state service does not answer');
+  const copy = new Replica();
+  copy.replaceAll(
     listed.items.filter((i) => !isTombstone(i.value)),
     listed.revision,
   );
   // Pages were read one after the other: what changed meanwhile makes them one state.
   for (let n = 0; copy.revision < listed.latest && n < ROUNDS; n += 1) {
     const seen = await t.raw.watch('', copy.revision, SETTLE_MS);
-    if (seen.outcome === 'events') copy.watched(seen.events, seen.revision);
+    if (seen.outcome === 'events') copy.applyWatchEvents(seen.events, seen.revision);
     else await t.clock.sleep(SETTLE_MS);
   }
-  if (copy.revision < listed.latest) throw new StateToolError('the state service does not answer its watch');
+  if (copy.revision < listed.latest)
+    throw new SnapshotToolError('the state service does not answer its watch');
   const epoch = decodeEpoch(listed.items.find((i) => i.key === 'epoch')?.value);
   return {
     copy,
@@ -57,49 +65,52 @@
 
 /** Takes a snapshot of the state service as it is now. */
 export async function takeSnapshot(
-  t: StateTools,
+  t: SnapshotToolOptions,
 ): Promise<{ readonly bytes: Buffer; readonly epoch: number; readonly revision: Revision }> {
   const { copy, epoch, deployment } = await readNow(t);
   if (deployment === null)
-    throw new StateToolError('the state service has no epoch: no controller has run on it');
+    throw new SnapshotToolError('the state service has no epoch: no controller has run on it');
   const head = { deployment, epoch, revision: copy.revision, takenAt: t.wallNow() };
   return { bytes: encodeSnapshot(head, copy.entries()), epoch, revision: copy.revision };
 }
 
 /** What putting a snapshot back would change. */
-export interface Difference {
-  readonly missing: readonly string[];
-  readonly changed: readonly string[];
+export interface RestoreDifference {
+  readonly addedKeys: readonly string[];
+  readonly replacedKeys: readonly string[];
   /** Records of the state service that the snapshot does not have, or older: they stay. */
-  readonly kept: number;
+  readonly keptCount: number;
 }
 
 async function differences(
-  t: StateTools,
+  t: SnapshotToolOptions,
   s: Snapshot,
   accepted: string | null,
-): Promise<{ now: StoreNow; difference: Difference }> {
+): Promise<{ now: StoreNow; difference: RestoreDifference }> {
   const now = await readNow(t);
   // A state service that was emptied, with nobody left to remember, began as a deployment of its own: only a person
   // can tell that the snapshot is of the one before.
   if (now.deployment !== null && now.deployment !== s.deployment && accepted !== s.deployment)
-    throw new StateToolError(
+    throw new SnapshotToolError(
       `the snapshot is of deployment ${s.deployment}, the state service of ${now.deployment}: refused ` +
         `(--deployment ${s.deployment} if it is the same one before all was lost)`,
     );
-  const store: Memory = { epoch: now.epoch, get: (k) => now.copy.get(k), keys: () => now.copy.keys() };
-  const due = merge(store, [s]).filter((r) => !isControlKey(r.key));
+  const store: EpochReplica = { epoch: now.epoch, get: (k) => now.copy.get(k), keys: () => now.copy.keys() };
+  const due = mergeReplicas(store, [s]).filter((r) => !isControlKey(r.key));
   const missing = due.filter((r) => r.over === 0).map((r) => r.key);
   const changed = due.filter((r) => r.over !== 0).map((r) => r.key);
-  return { now, difference: { missing, changed, kept: now.copy.size - changed.length } };
+  return {
+    now,
+    difference: { addedKeys: missing, replacedKeys: changed, keptCount: now.copy.size - changed.length },
+  };
 }
 
 /** What `restore` would do; nothing is written. */
-export async function dryRun(
-  t: StateTools,
+export async function previewRestore(
+  t: SnapshotToolOptions,
   s: Snapshot,
   accepted: string | null = null,
-): Promise<Difference> {
+): Promise<RestoreDifference> {
   return (await differences(t, s, accepted)).difference;
 }
 
@@ -107,34 +118,34 @@
  * Puts a snapshot back by moving the fence, as after a loss: controllers that run take part with what they remember, and
  * whatever is newer than the snapshot stays. It opens as an epoch in which machines are asked first.
  */
-export async function restore(
-  t: StateTools,
+export async function restoreSnapshot(
+  t: SnapshotToolOptions,
   s: Snapshot,
   patienceMs: number,
   accepted: string | null = null,
-): Promise<Difference> {
+): Promise<RestoreDifference> {
   const { now, difference } = await differences(t, s, accepted);
-  const gathering = new Gathering({
+  const gathering = new StoreRecovery({
     ...t,
     node: 'restore' as NodeId,
     // It gives no orders itself: with all controllers it is one more.
-    nodes: t.nodes + 1,
-    brings: () => ({
-      copyOf: now.epoch as EpochNumber,
-      highest: now.epoch,
+    nodes: t.controllerCount + 1,
+    localState: () => ({
+      replicaEpoch: now.epoch as EpochNumber,
+      highestKnownEpoch: now.epoch,
       deployment: now.deployment ?? s.deployment,
-      floor: now.floor,
-      led: 0 as Token,
-      seen: 0 as Token,
+      tokenFloor: now.floor,
+      lastLedToken: 0 as FencingToken,
+      highestSeenToken: 0 as FencingToken,
       continuous: false,
-      lease: 0,
-      memories: [s],
+      highestLeaseId: 0,
+      replicas: [s],
     }),
-    heard: () => ({ peers: [], ahead: 0 }),
-    met: () => undefined,
-    joins: () => undefined,
+    reachablePeers: () => ({ peers: [], ahead: 0 }),
+    onEpochObserved: () => undefined,
+    onEpochJoined: () => undefined,
   });
   const until = t.clock.now() + patienceMs;
   while (t.clock.now() < until) if ((await gathering.attempt()) !== null) return difference;
-  throw new StateToolError('no epoch opened in time: look at the controllers, then try again');
+  throw new SnapshotToolError('no epoch opened in time: look at the controllers, then try again');
 }
--- a/packages/snapshot/src/keeper.ts
+++ b/packages/snapshot/src/snapshotter.ts
@@ -1,19 +1,19 @@
-import type { WallMs } from '@spurbridge/model';
+import type { WallClockMs } from '@spurbridge/model';
 import type { Clock } from '@spurbridge/net';
-import type { GuardedStore } from '@spurbridge/recovery';
+import type { RecoverableStore } from '@spurbridge/recovery';
 import { encodeSnapshot } from './format.js';
-import type { Shelf } from './shelf.js';
-import { snapshotName } from './shelf.js';
+import type { SnapshotRepository } from './repository.js';
+import { snapshotName } from './repository.js';
 
-export interface KeeperParts {
-  readonly guard: GuardedStore;
-  readonly shelf: Shelf;
+export interface SnapshotterOptions {
+  readonly store: RecoverableStore;
+  readonly repository: SnapshotRepository;
   readonly node: string;
-  readonly everyMs: number;
+  readonly intervalMs: number;
   /** Snapshots of all nodes kept in the directory. */
-  readonly most: number;
+  readonly maxSnapshots: number;
   readonly clock: Clock;
-  readonly wallNow: () => WallMs;
+  readonly wallNow: () => WallClockMs;
   readonly log: { info(fields: object, message: string): void; error(fields: object, message: string): void };
 }
 
@@ -21,11 +21,11 @@
  * Takes a snapshot of the node's copy once in a while: consistent at its revision, and without a request to the state
  * service, since the copy is there already.
  */
-export async function keepSnapshots(p: KeeperParts): Promise<never> {
+export async function runSnapshotter(p: SnapshotterOptions): Promise<never> {
   for (;;) {
-    await p.clock.sleep(p.everyMs);
+    await p.clock.sleep(p.intervalMs);
     try {
-      await keepOne(p);
+      await saveSnapshot(p);
     } catch (e) {
       // A full or missing disk must not end the node: the next try may do better.
       p.log.error({ error: String(e) }, 'snapshot could not be kept');
@@ -34,15 +34,15 @@
 }
 
 /** Takes one now; null while the state service is not trusted. Returns its name. */
-export async function keepOne(p: KeeperParts): Promise<string | null> {
-  const remembered = p.guard.remembered();
+export async function saveSnapshot(p: SnapshotterOptions): Promise<string | null> {
+  const remembered = p.store.replicaSnapshot();
   if (remembered === null) return null;
   const { epoch, revision, copy } = remembered;
   const began = p.clock.now();
   const head = { deployment: epoch.deployment, epoch: epoch.number, revision, takenAt: p.wallNow() };
   const bytes = encodeSnapshot(head, copy.entries());
   const name = snapshotName(head, p.node);
-  await p.shelf.keep(name, bytes, p.most);
+  await p.repository.save(name, bytes, p.maxSnapshots);
   p.log.info(
     { name, records: copy.size, bytes: bytes.length, ms: Math.round(p.clock.now() - began) },
     'snapshot kept',
--- a/packages/snapshot/test/snapshot.test.ts
+++ b/packages/snapshot/test/snapshot.test.ts
@@ -6,9 +6,9 @@
 import fc from 'fast-check';
 import type { Revision, Version } from '@spurbridge/wire';
 import {
-  BadSnapshotError,
-  Directory,
-  Shelf,
+  SnapshotFormatError,
+  FileSystemSnapshotDirectory,
+  SnapshotRepository,
   decodeSnapshot,
   encodeSnapshot,
   snapshotName,
@@ -38,8 +38,8 @@
         const damaged = Buffer.from(bytes);
         const at = bytes.indexOf('\n') + 1 + (where % (bytes.length - bytes.indexOf('\n') - 1));
         damaged[at] = (damaged[at] ?? 0) ^ by;
-        assert.throws(() => decodeSnapshot(damaged), BadSnapshotError);
-        assert.throws(() => decodeSnapshot(bytes.subarray(0, bytes.length - 1)), BadSnapshotError);
+        assert.throws(() => decodeSnapshot(damaged), SnapshotFormatError);
+        assert.throws(() => decodeSnapshot(bytes.subarray(0, bytes.length - 1)), SnapshotFormatError);
       },
     ),
   );
@@ -63,17 +63,19 @@
   const path = await mkdtemp(join(tmpdir(), 'snapshots-'));
   try {
     const refused: string[] = [];
-    const shelf = new Shelf(new Directory(path), (name, reason) => refused.push(`${name}: ${reason}`));
+    const shelf = new SnapshotRepository(new FileSystemSnapshotDirectory(path), (name, reason) =>
+      refused.push(`${name}: ${reason}`),
+    );
     assert.equal(await shelf.latest(null), null);
     for (const revision of [5, 40, 300])
-      await shelf.keep(snapshotName(head(revision), 'spur-0'), encodeSnapshot(head(revision), entries), 9);
-    await shelf.keep(snapshotName(head(4000), 'x'), encodeSnapshot(head(4000, 'theirs'), entries), 9);
+      await shelf.save(snapshotName(head(revision), 'spur-0'), encodeSnapshot(head(revision), entries), 9);
+    await shelf.save(snapshotName(head(4000), 'x'), encodeSnapshot(head(4000, 'theirs'), entries), 9);
     await writeFile(join(path, snapshotName(head(5000), 'y')), 'cut short');
     assert.equal((await shelf.latest('ours'))?.revision, 300);
     assert.match(refused.join('\n'), /no header[^]*deployment theirs, not ours/);
-    assert.equal((await shelf.verdicts(true)).filter((v) => 'wrong' in v).length, 1);
-    await shelf.keep(snapshotName(head(6000), 'z'), encodeSnapshot(head(6000), entries), 2);
-    assert.equal((await shelf.verdicts(false)).length, 2);
+    assert.equal((await shelf.inspect(true)).filter((v) => 'wrong' in v).length, 1);
+    await shelf.save(snapshotName(head(6000), 'z'), encodeSnapshot(head(6000), entries), 2);
+    assert.equal((await shelf.inspect(false)).length, 2);
     assert.equal((await shelf.latest('ours'))?.revision, 6000);
   } finally {
     await rm(path, { recursive: true });
--- a/packages/store/src/client.ts
+++ b/packages/store/src/client.ts
@@ -1,27 +1,27 @@
-import type { Clock, Ms, Urgency } from '@spurbridge/net';
-import { Budget, JsonClient, NoAnswerError } from '@spurbridge/net';
+import type { Clock, MonotonicMs, RequestPriority } from '@spurbridge/net';
+import { RateLimiter, JsonClient, NoResponseError } from '@spurbridge/net';
 import type {
-  Change,
-  Condition,
-  Item,
+  Mutation,
+  Compare,
+  KeyValue,
   LeaseId,
   Revision,
-  Token,
+  FencingToken,
   Version,
   WatchEvent,
 } from '@spurbridge/wire';
 import {
   PATHS,
-  formatCommit,
-  parseEvents,
-  parseFailed,
-  parseItemAnswer,
-  parseItems,
-  parseLease,
+  formatTransaction,
+  parseWatchResponse,
+  parseFailedKeys,
+  parseKeyValue,
+  parseKeyValuePage,
+  parseLeaseId,
   parseRevision,
 } from '@spurbridge/wire';
 
-export type Refusal =
+export type RequestFailure =
   /** Certainly not executed: refused, over a limit, or never sent. */
   | { readonly outcome: 'refused' }
   /** No answer: it may have been executed, or may still be, at any later time. */
@@ -31,57 +31,58 @@
   | { readonly outcome: 'committed'; readonly revision: Revision }
   | { readonly outcome: 'conflict'; readonly failed: readonly string[]; readonly revision: Revision }
   | { readonly outcome: 'no_lease' }
-  | Refusal;
+  | RequestFailure;
 
 export type ReadOutcome =
-  | { readonly outcome: 'found'; readonly item: Item }
+  | { readonly outcome: 'found'; readonly item: KeyValue }
   | { readonly outcome: 'absent'; readonly revision: Revision }
-  | Refusal;
+  | RequestFailure;
 export type ListOutcome =
   | {
       readonly outcome: 'listed';
-      readonly items: readonly Item[];
+      readonly items: readonly KeyValue[];
       /** Of the first page: a watch from it misses nothing. */
       readonly revision: Revision;
       /** Of the last page: no item is later. */
       readonly latest: Revision;
     }
-  | Refusal;
+  | RequestFailure;
 export type WatchOutcome =
   | { readonly outcome: 'events'; readonly revision: Revision; readonly events: readonly WatchEvent[] }
   | { readonly outcome: 'compacted' }
-  | Refusal;
-export type GrantOutcome = { readonly outcome: 'granted'; readonly lease: LeaseId } | Refusal;
-export type TouchOutcome = { readonly outcome: 'renewed' } | { readonly outcome: 'ended' } | Refusal;
+  | RequestFailure;
+export type LeaseGrantOutcome = { readonly outcome: 'granted'; readonly lease: LeaseId } | RequestFailure;
+export type LeaseRenewalOutcome =
+  { readonly outcome: 'renewed' } | { readonly outcome: 'ended' } | RequestFailure;
 
 /** The state service as the controllers use it; the stand-in of `testkit` implements it too. */
-export interface StateStore {
+export interface KeyValueStore {
   /**
    * Whether what it says is believed now. While it is not, every call is refused, and nothing may be started,
    * rented, forgotten or released on the strength of what was read before.
    */
-  readonly trusted: boolean;
+  readonly isTrusted: boolean;
   /** Changes when data may have been lost: no lease is believed across such a change. */
-  readonly era: number;
+  readonly generation: number;
   /** The token of a leader whose record has this version. */
-  tokenOf(version: Version): Token;
-  read(key: string, urgency: Urgency): Promise<ReadOutcome>;
-  list(prefix: string, urgency: Urgency): Promise<ListOutcome>;
+  fencingTokenOf(version: Version): FencingToken;
+  read(key: string, urgency: RequestPriority): Promise<ReadOutcome>;
+  list(prefix: string, urgency: RequestPriority): Promise<ListOutcome>;
   commit(
-    conditions: readonly Condition[],
-    changes: readonly Change[],
-    urgency: Urgency,
+    conditions: readonly Compare[],
+    changes: readonly Mutation[],
+    urgency: RequestPriority,
   ): Promise<CommitOutcome>;
   watch(prefix: string, after: Revision, waitMs: number): Promise<WatchOutcome>;
-  grantLease(ttlMs: number): Promise<GrantOutcome>;
+  grantLease(ttlMs: number): Promise<LeaseGrantOutcome>;
   /** Renews the lease of a leader; `held` is its record's condition, for a store that looks after that too. */
-  renewLease(lease: LeaseId, held: Condition): Promise<TouchOutcome>;
-  endLease(lease: LeaseId): Promise<void>;
+  renewLease(lease: LeaseId, held: Compare): Promise<LeaseRenewalOutcome>;
+  revokeLease(lease: LeaseId): Promise<void>;
   /** Since when requests have failed without one being served; null while served. */
-  failingSince(): Ms | null;
+  failingSince(): MonotonicMs | null;
 }
 
-export interface StateLimits {
+export interface KeyValueStoreLimits {
   readonly rps: number;
   readonly writeRps: number;
   readonly valueKb: number;
@@ -91,32 +92,32 @@
 const ANSWER_MS = 1500;
 const LIST_PAGE = 1000;
 
-export class HttpStateStore implements StateStore {
-  readonly trusted = true;
-  readonly era = 0;
+export class HttpKeyValueStore implements KeyValueStore {
+  readonly isTrusted = true;
+  readonly generation = 0;
   private readonly client: JsonClient;
   private readonly watcher: JsonClient;
-  private readonly requests: Budget;
-  private readonly writes: Budget;
-  private failing: Ms | null = null;
+  private readonly requests: RateLimiter;
+  private readonly writes: RateLimiter;
+  private failing: MonotonicMs | null = null;
 
   constructor(
     address: string,
-    limits: StateLimits,
+    limits: KeyValueStoreLimits,
     private readonly clock: Clock,
   ) {
     this.client = new JsonClient(address, 24);
     this.watcher = new JsonClient(address, 4);
-    this.requests = new Budget(clock, limits.rps * 0.6, limits.rps * 0.5);
-    this.writes = new Budget(clock, limits.writeRps * 0.8, limits.writeRps * 0.8);
+    this.requests = new RateLimiter(clock, limits.rps * 0.6, limits.rps * 0.5);
+    this.writes = new RateLimiter(clock, limits.writeRps * 0.8, limits.writeRps * 0.8);
   }
 
-  failingSince(): Ms | null {
+  failingSince(): MonotonicMs | null {
     return this.failing;
   }
 
-  tokenOf(version: Version): Token {
-    return version as number as Token;
+  fencingTokenOf(version: Version): FencingToken {
+    return version as number as FencingToken;
   }
 
   private async call<T>(
@@ -126,7 +127,7 @@
     timeoutMs: number,
     understand: (status: number, body: unknown) => T | null,
     client = this.client,
-  ): Promise<T | Refusal> {
+  ): Promise<T | RequestFailure> {
     try {
       const answer = await client.call(method, path, body, timeoutMs);
       const understood = understand(answer.status, answer.body);
@@ -139,15 +140,15 @@
       return { outcome: 'refused' };
     } catch (e) {
       this.failing ??= this.clock.now();
-      return { outcome: e instanceof NoAnswerError && e.notSent ? 'refused' : 'unknown' };
+      return { outcome: e instanceof NoResponseError && e.notSent ? 'refused' : 'unknown' };
     }
   }
 
-  async read(key: string, urgency: Urgency): Promise<ReadOutcome> {
-    if (!this.requests.take(1, urgency)) return { outcome: 'refused' };
+  async read(key: string, urgency: RequestPriority): Promise<ReadOutcome> {
+    if (!this.requests.tryAcquire(1, urgency)) return { outcome: 'refused' };
     return this.call<ReadOutcome>('GET', `${PATHS.keys}/${key}`, undefined, ANSWER_MS, (status, body) =>
       status === 200
-        ? { outcome: 'found', item: parseItemAnswer(body) }
+        ? { outcome: 'found', item: parseKeyValue(body) }
         : status === 404
           ? { outcome: 'absent', revision: parseRevision(body) }
           : null,
@@ -155,15 +156,15 @@
   }
 
   /** All items of a prefix, a page at a time. */
-  async list(prefix: string, urgency: Urgency): Promise<ListOutcome> {
-    const items: Item[] = [];
+  async list(prefix: string, urgency: RequestPriority): Promise<ListOutcome> {
+    const items: KeyValue[] = [];
     let revision: Revision | null = null;
     for (let from = ''; ;) {
-      if (!this.requests.take(1, urgency)) return { outcome: 'refused' };
+      if (!this.requests.tryAcquire(1, urgency)) return { outcome: 'refused' };
       const after = from === '' ? '' : `&from=${encodeURIComponent(from)}`;
       const path = `${PATHS.keys}?starts=${encodeURIComponent(prefix)}${after}&most=${LIST_PAGE}`;
       const page = await this.call('GET', path, undefined, 4000, (status, body) =>
-        status === 200 ? { outcome: 'page' as const, ...parseItems(body) } : null,
+        status === 200 ? { outcome: 'page' as const, ...parseKeyValuePage(body) } : null,
       );
       if (page.outcome !== 'page') return page;
       revision ??= page.revision;
@@ -176,21 +177,21 @@
   }
 
   async commit(
-    conditions: readonly Condition[],
-    changes: readonly Change[],
-    urgency: Urgency,
+    conditions: readonly Compare[],
+    changes: readonly Mutation[],
+    urgency: RequestPriority,
   ): Promise<CommitOutcome> {
-    if (!this.requests.take(1, urgency) || !this.writes.take(changes.length, urgency))
+    if (!this.requests.tryAcquire(1, urgency) || !this.writes.tryAcquire(changes.length, urgency))
       return { outcome: 'refused' };
     return this.call<CommitOutcome>(
       'POST',
-      PATHS.commit,
-      formatCommit(conditions, changes),
+      PATHS.transactions,
+      formatTransaction(conditions, changes),
       ANSWER_MS,
       (status, body) => {
         if (status === 200) return { outcome: 'committed', revision: parseRevision(body) };
         if (status === 409)
-          return { outcome: 'conflict', failed: parseFailed(body), revision: parseRevision(body) };
+          return { outcome: 'conflict', failed: parseFailedKeys(body), revision: parseRevision(body) };
         if (status === 400) return { outcome: 'no_lease' };
         return null;
       },
@@ -198,7 +199,7 @@
   }
 
   async watch(prefix: string, after: Revision, waitMs: number): Promise<WatchOutcome> {
-    if (!this.requests.take(1, 0)) return { outcome: 'refused' };
+    if (!this.requests.tryAcquire(1, 0)) return { outcome: 'refused' };
     const path = `${PATHS.watch}?starts=${encodeURIComponent(prefix)}&from=${after}&blockMs=${waitMs}`;
     return this.call<WatchOutcome>(
       'GET',
@@ -206,29 +207,33 @@
       undefined,
       waitMs + 3000,
       (status, body) => {
-        if (status === 200) return { outcome: 'events', ...parseEvents(body) };
+        if (status === 200) return { outcome: 'events', ...parseWatchResponse(body) };
         return status === 410 ? { outcome: 'compacted' } : null;
       },
       this.watcher,
     );
   }
 
-  async grantLease(ttlMs: number): Promise<GrantOutcome> {
-    if (!this.requests.take(1, 0)) return { outcome: 'refused' };
-    return this.call<GrantOutcome>('POST', PATHS.leases, { ttlMs }, ANSWER_MS, (status, body) =>
-      status === 200 ? { outcome: 'granted', lease: parseLease(body) } : null,
+  async grantLease(ttlMs: number): Promise<LeaseGrantOutcome> {
+    if (!this.requests.tryAcquire(1, 0)) return { outcome: 'refused' };
+    return this.call<LeaseGrantOutcome>('POST', PATHS.leases, { ttlMs }, ANSWER_MS, (status, body) =>
+      status === 200 ? { outcome: 'granted', lease: parseLeaseId(body) } : null,
     );
   }
 
-  async renewLease(lease: LeaseId): Promise<TouchOutcome> {
-    if (!this.requests.take(1, 0)) return { outcome: 'refused' };
-    return this.call<TouchOutcome>('POST', `${PATHS.leases}/${lease}/touch`, {}, ANSWER_MS, (status) =>
-      status === 200 ? { outcome: 'renewed' } : status === 404 ? { outcome: 'ended' } : null,
+  async renewLease(lease: LeaseId): Promise<LeaseRenewalOutcome> {
+    if (!this.requests.tryAcquire(1, 0)) return { outcome: 'refused' };
+    return this.call<LeaseRenewalOutcome>(
+      'POST',
+      `${PATHS.leases}/${lease}/touch`,
+      {},
+      ANSWER_MS,
+      (status) => (status === 200 ? { outcome: 'renewed' } : status === 404 ? { outcome: 'ended' } : null),
     );
   }
 
-  async endLease(lease: LeaseId): Promise<void> {
-    if (!this.requests.take(1, 0)) return;
+  async revokeLease(lease: LeaseId): Promise<void> {
+    if (!this.requests.tryAcquire(1, 0)) return;
     await this.call('DELETE', `${PATHS.leases}/${lease}`, undefined, ANSWER_MS, (status) =>
       status === 200 || status === 404 ? { outcome: 'ended' as const } : null,
     );
--- a/packages/store/src/lease.ts
+++ b/packages/store/src/lease.ts
@@ -1,8 +1,8 @@
-import type { Clock, Ms } from '@spurbridge/net';
-import { later } from '@spurbridge/net';
-import type { LeaseId, NodeId, Token, Version } from '@spurbridge/wire';
-import { ABSENT, read } from '@spurbridge/wire';
-import type { CommitOutcome, StateStore } from './client.js';
+import type { Clock, MonotonicMs } from '@spurbridge/net';
+import { addMs } from '@spurbridge/net';
+import type { LeaseId, NodeId, FencingToken, Version } from '@spurbridge/wire';
+import { KEY_ABSENT, read } from '@spurbridge/wire';
+import type { CommitOutcome, KeyValueStore } from './client.js';
 
 export const LEADER_KEY = 'leader';
 /** How long a leader's lease lasts without a renewal, in milliseconds. */
@@ -25,16 +25,16 @@
  */
 export type LeadershipState = 'following' | 'campaigning' | 'leading' | 'holding';
 
-export interface LeadershipEvents {
-  elected(token: Token): void;
+export interface LeadershipListener {
+  onElected(token: FencingToken): void;
   /** The lease is again surely held after a spell of `holding`. */
-  resumed(): void;
-  deposed(reason: string): void;
+  onLeaseConfirmedAgain(): void;
+  onDeposed(reason: string): void;
   log(message: string, fields: Record<string, unknown>): void;
   /** Whether another node is heard that may lead. */
   hasPeers?(): boolean;
   /** So long others may lead first where nobody does, in milliseconds. */
-  standsBackMs?(): number;
+  campaignDelayMs?(): number;
 }
 
 const TRANSITIONS: Record<LeadershipState, readonly LeadershipState[]> = {
@@ -47,34 +47,34 @@
 export class Leadership {
   private current: LeadershipState = 'following';
   private lease: LeaseId | null = null;
-  private confirmedAt: Ms | null = null;
-  private standsBackUntil = 0 as Ms;
+  private confirmedAt: MonotonicMs | null = null;
+  private standsBackUntil = 0 as MonotonicMs;
   /** Since when nobody was found leading. */
-  private vacantSince: Ms | null = null;
-  private staysUntil = 0 as Ms;
+  private vacantSince: MonotonicMs | null = null;
+  private staysUntil = 0 as MonotonicMs;
   /** Until then others that run have had no time to say so. */
-  private readonly metAt: Ms;
-  private ownToken = 0 as Token;
-  private ownVersion = ABSENT;
+  private readonly metAt: MonotonicMs;
+  private ownToken = 0 as FencingToken;
+  private ownVersion = KEY_ABSENT;
   private ownEra = 0;
   /** The highest token known, and whose it is. */
-  private seen: { token: Token; node: NodeId } | null = null;
+  private seen: { fencingToken: FencingToken; node: NodeId } | null = null;
 
   constructor(
-    private readonly store: StateStore,
+    private readonly store: KeyValueStore,
     private readonly clock: Clock,
     private readonly self: NodeId,
     private readonly incarnation: string,
-    private readonly events: LeadershipEvents,
+    private readonly events: LeadershipListener,
   ) {
-    this.metAt = later(clock.now(), ACQUAINT_MS);
+    this.metAt = addMs(clock.now(), ACQUAINT_MS);
   }
 
   get state(): LeadershipState {
     return this.current;
   }
 
-  get token(): Token {
+  get fencingToken(): FencingToken {
     return this.ownToken;
   }
 
@@ -86,24 +86,24 @@
     const before = this.current;
     this.current = next;
     this.events.log('leadership', { from: before, to: next, reason, token: this.ownToken });
-    if (next === 'leading' && before === 'campaigning') this.events.elected(this.ownToken);
-    if (next === 'leading' && before === 'holding') this.events.resumed();
+    if (next === 'leading' && before === 'campaigning') this.events.onElected(this.ownToken);
+    if (next === 'leading' && before === 'holding') this.events.onLeaseConfirmedAgain();
     if (next === 'following') {
       const wasLeader = before === 'leading' || before === 'holding';
       this.lease = null;
       this.confirmedAt = null;
-      if (wasLeader) this.events.deposed(reason);
+      if (wasLeader) this.events.onDeposed(reason);
     }
   }
 
   /** Whether the lease is surely held now, by our own steady clock counted from the sending. */
-  holdsSurely(): boolean {
+  holdsValidLease(): boolean {
     // A state service that is doubted is like one that does not answer: docs/state-loss.md.
     return (
       this.current === 'leading' &&
-      this.store.trusted &&
+      this.store.isTrusted &&
       // Trusted again, it may be led by another already: the belief from before must not come back with it.
-      this.store.era === this.ownEra &&
+      this.store.generation === this.ownEra &&
       this.clock.now() < this.validUntil()
     );
   }
@@ -111,29 +111,29 @@
   private validUntil(): number {
     return this.confirmedAt === null
       ? 0
-      : later(this.confirmedAt, LEASE_TTL_MS * (1 - TRUSTED_DRIFT) - MARGIN_MS);
+      : addMs(this.confirmedAt, LEASE_TTL_MS * (1 - TRUSTED_DRIFT) - MARGIN_MS);
   }
 
   /** Time since the lease was last confirmed, counted from the sending of the renewal. */
-  sinceConfirmed(): number {
+  msSinceLeaseConfirmed(): number {
     return this.confirmedAt === null ? Infinity : this.clock.now() - this.confirmedAt;
   }
 
-  leader(): { token: Token; node: NodeId } | null {
+  knownLeader(): { fencingToken: FencingToken; node: NodeId } | null {
     return this.seen;
   }
 
   /** Called with every token that a peer or a worker shows. */
-  observe(token: Token, node: NodeId | null): void {
-    if (this.seen !== null && token < this.seen.token) return;
-    if (node !== null) this.seen = { token, node };
-    else if (this.seen === null || token > this.seen.token) this.seen = null;
+  observeToken(token: FencingToken, node: NodeId | null): void {
+    if (this.seen !== null && token < this.seen.fencingToken) return;
+    if (node !== null) this.seen = { fencingToken: token, node };
+    else if (this.seen === null || token > this.seen.fencingToken) this.seen = null;
     if (token > this.ownToken && (this.current === 'leading' || this.current === 'holding'))
       this.enter('following', 'a higher token was shown');
   }
 
   /** Not again soon after the last time: if nobody does better, what this node sees is true. */
-  mayResign(): boolean {
+  canResign(): boolean {
     return this.clock.now() >= this.staysUntil;
   }
 
@@ -141,21 +141,21 @@
   async resign(reason: string): Promise<void> {
     const lease = this.lease;
     if (this.current !== 'leading' && this.current !== 'holding') return;
-    this.standsBackUntil = later(this.clock.now(), STAND_BACK_MS);
-    this.staysUntil = later(this.clock.now(), STAY_MS);
+    this.standsBackUntil = addMs(this.clock.now(), STAND_BACK_MS);
+    this.staysUntil = addMs(this.clock.now(), STAY_MS);
     this.enter('following', reason);
-    if (lease !== null) await this.store.endLease(lease);
+    if (lease !== null) await this.store.revokeLease(lease);
   }
 
   /** A commit conditioned on the leader key failed on it: somebody else leads, or nobody. */
-  lost(reason: string): void {
+  stepDown(reason: string): void {
     if (this.current === 'leading' || this.current === 'holding') this.enter('following', reason);
   }
 
   /** Whether a write conditioned on this leadership failed because another node has led: then it is given up. */
-  isLostBy(outcome: CommitOutcome): boolean {
+  stepDownOnConflict(outcome: CommitOutcome): boolean {
     if (outcome.outcome !== 'conflict' || !outcome.failed.includes(LEADER_KEY)) return false;
-    this.lost('a conditioned write failed');
+    this.stepDown('a conditioned write failed');
     return true;
   }
 
@@ -171,7 +171,7 @@
     const sentAt = this.clock.now();
     if (lease === null) return;
     // The lease is watched by the clock too: an answer that never comes must not keep us leading.
-    const renewal = this.store.renewLease(lease, this.condition()).then((outcome) => {
+    const renewal = this.store.renewLease(lease, this.leadershipCompare()).then((outcome) => {
       // However late it comes, it confirms the lease from when it was asked for: with a state service
       // slowed thirtyfold, renewals of a second were taken for failed and the lease was given up.
       if (outcome.outcome === 'renewed') this.confirm(lease, sentAt);
@@ -195,7 +195,7 @@
     await this.pause(RETRY_MS);
   }
 
-  private confirm(lease: LeaseId, sentAt: Ms): void {
+  private confirm(lease: LeaseId, sentAt: MonotonicMs): void {
     if (this.lease !== lease || (this.confirmedAt !== null && sentAt <= this.confirmedAt)) return;
     this.confirmedAt = sentAt;
     if (this.current === 'holding' && this.clock.now() < this.validUntil())
@@ -215,7 +215,7 @@
       this.vacantSince ??= now;
       const turnAt = Math.max(
         this.standsBackUntil,
-        later(this.vacantSince, this.events.standsBackMs?.() ?? 0),
+        addMs(this.vacantSince, this.events.campaignDelayMs?.() ?? 0),
       );
       if (now < turnAt) await this.clock.sleep(Math.min(RETRY_MS, turnAt - now));
       else await this.campaign();
@@ -237,10 +237,10 @@
       else await this.campaign(found.item.version);
       return;
     }
-    this.observe(this.store.tokenOf(found.item.version), read.str(value, 'node') as NodeId);
+    this.observeToken(this.store.fencingTokenOf(found.item.version), read.string(value, 'node') as NodeId);
     const watched = await this.store.watch(
       LEADER_KEY,
-      found.item.version as number as Parameters<StateStore['watch']>[1],
+      found.item.version as number as Parameters<KeyValueStore['watch']>[1],
       2000,
     );
     if (watched.outcome !== 'events') await this.clock.sleep(RETRY_MS);
@@ -251,15 +251,15 @@
    * was at its share for ten seconds and lost its lease again.
    */
   private async clearFor(version: Version): Promise<void> {
-    this.standsBackUntil = later(this.clock.now(), BEGINNER_MS);
+    this.standsBackUntil = addMs(this.clock.now(), BEGINNER_MS);
     const cleared = await this.store.commit([{ key: LEADER_KEY, version }], [{ delete: LEADER_KEY }], 0);
     this.events.log('the process before this one led', { cleared: cleared.outcome });
     if (cleared.outcome !== 'committed') await this.clock.sleep(RETRY_MS);
   }
 
-  private async campaign(instead: Version = ABSENT): Promise<void> {
-    this.enter('campaigning', instead === ABSENT ? 'nobody leads' : 'the process before this one led');
-    const { era } = this.store;
+  private async campaign(instead: Version = KEY_ABSENT): Promise<void> {
+    this.enter('campaigning', instead === KEY_ABSENT ? 'nobody leads' : 'the process before this one led');
+    const { generation: era } = this.store;
     const sentAt = this.clock.now();
     const granted = await this.store.grantLease(LEASE_TTL_MS);
     if (granted.outcome !== 'granted') {
@@ -281,20 +281,20 @@
     if (committed.outcome !== 'committed') {
       this.enter('following', `the campaign ended: ${committed.outcome}`);
       // The lease is ended whatever happened, so that a commit applied late is removed with it.
-      await this.store.endLease(granted.lease);
+      await this.store.revokeLease(granted.lease);
       return;
     }
     this.lease = granted.lease;
     this.confirmedAt = sentAt;
     this.ownEra = era;
     this.ownVersion = committed.revision as number as Version;
-    this.ownToken = this.store.tokenOf(this.ownVersion);
-    this.seen = { token: this.ownToken, node: this.self };
+    this.ownToken = this.store.fencingTokenOf(this.ownVersion);
+    this.seen = { fencingToken: this.ownToken, node: this.self };
     this.enter('leading', 'the campaign was won');
   }
 
   /** Condition of every leader write. */
-  condition(): { key: string; version: Version } {
+  leadershipCompare(): { key: string; version: Version } {
     return { key: LEADER_KEY, version: this.ownVersion };
   }
 }
--- a/packages/store/test/lease.test.ts
+++ b/packages/store/test/lease.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { ProcessClock, SimTime } from '@spurbridge/testkit';
 import type { LeaseId, NodeId, Revision } from '@spurbridge/wire';
-import type { StateStore } from '../src/index.js';
+import type { KeyValueStore } from '../src/index.js';
 import { Leadership } from '../src/index.js';
 
 /** Leads with a store whose renewals take as long as told; counts how often the lease was doubted. */
@@ -10,9 +10,9 @@
   const time = new SimTime();
   const clock = new ProcessClock(time, 1, 0);
   const store = {
-    trusted: true,
-    era: 0,
-    tokenOf: (version: number) => version,
+    isTrusted: true,
+    generation: 0,
+    fencingTokenOf: (version: number) => version,
     read: () => Promise.resolve({ outcome: 'absent' as const }),
     grantLease: () => Promise.resolve({ outcome: 'granted' as const, lease: 1 as LeaseId }),
     commit: () => Promise.resolve({ outcome: 'committed' as const, revision: 7 as Revision }),
@@ -20,13 +20,13 @@
       await clock.sleep(renewalMs);
       return { outcome: 'renewed' as const };
     },
-    endLease: () => Promise.resolve(),
-  } as unknown as StateStore;
+    revokeLease: () => Promise.resolve(),
+  } as unknown as KeyValueStore;
   let doubts = 0;
   const leadership = new Leadership(store, clock, 'spur-0' as NodeId, 'a', {
-    elected: () => undefined,
-    resumed: () => undefined,
-    deposed: () => undefined,
+    onElected: () => undefined,
+    onLeaseConfirmedAgain: () => undefined,
+    onDeposed: () => undefined,
     log: (_message, fields) => {
       if (fields['to'] === 'holding') doubts += 1;
     },
@@ -37,8 +37,8 @@
   };
   tick();
   void leadership.run();
-  await time.run(forMs);
-  return { doubts, sure: leadership.holdsSurely() };
+  await time.runUntil(forMs);
+  return { doubts, sure: leadership.holdsValidLease() };
 }
 
 test('a renewal that is answered late still confirms the lease from when it was sent', async () => {
--- a/packages/tariff/src/calendar.ts
+++ b/packages/tariff/src/calendar.ts
@@ -1,19 +1,19 @@
-import type { WallMs } from '@spurbridge/model';
+import type { WallClockMs } from '@spurbridge/model';
 import type { RecurringWindow, TariffDocument, Weekday } from '@spurbridge/wire';
-import { MalformedError, WEEKDAYS } from '@spurbridge/wire';
+import { ValidationError, WEEKDAYS } from '@spurbridge/wire';
 import { Temporal } from 'temporal-polyfill';
 
 /**
  * How sure a price is: `known` while the document states it, `pattern` when only its recurring windows go on
  * beyond its validity, `unsure` once nothing says anything.
  */
-export type Certainty = 'known' | 'pattern' | 'unsure';
+export type PriceCertainty = 'known' | 'pattern' | 'unsure';
 
 /** Prices over time: piece `i` runs from `starts[i]` to `starts[i + 1]`, the last one to `until`. */
-export interface Series {
-  readonly starts: readonly WallMs[];
-  readonly until: WallMs;
-  readonly certainty: readonly Certainty[];
+export interface PriceSeries {
+  readonly starts: readonly WallClockMs[];
+  readonly until: WallClockMs;
+  readonly certainty: readonly PriceCertainty[];
   /** For each zone asked for, in that order: price and carbon of each piece; NaN where unsure. */
   readonly price: readonly Float64Array[];
   readonly carbon: readonly Float64Array[];
@@ -22,17 +22,17 @@
 const DAY_MIN = 1440;
 
 /** Refuses a tariff whose time zone this machine's calendar does not know. */
-export function checkCalendar(t: TariffDocument): void {
+export function validateCalendar(t: TariffDocument): void {
   try {
     Temporal.Instant.fromEpochMilliseconds(t.issuedAt).toZonedDateTimeISO(t.timeZone);
   } catch {
-    throw new MalformedError('timeZone', 'an IANA time zone such as Europe/Riga');
+    throw new ValidationError('timeZone', 'an IANA time zone such as Europe/Riga');
   }
   t.holidays.forEach((h, i) => {
     try {
       Temporal.PlainDate.from(h.date, { overflow: 'reject' });
     } catch {
-      throw new MalformedError(`holidays[${i}].date`, 'a date of the calendar');
+      throw new ValidationError(`holidays[${i}].date`, 'a date of the calendar');
     }
   });
 }
@@ -59,16 +59,16 @@
  *
  * @param patternS seconds beyond `validUntil` for which the recurring windows are believed
  */
-export function expand(
+export function expandTariff(
   t: TariffDocument,
   zones: readonly string[],
-  fromMs: WallMs,
-  untilMs: WallMs,
+  fromMs: WallClockMs,
+  untilMs: WallClockMs,
   patternS: number,
-): Series {
+): PriceSeries {
   // A calendar knows whole milliseconds alone.
-  const from = Math.floor(fromMs) as WallMs;
-  const until = Math.ceil(untilMs) as WallMs;
+  const from = Math.floor(fromMs) as WallClockMs;
+  const until = Math.ceil(untilMs) as WallClockMs;
   const patternUntil = t.validUntil === null ? Infinity : t.validUntil + patternS * 1000;
   const cuts = new Set<number>([from]);
   const cut = (ms: number): void => {
@@ -94,12 +94,12 @@
     cut(t.validUntil);
     cut(patternUntil);
   }
-  const starts = [...cuts].sort((a, b) => a - b) as WallMs[];
+  const starts = [...cuts].sort((a, b) => a - b) as WallClockMs[];
   const price = zones.map(() => new Float64Array(starts.length));
   const carbon = zones.map(() => new Float64Array(starts.length));
-  const certainty: Certainty[] = [];
+  const certainty: PriceCertainty[] = [];
   starts.forEach((at, i) => {
-    const sure: Certainty =
+    const sure: PriceCertainty =
       at < (t.validUntil ?? Infinity) ? 'known' : at < patternUntil ? 'pattern' : 'unsure';
     certainty.push(sure);
     const local = Temporal.Instant.fromEpochMilliseconds(at).toZonedDateTimeISO(t.timeZone);
--- a/packages/tariff/src/capacity.ts
+++ b/packages/tariff/src/capacity.ts
@@ -15,7 +15,7 @@
 }
 
 /** What deferred work may count on, learned from what was seen: capacity that never was there is not. */
-export class CapacityMemory {
+export class CapacityEstimator {
   private peakCpus = 0;
   private at: number | null = null;
   private readonly uses = new Map<string, Use>();
--- a/packages/tariff/src/outlook.ts
+++ b/packages/tariff/src/cost-forecast.ts
@@ -1,15 +1,15 @@
-import type { WallMs } from '@spurbridge/model';
+import type { WallClockMs } from '@spurbridge/model';
 import type { TariffDocument } from '@spurbridge/wire';
-import type { Series } from './calendar.js';
-import { expand } from './calendar.js';
+import type { PriceSeries } from './calendar.js';
+import { expandTariff } from './calendar.js';
 
 const AGAIN_MS = 600_000;
 const BEYOND_MS = 2 * 3600 * 1000;
 
 /** Cost of a CPU second over time, price and carbon weighed into one figure; index 0 is the mean of the zones. */
-export interface Costs {
-  readonly starts: readonly WallMs[];
-  readonly until: WallMs;
+export interface CostForecast {
+  readonly starts: readonly WallClockMs[];
+  readonly until: WallClockMs;
   readonly cost: readonly Float64Array[];
 }
 
@@ -18,8 +18,9 @@
  * that every leader sees the same: what it states until its validity ends, its recurring windows for a while
  * beyond, and then nothing.
  */
-export class Outlook {
-  private held: { readonly doc: TariffDocument; readonly from: number; readonly costs: Costs } | null = null;
+export class CostForecaster {
+  private held: { readonly doc: TariffDocument; readonly from: number; readonly costs: CostForecast } | null =
+    null;
 
   constructor(
     private readonly o: {
@@ -30,7 +31,7 @@
     },
   ) {}
 
-  costs(doc: TariffDocument, zones: readonly string[], now: WallMs, until: WallMs): Costs {
+  costs(doc: TariffDocument, zones: readonly string[], now: WallClockMs, until: WallClockMs): CostForecast {
     const h = this.held;
     if (
       h !== null &&
@@ -41,13 +42,16 @@
       h.costs.cost.length === zones.length + 1
     )
       return h.costs;
-    const end = (Math.max(until, now) + BEYOND_MS) as WallMs;
-    const costs = this.weigh(doc, expand(doc, zones.length > 0 ? zones : ['*'], now, end, this.o.patternS));
+    const end = (Math.max(until, now) + BEYOND_MS) as WallClockMs;
+    const costs = this.weigh(
+      doc,
+      expandTariff(doc, zones.length > 0 ? zones : ['*'], now, end, this.o.patternS),
+    );
     this.held = { doc, from: now, costs };
     return costs;
   }
 
-  private weigh(doc: TariffDocument, s: Series): Costs {
+  private weigh(doc: TariffDocument, s: PriceSeries): CostForecast {
     const share = doc.base.carbon > 0 ? this.o.carbonShare : 0;
     const usualPrice = Math.max(Math.abs(doc.base.price), 1e-9);
     const usualCarbon = Math.max(doc.base.carbon, 1e-9);
--- a/packages/tariff/src/room.ts
+++ b/packages/tariff/src/deferral-controller.ts
@@ -1,25 +1,34 @@
-import type { Cluster, Room, RoomFactory, LeaderTerm } from '@spurbridge/controller';
-import { Signal, silentAfterMs } from '@spurbridge/controller';
-import type { Job, Placement, WallMs } from '@spurbridge/model';
-import { fitsType } from '@spurbridge/model';
-import type { Ms } from '@spurbridge/net';
+import type {
+  ClusterState,
+  LeaderComponent,
+  LeaderComponentFactory,
+  LeaderTerm,
+} from '@spurbridge/controller';
+import { WakeSignal, heartbeatTimeoutMs } from '@spurbridge/controller';
+import type { Job, Placement, WallClockMs } from '@spurbridge/model';
+import { fitsMachineType } from '@spurbridge/model';
+import type { MonotonicMs } from '@spurbridge/net';
 import { effectiveCpus } from '@spurbridge/planner';
 import type { JobId, JobSpec, TariffDocument } from '@spurbridge/wire';
-import { ABSENT } from '@spurbridge/wire';
+import { KEY_ABSENT } from '@spurbridge/wire';
 import type { DeferralState } from './deferral.js';
 import { Deferral } from './deferral.js';
-import type { FeedSource } from './feed.js';
-import { FeedClient, refusal } from './feed.js';
-import { Keeper } from './keeper.js';
-import { Outlook } from './outlook.js';
-import type { Capacity, Decision, ReleaseInput, WaitingJob } from './release.js';
+import type { TariffFeedSource } from './feed.js';
+import { TariffFeedPoller, rejectionReason } from './feed.js';
+import { TariffRepository } from './tariff-repository.js';
+import { CostForecaster } from './cost-forecast.js';
+import type { Capacity, ReleaseDecision, ReleaseInput, DeferrableJob } from './release.js';
 import { decideReleases } from './release.js';
 
 export interface TariffOptions {
   /** The tariff of a file, used until a feed has a newer one. */
   readonly document: TariffDocument | null;
   /** The feed, or null for the file alone; the seed spreads its requests. */
-  readonly feed: { readonly source: FeedSource; readonly seed: number; readonly silentS: number } | null;
+  readonly feed: {
+    readonly source: TariffFeedSource;
+    readonly seed: number;
+    readonly silentS: number;
+  } | null;
   /** 0: price alone; 1: carbon alone. */
   readonly carbonShare: number;
   /** Seconds beyond a tariff's validity for which its recurring windows are believed. */
@@ -34,7 +43,7 @@
   readonly classes: readonly string[] | null;
 }
 
-export const TARIFF_DEFAULTS: TariffOptions = {
+export const DEFAULT_TARIFF_OPTIONS: TariffOptions = {
   document: null,
   feed: null,
   carbonShare: 0,
@@ -74,29 +83,29 @@
  * Keeps deferrable jobs out of the order until their release. It decides only when a job joins; whoever has
  * joined is treated like everybody else, and no start, quota or stop is touched.
  */
-class TariffRoom implements Room {
-  private readonly keeper: Keeper;
-  private readonly outlook: Outlook;
-  private readonly signal = new Signal();
+class DeferralController implements LeaderComponent {
+  private readonly keeper: TariffRepository;
+  private readonly outlook: CostForecaster;
+  private readonly signal = new WakeSignal();
   /** Jobs that are known and deferrable, until they start or end. */
   private readonly standing = new Map<JobId, Standing>();
-  private readonly feed: FeedClient | null;
-  private nextAt: WallMs | null = null;
-  private restoredAt: Ms | null = null;
+  private readonly feed: TariffFeedPoller | null;
+  private nextAt: WallClockMs | null = null;
+  private restoredAt: MonotonicMs | null = null;
   private failed = false;
 
   constructor(
     private readonly term: LeaderTerm,
-    private readonly cluster: Cluster,
+    private readonly cluster: ClusterState,
     private readonly o: TariffOptions,
   ) {
-    this.keeper = new Keeper(term);
-    this.outlook = new Outlook(o);
-    const { clock, log } = term.c;
+    this.keeper = new TariffRepository(term);
+    this.outlook = new CostForecaster(o);
+    const { clock, log } = term.context;
     this.feed =
       o.feed === null
         ? null
-        : new FeedClient({
+        : new TariffFeedPoller({
             source: o.feed.source,
             seed: o.feed.seed,
             silentS: o.feed.silentS,
@@ -108,31 +117,31 @@
     cluster.on('learned', (job) => {
       if (this.isDeferrable(job)) {
         this.standing.set(job.spec.id, 'new');
-        this.signal.raise();
+        this.signal.notify();
       }
     });
     cluster.on('placed', (job) => this.standing.delete(job.spec.id));
     cluster.on('ended', (job) => {
-      if (this.standing.delete(job.spec.id)) this.signal.raise();
+      if (this.standing.delete(job.spec.id)) this.signal.notify();
     });
     cluster.on('off', (job, p, done) => {
       if (done) this.learn(job.spec, p);
     });
   }
 
-  private wall(): WallMs {
-    return this.term.c.wallNow();
+  private wall(): WallClockMs {
+    return this.term.context.wallNow();
   }
 
   // --- life ------------------------------------------------------------------------------------
 
   async restore(): Promise<void> {
     await this.keeper.load();
-    if (!this.term.active) return;
+    if (!this.term.isActive) return;
     const stated = this.o.document;
     // A feed's tariff of an earlier leader is newer than this file, unless the file says otherwise.
     if (stated !== null && stated !== this.keeper.document)
-      if (this.keeper.document === null || refusal(stated, this.keeper.document) === null)
+      if (this.keeper.document === null || rejectionReason(stated, this.keeper.document) === null)
         if (stated.revision !== this.keeper.document?.revision) await this.take(stated);
     // The file goes without being kept: every node has it.
     this.keeper.document ??= stated;
@@ -144,7 +153,7 @@
       }
     for (const d of [...this.keeper.book.all()])
       if (!this.standing.has(d.job)) this.keeper.book.remove(d.job);
-    this.restoredAt = this.term.c.clock.now();
+    this.restoredAt = this.term.context.clock.now();
     this.decide();
   }
 
@@ -153,7 +162,7 @@
     await Promise.all([
       this.guarded(() => this.decideLoop()),
       this.guarded(() => this.learnLoop()),
-      feed === null ? null : this.guarded(() => feed.run(() => this.term.active)),
+      feed === null ? null : this.guarded(() => feed.run(() => this.term.isActive)),
     ]);
   }
 
@@ -168,7 +177,7 @@
 
   private fail(e: unknown): void {
     this.failed = true;
-    this.term.c.log.error(
+    this.term.context.log.error(
       { error: e instanceof Error ? (e.stack ?? e.message) : String(e) },
       'deferring failed: this leader defers nothing any more',
     );
@@ -183,7 +192,7 @@
     return true;
   }
 
-  hasJoined(job: Job): boolean {
+  isSchedulable(job: Job): boolean {
     if (this.failed) return true;
     const s = this.standing.get(job.spec.id);
     return s === undefined || s === 'joined';
@@ -192,20 +201,20 @@
   private async take(t: TariffDocument): Promise<boolean> {
     const kept = await this.keeper.keepDocument(t);
     if (kept) {
-      this.term.c.log.info({ revision: t.revision, slots: t.slots.length }, 'tariff taken');
-      this.signal.raise();
+      this.term.context.log.info({ revision: t.revision, slots: t.slots.length }, 'tariff taken');
+      this.signal.notify();
     }
     return kept;
   }
 
   private async decideLoop(): Promise<void> {
-    const { clock, leadership } = this.term.c;
-    while (this.term.active && !this.failed) {
+    const { clock, leadership } = this.term.context;
+    while (this.term.isActive && !this.failed) {
       const dueMs = this.nextAt === null ? USUAL_GAP_MS : this.nextAt - this.wall();
       await this.signal.wait(clock, Math.max(LEAST_GAP_MS, Math.min(USUAL_GAP_MS, dueMs)));
-      if (!this.term.active) return;
+      if (!this.term.isActive) return;
       const began = clock.now();
-      if (leadership.holdsSurely()) {
+      if (leadership.holdsValidLease()) {
         this.decide();
         await this.settle();
       }
@@ -215,9 +224,9 @@
 
   /** Makes decisions durable; those released join the order only then, so that no leader defers them anew. */
   private async settle(): Promise<void> {
-    for (let round = 0; round < FLUSH_ROUNDS && this.term.active; round += 1)
+    for (let round = 0; round < FLUSH_ROUNDS && this.term.isActive; round += 1)
       if (await this.keeper.flush()) break;
-    if (!this.term.active) return;
+    if (!this.term.isActive) return;
     let joined = 0;
     for (const d of [...this.keeper.book.all()]) {
       if (d.state !== 'deferred' && this.keeper.book.isDurable(d.job))
@@ -233,21 +242,24 @@
   }
 
   private async learnLoop(): Promise<void> {
-    while (this.term.active) {
-      await this.term.c.clock.sleep(LEARN_MS);
-      if (!this.term.active || !this.term.c.leadership.holdsSurely()) continue;
+    while (this.term.isActive) {
+      await this.term.context.clock.sleep(LEARN_MS);
+      if (!this.term.isActive || !this.term.context.leadership.holdsValidLease()) continue;
       await this.keeper.keepLearned();
       const waiting = [...this.standing.values()].filter((s) => s === 'waiting').length;
       if (waiting > 0)
-        this.term.c.log.info({ waiting, next: this.nextAt, feed: this.feed?.state ?? 'none' }, 'deferred');
+        this.term.context.log.info(
+          { waiting, next: this.nextAt, feed: this.feed?.state ?? 'none' },
+          'deferred',
+        );
     }
   }
 
   private learn(spec: JobSpec, p: Placement): void {
-    if (spec.kind !== 'array' || p.runningAt === null) return;
+    if (spec.kind !== 'array' || p.runningSince === null) return;
     // One that ran already when this node took over began at a time that nobody here knows.
     if (p.placedAt <= (this.restoredAt ?? Infinity)) return;
-    this.keeper.runTimes(spec.class).learn(spec, (this.term.c.clock.now() - p.runningAt) / 1000);
+    this.keeper.runTimes(spec.class).observe(spec, (this.term.context.clock.now() - p.runningSince) / 1000);
   }
 
   // --- what may be deferred --------------------------------------------------------------------
@@ -260,43 +272,45 @@
     return job.state === 'active' && !hasBegun(job);
   }
 
-  private submitted(job: Job): WallMs {
-    return (this.wall() - (this.term.c.clock.now() - job.submittedAt)) as WallMs;
+  private submitted(job: Job): WallClockMs {
+    return (this.wall() - (this.term.context.clock.now() - job.submittedAt)) as WallClockMs;
   }
 
   /** By when the job must be complete: its deadline, or what the aims of its class say if that is sooner. */
-  private finishBy(job: Job, deadlineS: number): WallMs {
+  private finishBy(job: Job, deadlineS: number): WallClockMs {
     let withinS = deadlineS;
-    for (const x of this.term.c.configuration().objectives) {
+    for (const x of this.term.context.configuration().objectives) {
       if (x.class !== job.spec.class) continue;
       if (x.kind === 'deadline' && x.times !== null) withinS = Math.min(withinS, deadlineS * x.times);
       if (x.kind === 'finished' && x.withinS !== null) withinS = Math.min(withinS, x.withinS);
     }
-    return (this.submitted(job) + withinS * 1000) as WallMs;
+    return (this.submitted(job) + withinS * 1000) as WallClockMs;
   }
 
-  private startBy(job: Job): WallMs | null {
+  private startBy(job: Job): WallClockMs | null {
     let withinS = Infinity;
-    for (const x of this.term.c.configuration().objectives)
+    for (const x of this.term.context.configuration().objectives)
       if (x.class === job.spec.class && x.kind === 'wait') withinS = Math.min(withinS, x.withinS ?? Infinity);
-    return withinS === Infinity ? null : ((this.submitted(job) + withinS * 1000) as WallMs);
+    return withinS === Infinity ? null : ((this.submitted(job) + withinS * 1000) as WallClockMs);
   }
 
   private leadS(spec: JobSpec): number {
-    const types = this.term.c.types().filter((t) => fitsType(spec, t));
-    const bootS = this.cluster.frugal ? Math.max(...types.map((t) => t.bootS), 0) || ASSUMED_BOOT_S : 0;
+    const types = this.term.context.machineTypes().filter((t) => fitsMachineType(spec, t));
+    const bootS = this.cluster.minimizesCost
+      ? Math.max(...types.map((t) => t.bootS), 0) || ASSUMED_BOOT_S
+      : 0;
     const rate = Math.min(...types.map((t) => t.fetchGbPerS), Infinity);
     const fetchS = rate > 0 && rate < Infinity ? spec.imageGb / rate : 0;
     return PLAN_LEAD_S + (bootS + fetchS) * SLOW_LEAD;
   }
 
-  private waitingJob(job: Job, team: number, zones: readonly string[], deadlineS: number): WaitingJob {
+  private waitingJob(job: Job, team: number, zones: readonly string[], deadlineS: number): DeferrableJob {
     const { spec } = job;
     const times = this.keeper.runTimes(spec.class);
-    const taskS = times.atMostS(spec.estimateS, this.o.probability);
+    const taskS = times.quantileS(spec.estimateS, this.o.probability);
     const leadS = this.leadS(spec);
-    const cpus = spec.tasks * effectiveCpus(spec, this.term.c.types());
-    const lostS = taskS + leadS + silentAfterMs(this.term.c.settings) / 1000;
+    const cpus = spec.tasks * effectiveCpus(spec, this.term.context.machineTypes());
+    const lostS = taskS + leadS + heartbeatTimeoutMs(this.term.context.settings) / 1000;
     return {
       id: spec.id,
       deferred: this.standing.get(spec.id) === 'waiting',
@@ -316,7 +330,7 @@
 
   private zones(): string[] {
     const zones = new Set<string>();
-    for (const t of this.term.c.types()) for (const z of t.zones) zones.add(z);
+    for (const t of this.term.context.machineTypes()) for (const z of t.zones) zones.add(z);
     for (const m of this.cluster.machines.values()) if (m.zone !== '') zones.add(m.zone);
     return [...zones].sort();
   }
@@ -327,7 +341,7 @@
     const urgent = new Map<string, number>();
     const team = new Map<string, { work: number; wanted: number }>();
     const pool = { work: 0, wanted: 0 };
-    const types = this.term.c.types();
+    const types = this.term.context.machineTypes();
     for (const job of this.cluster.jobs.values()) {
       if (job.state !== 'active') continue;
       const s = this.standing.get(job.spec.id);
@@ -352,8 +366,8 @@
     }
     let cpus = 0;
     for (const m of this.cluster.machines.values())
-      if (m.takesTasks) cpus += this.cluster.type(m.type)?.cpus ?? 0;
-    this.keeper.capacity.observe(this.term.c.clock.now(), cpus, services, urgent);
+      if (m.isSchedulable) cpus += this.cluster.machineType(m.type)?.cpus ?? 0;
+    this.keeper.capacity.observe(this.term.context.clock.now(), cpus, services, urgent);
     return { team, pool };
   }
 
@@ -378,7 +392,7 @@
       for (const [id] of undecided) this.carryOut({ id, at: now, reason: 'no-saving', ratio: 1 }, now, 0);
       return;
     }
-    const { teams } = this.term.c.settings;
+    const { teams } = this.term.context.settings;
     const capacities = teams.map((t): Capacity => {
       const before = ahead.team.get(t.name);
       return {
@@ -388,7 +402,7 @@
       };
     });
     const zones = this.zones();
-    const jobs: WaitingJob[] = [];
+    const jobs: DeferrableJob[] = [];
     let last = now;
     for (const [id] of undecided) {
       const job = this.cluster.jobs.get(id);
@@ -396,7 +410,7 @@
       const team = teams.findIndex((t) => t.name === job?.spec.team);
       if (job === undefined || deadlineS === null || team < 0) continue;
       const waiting = this.waitingJob(job, team, zones, deadlineS);
-      last = Math.max(last, waiting.finishBy) as WallMs;
+      last = Math.max(last, waiting.finishBy) as WallClockMs;
       const most = (capacities[team]?.cpus ?? 0) * GANG_SHARE;
       if (job.spec.kind === 'gang' && waiting.cpus > most)
         this.carryOut({ id, at: now, reason: 'no-room', ratio: 1 }, now, doc.revision);
@@ -416,10 +430,10 @@
     for (const d of decideReleases(input)) this.carryOut(d, now, doc.revision);
   }
 
-  private carryOut(d: Decision, now: WallMs, revision: number): void {
+  private carryOut(d: ReleaseDecision, now: WallClockMs, revision: number): void {
     const { book } = this.keeper;
     const known = book.get(d.id);
-    const { log } = this.term.c;
+    const { log } = this.term.context;
     if (d.at <= now) {
       if (known === undefined) {
         this.standing.set(d.id, 'joined');
@@ -430,18 +444,18 @@
       if (known.state !== 'deferred') return;
       const next: DeferralState = d.reason === 'latest' || d.reason === 'no-room' ? 'forced' : 'released';
       known.change(next, now, d.reason, revision);
-      book.touched(d.id);
+      book.markChanged(d.id);
       log.debug({ job: d.id, state: next, reason: d.reason, waitedMs: now - known.since }, 'job released');
       return;
     }
-    this.nextAt = this.nextAt === null ? d.at : (Math.min(this.nextAt, d.at) as WallMs);
+    this.nextAt = this.nextAt === null ? d.at : (Math.min(this.nextAt, d.at) as WallClockMs);
     if (known === undefined) {
       book.add(new Deferral(d.id, now, d.at, d.reason, revision));
       this.standing.set(d.id, 'waiting');
       log.debug({ job: d.id, until: d.at, reason: d.reason, ratio: d.ratio, revision }, 'job deferred');
     } else if (known.state === 'deferred' && isNews(known, d)) {
       known.change('deferred', d.at, d.reason, revision);
-      book.touched(d.id);
+      book.markChanged(d.id);
     }
   }
 }
@@ -450,7 +464,7 @@
  * Whether a wait has become another one. Hundreds whose turn comes nearer by seconds are none: written down
  * each time, they took the changes that urgent starts needed.
  */
-function isNews(known: Deferral, d: Decision): boolean {
+function isNews(known: Deferral, d: ReleaseDecision): boolean {
   if (Math.abs(known.until - d.at) > MOVED_MS) return true;
   return known.reason !== d.reason && d.reason !== 'turn' && known.reason !== 'turn';
 }
@@ -461,15 +475,15 @@
 
 /** Whether a task of the job may ever have been started: then it is never deferred. */
 function hasBegun(job: Job): boolean {
-  return job.doneCount > 0 || job.placements.size > 0 || job.chunks.some((c) => c.attempts > 0);
+  return job.doneCount > 0 || job.placements.size > 0 || job.chunks.some((c) => c.attemptsIssued > 0);
 }
 
 /** Whether the state service says so. */
 function isRecorded(job: Job): boolean {
-  return job.chunks.some((c) => c.version !== ABSENT);
+  return job.chunks.some((c) => c.version !== KEY_ABSENT);
 }
 
 /** A room that makes deferrable work wait for cheaper or cleaner hours. */
-export function tariffRoom(options: TariffOptions): RoomFactory {
-  return (term, cluster) => new TariffRoom(term, cluster, options);
+export function deferralControllerFactory(options: TariffOptions): LeaderComponentFactory {
+  return (term, cluster) => new DeferralController(term, cluster, options);
 }
--- a/packages/tariff/src/deferral.ts
+++ b/packages/tariff/src/deferral.ts
@@ -1,7 +1,7 @@
-import type { WallMs } from '@spurbridge/model';
-import { Transitions } from '@spurbridge/model';
+import type { WallClockMs } from '@spurbridge/model';
+import { TransitionTable } from '@spurbridge/model';
 import type { JobId, Version } from '@spurbridge/wire';
-import { ABSENT, read } from '@spurbridge/wire';
+import { KEY_ABSENT, read } from '@spurbridge/wire';
 import type { ReleaseReason } from './release.js';
 
 /**
@@ -10,7 +10,7 @@
  */
 export type DeferralState = 'deferred' | 'released' | 'forced';
 
-const transitions = new Transitions<DeferralState>('deferral', {
+const transitions = new TransitionTable<DeferralState>('deferral', {
   deferred: ['released', 'forced'],
   released: [],
   forced: [],
@@ -23,13 +23,13 @@
 export class Deferral {
   private phase: DeferralState = 'deferred';
   private why: ReleaseReason;
-  private untilMs: WallMs;
+  private untilMs: WallClockMs;
   private tariff: number;
 
   constructor(
     readonly job: JobId,
-    readonly since: WallMs,
-    until: WallMs,
+    readonly since: WallClockMs,
+    until: WallClockMs,
     reason: ReleaseReason,
     revision: number,
   ) {
@@ -42,7 +42,7 @@
     return this.phase;
   }
 
-  get until(): WallMs {
+  get until(): WallClockMs {
     return this.untilMs;
   }
 
@@ -56,8 +56,8 @@
   }
 
   /** The only function that changes a deferral: its state, or what it waits for. */
-  change(next: DeferralState, until: WallMs, reason: ReleaseReason, revision: number): void {
-    if (next !== this.phase) transitions.check(this.phase, next);
+  change(next: DeferralState, until: WallClockMs, reason: ReleaseReason, revision: number): void {
+    if (next !== this.phase) transitions.assertAllowed(this.phase, next);
     else if (next !== 'deferred') throw new Error(`${this.job} is ${this.phase} already`);
     this.phase = next;
     this.untilMs = until;
@@ -74,8 +74,8 @@
     const o = { job, state, since, until, why, revision };
     const d = new Deferral(
       read.name(o, 'job') as JobId,
-      read.amount(o, 'since') as WallMs,
-      read.amount(o, 'until') as WallMs,
+      read.amount(o, 'since') as WallClockMs,
+      read.amount(o, 'until') as WallClockMs,
       read.oneOf(o, 'why', REASONS),
       read.count(o, 'revision'),
     );
@@ -85,26 +85,26 @@
 }
 
 /** One record of the state service: some deferrals, whichever found room in it. */
-export interface Page {
+export interface DeferralPage {
   readonly index: number;
   version: Version;
   /** Changed since `written`; equal when durable. */
-  edition: number;
-  written: number;
+  generation: number;
+  durableGeneration: number;
   readonly entries: Map<JobId, Deferral>;
 }
 
 const ENTRY_BYTES = 190;
 export const DEFERRAL_PREFIX = 'd/';
 
-export function pageKey(index: number): string {
+export function deferralPageKey(index: number): string {
   return DEFERRAL_PREFIX + String(index);
 }
 
 /** All deferrals, kept in a few records: a write for each of thousands would use up the state service. */
-export class DeferralBook {
-  readonly pages: Page[] = [];
-  private readonly where = new Map<JobId, Page>();
+export class DeferralTable {
+  readonly pages: DeferralPage[] = [];
+  private readonly where = new Map<JobId, DeferralPage>();
   private readonly perPage: number;
 
   constructor(valueKb: number) {
@@ -122,36 +122,42 @@
   /** Whether the deferral is in the state service as it is here. */
   isDurable(id: JobId): boolean {
     const page = this.where.get(id);
-    return page === undefined || page.edition === page.written;
+    return page === undefined || page.generation === page.durableGeneration;
   }
 
-  private page(index: number): Page {
+  private page(index: number): DeferralPage {
     for (let i = this.pages.length; i <= index; i += 1)
-      this.pages.push({ index: i, version: ABSENT, edition: 0, written: 0, entries: new Map() });
-    return this.pages[index] as Page;
+      this.pages.push({
+        index: i,
+        version: KEY_ABSENT,
+        generation: 0,
+        durableGeneration: 0,
+        entries: new Map(),
+      });
+    return this.pages[index] as DeferralPage;
   }
 
   add(d: Deferral): void {
     const free = this.pages.find((p) => p.entries.size < this.perPage) ?? this.page(this.pages.length);
     free.entries.set(d.job, d);
-    free.edition += 1;
+    free.generation += 1;
     this.where.set(d.job, free);
   }
 
-  touched(id: JobId): void {
+  markChanged(id: JobId): void {
     const page = this.where.get(id);
-    if (page !== undefined) page.edition += 1;
+    if (page !== undefined) page.generation += 1;
   }
 
   remove(id: JobId): void {
     const page = this.where.get(id);
     if (page === undefined) return;
     page.entries.delete(id);
-    page.edition += 1;
+    page.generation += 1;
     this.where.delete(id);
   }
 
-  encode(page: Page): unknown {
+  encode(page: DeferralPage): unknown {
     return { waiting: [...page.entries.values()].map((d) => d.encode()) };
   }
 
--- a/packages/tariff/src/feed.ts
+++ b/packages/tariff/src/feed.ts
@@ -1,29 +1,29 @@
 import type { Clock } from '@spurbridge/net';
 import type { TariffDocument } from '@spurbridge/wire';
-import { MAX_TARIFF_BYTES, MalformedError, parseTariff } from '@spurbridge/wire';
-import type { Log } from '@spurbridge/controller';
+import { MAX_TARIFF_BYTES, ValidationError, parseTariff } from '@spurbridge/wire';
+import type { Logger } from '@spurbridge/controller';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { checkCalendar } from './calendar.js';
+import { validateCalendar } from './calendar.js';
 
-export type FeedAnswer =
+export type FeedResponse =
   | { readonly outcome: 'document'; readonly body: unknown; readonly tag: string | null }
   | { readonly outcome: 'unchanged' }
   | { readonly outcome: 'failed'; readonly why: string; readonly retryAfterS: number | null };
 
 /** Where tariffs come from; the stand-in of the measurement implements it too. */
-export interface FeedSource {
+export interface TariffFeedSource {
   /** Asks for the document; `tag` names the one that is held, so that an unchanged one is not sent again. */
-  get(tag: string | null): Promise<FeedAnswer>;
+  fetch(tag: string | null): Promise<FeedResponse>;
 }
 
 const ANSWER_MS = 5000;
 
 /** The feed's published format over HTTP: GET, `ETag` and `If-None-Match`, `Retry-After`. */
-export class HttpFeed implements FeedSource {
+export class HttpTariffFeed implements TariffFeedSource {
   constructor(private readonly url: string) {}
 
-  async get(tag: string | null): Promise<FeedAnswer> {
+  async fetch(tag: string | null): Promise<FeedResponse> {
     try {
       const answer = await fetch(this.url, {
         headers: { accept: 'application/json', ...(tag === null ? {} : { 'if-none-match': tag }) },
@@ -52,14 +52,14 @@
   if (answer.body !== null)
     for await (const chunk of answer.body as unknown as AsyncIterable<Uint8Array>) {
       size += chunk.byteLength;
-      if (size > MAX_TARIFF_BYTES) throw new MalformedError('body', `at most ${MAX_TARIFF_BYTES} bytes`);
+      if (size > MAX_TARIFF_BYTES) throw new ValidationError('body', `at most ${MAX_TARIFF_BYTES} bytes`);
       chunks.push(chunk);
     }
   return JSON.parse(Buffer.concat(chunks).toString('utf8'));
 }
 
 /** What a document must be beside well-formed, held against the last good one; null when it is taken. */
-export function refusal(next: TariffDocument, last: TariffDocument | null): string | null {
+export function rejectionReason(next: TariffDocument, last: TariffDocument | null): string | null {
   if (last === null) return null;
   if (next.revision < last.revision)
     return `revision: expected at least ${last.revision}, the last good one's`;
@@ -79,7 +79,7 @@
 export type FeedState = 'asking' | 'fresh' | 'failing' | 'silent';
 
 /** Keeps asking a feed while its leader leads, and hands over what is new and good. */
-export class FeedClient {
+export class TariffFeedPoller {
   private phase: FeedState = 'asking';
   private failures = 0;
   private tag: string | null = null;
@@ -88,9 +88,9 @@
 
   constructor(
     private readonly parts: {
-      readonly source: FeedSource;
+      readonly source: TariffFeedSource;
       readonly clock: Clock;
-      readonly log: Log;
+      readonly log: Logger;
       readonly seed: number;
       /** Seconds without a good answer after which the feed counts as silent. */
       readonly silentS: number;
@@ -134,7 +134,7 @@
 
   private async ask(): Promise<number | null> {
     const { source, clock, log, silentS } = this.parts;
-    const answer = await source.get(this.tag);
+    const answer = await source.fetch(this.tag);
     let why: string;
     let askedS: number | null = null;
     if (answer.outcome === 'failed') {
@@ -163,13 +163,13 @@
     let next: TariffDocument;
     try {
       next = parseTariff(body);
-      checkCalendar(next);
+      validateCalendar(next);
     } catch (e) {
-      if (e instanceof MalformedError) return e.message;
+      if (e instanceof ValidationError) return e.message;
       throw e;
     }
     const last = this.parts.last();
-    const why = refusal(next, last);
+    const why = rejectionReason(next, last);
     if (why !== null) return why;
     if (last?.revision === next.revision) return null;
     return (await this.parts.take(next)) ? null : 'it could not be kept in the state service';
--- a/packages/tariff/src/release.ts
+++ b/packages/tariff/src/release.ts
@@ -1,8 +1,8 @@
-import type { WallMs } from '@spurbridge/model';
+import type { WallClockMs } from '@spurbridge/model';
 import type { JobId } from '@spurbridge/wire';
 
 /** A job that may wait, as the release decision sees it. All durations in seconds. */
-export interface WaitingJob {
+export interface DeferrableJob {
   readonly id: JobId;
   /** Whether it was deferred before: then it goes in its turn, and not as soon as waiting saves little. */
   readonly deferred: boolean;
@@ -19,9 +19,9 @@
   readonly leadS: number;
   /** Kept between the expected end and the finish time: lost machines, a takeover, clocks. */
   readonly marginS: number;
-  readonly finishBy: WallMs;
+  readonly finishBy: WallClockMs;
   /** Latest start of its first task, or null. */
-  readonly startBy: WallMs | null;
+  readonly startBy: WallClockMs | null;
 }
 
 /** CPUs that deferred work can count on, and what is ahead of it there. */
@@ -34,14 +34,14 @@
 }
 
 export interface ReleaseInput {
-  readonly now: WallMs;
-  readonly jobs: readonly WaitingJob[];
+  readonly now: WallClockMs;
+  readonly jobs: readonly DeferrableJob[];
   readonly teams: readonly Capacity[];
   /** All teams together. */
   readonly pool: Capacity;
   /** Pieces of the time from `now` on, in order. */
-  readonly starts: readonly WallMs[];
-  readonly until: WallMs;
+  readonly starts: readonly WallClockMs[];
+  readonly until: WallClockMs;
   /** Cost of a CPU second in each piece; NaN where nothing is known. */
   readonly prices: readonly Float64Array[];
   /** A wait that saves less than this share of its cost is not worth it. */
@@ -64,10 +64,10 @@
   /** No moment is safe any more: neither is now. */
   | 'no-room';
 
-export interface Decision {
+export interface ReleaseDecision {
   readonly id: JobId;
   /** Now, or when it should join the order as things stand. */
-  readonly at: WallMs;
+  readonly at: WallClockMs;
   readonly reason: ReleaseReason;
   /** Cost at this moment over the cost of starting at once. */
   readonly ratio: number;
@@ -141,7 +141,7 @@
 }
 
 /** Places one job after the other on what is free: the working state of one decision. */
-class Placer {
+class ReleasePlanner {
   private readonly grid: Grid;
   private readonly pool: Float64Array;
   private readonly teams: Float64Array[];
@@ -179,7 +179,7 @@
    * Cost of running the job from piece `first` on, as much at a time as is free, or Infinity where it would
    * not surely end in time. `take` also takes the room.
    */
-  private cost(job: WaitingJob, first: number, runsFrom: number, take: boolean): number {
+  private cost(job: DeferrableJob, first: number, runsFrom: number, take: boolean): number {
     const { starts, lengths } = this.grid;
     const team = this.teams[job.team] as Float64Array;
     const prices = this.prices[job.prices] as Float64Array;
@@ -213,12 +213,12 @@
     return Infinity;
   }
 
-  private runsFrom(job: WaitingJob, b: number): number {
+  private runsFrom(job: DeferrableJob, b: number): number {
     return Math.max(this.grid.starts[b] as number, this.input.now + job.leadS * 1000);
   }
 
   /** The first piece in which the job can run if it is released now. */
-  private soonest(job: WaitingJob): number {
+  private soonest(job: DeferrableJob): number {
     const at = this.input.now + job.leadS * 1000;
     let b = 0;
     while (b + 1 < this.pieces && (this.grid.starts[b + 1] as number) <= at) b += 1;
@@ -226,7 +226,7 @@
   }
 
   /** Whether what has joined already takes all that there is for the job: of its team, or of all. */
-  private isCrowded(job: WaitingJob): boolean {
+  private isCrowded(job: DeferrableJob): boolean {
     const { teams, pool } = this.input;
     const exceeds = (i: number, cpus: number): boolean => {
       const wanted = this.wanted[i] as number;
@@ -235,12 +235,12 @@
     return exceeds(job.team, teams[job.team]?.cpus ?? 0) || exceeds(teams.length, pool.cpus);
   }
 
-  private join(job: WaitingJob): void {
+  private join(job: DeferrableJob): void {
     for (const i of [job.team, this.input.teams.length])
       this.wanted[i] = (this.wanted[i] as number) + job.cpus;
   }
 
-  decide(job: WaitingJob): Decision {
+  decide(job: DeferrableJob): ReleaseDecision {
     const { now, leastSaving } = this.input;
     const first = this.soonest(job);
     const prices = this.prices[job.prices] as Float64Array;
@@ -281,7 +281,7 @@
       costNow === Infinity ||
       costNow - bestCost >= leastSaving * Math.abs(costNow);
     const from = this.runsFrom(job, best);
-    const at = Math.max(now, from - job.leadS * 1000) as WallMs;
+    const at = Math.max(now, from - job.leadS * 1000) as WallClockMs;
     if (at <= now || !worth) {
       // What was found is safe, and so is now where there is room now; the room goes to whichever it is.
       const chosen = at <= now || costNow === Infinity ? best : first;
@@ -293,7 +293,7 @@
         this.isCrowded(job) &&
         this.cost(job, chosen, soon, false) < Infinity;
       this.cost(job, chosen, this.runsFrom(job, chosen), true);
-      if (paced) return { id: job.id, at: (now + PACE_MS) as WallMs, reason: 'turn', ratio };
+      if (paced) return { id: job.id, at: (now + PACE_MS) as WallClockMs, reason: 'turn', ratio };
       this.join(job);
       const reason = at > now ? 'no-saving' : cheaperTooLate ? 'latest' : 'cheapest';
       return { id: job.id, at: now, reason, ratio: chosen === best ? ratio : 1 };
@@ -311,8 +311,8 @@
  *
  * A pure function: the same input gives the same decisions on any node.
  */
-export function decideReleases(input: ReleaseInput): Decision[] {
-  const placer = new Placer(input);
+export function decideReleases(input: ReleaseInput): ReleaseDecision[] {
+  const placer = new ReleasePlanner(input);
   const latest = Float64Array.from(
     input.jobs,
     (j) => Math.min(j.finishBy - (j.taskS + j.marginS) * 1000, j.startBy ?? Infinity) - j.leadS * 1000,
@@ -320,7 +320,7 @@
   const order = Array.from(input.jobs.keys()).sort(
     (a, b) =>
       (latest[a] as number) - (latest[b] as number) ||
-      ((input.jobs[a] as WaitingJob).id < (input.jobs[b] as WaitingJob).id ? -1 : 1),
+      ((input.jobs[a] as DeferrableJob).id < (input.jobs[b] as DeferrableJob).id ? -1 : 1),
   );
-  return order.map((i) => placer.decide(input.jobs[i] as WaitingJob));
+  return order.map((i) => placer.decide(input.jobs[i] as DeferrableJob));
 }
--- a/packages/tariff/src/run-times.ts
+++ b/packages/tariff/src/run-times.ts
@@ -28,16 +28,16 @@
 }
 
 /** What is known of one class: two generations, of which the older is let go when the younger is full. */
-export class RunTimes {
+export class RunTimeEstimator {
   private older: Sketch = sketch();
   private younger: Sketch = sketch();
   /** Sum of run time over estimate, for the mean. */
   private sums = { older: 0, younger: 0 };
   private all: Sketch | null = null;
-  changed = false;
+  isDirty = false;
 
   /** A task of a job of `tasks` tasks ran `ranS` where `estimateS` was stated: tasks share one job's error. */
-  learn(spec: JobSpec, ranS: number): void {
+  observe(spec: JobSpec, ranS: number): void {
     if (spec.estimateS <= 0) return;
     const ratio = Math.min(MOST_RATIO, Math.max(LEAST_RATIO, ranS / spec.estimateS));
     if (this.younger.count >= GENERATION_JOBS) {
@@ -49,7 +49,7 @@
     this.younger.accept(ratio, weight);
     this.sums.younger += ratio * weight;
     this.all = null;
-    this.changed = true;
+    this.isDirty = true;
   }
 
   private merged(): Sketch {
@@ -63,7 +63,7 @@
   }
 
   /** Seconds that a task takes at most, with the given probability. */
-  atMostS(estimateS: number, probability: number): number {
+  quantileS(estimateS: number, probability: number): number {
     return this.merged().getValueAtQuantile(probability) * estimateS;
   }
 
@@ -79,12 +79,12 @@
     return { older: pack(this.older), younger: pack(this.younger), sums: this.sums };
   }
 
-  static decode(value: unknown): RunTimes {
+  static decode(value: unknown): RunTimeEstimator {
     const o = read.asObject(value, 'run times');
     const sums = read.asObject(o['sums'], 'sums');
-    const r = new RunTimes();
-    r.older.merge(DDSketch.fromProto(Buffer.from(read.str(o, 'older'), 'base64')));
-    r.younger.merge(DDSketch.fromProto(Buffer.from(read.str(o, 'younger'), 'base64')));
+    const r = new RunTimeEstimator();
+    r.older.merge(DDSketch.fromProto(Buffer.from(read.string(o, 'older'), 'base64')));
+    r.younger.merge(DDSketch.fromProto(Buffer.from(read.string(o, 'younger'), 'base64')));
     r.sums = { older: read.amount(sums, 'older'), younger: read.amount(sums, 'younger') };
     return r;
   }
--- a/packages/tariff/src/keeper.ts
+++ b/packages/tariff/src/tariff-repository.ts
@@ -1,12 +1,12 @@
 import { brotliCompressSync, brotliDecompressSync } from 'node:zlib';
 import type { LeaderTerm } from '@spurbridge/controller';
 import type { CommitOutcome } from '@spurbridge/store';
-import type { Change, Condition, Item, TariffDocument, Version } from '@spurbridge/wire';
-import { ABSENT, formatTariff, parseTariff, read } from '@spurbridge/wire';
-import { CapacityMemory } from './capacity.js';
-import type { Page } from './deferral.js';
-import { DEFERRAL_PREFIX, DeferralBook, pageKey } from './deferral.js';
-import { RunTimes } from './run-times.js';
+import type { Mutation, Compare, KeyValue, TariffDocument, Version } from '@spurbridge/wire';
+import { KEY_ABSENT, formatTariff, parseTariff, read } from '@spurbridge/wire';
+import { CapacityEstimator } from './capacity.js';
+import type { DeferralPage } from './deferral.js';
+import { DEFERRAL_PREFIX, DeferralTable, deferralPageKey } from './deferral.js';
+import { RunTimeEstimator } from './run-times.js';
 
 const PREFIX = 'tariff/';
 const HEAD = `${PREFIX}head`;
@@ -21,22 +21,22 @@
 const RETRY_MS = 300;
 
 /** What deferring knows beyond the jobs' own records, and keeps in the state service for the next leader. */
-export class Keeper {
-  readonly book: DeferralBook;
-  readonly capacity = new CapacityMemory();
-  readonly classes = new Map<string, RunTimes>();
+export class TariffRepository {
+  readonly book: DeferralTable;
+  readonly capacity = new CapacityEstimator();
+  readonly classes = new Map<string, RunTimeEstimator>();
   document: TariffDocument | null = null;
   private readonly versions = new Map<string, Version>();
   private keptPeak = 0;
 
   constructor(private readonly term: LeaderTerm) {
-    this.book = new DeferralBook(term.c.settings.state.valueKb);
+    this.book = new DeferralTable(term.context.settings.storeLimits.valueKb);
   }
 
   /** Reads all of it; returns early when deposed. */
   async load(): Promise<void> {
-    const { store, clock, log } = this.term.c;
-    while (this.term.active) {
+    const { store, clock, log } = this.term.context;
+    while (this.term.isActive) {
       const kept = await store.list(PREFIX, 1);
       const pages = kept.outcome === 'listed' ? await store.list(DEFERRAL_PREFIX, 1) : kept;
       if (kept.outcome === 'listed' && pages.outcome === 'listed') {
@@ -61,18 +61,18 @@
     try {
       run();
     } catch (e) {
-      this.term.c.log.error({ key, error: String(e) }, 'tariff record cannot be read');
+      this.term.context.log.error({ key, error: String(e) }, 'tariff record cannot be read');
     }
   }
 
-  private restore(items: readonly Item[]): void {
+  private restore(items: readonly KeyValue[]): void {
     const byKey = new Map(items.map((i) => [i.key, i.value]));
     const head = byKey.get(HEAD);
     if (head !== undefined)
       this.guard(HEAD, () => {
         const parts: string[] = [];
         for (let i = 0; i < read.count(read.asObject(head, 'head'), 'parts'); i += 1)
-          parts.push(read.str(read.asObject(byKey.get(PART + String(i)), 'part'), 'text'));
+          parts.push(read.string(read.asObject(byKey.get(PART + String(i)), 'part'), 'text'));
         const text = brotliDecompressSync(Buffer.from(parts.join(''), 'base64')).toString('utf8');
         this.document = parseTariff(JSON.parse(text));
       });
@@ -83,14 +83,14 @@
         });
       else if (key.startsWith(CLASS))
         this.guard(key, () => {
-          this.classes.set(decodeURIComponent(key.slice(CLASS.length)), RunTimes.decode(value));
+          this.classes.set(decodeURIComponent(key.slice(CLASS.length)), RunTimeEstimator.decode(value));
         });
   }
 
-  runTimes(name: string): RunTimes {
+  runTimes(name: string): RunTimeEstimator {
     let r = this.classes.get(name);
     if (r === undefined) {
-      r = new RunTimes();
+      r = new RunTimeEstimator();
       this.classes.set(name, r);
     }
     return r;
@@ -98,16 +98,16 @@
 
   /** Replaces the tariff, all parts at once; false where it is too large to be kept or could not be written. */
   async keepDocument(t: TariffDocument): Promise<boolean> {
-    const { settings, log } = this.term.c;
+    const { settings, log } = this.term.context;
     const text = brotliCompressSync(JSON.stringify(formatTariff(t))).toString('base64');
-    const partBytes = settings.state.valueKb * 1024 - 64;
+    const partBytes = settings.storeLimits.valueKb * 1024 - 64;
     const parts: string[] = [];
     for (let at = 0; at < text.length; at += partBytes) parts.push(text.slice(at, at + partBytes));
-    if (parts.length + 1 > settings.state.txnOps || text.length > MOST_COMMIT_BYTES) {
+    if (parts.length + 1 > settings.storeLimits.txnOps || text.length > MOST_COMMIT_BYTES) {
       log.error({ refused: `slots: expected fewer (${text.length} bytes packed)` }, 'tariff is too large');
       return false;
     }
-    const changes: Change[] = [
+    const changes: Mutation[] = [
       { put: HEAD, value: { revision: t.revision, parts: parts.length } },
       ...parts.map((part, i) => ({ put: PART + String(i), value: { text: part } })),
     ];
@@ -118,12 +118,12 @@
 
   /** Writes what was learned and has changed. */
   async keepLearned(): Promise<void> {
-    const { settings } = this.term.c;
-    const changes: Change[] = [];
-    const done: RunTimes[] = [];
+    const { settings } = this.term.context;
+    const changes: Mutation[] = [];
+    const done: RunTimeEstimator[] = [];
     for (const [name, times] of this.classes) {
       const key = CLASS + encodeURIComponent(name);
-      if (!times.changed || key.length > MOST_KEY_BYTES || changes.length >= settings.state.txnOps - 1)
+      if (!times.isDirty || key.length > MOST_KEY_BYTES || changes.length >= settings.storeLimits.txnOps - 1)
         continue;
       changes.push({ put: key, value: times.encode() });
       done.push(times);
@@ -132,16 +132,16 @@
     if (Math.abs(peak - this.keptPeak) > this.keptPeak * 0.02)
       changes.push({ put: CAPACITY, value: this.capacity.encode() });
     if (changes.length === 0) return;
-    for (const times of done) times.changed = false;
+    for (const times of done) times.isDirty = false;
     if (await this.write(changes)) this.keptPeak = peak;
-    else for (const times of done) times.changed = true;
+    else for (const times of done) times.isDirty = true;
   }
 
-  private async write(changes: readonly Change[]): Promise<boolean> {
-    const { store, leadership } = this.term.c;
-    const conditions: Condition[] = [leadership.condition()];
+  private async write(changes: readonly Mutation[]): Promise<boolean> {
+    const { store, leadership } = this.term.context;
+    const conditions: Compare[] = [leadership.leadershipCompare()];
     for (const c of changes)
-      if ('put' in c) conditions.push({ key: c.put, version: this.versions.get(c.put) ?? ABSENT });
+      if ('put' in c) conditions.push({ key: c.put, version: this.versions.get(c.put) ?? KEY_ABSENT });
     const outcome = await store.commit(conditions, changes, URGENCY);
     if (outcome.outcome === 'committed') {
       for (const c of changes)
@@ -154,37 +154,37 @@
 
   /** Writes pages that changed, as many as one commit takes; true when nothing is left to write. */
   async flush(): Promise<boolean> {
-    const { store, leadership, settings } = this.term.c;
-    const due: { page: Page; edition: number; change: Change }[] = [];
+    const { store, leadership, settings } = this.term.context;
+    const due: { page: DeferralPage; edition: number; change: Mutation }[] = [];
     let bytes = 0;
     for (const page of this.book.pages) {
-      if (page.edition === page.written) continue;
+      if (page.generation === page.durableGeneration) continue;
       const value = this.book.encode(page);
       bytes += JSON.stringify(value).length + 100;
-      if (due.length > 0 && (due.length >= settings.state.txnOps || bytes > MOST_COMMIT_BYTES)) break;
-      const key = pageKey(page.index);
-      if (page.entries.size === 0 && page.version === ABSENT) {
-        page.written = page.edition;
+      if (due.length > 0 && (due.length >= settings.storeLimits.txnOps || bytes > MOST_COMMIT_BYTES)) break;
+      const key = deferralPageKey(page.index);
+      if (page.entries.size === 0 && page.version === KEY_ABSENT) {
+        page.durableGeneration = page.generation;
         continue;
       }
-      const change: Change = page.entries.size === 0 ? { delete: key } : { put: key, value };
-      due.push({ page, edition: page.edition, change });
+      const change: Mutation = page.entries.size === 0 ? { delete: key } : { put: key, value };
+      due.push({ page, edition: page.generation, change });
     }
     if (due.length === 0) return true;
-    const conditions: Condition[] = [
-      leadership.condition(),
-      ...due.map((d) => ({ key: pageKey(d.page.index), version: d.page.version })),
+    const conditions: Compare[] = [
+      leadership.leadershipCompare(),
+      ...due.map((d) => ({ key: deferralPageKey(d.page.index), version: d.page.version })),
     ];
     const outcome = await store.commit(
       conditions,
       due.map((d) => d.change),
       RELEASE_URGENCY,
     );
-    if (!this.term.active) return false;
+    if (!this.term.isActive) return false;
     if (outcome.outcome === 'committed')
       for (const d of due) {
-        d.page.version = 'delete' in d.change ? ABSENT : (outcome.revision as number as Version);
-        d.page.written = d.edition;
+        d.page.version = 'delete' in d.change ? KEY_ABSENT : (outcome.revision as number as Version);
+        d.page.durableGeneration = d.edition;
       }
     else
       await this.reread(outcome, (key, version) => {
@@ -196,13 +196,13 @@
 
   /** A conflict: an earlier write whose answer was lost may have been executed, so versions are read again. */
   private async reread(outcome: CommitOutcome, set: (key: string, version: Version) => void): Promise<void> {
-    const { store, leadership, clock } = this.term.c;
-    if (leadership.isLostBy(outcome)) return;
+    const { store, leadership, clock } = this.term.context;
+    if (leadership.stepDownOnConflict(outcome)) return;
     if (outcome.outcome === 'conflict')
       for (const key of outcome.failed) {
         const found = await store.read(key, URGENCY);
         if (found.outcome === 'found') set(key, found.item.version);
-        else if (found.outcome === 'absent') set(key, ABSENT);
+        else if (found.outcome === 'absent') set(key, KEY_ABSENT);
       }
     else await clock.sleep(RETRY_MS);
   }
--- a/packages/tariff/test/calendar.test.ts
+++ b/packages/tariff/test/calendar.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { WallMs } from '@spurbridge/model';
+import type { WallClockMs } from '@spurbridge/model';
 import type { RecurringWindow, TariffDocument, Weekday } from '@spurbridge/wire';
-import { MalformedError, WEEKDAYS } from '@spurbridge/wire';
+import { ValidationError, WEEKDAYS } from '@spurbridge/wire';
 import fc from 'fast-check';
-import { checkCalendar, expand } from '../src/index.js';
+import { validateCalendar, expandTariff } from '../src/index.js';
 
 const HOUR = 3_600_000;
 
@@ -29,8 +29,8 @@
 
 /** Hours of the window's price between two instants. */
 function hours(t: TariffDocument, from: string, until: string): number {
-  const [a, b] = [Date.parse(from) as WallMs, Date.parse(until) as WallMs];
-  const s = expand(t, ['a'], a, b, 0);
+  const [a, b] = [Date.parse(from) as WallClockMs, Date.parse(until) as WallClockMs];
+  const s = expandTariff(t, ['a'], a, b, 0);
   let ms = 0;
   s.starts.forEach((at, i) => {
     if (s.price[0]?.[i] === 5) ms += (s.starts[i + 1] ?? s.until) - at;
@@ -70,7 +70,7 @@
     windows: [window(0, 1440, { zones: ['b'], price: 7 })],
     slots: [{ from: 2 * HOUR, until: 3 * HOUR, price: 9, carbon: 1, zones: null }],
   });
-  const s = expand(t, ['a', 'b'], 0 as WallMs, (20 * HOUR) as WallMs, 5 * 3600);
+  const s = expandTariff(t, ['a', 'b'], 0 as WallClockMs, (20 * HOUR) as WallClockMs, 5 * 3600);
   const at = (ms: number): number => s.starts.findLastIndex((x) => x <= ms);
   const priceOf = (zone: number, ms: number): number | undefined => s.price[zone]?.[at(ms)];
   assert.deepEqual([priceOf(0, HOUR), priceOf(1, HOUR)], [1, 7]);
@@ -84,11 +84,11 @@
 
 test('a time zone or a date that no calendar knows is refused', () => {
   assert.throws(() => {
-    checkCalendar(tariff({ timeZone: 'Mars/Olympus' }));
-  }, MalformedError);
+    validateCalendar(tariff({ timeZone: 'Mars/Olympus' }));
+  }, ValidationError);
   const holidays = [{ date: '2026-02-30', like: 'sun' as Weekday }];
   assert.throws(() => {
-    checkCalendar(tariff({ holidays }));
+    validateCalendar(tariff({ holidays }));
   }, /holidays\[0\]\.date/);
 });
 
@@ -134,11 +134,11 @@
       (timeZone, day, from, to, days, minutes) => {
         fc.pre(from !== to);
         const start = Date.parse(`${day}T00:00:00Z`);
-        const s = expand(
+        const s = expandTariff(
           tariff({ timeZone, windows: [window(from, to, { days })] }),
           ['a'],
-          start as WallMs,
-          (start + 72 * HOUR) as WallMs,
+          start as WallClockMs,
+          (start + 72 * HOUR) as WallClockMs,
           0,
         );
         for (const m of minutes) {
--- a/packages/tariff/test/deferral.test.ts
+++ b/packages/tariff/test/deferral.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { WallMs } from '@spurbridge/model';
+import type { WallClockMs } from '@spurbridge/model';
 import type { JobId, Version } from '@spurbridge/wire';
 import fc from 'fast-check';
 import type { DeferralState } from '../src/index.js';
-import { Deferral, DeferralBook, pageKey } from '../src/index.js';
+import { Deferral, DeferralTable, deferralPageKey } from '../src/index.js';
 
 function deferral(n: number): Deferral {
   return new Deferral(
     `wk-${String(n).padStart(64, '0')}` as JobId,
-    1e12 as WallMs,
-    2e12 as WallMs,
+    1e12 as WallClockMs,
+    2e12 as WallClockMs,
     'no-saving',
     99,
   );
@@ -19,12 +19,12 @@
 test('a deferral ends once, and never begins anew', () => {
   for (const end of ['released', 'forced'] as const) {
     const d = deferral(1);
-    d.change('deferred', 3 as WallMs, 'blind', 2);
+    d.change('deferred', 3 as WallClockMs, 'blind', 2);
     assert.deepEqual([d.state, d.until, d.reason, d.revision], ['deferred', 3, 'blind', 2]);
-    d.change(end, 4 as WallMs, 'latest', 3);
+    d.change(end, 4 as WallClockMs, 'latest', 3);
     for (const next of ['deferred', 'released', 'forced'] as const)
       assert.throws(() => {
-        d.change(next, 5 as WallMs, 'cheaper', 4);
+        d.change(next, 5 as WallClockMs, 'cheaper', 4);
       });
     assert.equal(d.state, end);
   }
@@ -32,22 +32,22 @@
 
 type Model = Map<string, DeferralState>;
 
-class Step implements fc.Command<Model, { book: DeferralBook; kept: Map<string, unknown> }> {
+class Step implements fc.Command<Model, { book: DeferralTable; kept: Map<string, unknown> }> {
   constructor(
     private readonly kind: 'add' | 'release' | 'remove' | 'flush' | 'takeover',
     private readonly n: number,
   ) {}
   check = (): boolean => true;
   toString = (): string => `${this.kind}(${this.n})`;
-  run(model: Model, real: { book: DeferralBook; kept: Map<string, unknown> }): void {
+  run(model: Model, real: { book: DeferralTable; kept: Map<string, unknown> }): void {
     const d = deferral(this.n);
     const id = d.job;
     if (this.kind === 'add' && !model.has(id)) {
       real.book.add(d);
       model.set(id, 'deferred');
     } else if (this.kind === 'release' && model.get(id) === 'deferred') {
-      real.book.get(id)?.change('released', 5 as WallMs, 'cheapest', 1);
-      real.book.touched(id);
+      real.book.get(id)?.change('released', 5 as WallClockMs, 'cheapest', 1);
+      real.book.markChanged(id);
       model.set(id, 'released');
     } else if (this.kind === 'remove') {
       real.book.remove(id);
@@ -55,14 +55,14 @@
     }
     if (this.kind === 'flush' || this.kind === 'takeover')
       for (const page of real.book.pages) {
-        if (page.edition === page.written) continue;
+        if (page.generation === page.durableGeneration) continue;
         const value = real.book.encode(page);
         assert.ok(JSON.stringify(value).length <= 1024, 'larger than a value may be');
-        real.kept.set(pageKey(page.index), JSON.parse(JSON.stringify(value)));
-        page.written = page.edition;
+        real.kept.set(deferralPageKey(page.index), JSON.parse(JSON.stringify(value)));
+        page.durableGeneration = page.generation;
       }
     if (this.kind === 'takeover') {
-      real.book = new DeferralBook(1);
+      real.book = new DeferralTable(1);
       for (const [key, value] of real.kept) real.book.restore(Number(key.slice(2)), value, 7 as Version);
     }
     const known = new Map([...real.book.all()].map((x) => [x.job as string, x.state]));
@@ -78,7 +78,7 @@
   fc.assert(
     fc.property(fc.commands([step], { maxCommands: 80, size: 'max' }), (commands) => {
       fc.modelRun(
-        () => ({ model: new Map(), real: { book: new DeferralBook(1), kept: new Map() } }),
+        () => ({ model: new Map(), real: { book: new DeferralTable(1), kept: new Map() } }),
         commands,
       );
     }),
--- a/packages/tariff/test/feed.test.ts
+++ b/packages/tariff/test/feed.test.ts
@@ -5,8 +5,8 @@
 import { ProcessClock, SimTime } from '@spurbridge/testkit';
 import type { TariffDocument } from '@spurbridge/wire';
 import { MAX_TARIFF_BYTES, formatTariff, parseTariff } from '@spurbridge/wire';
-import type { FeedAnswer } from '../src/index.js';
-import { FeedClient, HttpFeed, refusal } from '../src/index.js';
+import type { FeedResponse } from '../src/index.js';
+import { TariffFeedPoller, HttpTariffFeed, rejectionReason } from '../src/index.js';
 
 function tariff(revision: number, issuedAt = revision * 1000): TariffDocument {
   return parseTariff({
@@ -20,17 +20,17 @@
 }
 
 /** A client against scripted answers; one for each request, the last one for all that follow. */
-async function play(answers: readonly FeedAnswer[], forMs: number, first: TariffDocument | null = null) {
+async function play(answers: readonly FeedResponse[], forMs: number, first: TariffDocument | null = null) {
   const time = new SimTime();
   const asked: number[] = [];
   const tags: (string | null)[] = [];
   const errors: string[] = [];
   const states: string[] = [];
   let held = first;
-  const client = new FeedClient({
+  const client = new TariffFeedPoller({
     source: {
-      get: (tag) => {
-        const answer = answers[Math.min(asked.length, answers.length - 1)] as FeedAnswer;
+      fetch: (tag) => {
+        const answer = answers[Math.min(asked.length, answers.length - 1)] as FeedResponse;
         asked.push(time.now);
         tags.push(tag);
         return Promise.resolve(answer);
@@ -52,16 +52,16 @@
   });
   void client.run(() => time.now < forMs);
   await new Promise((resolve) => setImmediate(resolve));
-  await time.run(forMs);
+  await time.runUntil(forMs);
   return { asked, tags, errors, states, held: held as TariffDocument | null };
 }
 
-const sent = (t: TariffDocument, tag = '"a"'): FeedAnswer => ({
+const sent = (t: TariffDocument, tag = '"a"'): FeedResponse => ({
   outcome: 'document',
   body: formatTariff(t),
   tag,
 });
-const failed: FeedAnswer = { outcome: 'failed', why: 'status 500', retryAfterS: null };
+const failed: FeedResponse = { outcome: 'failed', why: 'status 500', retryAfterS: null };
 
 test('it asks as often as the document says, spread, and an unchanged one is not sent again', async () => {
   const r = await play([sent(tariff(1)), { outcome: 'unchanged' }], 600_000);
@@ -110,8 +110,8 @@
     assert.match(r.errors[0] as string, why);
     assert.deepEqual(r.held, good);
   }
-  assert.equal(refusal(tariff(6), good), null);
-  assert.equal(refusal(good, good), null);
+  assert.equal(rejectionReason(tariff(6), good), null);
+  assert.equal(rejectionReason(good, good), null);
 });
 
 test('the HTTP feed: tags, Retry-After, bodies too large, silence', async () => {
@@ -124,22 +124,22 @@
     else a.writeHead(200, { etag: '"v1"' }).end(JSON.stringify(formatTariff(tariff(1))));
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-  const feed = new HttpFeed(`http://127.0.0.1:${(server.address() as AddressInfo).port}/tariff`);
+  const feed = new HttpTariffFeed(`http://127.0.0.1:${(server.address() as AddressInfo).port}/tariff`);
   try {
-    const first = await feed.get(null);
+    const first = await feed.fetch(null);
     assert.ok(first.outcome === 'document' && first.tag === '"v1"');
     assert.equal(parseTariff(first.body).revision, 1);
-    assert.deepEqual(await feed.get('"v1"'), { outcome: 'unchanged' });
+    assert.deepEqual(await feed.fetch('"v1"'), { outcome: 'unchanged' });
     mode = 'busy';
-    assert.deepEqual(await feed.get(null), { outcome: 'failed', why: 'status 503', retryAfterS: 7 });
+    assert.deepEqual(await feed.fetch(null), { outcome: 'failed', why: 'status 503', retryAfterS: 7 });
     mode = 'huge';
-    const huge = await feed.get(null);
+    const huge = await feed.fetch(null);
     assert.ok(huge.outcome === 'failed' && huge.why.includes('at most'));
     mode = 'text';
-    assert.equal((await feed.get(null)).outcome, 'failed');
+    assert.equal((await feed.fetch(null)).outcome, 'failed');
   } finally {
     server.closeAllConnections();
     await new Promise((resolve) => server.close(resolve));
   }
-  assert.equal((await feed.get(null)).outcome, 'failed');
+  assert.equal((await feed.fetch(null)).outcome, 'failed');
 });
--- a/packages/tariff/test/release.test.ts
+++ b/packages/tariff/test/release.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { WallMs } from '@spurbridge/model';
+import type { WallClockMs } from '@spurbridge/model';
 import type { JobId } from '@spurbridge/wire';
 import fc from 'fast-check';
-import type { ReleaseInput, WaitingJob } from '../src/index.js';
+import type { ReleaseInput, DeferrableJob } from '../src/index.js';
 import { decideReleases } from '../src/index.js';
 
 const MIN = 60_000;
 
-function job(n: number, over: Partial<WaitingJob> = {}): WaitingJob {
+function job(n: number, over: Partial<DeferrableJob> = {}): DeferrableJob {
   return {
     id: `wk-${String(n).padStart(4, '0')}` as JobId,
     deferred: false,
@@ -19,25 +19,25 @@
     taskS: 30,
     leadS: 0,
     marginS: 0,
-    finishBy: (60 * MIN) as WallMs,
+    finishBy: (60 * MIN) as WallClockMs,
     startBy: null,
     ...over,
   };
 }
 
 function input(
-  jobs: readonly WaitingJob[],
+  jobs: readonly DeferrableJob[],
   prices: readonly number[],
   over: Partial<ReleaseInput> = {},
 ): ReleaseInput {
   return {
-    now: 0 as WallMs,
+    now: 0 as WallClockMs,
     jobs,
     teams: [{ cpus: 100, ahead: 0, wanted: 0 }],
     pool: { cpus: 100, ahead: 0, wanted: 0 },
     // One piece for every ten minutes.
-    starts: prices.map((_, i) => (i * 10 * MIN) as WallMs),
-    until: (prices.length * 10 * MIN) as WallMs,
+    starts: prices.map((_, i) => (i * 10 * MIN) as WallClockMs),
+    until: (prices.length * 10 * MIN) as WallClockMs,
     prices: [Float64Array.from(prices)],
     leastSaving: 0.05,
     ...over,
@@ -59,9 +59,9 @@
 });
 
 test('where no cheaper moment is safe, or worth it, the job goes now', () => {
-  const late = only(input([job(1, { finishBy: (30.4 * MIN) as WallMs })], CHEAP_AT_30));
+  const late = only(input([job(1, { finishBy: (30.4 * MIN) as WallClockMs })], CHEAP_AT_30));
   assert.deepEqual([late.at, late.reason], [0, 'latest']);
-  const aim = only(input([job(1, { startBy: (29 * MIN) as WallMs })], CHEAP_AT_30));
+  const aim = only(input([job(1, { startBy: (29 * MIN) as WallClockMs })], CHEAP_AT_30));
   assert.deepEqual([aim.at, aim.reason], [0, 'latest']);
   const margin = only(input([job(1, { marginS: 1800 - 29 })], CHEAP_AT_30));
   assert.equal(margin.at, 0);
@@ -73,7 +73,9 @@
 
 test('what fills the window sends the others elsewhere, those with least time first', () => {
   // The window carries 20 minutes of 4 CPUs: 40 jobs.
-  const jobs = Array.from({ length: 60 }, (_, i) => job(i, { finishBy: ((50 + i / 10) * MIN) as WallMs }));
+  const jobs = Array.from({ length: 60 }, (_, i) =>
+    job(i, { finishBy: ((50 + i / 10) * MIN) as WallClockMs }),
+  );
   const few = { teams: [{ cpus: 4, ahead: 0, wanted: 0 }], pool: { cpus: 100, ahead: 0, wanted: 0 } };
   const made = decideReleases(input(jobs, CHEAP_AT_30, few));
   const inWindow = made.filter((d) => d.at >= 30 * MIN && d.at < 50 * MIN);
@@ -85,7 +87,7 @@
 
 test("a team's quota full of other work leaves no room to count on", () => {
   const busy = { teams: [{ cpus: 4, ahead: 4 * 3000, wanted: 0 }], pool: { cpus: 100, ahead: 0, wanted: 0 } };
-  const d = only(input([job(1, { finishBy: (45 * MIN) as WallMs })], CHEAP_AT_30, busy));
+  const d = only(input([job(1, { finishBy: (45 * MIN) as WallClockMs })], CHEAP_AT_30, busy));
   assert.deepEqual([d.at, d.reason], [0, 'no-room']);
   // Less of it ends while the window is still open: one that waits for it goes on waiting, and for a new one
   // there is nothing to gain, since it would stand behind the others anyway.
@@ -97,14 +99,14 @@
 
 test('jobs whose turn has come join one after the other, and new ones behind those that wait', () => {
   const crowd = { cpus: 8, ahead: 100, wanted: 6 };
-  const i = input([job(1, { deferred: true, finishBy: (5 * MIN) as WallMs }), job(2)], [1, 1, 1], {
+  const i = input([job(1, { deferred: true, finishBy: (5 * MIN) as WallClockMs }), job(2)], [1, 1, 1], {
     teams: [crowd],
   });
   for (const d of decideReleases(i)) assert.deepEqual([d.at, d.reason], [1000, 'turn']);
   // With nobody waiting there is nobody to stand behind.
   assert.equal(only({ ...i, jobs: [job(2)] }).at, 0);
   // With no second to spare it goes, crowded or not.
-  const hurried = job(1, { deferred: true, taskS: 30, work: 4, finishBy: 30_500 as WallMs });
+  const hurried = job(1, { deferred: true, taskS: 30, work: 4, finishBy: 30_500 as WallClockMs });
   const d = only({ ...i, jobs: [hurried] });
   assert.equal(d.at, 0);
   // As soon as there is room, so does the next.
@@ -150,8 +152,8 @@
         job(i, {
           ...j,
           work: j.cpus * j.taskS,
-          finishBy: (j.dueMin * MIN) as WallMs,
-          startBy: j.startMin === null ? null : ((j.startMin * MIN) as WallMs),
+          finishBy: (j.dueMin * MIN) as WallClockMs,
+          startBy: j.startMin === null ? null : ((j.startMin * MIN) as WallClockMs),
         }),
       ),
       a,
@@ -185,7 +187,7 @@
       for (const due of new Set(waits.map((d) => byId.get(d.id)?.finishBy ?? 0)))
         for (const [team, c] of [...i.teams.entries(), [-1, i.pool] as const]) {
           const work = waits
-            .map((d) => byId.get(d.id) as WaitingJob)
+            .map((d) => byId.get(d.id) as DeferrableJob)
             .filter((j) => j.finishBy <= due && (team < 0 || j.team === team))
             .reduce((sum, j) => sum + j.work, 0);
           if (work > 0) assert.ok(work + c.ahead <= c.cpus * (due / 1000) + 1, `more than fits by ${due}`);
