--- a/packages/wire/src/users.ts
+++ b/packages/wire/src/users.ts
@@ -3,7 +3,7 @@
 import * as r from './read.js';
 
 export type JobKind = 'array' | 'gang' | 'service';
-export type Priority = 'production' | 'high' | 'normal' | 'low';
+export type JobPriority = 'production' | 'high' | 'normal' | 'low';
 export type JobPhase = 'queued' | 'running' | 'done' | 'cancelled';
 
 /** A job as its user described it, in the field's standard terms. */
@@ -12,7 +12,7 @@
   readonly class: string;
   readonly team: string;
   readonly kind: JobKind;
-  readonly priority: Priority;
+  readonly priority: JobPriority;
   readonly tasks: number;
   readonly cpus: number;
   readonly gpus: number;
@@ -30,11 +30,11 @@
   readonly deadlineS: number | null;
 }
 
-export const MAX_TASKS = 100_000;
-export const MAX_BODY_BYTES = 64 * 1024;
+export const MAX_TASKS_PER_JOB = 100_000;
+export const MAX_REQUEST_BODY_BYTES = 64 * 1024;
 
 const KINDS: Record<string, JobKind> = { batch: 'array', ensemble: 'gang', daemon: 'service' };
-const PRIORITIES: Record<string, Priority> = {
+const PRIORITIES: Record<string, JobPriority> = {
   critical: 'production',
   high: 'high',
   normal: 'normal',
@@ -45,8 +45,8 @@
 
 /** The id alone: a retry of a known job is answered even if the rest no longer passes. */
 export function parseSubmissionId(body: unknown): JobId {
-  const id = r.str(r.asObject(body, 'body'), 'nameId');
-  if (!isJobId(id)) throw new r.MalformedError('nameId', 'a job id');
+  const id = r.string(r.asObject(body, 'body'), 'nameId');
+  if (!isJobId(id)) throw new r.ValidationError('nameId', 'a job id');
   return id;
 }
 
@@ -54,9 +54,9 @@
   const o = r.asObject(body, 'body');
   const id = parseSubmissionId(body);
   const kind = KINDS[r.oneOf(o, 'shape', ['batch', 'ensemble', 'daemon'])] as JobKind;
-  const priority = PRIORITIES[r.oneOf(o, 'rank', ['critical', 'high', 'normal', 'idle'])] as Priority;
+  const priority = PRIORITIES[r.oneOf(o, 'rank', ['critical', 'high', 'normal', 'idle'])] as JobPriority;
   const tasks = r.count(o, 'pieces', 1);
-  if (tasks > MAX_TASKS) throw new r.MalformedError('pieces', `at most ${MAX_TASKS}`);
+  if (tasks > MAX_TASKS_PER_JOB) throw new r.ValidationError('pieces', `at most ${MAX_TASKS_PER_JOB}`);
   return {
     id,
     class: r.name(o, 'lot'),
@@ -69,15 +69,15 @@
     memoryGb: r.amount(o, 'memGb'),
     image: r.name(o, 'kit'),
     imageGb: r.amount(o, 'pullGb'),
-    types: r.optNames(o, 'builds'),
-    zone: r.optStr(o, 'yard'),
-    oneZone: r.bool(o, 'oneZone'),
-    spread: r.bool(o, 'scatter'),
-    spot: r.bool(o, 'loaners'),
+    types: r.optionalStrings(o, 'builds'),
+    zone: r.optionalString(o, 'yard'),
+    oneZone: r.boolean(o, 'oneZone'),
+    spread: r.boolean(o, 'scatter'),
+    spot: r.boolean(o, 'loaners'),
     estimateS: r.amount(o, 'guessS'),
     checkpointS: r.amount(o, 'bookmarkS'),
     saveS: r.amount(o, 'stowS'),
-    deadlineS: r.optAmount(o, 'dueS'),
+    deadlineS: r.optionalAmount(o, 'dueS'),
   };
 }
 
@@ -113,13 +113,13 @@
   readonly running?: number;
 }
 
-export function formatStatus(s: JobStatus): Record<string, unknown> {
+export function formatJobStatus(s: JobStatus): Record<string, unknown> {
   return { nameId: s.id, phase: s.phase, done: s.done, running: s.running };
 }
 
 const PHASES: readonly JobPhase[] = ['queued', 'running', 'done', 'cancelled'];
 
 /** The phase in an answer of 200 or 201 to a user. */
-export function parsePhase(body: unknown): JobPhase {
+export function parseJobPhase(body: unknown): JobPhase {
   return r.oneOf(r.asObject(body, 'body'), 'phase', PHASES);
 }
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -1,4 +1,4 @@
-import type { Attempt, JobId, MachineId, Session, Token } from './ids.js';
+import type { Attempt, JobId, MachineId, AgentEpoch, FencingToken } from './ids.js';
 import { isJobId } from './ids.js';
 import * as r from './read.js';
 
@@ -18,7 +18,7 @@
 };
 const CAUSE_NAMES = Object.fromEntries(Object.entries(CAUSES).map(([k, v]) => [v, k]));
 
-export interface TaskReport {
+export interface TaskStatus {
   readonly job: JobId;
   readonly task: number;
   readonly attempt: Attempt;
@@ -27,17 +27,17 @@
   readonly saved: boolean;
 }
 
-export interface WorkerReport {
+export interface Heartbeat {
   readonly machine: MachineId;
   readonly address: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly session: Session;
-  readonly seq: number;
-  readonly token: Token;
-  readonly noticeS: number | null;
-  readonly tasks: readonly TaskReport[];
+  readonly agentEpoch: AgentEpoch;
+  readonly sequence: number;
+  readonly fencingToken: FencingToken;
+  readonly preemptionNoticeS: number | null;
+  readonly tasks: readonly TaskStatus[];
 }
 
 export type WorkerCommand =
@@ -79,14 +79,14 @@
   const job = text.slice(0, slash);
   const digits = text.slice(slash + 1);
   if (slash < 0 || !isJobId(job) || !/^\d{1,9}$/.test(digits))
-    throw new r.MalformedError('piece', 'a task name');
+    throw new r.ValidationError('piece', 'a task name');
   return { job, task: Number(digits) };
 }
 
-function parseTaskReport(value: unknown): TaskReport {
+function parseTaskReport(value: unknown): TaskStatus {
   const o = r.asObject(value, 'pieces');
-  const cause = r.optStr(o, 'cause');
-  const { job, task } = parseTaskName(r.str(o, 'piece'));
+  const cause = r.optionalString(o, 'cause');
+  const { job, task } = parseTaskName(r.string(o, 'piece'));
   return {
     job,
     task,
@@ -94,37 +94,37 @@
     phase: r.oneOf(o, 'phase', PHASES),
     // A cause that this version does not know still means the task has ended.
     cause: cause === null ? null : (CAUSES[cause] ?? 'error'),
-    saved: r.optBool(o, 'saved'),
+    saved: r.booleanOrFalse(o, 'saved'),
   };
 }
 
-export function parseReport(body: unknown): WorkerReport {
+export function parseHeartbeat(body: unknown): Heartbeat {
   const o = r.asObject(body, 'report');
   return {
     machine: r.name(o, 'rig') as MachineId,
-    address: r.str(o, 'address'),
-    type: r.str(o, 'build'),
-    zone: r.str(o, 'yard'),
-    spot: r.optBool(o, 'loaners'),
-    session: r.count(o, 'shift') as Session,
-    seq: r.count(o, 'tally'),
-    token: (r.optCount(o, 'baton') ?? 0) as Token,
-    noticeS: r.optAmount(o, 'recallS'),
+    address: r.string(o, 'address'),
+    type: r.string(o, 'build'),
+    zone: r.string(o, 'yard'),
+    spot: r.booleanOrFalse(o, 'loaners'),
+    agentEpoch: r.count(o, 'shift') as AgentEpoch,
+    sequence: r.count(o, 'tally'),
+    fencingToken: (r.optionalCount(o, 'baton') ?? 0) as FencingToken,
+    preemptionNoticeS: r.optionalAmount(o, 'recallS'),
     tasks: o['pieces'] === undefined ? [] : r.asArray(o['pieces'], 'pieces').map(parseTaskReport),
   };
 }
 
-export function formatReport(w: WorkerReport): Record<string, unknown> {
+export function formatHeartbeat(w: Heartbeat): Record<string, unknown> {
   return {
     rig: w.machine,
     address: w.address,
     build: w.type,
     yard: w.zone,
     loaners: w.spot,
-    shift: w.session,
-    tally: w.seq,
-    baton: w.token,
-    recallS: w.noticeS,
+    shift: w.agentEpoch,
+    tally: w.sequence,
+    baton: w.fencingToken,
+    recallS: w.preemptionNoticeS,
     pieces: w.tasks.map((t) => ({
       piece: formatTaskName(t.job, t.task),
       try: t.attempt,
@@ -147,13 +147,13 @@
   }
 }
 
-export function formatReportAnswer(token: Token, commands: readonly WorkerCommand[]): unknown {
+export function formatHeartbeatResponse(token: FencingToken, commands: readonly WorkerCommand[]): unknown {
   return { baton: token, orders: commands.map(formatCommand) };
 }
 
-export function formatCommands(
-  token: Token,
-  session: Session,
+export function formatDirectCommands(
+  token: FencingToken,
+  session: AgentEpoch,
   commands: readonly WorkerCommand[],
 ): Record<string, unknown> {
   return { baton: token, shift: session, orders: commands.map(formatCommand) };
--- a/packages/wire/test/golden.test.ts
+++ b/packages/wire/test/golden.test.ts
@@ -8,39 +8,44 @@
   PATHS,
   decodePeerMessage,
   encodePeerMessage,
-  formatCommands,
-  formatCommit,
-  formatEvents,
-  formatFailed,
-  formatItem,
-  formatItems,
-  formatLease,
+  formatDirectCommands,
+  formatTransaction,
+  formatWatchResponse,
+  formatConflict,
+  formatKeyValue,
+  formatKeyValuePage,
+  formatLeaseId,
   formatMachineList,
-  formatMachineNames,
-  formatRelease,
-  formatRental,
-  formatReport,
-  formatReportAnswer,
+  formatRentalResponse,
+  formatReleaseRequest,
+  formatRentalRequest,
+  formatHeartbeat,
+  formatHeartbeatResponse,
   formatRevision,
-  formatStatus,
+  formatJobStatus,
   formatSubmission,
-  formatTypes,
-  parseEvents,
-  parseFailed,
-  parseItemAnswer,
-  parseItems,
-  parseLease,
+  formatMachineTypes,
+  parseWatchResponse,
+  parseFailedKeys,
+  parseKeyValue,
+  parseKeyValuePage,
+  parseLeaseId,
   parseMachineList,
-  parseMachineNames,
-  parsePhase,
+  parseReleaseRequest,
+  parseJobPhase,
   parseRedirect,
-  parseRental,
-  parseReport,
+  parseRentalResponse,
+  parseHeartbeat,
   parseRevision,
   parseSubmission,
-  parseTypes,
+  parseMachineTypes,
+} from '../src/index.js';
+import {
+  parseTransaction,
+  parseDirectCommands,
+  parseRentalRequest,
+  parseHeartbeatResponse,
 } from '../src/index.js';
-import { parseCommit, parseDirectCommands, parseRentalRequest, parseReportAnswer } from '../src/index.js';
 
 /** Reads the text, and writes what was read: the same bytes. */
 function assertSame(text: string, writeAgain: (body: unknown) => unknown): void {
@@ -88,24 +93,24 @@
   const { nameId, done, running } = JSON.parse(text) as { nameId: never; done: number; running: number };
   for (const phase of ['queued', 'running', 'done', 'cancelled'] as const)
     assert.equal(
-      JSON.stringify(formatStatus({ id: nameId, phase: parsePhase({ phase }), done, running })),
+      JSON.stringify(formatJobStatus({ id: nameId, phase: parseJobPhase({ phase }), done, running })),
       text.replace('"running","done"', `"${phase}","done"`),
     );
 });
 
 test('heartbeats are read and written as they were', () => {
-  for (const text of HEARTBEATS) assertSame(text, (body) => formatReport(parseReport(body)));
+  for (const text of HEARTBEATS) assertSame(text, (body) => formatHeartbeat(parseHeartbeat(body)));
 });
 
 test('responses to heartbeats and direct commands are read and written as they were', () => {
   assertSame(`{"baton":41,${ORDERS}}`, (body) => {
-    const read = parseReportAnswer(body);
+    const read = parseHeartbeatResponse(body);
     const [token, commands] = Object.values(read) as [never, never];
-    return formatReportAnswer(token, commands);
+    return formatHeartbeatResponse(token, commands);
   });
   assertSame(`{"baton":41,"shift":3,${ORDERS}}`, (body) => {
     const [token, session, commands] = Object.values(parseDirectCommands(body)) as [never, never, never];
-    return formatCommands(token, session, commands);
+    return formatDirectCommands(token, session, commands);
   });
   assert.equal(parseRedirect({ foreman: 'spur-2' }), 'spur-2');
   assert.equal(parseRedirect({}), null);
@@ -113,46 +118,46 @@
 
 test('requests to the state service and its answers are read and written as they were', () => {
   const pair = '{"key":"a/b","value":{"x":[1,null]},"stamp":412}';
-  assertSame(pair, (body) => formatItem(parseItemAnswer(body)));
+  assertSame(pair, (body) => formatKeyValue(parseKeyValue(body)));
   assertSame(`{"pairs":[${pair}],"more":true,"ledger":431}`, (body) => {
-    const [items, isPartial, revision] = Object.values(parseItems(body)) as [never, never, never];
-    return formatItems(items, isPartial, revision);
+    const [items, isPartial, revision] = Object.values(parseKeyValuePage(body)) as [never, never, never];
+    return formatKeyValuePage(items, isPartial, revision);
   });
   const commit =
     '{"when":[{"key":"a/b","stamp":0},{"key":"c","stamp":9}],"apply":[{"set":"a/b","value":{"y":1},"permit":7},{"set":"a/c","value":null},{"remove":"c/d"}]}';
   const compareOnly = '{"when":[{"key":"a/b","stamp":0}]}';
   for (const text of [commit, compareOnly])
     assertSame(text, (body) => {
-      const [conditions, changes] = Object.values(parseCommit(body)) as [never, never];
-      return formatCommit(conditions, changes);
+      const [conditions, changes] = Object.values(parseTransaction(body)) as [never, never];
+      return formatTransaction(conditions, changes);
     });
   assertSame('{"ledger":432}', (body) => formatRevision(parseRevision(body)));
   assertSame('{"failed":["a/b"],"ledger":431}', (body) =>
-    formatFailed(parseFailed(body), parseRevision(body)),
+    formatConflict(parseFailedKeys(body), parseRevision(body)),
   );
-  assertSame('{"permit":7}', (body) => formatLease(parseLease(body)));
+  assertSame('{"permit":7}', (body) => formatLeaseId(parseLeaseId(body)));
   assertSame(
     '{"ledger":433,"log":[{"set":"c/9","value":{"z":2},"stamp":433},{"remove":"c/d","stamp":432}]}',
     (body) => {
-      const [revision, events] = Object.values(parseEvents(body)) as [never, never];
-      return formatEvents(revision, events);
+      const [revision, events] = Object.values(parseWatchResponse(body)) as [never, never];
+      return formatWatchResponse(revision, events);
     },
   );
 });
 
 test('requests to the cloud and its answers are read and written as they were', () => {
   assertSame('{"hire":"r-17","build":"g8","yard":"a","loaners":true,"count":12}', (body) =>
-    formatRental(parseRentalRequest(body)),
+    formatRentalRequest(parseRentalRequest(body)),
   );
   for (const [write, read] of [
-    [formatMachineNames, parseMachineNames],
-    [formatRelease, parseMachineNames],
-    [formatRelease, parseRental],
+    [formatRentalResponse, parseReleaseRequest],
+    [formatReleaseRequest, parseReleaseRequest],
+    [formatReleaseRequest, parseRentalResponse],
   ] as const)
     assertSame('{"rigs":["n-000231","n-000232"]}', (body) => write(read(body)));
   assertSame(
     '{"builds":[{"sku":"g8","cpus":96,"accelerators":8,"memGb":768,"cacheGb":200,"fetchGbPerS":1,"hourly":12,"marketPrice":4.5,"readyS":45,"yards":["a","b"]}]}',
-    (body) => formatTypes(parseTypes(body)),
+    (body) => formatMachineTypes(parseMachineTypes(body)),
   );
   assertSame(
     '{"rigs":[{"nameId":"n-000231","address":"10.1.0.232:9000","build":"g8","yard":"a","loaners":true,"phase":"running","ageS":61.5},{"nameId":"n-000232","address":"","build":"s4","yard":"b","loaners":false,"phase":"starting","ageS":0},{"nameId":"n-000233","address":"x:1","build":"s4","yard":"b","loaners":false,"phase":"failed","ageS":3}],"more":false}',
--- a/packages/wire/test/graphs.test.ts
+++ b/packages/wire/test/graphs.test.ts
@@ -3,12 +3,12 @@
 import fc from 'fast-check';
 import type { Batch, BatchId, GraphTaskId } from '../src/index.js';
 import {
-  MalformedError,
+  ValidationError,
   formatBatch,
-  graphTaskId,
+  formatGraphTaskId,
   parseBatch,
-  parseGraphHead,
-  parseResultNote,
+  parseGraphSpec,
+  parseResultUpdate,
 } from '../src/index.js';
 
 const id = fc.stringMatching(/^[A-Za-z0-9_-]{1,12}$/);
@@ -43,12 +43,14 @@
     const batch = b.id as BatchId;
     return {
       id: batch,
-      parent: b.parent === null ? null : graphTaskId(b.parent[0] as BatchId, b.parent[1]),
+      parent: b.parent === null ? null : formatGraphTaskId(b.parent[0] as BatchId, b.parent[1]),
       shapes: structuredClone(b.shapes),
       tasks: b.tasks.map((t, i) => {
         // Of its own batch a task takes earlier ones, so that there is no circle.
-        const own = i === 0 ? [] : t.own.map((n) => graphTaskId(batch, n % i));
-        const others = t.others.filter(([o]) => o !== b.id).map(([o, n]) => graphTaskId(o as BatchId, n));
+        const own = i === 0 ? [] : t.own.map((n) => formatGraphTaskId(batch, n % i));
+        const others = t.others
+          .filter(([o]) => o !== b.id)
+          .map(([o, n]) => formatGraphTaskId(o as BatchId, n));
         return {
           shape: t.shape % b.shapes.length,
           after: [...new Set<GraphTaskId>([...own, ...others])],
@@ -73,7 +75,7 @@
   const inner = fc
     .tuple(batches, fc.jsonValue(), fc.nat({ max: 2 }))
     .map(([b, junk, at]) => ({ ...formatBatch(b), tasks: [[0, [], false].with(at, junk as never)] }));
-  for (const parse of [parseBatch, parseGraphHead, parseResultNote]) {
+  for (const parse of [parseBatch, parseGraphSpec, parseResultUpdate]) {
     let read = 0;
     let refused = 0;
     fc.assert(
@@ -82,7 +84,7 @@
           parse(value);
           read += 1;
         } catch (e) {
-          assert.ok(e instanceof MalformedError, String(e));
+          assert.ok(e instanceof ValidationError, String(e));
           assert.notEqual(e.field, '');
           refused += 1;
         }
@@ -125,7 +127,7 @@
   for (const [why, body] of cases)
     assert.throws(
       () => parseBatch(body),
-      (e) => e instanceof MalformedError && why.test(e.message),
+      (e) => e instanceof ValidationError && why.test(e.message),
       String(why),
     );
 });
--- a/packages/wire/test/tariff.test.ts
+++ b/packages/wire/test/tariff.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import type { TariffDocument } from '../src/index.js';
-import { MalformedError, WEEKDAYS, formatTariff, parseTariff } from '../src/index.js';
+import { ValidationError, WEEKDAYS, formatTariff, parseTariff } from '../src/index.js';
 
 const GOOD = {
   format: 1,
@@ -26,7 +26,7 @@
   try {
     parseTariff(t);
   } catch (e) {
-    assert.ok(e instanceof MalformedError, String(e));
+    assert.ok(e instanceof ValidationError, String(e));
     return e.message;
   }
   return 'taken';
@@ -121,7 +121,7 @@
         parseTariff(value);
         read += 1;
       } catch (e) {
-        assert.ok(e instanceof MalformedError, String(e));
+        assert.ok(e instanceof ValidationError, String(e));
         assert.notEqual(e.field, '');
       }
     }),
--- a/packages/wire/test/wire.test.ts
+++ b/packages/wire/test/wire.test.ts
@@ -1,14 +1,23 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import type { Attempt, JobId, JobSpec, MachineId, NodeId, Session, TaskReport, Token } from '../src/index.js';
+import type {
+  Attempt,
+  JobId,
+  JobSpec,
+  MachineId,
+  NodeId,
+  AgentEpoch,
+  TaskStatus,
+  FencingToken,
+} from '../src/index.js';
 import {
-  MalformedError,
+  ValidationError,
   decodePeerMessage,
   encodePeerMessage,
-  formatReport,
+  formatHeartbeat,
   formatSubmission,
-  parseReport,
+  parseHeartbeat,
   parseSubmission,
   parseTaskName,
 } from '../src/index.js';
@@ -58,7 +67,7 @@
       const body = formatSubmission(s);
       const fields = Object.keys(body).filter((f) => !optional.has(f));
       const field = fields[n % fields.length] as string;
-      assert.throws(() => parseSubmission({ ...body, [field]: wrong }), MalformedError);
+      assert.throws(() => parseSubmission({ ...body, [field]: wrong }), ValidationError);
     }),
     RUNS,
   );
@@ -68,14 +77,14 @@
   fc.assert(
     fc.property(fc.jsonValue(), (v) => {
       if (typeof v === 'object' && v !== null && !Array.isArray(v)) return;
-      assert.throws(() => parseSubmission(v), MalformedError);
-      assert.throws(() => parseReport(v), MalformedError);
+      assert.throws(() => parseSubmission(v), ValidationError);
+      assert.throws(() => parseHeartbeat(v), ValidationError);
     }),
     RUNS,
   );
 });
 
-const taskReport: fc.Arbitrary<TaskReport> = fc.record({
+const taskReport: fc.Arbitrary<TaskStatus> = fc.record({
   job: jobId,
   task: fc.nat(99_999),
   attempt: fc.nat(1e6) as unknown as fc.Arbitrary<Attempt>,
@@ -95,13 +104,13 @@
         type: 'g8',
         zone: 'a',
         spot: n % 2 === 0,
-        session: n as Session,
-        seq: n,
-        token: n as Token,
-        noticeS,
+        agentEpoch: n as AgentEpoch,
+        sequence: n,
+        fencingToken: n as FencingToken,
+        preemptionNoticeS: noticeS,
         tasks,
       };
-      const again = parseReport(JSON.parse(JSON.stringify(formatReport(report))));
+      const again = parseHeartbeat(JSON.parse(JSON.stringify(formatHeartbeat(report))));
       assert.deepEqual(JSON.parse(JSON.stringify(again)), JSON.parse(JSON.stringify(report)));
     }),
     RUNS,
@@ -110,7 +119,7 @@
 
 test('task names that name no task are malformed', () => {
   for (const bad of ['', '/', 'wk-1', 'wk-1/', 'wk-1/x', 'x/1', 'wk-1/-1', 'wk-1/1.5'])
-    assert.throws(() => parseTaskName(bad), MalformedError, bad);
+    assert.throws(() => parseTaskName(bad), ValidationError, bad);
   assert.deepEqual(parseTaskName('wk-000412/3'), { job: 'wk-000412', task: 3 });
 });
 
@@ -123,10 +132,10 @@
     type: label,
     zone: label,
     spot: fc.boolean(),
-    session: fc.nat() as unknown as fc.Arbitrary<Session>,
-    seq: fc.nat(),
-    token: fc.nat(2 ** 31 - 1) as unknown as fc.Arbitrary<Token>,
-    noticeS: fc.option(fc.integer({ min: 0, max: 100 })),
+    agentEpoch: fc.nat() as unknown as fc.Arbitrary<AgentEpoch>,
+    sequence: fc.nat(),
+    fencingToken: fc.nat(2 ** 31 - 1) as unknown as fc.Arbitrary<FencingToken>,
+    preemptionNoticeS: fc.option(fc.integer({ min: 0, max: 100 })),
     tasks: fc.array(taskReport, { maxLength: 5 }),
   }),
 });
@@ -138,10 +147,10 @@
 const forwardAnswer = fc.record({
   id: fc.nat(),
   machine: label as unknown as fc.Arbitrary<MachineId>,
-  session: fc.nat() as unknown as fc.Arbitrary<Session>,
+  session: fc.nat() as unknown as fc.Arbitrary<AgentEpoch>,
   seq: fc.nat(),
   code: fc.constantFrom(200 as const, 503 as const),
-  token: fc.nat(2 ** 31 - 1) as unknown as fc.Arbitrary<Token>,
+  token: fc.nat(2 ** 31 - 1) as unknown as fc.Arbitrary<FencingToken>,
   grantMs: fc.nat(),
   commands: fc.array(
     fc.oneof(
@@ -157,7 +166,7 @@
   const message = fc.record({
     status: fc.record({
       node: label as fc.Arbitrary<NodeId>,
-      token: fc.nat(2 ** 31 - 1) as unknown as fc.Arbitrary<Token>,
+      token: fc.nat(2 ** 31 - 1) as unknown as fc.Arbitrary<FencingToken>,
       leader: label as fc.Arbitrary<NodeId>,
       stateOk: fc.boolean(),
       epoch: fc.nat(),
--- a/packages/shares/src/balance.ts
+++ b/packages/worker-shards/src/shard-balancer.ts
@@ -1,20 +1,20 @@
-import type { Clock, Ms } from '@spurbridge/net';
-import { Transitions } from '@spurbridge/model';
+import type { Clock, MonotonicMs } from '@spurbridge/net';
+import { TransitionTable } from '@spurbridge/model';
 import type { NodeId } from '@spurbridge/wire';
 
 /** A node that could hold machines, as it said itself. */
-export interface Holder {
+export interface ShardOwner {
   readonly node: NodeId;
-  readonly machines: number;
+  readonly machineCount: number;
   readonly zone: string;
   /** The leader has plans to make beside: its part is smaller. */
-  readonly leads: boolean;
+  readonly isLeader: boolean;
 }
 
 /** `even`: nothing is moved. `shedding`: machines go to whoever has least, until this node is near its part. */
 type BalanceState = 'even' | 'shedding';
 
-const transitions = new Transitions<BalanceState>('balance', { even: ['shedding'], shedding: ['even'] });
+const transitions = new TransitionTable<BalanceState>('balance', { even: ['shedding'], shedding: ['even'] });
 
 const LEADER_PART = 0.5;
 /** Shedding begins this far over the part, and ends near it: what one node gives away another does not give back. */
@@ -36,17 +36,17 @@
 const HOME_MOVES_PER_S = 8;
 
 /** Machines that each node should hold; their sum is what is held altogether. */
-export function parts(holders: readonly Holder[]): Map<NodeId, number> {
-  const weight = (h: Holder): number => (h.leads ? LEADER_PART : 1);
-  const all = holders.reduce((sum, h) => sum + h.machines, 0);
+export function targetShardSizes(holders: readonly ShardOwner[]): Map<NodeId, number> {
+  const weight = (h: ShardOwner): number => (h.isLeader ? LEADER_PART : 1);
+  const all = holders.reduce((sum, h) => sum + h.machineCount, 0);
   const weights = holders.reduce((sum, h) => sum + weight(h), 0);
   return new Map(holders.map((h) => [h.node, weights === 0 ? 0 : (all * weight(h)) / weights]));
 }
 
 /** Decides for one node, at each report, whether its worker goes elsewhere. */
-export class Balance {
+export class ShardBalancer {
   private current: BalanceState = 'even';
-  private nextAt = 0 as Ms;
+  private nextAt = 0 as MonotonicMs;
   /** Sent there since the node last said how many it holds. */
   private readonly sent = new Map<NodeId, { readonly said: number; count: number }>();
 
@@ -62,29 +62,29 @@
   /** The only function that changes the state. */
   private enter(next: BalanceState): void {
     if (next === this.current) return;
-    transitions.check(this.current, next);
+    transitions.assertAllowed(this.current, next);
     this.current = next;
   }
 
-  private room(h: Holder, part: number): number {
+  private room(h: ShardOwner, part: number): number {
     const sent = this.sent.get(h.node);
-    const underWay = sent !== undefined && sent.said === h.machines ? sent.count : 0;
-    return part - h.machines - underWay;
+    const underWay = sent !== undefined && sent.said === h.machineCount ? sent.count : 0;
+    return part - h.machineCount - underWay;
   }
 
   /** Where the worker of this zone that reports now should go, or null: it stays. */
-  target(own: Holder, others: readonly Holder[], zone: string): NodeId | null {
+  selectTarget(own: ShardOwner, others: readonly ShardOwner[], zone: string): NodeId | null {
     const now = this.clock.now();
     if (now < this.nextAt) return null;
-    const part = parts([own, ...others]);
+    const part = targetShardSizes([own, ...others]);
     const mine = part.get(this.self) ?? 0;
-    if (this.current === 'even' && own.machines > mine * BEGIN + LEAST) this.enter('shedding');
-    if (this.current === 'shedding' && own.machines <= mine * END) this.enter('even');
+    if (this.current === 'even' && own.machineCount > mine * BEGIN + LEAST) this.enter('shedding');
+    if (this.current === 'shedding' && own.machineCount <= mine * END) this.enter('even');
     const isShedding = this.current === 'shedding';
     // One that is at home goes last: while there are strangers they report as often.
-    if (isShedding && zone === own.zone && own.machines <= mine * BEGIN) return null;
+    if (isShedding && zone === own.zone && own.machineCount <= mine * BEGIN) return null;
     if (!isShedding && zone === own.zone) return null;
-    let best: Holder | null = null;
+    let best: ShardOwner | null = null;
     let most = 0;
     for (const h of others) {
       const whole = part.get(h.node) ?? 0;
@@ -92,7 +92,7 @@
       if (!isShedding && !isHome) continue;
       const room = this.room(h, isHome ? whole * HOME : whole);
       // A node of its zone is preferred to any other that has room.
-      const worth = room <= 0 ? 0 : isHome ? room + whole + own.machines : room;
+      const worth = room <= 0 ? 0 : isHome ? room + whole + own.machineCount : room;
       if (worth > most) {
         most = worth;
         best = h;
@@ -100,10 +100,10 @@
     }
     if (best === null) return null;
     const before = this.sent.get(best.node);
-    const count = before !== undefined && before.said === best.machines ? before.count + 1 : 1;
-    this.sent.set(best.node, { said: best.machines, count });
-    const perS = isShedding ? Math.max(MOVES_PER_S, own.machines * MOVED_SHARE) : HOME_MOVES_PER_S;
-    this.nextAt = (now + 1000 / perS) as Ms;
+    const count = before !== undefined && before.said === best.machineCount ? before.count + 1 : 1;
+    this.sent.set(best.node, { said: best.machineCount, count });
+    const perS = isShedding ? Math.max(MOVES_PER_S, own.machineCount * MOVED_SHARE) : HOME_MOVES_PER_S;
+    this.nextAt = (now + 1000 / perS) as MonotonicMs;
     return best.node;
   }
 }
--- a/packages/shares/test/model.test.ts
+++ b/packages/worker-shards/test/delegation-model.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { GUARDS, explore } from './model.js';
+import { GUARDS, explore } from './delegation-model.js';
 
 test('with all guards no state breaks a rule, however late messages are', () => {
   const { rules, states } = explore(null);
--- a/packages/shares/test/shares.test.ts
+++ b/packages/worker-shards/test/worker-shards.test.ts
@@ -1,34 +1,40 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import type { Ms } from '@spurbridge/net';
-import type { MachineId, NodeId, Session, Token, WorkerReport } from '@spurbridge/wire';
-import type { Holder } from '../src/index.js';
-import { Balance, Grant, Pending, Share, parts } from '../src/index.js';
+import type { MonotonicMs } from '@spurbridge/net';
+import type { MachineId, NodeId, AgentEpoch, FencingToken, Heartbeat } from '@spurbridge/wire';
+import type { ShardOwner } from '../src/index.js';
+import {
+  ShardBalancer,
+  LeaseDelegation,
+  PendingRequests,
+  WorkerShard,
+  targetShardSizes,
+} from '../src/index.js';
 
 class Hand {
   at = 0;
-  now(): Ms {
-    return this.at as Ms;
+  now(): MonotonicMs {
+    return this.at as MonotonicMs;
   }
   sleep(): Promise<void> {
     return Promise.resolve();
   }
 }
 
-const token = (n: number): Token => n as Token;
+const token = (n: number): FencingToken => n as FencingToken;
 
-function report(machine: string, seq: number, session = 1): WorkerReport {
+function report(machine: string, seq: number, session = 1): Heartbeat {
   return {
     machine: machine as MachineId,
     address: machine,
     type: 's',
     zone: 'a',
     spot: false,
-    session: session as Session,
-    seq,
-    token: token(1),
-    noticeS: null,
+    agentEpoch: session as AgentEpoch,
+    sequence: seq,
+    fencingToken: token(1),
+    preemptionNoticeS: null,
     tasks: [],
   };
 }
@@ -47,14 +53,14 @@
       fc.nat(40_000),
       (h, l, out, back, left, after) => {
         const clock = new Hand();
-        const grant = new Grant(clock);
+        const grant = new LeaseDelegation(clock);
         // True time 0: asked. The leader answers at `out`; the answer is read at `out + back`.
         const horizonEnds = out + left / l;
         clock.at = (out + back) * h;
-        grant.extend(token(7), 0 as Ms, left);
+        grant.extend(token(7), 0 as MonotonicMs, left);
         const trueNow = out + back + after;
         clock.at = trueNow * h;
-        if (grant.token(token(7)) !== null) assert.ok(trueNow <= horizonEnds);
+        if (grant.currentToken(token(7)) !== null) assert.ok(trueNow <= horizonEnds);
       },
     ),
     { numRuns: 2000 },
@@ -63,69 +69,69 @@
 
 test('a grant ends with its time or a higher token, and an older answer does not bring it back', () => {
   const clock = new Hand();
-  const grant = new Grant(clock);
-  assert.equal(grant.token(token(0)), null);
-  grant.extend(token(5), 0 as Ms, 1000);
-  assert.equal(grant.token(token(5)), 5);
-  assert.equal(grant.token(token(6)), null);
-  grant.extend(token(4), 0 as Ms, 60_000);
+  const grant = new LeaseDelegation(clock);
+  assert.equal(grant.currentToken(token(0)), null);
+  grant.extend(token(5), 0 as MonotonicMs, 1000);
+  assert.equal(grant.currentToken(token(5)), 5);
+  assert.equal(grant.currentToken(token(6)), null);
+  grant.extend(token(4), 0 as MonotonicMs, 60_000);
   clock.at = 1001;
-  assert.equal(grant.token(token(5)), null);
-  grant.extend(token(5), 900 as Ms, 500);
-  assert.equal(grant.token(token(5)), 5);
-  grant.extend(token(5), 0 as Ms, 500);
-  assert.equal(grant.token(token(5)), 5);
-  grant.extend(token(8), 1000 as Ms, 0);
-  assert.equal(grant.token(token(8)), null);
+  assert.equal(grant.currentToken(token(5)), null);
+  grant.extend(token(5), 900 as MonotonicMs, 500);
+  assert.equal(grant.currentToken(token(5)), 5);
+  grant.extend(token(5), 0 as MonotonicMs, 500);
+  assert.equal(grant.currentToken(token(5)), 5);
+  grant.extend(token(8), 1000 as MonotonicMs, 0);
+  assert.equal(grant.currentToken(token(8)), null);
 });
 
 test('a question ends once: by the answer of whom it was put to, by time, or with the link', async () => {
   const clock = new Hand();
-  const pending = new Pending<string>(clock, 2000);
-  const a = pending.ask('one' as NodeId, 'n-1 1 7');
-  pending.answered(a.id, 'two' as NodeId, 'n-1 1 7', 'forged');
-  pending.answered(a.id, 'one' as NodeId, 'n-9 1 7', 'of the process before');
-  pending.answered(a.id, 'one' as NodeId, 'n-1 1 7', 'right');
-  pending.answered(a.id, 'one' as NodeId, 'n-1 1 7', 'again');
+  const pending = new PendingRequests<string>(clock, 2000);
+  const a = pending.register('one' as NodeId, 'n-1 1 7');
+  pending.complete(a.id, 'two' as NodeId, 'n-1 1 7', 'forged');
+  pending.complete(a.id, 'one' as NodeId, 'n-9 1 7', 'of the process before');
+  pending.complete(a.id, 'one' as NodeId, 'n-1 1 7', 'right');
+  pending.complete(a.id, 'one' as NodeId, 'n-1 1 7', 'again');
   assert.equal(await a.answer, 'right');
-  const b = pending.ask('one' as NodeId, 'n-1 1 7');
+  const b = pending.register('one' as NodeId, 'n-1 1 7');
   clock.at = 1000;
-  const c = pending.ask('two' as NodeId, 'n-2 1 7');
+  const c = pending.register('two' as NodeId, 'n-2 1 7');
   clock.at = 2000;
-  pending.sweep();
+  pending.expire();
   assert.equal(await b.answer, null);
   assert.equal(pending.size, 1);
-  pending.closed('one' as NodeId);
+  pending.abandon('one' as NodeId);
   assert.equal(pending.size, 1);
-  pending.closed('two' as NodeId);
+  pending.abandon('two' as NodeId);
   assert.equal(await c.answer, null);
 });
 
 test('a share knows the newest report of each machine held, and forgets those that left', () => {
   const clock = new Hand();
-  const share = new Share(clock, 10_000);
-  share.reported(report('n-1', 5));
-  share.reported(report('n-1', 4));
-  share.reported(report('n-2', 1));
+  const share = new WorkerShard(clock, 10_000);
+  share.recordHeartbeat(report('n-1', 5));
+  share.recordHeartbeat(report('n-1', 4));
+  share.recordHeartbeat(report('n-2', 1));
   clock.at = 4000;
   assert.deepEqual(
-    share.known().map((k) => [k.report.machine, k.report.seq, k.ageMs]),
+    share.latestHeartbeats().map((k) => [k.heartbeat.machine, k.heartbeat.sequence, k.ageMs]),
     [
       ['n-1', 5, 4000],
       ['n-2', 1, 4000],
     ],
   );
-  share.moved('n-1' as MachineId);
+  share.markMoving('n-1' as MachineId);
   assert.equal(share.size, 1);
-  share.reported(report('n-1', 1, 2));
+  share.recordHeartbeat(report('n-1', 1, 2));
   assert.equal(share.size, 2);
-  assert.equal(share.known()[0]?.report.session, 2);
+  assert.equal(share.latestHeartbeats()[0]?.heartbeat.agentEpoch, 2);
   clock.at = 12_000;
-  share.sweep();
-  assert.deepEqual([share.size, share.known().length], [1, 1]);
-  share.moved('n-1' as MachineId);
+  share.removeDeparted();
+  assert.deepEqual([share.size, share.latestHeartbeats().length], [1, 1]);
+  share.markMoving('n-1' as MachineId);
   clock.at = 30_000;
-  share.sweep();
+  share.removeDeparted();
   assert.equal(share.size, 0);
 });
 
@@ -142,14 +148,14 @@
 function settle(held: readonly (readonly string[])[], leader: number, staleMs: number): Played {
   const clock = new Hand();
   const nodes = held.map((zones, i) => ({ node: `spur-${i}` as NodeId, zone: `z${i}`, zones: [...zones] }));
-  const balances = nodes.map((n) => new Balance(clock, n.node));
-  const holder = (n: (typeof nodes)[number], i: number): Holder => ({
+  const balances = nodes.map((n) => new ShardBalancer(clock, n.node));
+  const holder = (n: (typeof nodes)[number], i: number): ShardOwner => ({
     node: n.node,
     zone: n.zone,
-    machines: n.zones.length,
-    leads: i === leader,
+    machineCount: n.zones.length,
+    isLeader: i === leader,
   });
-  let said: Holder[] = [];
+  let said: ShardOwner[] = [];
   let moves = 0;
   let late = 0;
   for (; clock.at < 400_000; clock.at += 10) {
@@ -158,7 +164,11 @@
       const zone = n.zones.shift();
       if (zone === undefined) return;
       const others = said.filter((h) => h.node !== n.node);
-      const to = balances[i]?.target({ ...holder(n, i), machines: n.zones.length + 1 }, others, zone);
+      const to = balances[i]?.selectTarget(
+        { ...holder(n, i), machineCount: n.zones.length + 1 },
+        others,
+        zone,
+      );
       const target = nodes.find((x) => x.node === to) ?? n;
       target.zones.push(zone);
       if (target === n) return;
@@ -177,13 +187,13 @@
     fc.property(fc.array(fc.nat(600), { minLength: 2, maxLength: 5 }), fc.nat(4), (counts, lead) => {
       const leader = lead % counts.length;
       const all = counts.reduce((a, b) => a + b, 0);
-      const holders = counts.map((machines, i) => ({
+      const holders = counts.map((machineCount, i) => ({
         node: `spur-${i}` as NodeId,
         zone: `z${i}`,
-        machines,
-        leads: i === leader,
+        machineCount,
+        isLeader: i === leader,
       }));
-      const wanted = [...parts(holders).values()];
+      const wanted = [...targetShardSizes(holders).values()];
       const due = counts.reduce((sum, c, i) => sum + Math.max(0, c - (wanted[i] ?? 0)), 0);
       const end = settle(counts.map(away), leader, 700);
       assert.equal(
