--- a/packages/wire/src/forward.ts
+++ b/packages/wire/src/forward.ts
@@ -186,7 +186,13 @@
 
 export function answerToWire(a: ForwardedHeartbeatResponse): WireAnswer {
   return {
-    ...a,
+    id: a.id,
+    machine: a.machine,
+    session: a.session,
+    seq: a.seq,
+    code: a.code,
+    token: a.token,
+    grantMs: a.grantMs,
     commands: a.commands.map((c) => ({
       op: OPS.indexOf(c.op),
       job: c.job,
--- a/packages/wire/src/peer.ts
+++ b/packages/wire/src/peer.ts
@@ -85,15 +85,83 @@
 
 export const MAX_FRAME_BYTES = 1 << 20;
 
+/** The members of a status as its protobuf message names them. */
+interface WireStatus {
+  readonly node: string;
+  readonly token: number;
+  readonly leader: string;
+  readonly stateOk: boolean;
+  readonly epoch: number;
+  readonly revision: number;
+  readonly trusted: boolean;
+  readonly continuous: boolean;
+  readonly epochId: string;
+  readonly takesReports: boolean;
+  readonly ready: boolean;
+  readonly machines: number;
+  readonly holds: boolean;
+  readonly burden: number;
+  readonly configuration: number;
+  readonly configurationAgeMs: number;
+}
+
+function statusToWire(status: PeerStatus): WireStatus {
+  return {
+    node: status.node,
+    token: status.token,
+    leader: status.leader,
+    stateOk: status.stateOk,
+    epoch: status.epoch,
+    revision: status.revision,
+    trusted: status.trusted,
+    continuous: status.continuous,
+    epochId: status.epochId,
+    takesReports: status.takesReports,
+    ready: status.ready,
+    machines: status.machines,
+    holds: status.holds,
+    burden: status.burden,
+    configuration: status.configuration,
+    configurationAgeMs: status.configurationAgeMs,
+  };
+}
+
+function statusFromWire(status: WireStatus): PeerStatus {
+  return {
+    node: status.node as NodeId,
+    token: status.token as FencingToken,
+    leader: status.leader as NodeId,
+    stateOk: status.stateOk,
+    epoch: status.epoch,
+    epochId: status.epochId,
+    revision: status.revision,
+    trusted: status.trusted,
+    continuous: status.continuous,
+    takesReports: status.takesReports,
+    ready: status.ready,
+    machines: status.machines,
+    holds: status.holds,
+    burden: status.burden,
+    configuration: status.configuration,
+    configurationAgeMs: status.configurationAgeMs,
+  };
+}
+
+function messageToWire(m: PeerMessage): Record<string, unknown> {
+  const { status, progress, from, forwards, answers } = m;
+  return {
+    ...(status === undefined ? {} : { status: statusToWire(status) }),
+    ...(progress === undefined
+      ? {}
+      : { progress: progress.map((p) => ({ job: p.job, done: p.done, running: p.running })) }),
+    ...(from === undefined ? {} : { from }),
+    ...(forwards === undefined ? {} : { forwards: forwards.map(forwardToWire) }),
+    ...(answers === undefined ? {} : { answers: answers.map(answerToWire) }),
+  };
+}
+
 export function encodePeerMessage(m: PeerMessage): Uint8Array {
-  const { forwards, answers, ...rest } = m;
-  return Message.encodeDelimited(
-    Message.create({
-      ...rest,
-      ...(forwards === undefined ? {} : { forwards: forwards.map(forwardToWire) }),
-      ...(answers === undefined ? {} : { answers: answers.map(answerToWire) }),
-    }),
-  ).finish();
+  return Message.encodeDelimited(Message.create(messageToWire(m))).finish();
 }
 
 /** Decodes the first whole frame of `bytes`; null while more bytes are needed. */
@@ -114,7 +182,7 @@
   const { status, progress, from, forwards, answers } = decoded;
   // Fields that were not sent are read as their type's default.
   const message: PeerMessage = {
-    ...(status === null ? {} : { status: Status.toObject(status, { defaults: true }) as PeerStatus }),
+    ...(status === null ? {} : { status: statusFromWire(status) }),
     progress: progress.map((p) => ({ job: p.job, done: p.done, running: p.running })),
     ...(from === '' ? {} : { from: from as NodeId }),
     ...(forwards.length === 0
@@ -126,7 +194,7 @@
 }
 
 interface Decoded {
-  readonly status: protobuf.Message | null;
+  readonly status: WireStatus | null;
   readonly progress: readonly JobProgress[];
   readonly from: string;
   readonly forwards: readonly Parameters<typeof forwardFromWire>[0][];
