--- a/packages/controller/src/leadership/controller.ts
+++ b/packages/controller/src/leadership/controller.ts
@@ -190,7 +190,7 @@
       machineTypes: () => this.machineTypes,
       leaderComponents: this.parts.leaderComponents ?? [],
       publishProgress: (progress) => {
-        this.peers.broadcast({ progress });
+        this.peers.broadcast({ jobProgress: progress });
       },
       directWorkers: () => this.holding.shard,
       onReady: () => {
@@ -243,12 +243,12 @@
     return {
       status: {
         node: this.parts.settings.node,
-        token: known?.fencingToken ?? (0 as FencingToken),
+        fencingToken: known?.fencingToken ?? (0 as FencingToken),
         leader: known?.node ?? ('' as NodeId),
-        stateOk: this.stateServed(),
+        isStoreReachable: this.stateServed(),
         ...this.parts.store.status(),
         ...this.holding.status(this.leader?.isReady === true),
-        burden: this.fitness.penalty,
+        leadershipPenalty: this.fitness.penalty,
         ...this.inForce.status(),
       },
     };
@@ -285,11 +285,11 @@
   private onPeer(message: PeerMessage): void {
     const s = message.status;
     if (s !== undefined) this.parts.store.receivePeerStatus(s);
-    if (s !== undefined && s.leader !== '') this.leadership.observeToken(s.token, s.leader);
+    if (s !== undefined && s.leader !== '') this.leadership.observeToken(s.fencingToken, s.leader);
     if (s !== undefined) this.holding.onPeerStatus(s);
     if (s !== undefined) this.inForce.onPeerStatus(s);
     this.holding.onPeerMessage(message);
-    for (const p of message.progress ?? []) {
+    for (const p of message.jobProgress ?? []) {
       this.progress.delete(p.job as JobId);
       this.progress.set(p.job as JobId, p);
     }
--- a/packages/controller/src/peers/configuration-rollout.ts
+++ b/packages/controller/src/peers/configuration-rollout.ts
@@ -1,7 +1,7 @@
 import type { ConfigurationVersion } from '@spurbridge/configuration';
 import { SETTINGS_FILE_VERSION } from '@spurbridge/configuration';
 import type { Clock, MonotonicMs } from '@spurbridge/net';
-import type { NodeId, PeerStatus } from '@spurbridge/wire';
+import type { NodeId, PeerConfigurationStatus, PeerStatus } from '@spurbridge/wire';
 import type { Settings } from '../settings.js';
 
 const MOST_AGE_MS = 2 ** 31;
@@ -54,9 +54,9 @@
   }
 
   /** What peers are told. */
-  status(): Pick<PeerStatus, 'configuration' | 'configurationAgeMs'> {
+  status(): PeerConfigurationStatus {
     const ageMs = Math.round(Math.min(MOST_AGE_MS, this.own.ageMs()));
-    return { configuration: this.version, configurationAgeMs: ageMs };
+    return { configurationVersion: this.version, configurationAgeMs: ageMs };
   }
 
   onPeerStatus(status: PeerStatus): void {
@@ -81,9 +81,9 @@
     const { status, at } = known;
     return {
       node,
-      version: status.configuration as ConfigurationVersion,
+      version: status.configurationVersion as ConfigurationVersion,
       ageMs: status.configurationAgeMs + (this.clock.now() - at),
-      leads: status.takesReports,
+      leads: status.acceptsForwardedHeartbeats,
     };
   }
 }
--- a/packages/controller/src/peers/peer-transport.ts
+++ b/packages/controller/src/peers/peer-transport.ts
@@ -183,7 +183,7 @@
     for await (const message of decodePeerMessages(socket)) {
       const { status } = message;
       if (status !== undefined) {
-        this.heardAt.set(status.node, { at: this.clock.now(), stateOk: status.stateOk });
+        this.heardAt.set(status.node, { at: this.clock.now(), stateOk: status.isStoreReachable });
         this.links.find((l) => l.node === status.node)?.onPeerHeard();
       }
       this.receive(message);
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -8,6 +8,7 @@
   ForwardedHeartbeatResponse,
   NodeId,
   PeerMessage,
+  PeerShardStatus,
   PeerStatus,
   FencingToken,
   WorkerCommand,
@@ -80,13 +81,14 @@
   }
 
   /** What others are told of this node as a holder. */
-  status(ready: boolean): Pick<PeerStatus, 'takesReports' | 'ready' | 'machines' | 'holds'> {
+  status(ready: boolean): PeerShardStatus {
     const leads = this.p.leads();
     return {
-      takesReports: leads,
-      ready: leads && ready,
-      machines: this.shard.size,
-      holds: this.isAble() && this.ableSince !== null && this.p.clock.now() - this.ableSince > SETTLED_MS,
+      acceptsForwardedHeartbeats: leads,
+      isLeaderReady: leads && ready,
+      shardSize: this.shard.size,
+      canServeWorkers:
+        this.isAble() && this.ableSince !== null && this.p.clock.now() - this.ableSince > SETTLED_MS,
     };
   }
 
@@ -95,8 +97,8 @@
     const now = this.p.clock.now();
     const found: LeaderCandidate[] = [];
     for (const [node, { status, at }] of this.others)
-      if (status.stateOk && now - at < PEER_MS && this.p.peers.isConnected(node))
-        found.push({ node, penalty: status.burden });
+      if (status.isStoreReachable && now - at < PEER_MS && this.p.peers.isConnected(node))
+        found.push({ node, penalty: status.leadershipPenalty });
     return found;
   }
 
@@ -124,7 +126,8 @@
     const known = this.p.leadership.knownLeader();
     if (known === null || known.node === this.p.settings.node) return null;
     const peer = this.others.get(known.node);
-    if (peer?.status.takesReports !== true || peer.status.token !== known.fencingToken) return null;
+    if (peer?.status.acceptsForwardedHeartbeats !== true || peer.status.fencingToken !== known.fencingToken)
+      return null;
     return this.p.peers.isConnected(known.node) ? known.node : null;
   }
 
@@ -165,18 +168,18 @@
 
   private async forward(leader: NodeId, r: Heartbeat): Promise<HeartbeatOutcome | null> {
     const { id, askedAt, answer } = this.pending.register(leader, nameOf(r));
-    this.due.push({ id, ageMs: 0, report: r });
+    this.due.push({ id, ageMs: 0, heartbeat: r });
     if (this.due.length === 1)
       void this.p.clock.sleep(GATHER_MS).then(() => {
         this.flush(leader);
       });
     const a = await answer;
     if (a === null) return null;
-    this.observeFencingToken(a.token);
+    this.observeFencingToken(a.fencingToken);
     if (a.code !== 200) return { code: 503 };
     this.shard.recordHeartbeat(r);
-    this.shard.extendDelegation(r.machine, a.token, askedAt, a.grantMs);
-    return { code: 200, token: a.token, commands: a.commands };
+    this.shard.extendDelegation(r.machine, a.fencingToken, askedAt, a.delegatedLeaseMs);
+    return { code: 200, token: a.fencingToken, commands: a.commands };
   }
 
   private flush(leader: NodeId): void {
@@ -188,7 +191,10 @@
   private send(to: NodeId, forwards: readonly ForwardedHeartbeat[]): boolean {
     const from = this.p.settings.node;
     for (let i = 0; i < forwards.length; i += FORWARDS_A_FRAME)
-      if (!this.p.peers.send(to, { from, forwards: forwards.slice(i, i + FORWARDS_A_FRAME) })) return false;
+      if (
+        !this.p.peers.send(to, { sender: from, forwardedHeartbeats: forwards.slice(i, i + FORWARDS_A_FRAME) })
+      )
+        return false;
     return true;
   }
 
@@ -197,12 +203,12 @@
     const now = this.p.clock.now();
     const others: ShardOwner[] = [];
     for (const [node, peer] of this.others)
-      if (peer.status.holds && now - peer.at < PEER_MS && this.p.peers.isConnected(node))
+      if (peer.status.canServeWorkers && now - peer.at < PEER_MS && this.p.peers.isConnected(node))
         others.push({
           node,
-          machineCount: peer.status.machines,
+          machineCount: peer.status.shardSize,
           zone: this.p.settings.peers.find((x) => x.node === node)?.zone ?? '',
-          isLeader: peer.status.takesReports,
+          isLeader: peer.status.acceptsForwardedHeartbeats,
         });
     const own = {
       node: this.p.settings.node,
@@ -234,12 +240,12 @@
 
   onPeerStatus(status: PeerStatus): void {
     this.others.set(status.node, { status, at: this.p.clock.now() });
-    this.observeFencingToken(status.token);
+    this.observeFencingToken(status.fencingToken);
     // A new leader knows what is on the machines at once, without waiting for hundreds of reports.
-    if (!status.ready || status.token <= this.toldTo || this.p.leads()) return;
+    if (!status.isLeaderReady || status.fencingToken <= this.toldTo || this.p.leads()) return;
     if (!this.p.peers.isConnected(status.node)) return;
-    this.toldTo = status.token;
-    void this.tell(status.node, status.token);
+    this.toldTo = status.fencingToken;
+    void this.tell(status.node, status.fencingToken);
   }
 
   /** Says what is known of every machine here, a frame at a time: all at once would be more than a link may queue. */
@@ -250,36 +256,32 @@
       const sinceMs = this.p.clock.now() - toldAt;
       const forwards = known
         .slice(i, i + FORWARDS_A_FRAME)
-        .map(({ heartbeat: report, ageMs }) => ({ id: 0, ageMs: ageMs + sinceMs, report }));
-      if (!this.p.peers.send(leader, { from: this.p.settings.node, forwards })) return;
+        .map(({ heartbeat: report, ageMs }) => ({ id: 0, ageMs: ageMs + sinceMs, heartbeat: report }));
+      if (!this.p.peers.send(leader, { sender: this.p.settings.node, forwardedHeartbeats: forwards })) return;
       await this.p.clock.sleep(GATHER_MS);
     }
   }
 
   onPeerMessage(message: PeerMessage): void {
-    const { from, forwards, answers } = message;
+    const { sender: from, forwardedHeartbeats: forwards, forwardedHeartbeatResponses: answers } = message;
     if (from === undefined) return;
-    for (const a of answers ?? [])
-      this.pending.complete(
-        a.id,
-        from,
-        nameOf({ machine: a.machine, agentEpoch: a.session, sequence: a.seq }),
-        a,
-      );
+    for (const a of answers ?? []) this.pending.complete(a.id, from, nameOf(a), a);
     if (forwards === undefined) return;
     const given: ForwardedHeartbeatResponse[] = [];
     for (const f of forwards)
-      if (f.id === 0) this.p.hear(f.report, f.ageMs);
+      if (f.id === 0) this.p.hear(f.heartbeat, f.ageMs);
       else given.push(this.answerTo(f));
-    if (given.length > 0) this.p.peers.send(from, { from: this.p.settings.node, answers: given });
+    if (given.length > 0)
+      this.p.peers.send(from, { sender: this.p.settings.node, forwardedHeartbeatResponses: given });
   }
 
   private answerTo(f: ForwardedHeartbeat): ForwardedHeartbeatResponse {
-    const a = this.p.answer(f.report, true);
-    const { machine, agentEpoch: session, sequence: seq } = f.report;
-    const to = { id: f.id, machine, session, seq };
-    if (a.code !== 200) return { ...to, code: 503, token: 0 as FencingToken, grantMs: 0, commands: [] };
-    return { ...to, code: 200, token: a.token, grantMs: a.grantMs, commands: a.commands };
+    const a = this.p.answer(f.heartbeat, true);
+    const { machine, agentEpoch, sequence } = f.heartbeat;
+    const to = { id: f.id, machine, agentEpoch, sequence };
+    if (a.code !== 200)
+      return { ...to, code: 503, fencingToken: 0 as FencingToken, delegatedLeaseMs: 0, commands: [] };
+    return { ...to, code: 200, fencingToken: a.token, delegatedLeaseMs: a.grantMs, commands: a.commands };
   }
 }
 
--- a/packages/controller/test/configuration-rollout.test.ts
+++ b/packages/controller/test/configuration-rollout.test.ts
@@ -15,14 +15,14 @@
   const own = { version: () => v(5), ageMs: () => 40, leads: () => leads };
   const inForce = new ConfigurationRollout(SETTINGS, clock, own);
   inForce.onElected();
-  assert.equal(inForce.status().configuration, 0);
+  assert.equal(inForce.status().configurationVersion, 0);
   assert.equal(inForce.recordPlan(v(5)), true);
   assert.equal(inForce.recordPlan(v(5)), false);
-  assert.equal(inForce.status().configuration, 5);
+  assert.equal(inForce.status().configurationVersion, 5);
   inForce.onElected();
-  assert.equal(inForce.status().configuration, 0);
+  assert.equal(inForce.status().configurationVersion, 0);
   leads = false;
-  assert.equal(inForce.status().configuration, 5);
+  assert.equal(inForce.status().configurationVersion, 5);
 });
 
 test('every node is listed with how old its knowledge is, also one that was never heard', () => {
@@ -30,7 +30,12 @@
   const clock = { now: () => now } as unknown as Clock;
   const own = { version: () => v(5), ageMs: () => 40, leads: () => false };
   const inForce = new ConfigurationRollout(SETTINGS, clock, own);
-  const status = { node: 'b' as NodeId, configuration: 4, configurationAgeMs: 100, takesReports: true };
+  const status = {
+    node: 'b' as NodeId,
+    configurationVersion: 4,
+    configurationAgeMs: 100,
+    acceptsForwardedHeartbeats: true,
+  };
   inForce.onPeerStatus(status as unknown as PeerStatus);
   now = 3000;
   const [a, b, c] = inForce.allNodes();
--- a/packages/controller/test/peer-transport.test.ts
+++ b/packages/controller/test/peer-transport.test.ts
@@ -25,7 +25,7 @@
   const { port } = first.address() as AddressInfo;
   await new Promise((resolve) => first.close(resolve));
   const link = new PeerConnection('spur-1' as NodeId, `127.0.0.1:${port}`, stopped, silent, () => undefined);
-  const greeting = { progress: [], from: 'spur-0' as NodeId };
+  const greeting = { jobProgress: [], sender: 'spur-0' as NodeId };
   void link.run(() => greeting);
   // The first attempt is refused.
   await new Promise((resolve) => setTimeout(resolve, 100));
--- a/packages/recovery/src/peer-observations.ts
+++ b/packages/recovery/src/peer-observations.ts
@@ -35,9 +35,9 @@
   peerSaid(status: PeerStatus): void {
     const at = this.clock.now();
     const before = this.peers.get(status.node);
-    const since = before !== undefined && before.status.epoch === status.epoch ? before.since : at;
+    const since = before !== undefined && before.status.storeEpoch === status.storeEpoch ? before.since : at;
     this.peers.set(status.node, { at, since, status });
-    this.met(status.epoch);
+    this.met(status.storeEpoch);
   }
 
   met(number: number): void {
@@ -69,7 +69,9 @@
       // A peer that gathers and does not come to an end is not waited for for ever.
       ahead: Math.max(
         0,
-        ...alive.filter((p) => p.status.trusted || now - p.since < GATHERS_MS).map((p) => p.status.epoch),
+        ...alive
+          .filter((p) => p.status.isStoreTrusted || now - p.since < GATHERS_MS)
+          .map((p) => p.status.storeEpoch),
       ),
     };
   }
@@ -77,17 +79,17 @@
   private following(epochId: string): PeerStatus[] {
     return this.alive()
       .map((p) => p.status)
-      .filter((s) => s.epochId === epochId && s.trusted);
+      .filter((s) => s.storeEpochId === epochId && s.isStoreTrusted);
   }
 
   /** Whether a peer has followed the epoch from its opening. */
   attests(epochId: string): boolean {
-    return this.following(epochId).some((s) => s.continuous);
+    return this.following(epochId).some((s) => s.hasContinuousReplica);
   }
 
   /** Highest revision that a peer knows of in the epoch. */
   revisionOf(epochId: string): number {
-    return Math.max(0, ...this.following(epochId).map((s) => s.revision));
+    return Math.max(0, ...this.following(epochId).map((s) => s.storeRevision));
   }
 
   /**
--- a/packages/recovery/src/recoverable-store.ts
+++ b/packages/recovery/src/recoverable-store.ts
@@ -18,6 +18,7 @@
   LeaseId,
   MachineId,
   NodeId,
+  PeerStoreStatus,
   PeerStatus,
   Revision,
   FencingToken,
@@ -166,15 +167,15 @@
   // --- what others say -----------------------------------------------------------------------------
 
   /** What peers are told of this node's trust. */
-  status(): Pick<PeerStatus, 'epoch' | 'epochId' | 'revision' | 'trusted' | 'continuous'> {
+  status(): PeerStoreStatus {
     const { isTrusted: trusted, continuous, view } = this;
     return {
-      epoch: Math.max(this.generation, this.joined),
+      storeEpoch: Math.max(this.generation, this.joined),
       // Of the epoch that it follows, or has followed and doubts; not of one that it only helps to gather.
-      epochId: this.joined > this.generation ? '' : (view?.epoch.id ?? ''),
-      revision: this.sound?.claimed ?? 0,
-      trusted,
-      continuous,
+      storeEpochId: this.joined > this.generation ? '' : (view?.epoch.id ?? ''),
+      storeRevision: this.sound?.claimed ?? 0,
+      isStoreTrusted: trusted,
+      hasContinuousReplica: continuous,
     };
   }
 
@@ -183,16 +184,16 @@
     const { sound } = this;
     if (sound === null) return;
     const { number, id } = sound.epoch;
-    if (status.epoch > number) this.doubt(`${status.node} is in epoch ${status.epoch}`);
-    else if (status.epoch < number) return;
-    else if (status.epochId === '') return;
-    else if (status.epochId !== id) {
+    if (status.storeEpoch > number) this.doubt(`${status.node} is in epoch ${status.storeEpoch}`);
+    else if (status.storeEpoch < number) return;
+    else if (status.storeEpochId === '') return;
+    else if (status.storeEpochId !== id) {
       // Two stores behind one address. One side moves on, so that the other hears of a later epoch and refuses.
-      if (status.epochId > id) this.doubt(`${status.node} follows another epoch ${status.epoch}`);
-    } else if (!status.trusted) this.doubt(`${status.node} doubts it`);
+      if (status.storeEpochId > id) this.doubt(`${status.node} follows another epoch ${status.storeEpoch}`);
+    } else if (!status.isStoreTrusted) this.doubt(`${status.node} doubts it`);
     else {
-      sound.claimed = Math.max(sound.claimed, status.revision);
-      if (status.continuous) this.isContinuous = true;
+      sound.claimed = Math.max(sound.claimed, status.storeRevision);
+      if (status.hasContinuousReplica) this.isContinuous = true;
     }
   }
 
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -328,7 +328,7 @@
     const heard = new Map<string, { at: number; ok: boolean }>();
     this.receivers.set(name, (message) => {
       const s = message.status;
-      if (s !== undefined) heard.set(s.node, { at: clock.now(), ok: s.stateOk });
+      if (s !== undefined) heard.set(s.node, { at: clock.now(), ok: s.isStoreReachable });
       receive(message);
     });
     this.closers.set(name, closed);
@@ -602,18 +602,18 @@
 }
 
 /** What is left of a message for a node of a version before shares. */
-function asBefore({ status, progress }: PeerMessage): PeerMessage {
+function asBefore({ status, jobProgress: progress }: PeerMessage): PeerMessage {
   const known = {
-    takesReports: false,
-    ready: false,
-    holds: false,
-    machines: 0,
-    burden: 0,
-    configuration: 0,
+    acceptsForwardedHeartbeats: false,
+    isLeaderReady: false,
+    canServeWorkers: false,
+    shardSize: 0,
+    leadershipPenalty: 0,
+    configurationVersion: 0,
     configurationAgeMs: 0,
   };
   return {
     ...(status === undefined ? {} : { status: { ...status, ...known } }),
-    ...(progress === undefined ? {} : { progress }),
+    ...(progress === undefined ? {} : { jobProgress: progress }),
   };
 }
--- a/packages/wire/src/forward.ts
+++ b/packages/wire/src/forward.ts
@@ -8,7 +8,7 @@
   readonly id: number;
   /** How long ago it came, in milliseconds. */
   readonly ageMs: number;
-  readonly report: Heartbeat;
+  readonly heartbeat: Heartbeat;
 }
 
 /** The leader's answer to a forwarded report. */
@@ -16,12 +16,12 @@
   readonly id: number;
   /** The report that it answers: no two reports have all three alike. */
   readonly machine: MachineId;
-  readonly session: AgentEpoch;
-  readonly seq: number;
+  readonly agentEpoch: AgentEpoch;
+  readonly sequence: number;
   readonly code: 200 | 503;
-  readonly token: FencingToken;
+  readonly fencingToken: FencingToken;
   /** So long its holder may answer in the leader's stead, counted from the question's sending, in milliseconds. */
-  readonly grantMs: number;
+  readonly delegatedLeaseMs: number;
   readonly commands: readonly WorkerCommand[];
 }
 
@@ -121,7 +121,7 @@
 }
 
 export function forwardToWire(f: ForwardedHeartbeat): WireForward {
-  const { report: r } = f;
+  const { heartbeat: r } = f;
   return {
     id: f.id,
     ageMs: f.ageMs,
@@ -169,7 +169,7 @@
   return {
     id: f.id,
     ageMs: Math.max(0, f.ageMs),
-    report: {
+    heartbeat: {
       machine: r.machine as MachineId,
       address: r.address,
       type: r.type,
@@ -188,11 +188,11 @@
   return {
     id: a.id,
     machine: a.machine,
-    session: a.session,
-    seq: a.seq,
+    session: a.agentEpoch,
+    seq: a.sequence,
     code: a.code,
-    token: a.token,
-    grantMs: a.grantMs,
+    token: a.fencingToken,
+    grantMs: a.delegatedLeaseMs,
     commands: a.commands.map((c) => ({
       op: OPS.indexOf(c.op),
       job: c.job,
@@ -215,11 +215,11 @@
   return {
     id: a.id,
     machine: a.machine as MachineId,
-    session: a.session as AgentEpoch,
-    seq: a.seq,
+    agentEpoch: a.session as AgentEpoch,
+    sequence: a.seq,
     code,
-    token: a.token as FencingToken,
-    grantMs: a.grantMs,
+    fencingToken: a.token as FencingToken,
+    delegatedLeaseMs: a.grantMs,
     commands,
   };
 }
--- a/packages/wire/src/peer.ts
+++ b/packages/wire/src/peer.ts
@@ -4,36 +4,49 @@
 import type { NodeId, FencingToken } from './ids.js';
 
 /** What controllers tell each other on the `back` link: length-delimited protobuf messages. */
-export interface PeerStatus {
+export interface PeerStatus extends PeerStoreStatus, PeerShardStatus, PeerConfigurationStatus {
   readonly node: NodeId;
-  /** Highest token that the sender knows, and the node it belongs to ('' when unknown). */
-  readonly token: FencingToken;
+  /** Highest fencing token that the sender knows; 0 when it knows none. */
+  readonly fencingToken: FencingToken;
+  /** The node that the token belongs to; '' when unknown. */
   readonly leader: NodeId;
-  /** Whether the sender has lately been served by the state service. */
-  readonly stateOk: boolean;
-  /** Number of the state service's epoch that the sender follows, or helps to gather; 0 when it has no copy. */
-  readonly epoch: number;
-  /** Id of the epoch that it follows, or doubts ('' when it has not entered it): two of one number are two stores. */
-  readonly epochId: string;
+  /** Whether the key-value store has served the sender lately. */
+  readonly isStoreReachable: boolean;
+  /** What speaks against the sender as a leader (`LeaderCandidate` of the package `store`); 0: nothing, or of an earlier version. */
+  readonly leadershipPenalty: number;
+}
+
+/** What a node tells its peers about its replica of the key-value store (docs/state-loss.md). */
+export interface PeerStoreStatus {
+  /** Number of the store epoch that the sender follows or helps to recover; 0 when it has no replica. */
+  readonly storeEpoch: number;
+  /** Id of the epoch that it follows or distrusts; '' when it has not entered one. Two ids under one number are two stores. */
+  readonly storeEpochId: string;
   /** Highest revision that it knows of in that epoch. */
-  readonly revision: number;
-  /** Whether it trusts the state service now. */
-  readonly trusted: boolean;
-  /** Whether it has followed the epoch without a gap (docs/state-loss.md). */
-  readonly continuous: boolean;
-  /** Whether it leads and answers reports that others forward; a node of an earlier version does not (docs/shares.md). */
-  readonly takesReports: boolean;
-  /** Whether it leads and has read the records: holders tell it what they know of their machines. */
-  readonly ready: boolean;
-  /** Machines whose workers report to it. */
-  readonly machines: number;
-  /** Whether workers may be sent to it: it can answer them, and has long been able to. */
-  readonly holds: boolean;
-  /** What speaks against it as a leader (`Candidate` of the store); 0: nothing, or of an earlier version. */
-  readonly burden: number;
-  /** Version of the configuration that it goes by; a leader's that of its last plan. 0: the settings file, or of an earlier version. */
-  readonly configuration: number;
-  /** How long ago it could last confirm that, in milliseconds. */
+  readonly storeRevision: number;
+  /** Whether it trusts the key-value store now. */
+  readonly isStoreTrusted: boolean;
+  /** Whether it has followed the epoch without a gap. */
+  readonly hasContinuousReplica: boolean;
+}
+
+/** What a node tells its peers about the shard of workers that it serves (docs/shares.md). */
+export interface PeerShardStatus {
+  /** Whether it leads and responds to heartbeats that peers forward; a node of an earlier version does not. */
+  readonly acceptsForwardedHeartbeats: boolean;
+  /** Whether it leads and has read the records: peers then send it the latest heartbeats of their shards. */
+  readonly isLeaderReady: boolean;
+  /** Number of machines whose workers send their heartbeats to it. */
+  readonly shardSize: number;
+  /** Whether workers may be redirected to it: it is able to respond to them, and has been for some time. */
+  readonly canServeWorkers: boolean;
+}
+
+/** What a node tells its peers about the configuration that it uses. */
+export interface PeerConfigurationStatus {
+  /** Version in use, on a leader that of its last plan. 0: the settings file, or a node of an earlier version. */
+  readonly configurationVersion: number;
+  /** How long ago the node could last confirm that version, in milliseconds. */
   readonly configurationAgeMs: number;
 }
 
@@ -45,11 +58,11 @@
 
 export interface PeerMessage {
   readonly status?: PeerStatus;
-  readonly progress?: readonly JobProgress[];
+  readonly jobProgress?: readonly JobProgress[];
   /** Who sends forwards or answers. */
-  readonly from?: NodeId;
-  readonly forwards?: readonly ForwardedHeartbeat[];
-  readonly answers?: readonly ForwardedHeartbeatResponse[];
+  readonly sender?: NodeId;
+  readonly forwardedHeartbeats?: readonly ForwardedHeartbeat[];
+  readonly forwardedHeartbeatResponses?: readonly ForwardedHeartbeatResponse[];
 }
 
 const { Type, Field, Root } = protobuf;
@@ -108,20 +121,20 @@
 function statusToWire(status: PeerStatus): WireStatus {
   return {
     node: status.node,
-    token: status.token,
+    token: status.fencingToken,
     leader: status.leader,
-    stateOk: status.stateOk,
-    epoch: status.epoch,
-    revision: status.revision,
-    trusted: status.trusted,
-    continuous: status.continuous,
-    epochId: status.epochId,
-    takesReports: status.takesReports,
-    ready: status.ready,
-    machines: status.machines,
-    holds: status.holds,
-    burden: status.burden,
-    configuration: status.configuration,
+    stateOk: status.isStoreReachable,
+    epoch: status.storeEpoch,
+    revision: status.storeRevision,
+    trusted: status.isStoreTrusted,
+    continuous: status.hasContinuousReplica,
+    epochId: status.storeEpochId,
+    takesReports: status.acceptsForwardedHeartbeats,
+    ready: status.isLeaderReady,
+    machines: status.shardSize,
+    holds: status.canServeWorkers,
+    burden: status.leadershipPenalty,
+    configuration: status.configurationVersion,
     configurationAgeMs: status.configurationAgeMs,
   };
 }
@@ -129,26 +142,32 @@
 function statusFromWire(status: WireStatus): PeerStatus {
   return {
     node: status.node as NodeId,
-    token: status.token as FencingToken,
+    fencingToken: status.token as FencingToken,
     leader: status.leader as NodeId,
-    stateOk: status.stateOk,
-    epoch: status.epoch,
-    epochId: status.epochId,
-    revision: status.revision,
-    trusted: status.trusted,
-    continuous: status.continuous,
-    takesReports: status.takesReports,
-    ready: status.ready,
-    machines: status.machines,
-    holds: status.holds,
-    burden: status.burden,
-    configuration: status.configuration,
+    isStoreReachable: status.stateOk,
+    storeEpoch: status.epoch,
+    storeEpochId: status.epochId,
+    storeRevision: status.revision,
+    isStoreTrusted: status.trusted,
+    hasContinuousReplica: status.continuous,
+    acceptsForwardedHeartbeats: status.takesReports,
+    isLeaderReady: status.ready,
+    shardSize: status.machines,
+    canServeWorkers: status.holds,
+    leadershipPenalty: status.burden,
+    configurationVersion: status.configuration,
     configurationAgeMs: status.configurationAgeMs,
   };
 }
 
 function messageToWire(m: PeerMessage): Record<string, unknown> {
-  const { status, progress, from, forwards, answers } = m;
+  const {
+    status,
+    jobProgress: progress,
+    sender: from,
+    forwardedHeartbeats: forwards,
+    forwardedHeartbeatResponses: answers,
+  } = m;
   return {
     ...(status === undefined ? {} : { status: statusToWire(status) }),
     ...(progress === undefined
@@ -183,12 +202,16 @@
   // Fields that were not sent are read as their type's default.
   const message: PeerMessage = {
     ...(status === null ? {} : { status: statusFromWire(status) }),
-    progress: progress.map((p) => ({ job: p.job, done: p.done, running: p.running })),
-    ...(from === '' ? {} : { from: from as NodeId }),
+    jobProgress: progress.map((p) => ({ job: p.job, done: p.done, running: p.running })),
+    ...(from === '' ? {} : { sender: from as NodeId }),
     ...(forwards.length === 0
       ? {}
-      : { forwards: forwards.map(forwardFromWire).filter((f): f is ForwardedHeartbeat => f !== null) }),
-    ...(answers.length === 0 ? {} : { answers: answers.map(answerFromWire) }),
+      : {
+          forwardedHeartbeats: forwards
+            .map(forwardFromWire)
+            .filter((f): f is ForwardedHeartbeat => f !== null),
+        }),
+    ...(answers.length === 0 ? {} : { forwardedHeartbeatResponses: answers.map(answerFromWire) }),
   };
   return { message, size: at + length };
 }
--- a/packages/wire/test/wire.test.ts
+++ b/packages/wire/test/wire.test.ts
@@ -126,7 +126,7 @@
 const forwarded = fc.record({
   id: fc.nat(),
   ageMs: fc.nat(),
-  report: fc.record({
+  heartbeat: fc.record({
     machine: label as unknown as fc.Arbitrary<MachineId>,
     address: label,
     type: label,
@@ -147,11 +147,11 @@
 const forwardAnswer = fc.record({
   id: fc.nat(),
   machine: label as unknown as fc.Arbitrary<MachineId>,
-  session: fc.nat() as unknown as fc.Arbitrary<AgentEpoch>,
-  seq: fc.nat(),
+  agentEpoch: fc.nat() as unknown as fc.Arbitrary<AgentEpoch>,
+  sequence: fc.nat(),
   code: fc.constantFrom(200 as const, 503 as const),
-  token: fc.nat(2 ** 31 - 1) as unknown as fc.Arbitrary<FencingToken>,
-  grantMs: fc.nat(),
+  fencingToken: fc.nat(2 ** 31 - 1) as unknown as fc.Arbitrary<FencingToken>,
+  delegatedLeaseMs: fc.nat(),
   commands: fc.array(
     fc.oneof(
       order.map((o) => ({ op: 'start' as const, ...o })),
@@ -166,26 +166,26 @@
   const message = fc.record({
     status: fc.record({
       node: label as fc.Arbitrary<NodeId>,
-      token: fc.nat(2 ** 31 - 1) as unknown as fc.Arbitrary<FencingToken>,
+      fencingToken: fc.nat(2 ** 31 - 1) as unknown as fc.Arbitrary<FencingToken>,
       leader: label as fc.Arbitrary<NodeId>,
-      stateOk: fc.boolean(),
-      epoch: fc.nat(),
-      epochId: fc.string(),
-      revision: fc.nat(),
-      trusted: fc.boolean(),
-      continuous: fc.boolean(),
-      takesReports: fc.boolean(),
-      burden: fc.nat(9),
-      ready: fc.boolean(),
-      machines: fc.nat(),
-      holds: fc.boolean(),
-      configuration: fc.nat(),
+      isStoreReachable: fc.boolean(),
+      storeEpoch: fc.nat(),
+      storeEpochId: fc.string(),
+      storeRevision: fc.nat(),
+      isStoreTrusted: fc.boolean(),
+      hasContinuousReplica: fc.boolean(),
+      acceptsForwardedHeartbeats: fc.boolean(),
+      leadershipPenalty: fc.nat(9),
+      isLeaderReady: fc.boolean(),
+      shardSize: fc.nat(),
+      canServeWorkers: fc.boolean(),
+      configurationVersion: fc.nat(),
       configurationAgeMs: fc.nat(),
     }),
-    progress: fc.array(fc.record({ job: jobId, done: fc.nat(), running: fc.nat() }), { maxLength: 30 }),
-    from: label as fc.Arbitrary<NodeId>,
-    forwards: fc.array(forwarded, { minLength: 1, maxLength: 3 }),
-    answers: fc.array(forwardAnswer, { minLength: 1, maxLength: 3 }),
+    jobProgress: fc.array(fc.record({ job: jobId, done: fc.nat(), running: fc.nat() }), { maxLength: 30 }),
+    sender: label as fc.Arbitrary<NodeId>,
+    forwardedHeartbeats: fc.array(forwarded, { minLength: 1, maxLength: 3 }),
+    forwardedHeartbeatResponses: fc.array(forwardAnswer, { minLength: 1, maxLength: 3 }),
   });
   fc.assert(
     fc.property(
