--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -164,7 +164,7 @@
   }
 
   private async forward(leader: NodeId, r: Heartbeat): Promise<HeartbeatOutcome | null> {
-    const { id, askedAt, answer } = this.pending.register(leader, nameOf(r));
+    const { id, requestedAt: askedAt, response: answer } = this.pending.register(leader, nameOf(r));
     this.due.push({ id, ageMs: 0, report: r });
     if (this.due.length === 1)
       void this.p.clock.sleep(GATHER_MS).then(() => {
--- a/packages/worker-shards/src/index.ts
+++ b/packages/worker-shards/src/index.ts
@@ -1,3 +1,9 @@
+/**
+ * The shard of worker machines that one controller serves: which machines send their heartbeats to it, how shards are
+ * balanced between controllers, and how a leader delegates the renewal of worker leases to the controller in between.
+ *
+ * @module
+ */
 export * from './lease-delegation.js';
 export * from './shard-balancer.js';
 export * from './worker-shard.js';
--- a/packages/worker-shards/src/lease-delegation.ts
+++ b/packages/worker-shards/src/lease-delegation.ts
@@ -1,31 +1,48 @@
+/**
+ * Leases that a leader lets another controller renew for a limited time (docs/shares.md).
+ *
+ * @module
+ */
 import type { Clock, MonotonicMs } from '@spurbridge/net';
 import { addMs } from '@spurbridge/net';
 import type { FencingToken } from '@spurbridge/wire';
 
-/** Clocks of different nodes drift apart by at most this; a grant is counted short by it. */
-const DRIFT = 0.001;
+/** Upper bound of the drift between the clocks of two controllers; a delegation is shortened by it. */
+const MAX_CLOCK_DRIFT = 0.001;
+
+interface Delegation {
+  readonly fencingToken: FencingToken;
+  readonly validUntil: MonotonicMs;
+}
 
 /**
- * What a leader's answer lets its holder do without it: answer this machine's reports with the leader's token and no orders, until a
- * time by the holder's own steady clock (docs/shares.md). It ends before the leader's own horizon does: the time that
- * is left of that is counted from the sending of the question, which came before the answer.
+ * The leader's permission to answer the heartbeats of one machine without it: with the leader's fencing token, and without
+ * new commands. It ends before the leader's own renewal period does, because the remaining time is counted from the sending
+ * of the request, on this controller's monotonic clock.
  */
 export class LeaseDelegation {
-  private held: { readonly token: FencingToken; readonly until: MonotonicMs } | null = null;
+  private current: Delegation | null = null;
 
   constructor(private readonly clock: Clock) {}
 
-  /** An answer under this token to a question sent at `askedAt`, with so much left of the leader's horizon (ms). */
-  extend(token: FencingToken, askedAt: MonotonicMs, leftMs: number): void {
-    if (!(leftMs > 0) || (this.held !== null && token < this.held.token)) return;
-    const until = addMs(askedAt, leftMs * (1 - DRIFT));
-    if (this.held?.token === token && until <= this.held.until) return;
-    this.held = { token, until };
+  /**
+   * Records a leader's response to a request sent at `requestedAt`, which left `remainingMs` of the leader's renewal period.
+   * A response that is older or shorter than what is known has no effect.
+   */
+  extend(fencingToken: FencingToken, requestedAt: MonotonicMs, remainingMs: number): void {
+    if (!(remainingMs > 0)) return;
+    if (this.current !== null && fencingToken < this.current.fencingToken) return;
+    const validUntil = addMs(requestedAt, remainingMs * (1 - MAX_CLOCK_DRIFT));
+    if (this.current?.fencingToken === fencingToken && validUntil <= this.current.validUntil) return;
+    this.current = { fencingToken, validUntil };
   }
 
-  /** The token to answer with now, or null. A token higher than that is known ends it: another leads. */
-  currentToken(highestKnown: FencingToken): FencingToken | null {
-    if (this.held === null || this.held.token < highestKnown) return null;
-    return this.clock.now() < this.held.until ? this.held.token : null;
+  /**
+   * The fencing token under which heartbeats may be answered now, or null if there is none. A higher token that is known
+   * elsewhere invalidates the delegation: there is a newer leader.
+   */
+  currentToken(highestKnownToken: FencingToken): FencingToken | null {
+    if (this.current === null || this.current.fencingToken < highestKnownToken) return null;
+    return this.clock.now() < this.current.validUntil ? this.current.fencingToken : null;
   }
 }
--- a/packages/worker-shards/src/pending-requests.ts
+++ b/packages/worker-shards/src/pending-requests.ts
@@ -1,68 +1,85 @@
+/**
+ * Requests to other controllers that await their response.
+ *
+ * @module
+ */
 import type { Clock, MonotonicMs } from '@spurbridge/net';
 import { addMs } from '@spurbridge/net';
 import type { NodeId } from '@spurbridge/wire';
 
-interface Question<A> {
-  readonly to: NodeId;
-  /** What was asked, told apart from every other question that any process ever put. */
-  readonly what: string;
-  readonly askedAt: MonotonicMs;
-  readonly settle: (answer: A | null) => void;
+/** Request identifiers are unsigned 32-bit numbers; 0 stands for a message that needs no response. */
+const MAX_REQUEST_ID = 0xffff_fffe;
+
+interface PendingRequest<Response> {
+  readonly target: NodeId;
+  /** Identifies the request among all that any process ever sent. */
+  readonly requestKey: string;
+  readonly requestedAt: MonotonicMs;
+  readonly resolve: (response: Response | null) => void;
+}
+
+/** A request that was registered and can be sent now. */
+export interface RegisteredRequest<Response> {
+  /** Unique among the requests that are pending. */
+  readonly id: number;
+  readonly requestedAt: MonotonicMs;
+  /** Resolves to null if no response came in time, or the connection ended before. */
+  readonly response: Promise<Response | null>;
 }
 
-/** Questions to other nodes that are not answered yet. Each ends once: by its answer, in time, or when the link ends. */
-export class PendingRequests<A> {
-  private readonly open = new Map<number, Question<A>>();
-  private last = 0;
+/** The pending requests. Each one is completed exactly once: by its response, by timeout, or when the connection ends. */
+export class PendingRequests<Response> {
+  private readonly pending = new Map<number, PendingRequest<Response>>();
+  private lastId = 0;
 
   constructor(
     private readonly clock: Clock,
     private readonly timeoutMs: number,
   ) {}
 
+  /** The number of requests that await a response. */
   get size(): number {
-    return this.open.size;
+    return this.pending.size;
   }
 
-  /** A number for the question, which no other open one has; `answer` is null where none came. */
-  register(
-    to: NodeId,
-    what: string,
-  ): { readonly id: number; readonly askedAt: MonotonicMs; readonly answer: Promise<A | null> } {
-    this.last = this.last >= 0xffff_fffe ? 1 : this.last + 1;
-    const id = this.last;
-    const askedAt = this.clock.now();
-    const answer = new Promise<A | null>((settle) => {
-      this.open.set(id, { to, what, askedAt, settle });
+  /** Registers a request to `target`. */
+  register(target: NodeId, requestKey: string): RegisteredRequest<Response> {
+    this.lastId = this.lastId >= MAX_REQUEST_ID ? 1 : this.lastId + 1;
+    const id = this.lastId;
+    const requestedAt = this.clock.now();
+    const response = new Promise<Response | null>((resolve) => {
+      this.pending.set(id, { target, requestKey, requestedAt, resolve });
     });
-    return { id, askedAt, answer };
-  }
-
-  private end(id: number, q: Question<A>, answer: A | null): void {
-    this.open.delete(id);
-    q.settle(answer);
+    return { id, requestedAt, response };
   }
 
   /**
-   * An answer; one to a question that is over, or that was put to another node, changes nothing. Nor does one to another
-   * question: the process before this one numbered its own alike, and a worker would get another's orders.
+   * Completes a request by its response. A response from another node, or to a request that is over, is ignored. So is one
+   * with another key: the previous process of this node used the same identifiers, and a worker would get the commands of
+   * another one.
    */
-  complete(id: number, from: NodeId, what: string, answer: A): void {
-    const q = this.open.get(id);
-    if (q?.to === from && q.what === what) this.end(id, q, answer);
+  complete(id: number, from: NodeId, requestKey: string, response: Response): void {
+    const request = this.pending.get(id);
+    if (request?.target === from && request.requestKey === requestKey) this.finish(id, request, response);
   }
 
-  /** The link to the node has ended: what was asked there is not answered any more. */
-  abandon(to: NodeId): void {
-    for (const [id, q] of this.open) if (q.to === to) this.end(id, q, null);
+  /** Gives up all requests to a node whose connection has ended. */
+  abandon(target: NodeId): void {
+    for (const [id, request] of this.pending) if (request.target === target) this.finish(id, request, null);
   }
 
-  /** Ends what has waited too long. Questions are kept in the order in which they were put. */
+  /** Gives up the requests that have timed out. */
   expire(): void {
     const now = this.clock.now();
-    for (const [id, q] of this.open) {
-      if (now < addMs(q.askedAt, this.timeoutMs)) return;
-      this.end(id, q, null);
+    // Insertion order is the order of registration: behind the first one that is in time all others are.
+    for (const [id, request] of this.pending) {
+      if (now < addMs(request.requestedAt, this.timeoutMs)) return;
+      this.finish(id, request, null);
     }
   }
+
+  private finish(id: number, request: PendingRequest<Response>, response: Response | null): void {
+    this.pending.delete(id);
+    request.resolve(response);
+  }
 }
--- a/packages/worker-shards/src/shard-balancer.ts
+++ b/packages/worker-shards/src/shard-balancer.ts
@@ -1,109 +1,168 @@
+/**
+ * Balances the shards of all controllers: each controller decides by itself which of its workers it redirects.
+ *
+ * @module
+ */
 import type { Clock, MonotonicMs } from '@spurbridge/net';
 import { TransitionTable } from '@spurbridge/model';
 import type { NodeId } from '@spurbridge/wire';
 
-/** A node that could hold machines, as it said itself. */
+/** A controller that can serve workers, as described by its own status. */
 export interface ShardOwner {
   readonly node: NodeId;
+  /** The size of its shard. */
   readonly machineCount: number;
   readonly zone: string;
-  /** The leader has plans to make beside: its part is smaller. */
+  /** The leader also schedules, so that its target size is smaller. */
   readonly isLeader: boolean;
 }
 
-/** `even`: nothing is moved. `shedding`: machines go to whoever has least, until this node is near its part. */
-type BalanceState = 'even' | 'shedding';
+/**
+ * - `balanced`: only workers of other zones are redirected, to a controller of their own zone.
+ * - `shedding`: workers are redirected to the controllers with most room, until this shard is near its target size.
+ */
+type BalanceState = 'balanced' | 'shedding';
 
-const transitions = new TransitionTable<BalanceState>('balance', { even: ['shedding'], shedding: ['even'] });
+const balanceTransitions = new TransitionTable<BalanceState>('balance', {
+  balanced: ['shedding'],
+  shedding: ['balanced'],
+});
 
-const LEADER_PART = 0.5;
-/** Shedding begins this far over the part, and ends near it: what one node gives away another does not give back. */
-const BEGIN = 1.25;
-const END = 1.05;
-/** Fewer than this are not worth a move. */
-const LEAST = 8;
+/** The leader's target size, relative to that of any other controller. */
+const LEADER_WEIGHT = 0.5;
 /**
- * Moves a second at most: each is a new connection at the other end. A node that holds thousands moves a fiftieth of them, so
- * that a share of any size is even within some minutes.
+ * Shedding starts above this multiple of the target size and stops near the target: what one controller gives away another
+ * does not give back.
  */
-const MOVES_PER_S = 25;
-const MOVED_SHARE = 0.02;
+const SHEDDING_START_RATIO = 1.25;
+const SHEDDING_STOP_RATIO = 1.05;
+/** An excess of fewer machines is not worth redirections. */
+const MIN_EXCESS_MACHINES = 8;
 /**
- * A machine goes to a node of its own zone, which a cut leaves together, as long as that node has no more than this much of
- * its part: less than where shedding begins, so that none comes back.
+ * Redirections a second at most, because each opens a new connection at the other end. A large shard moves a fiftieth of its
+ * machines, so that a shard of any size is balanced within some minutes.
  */
-const HOME = 1.1;
+const MIN_SHEDDING_RATE_PER_S = 25;
+const SHEDDING_SHARE_PER_S = 0.02;
+/**
+ * A worker moves to a controller of its own zone, with which it shares network partitions, while that shard is below this
+ * multiple of its target size. The ratio is lower than the one at which shedding starts, so that no worker comes back.
+ */
+const HOME_ZONE_RATIO = 1.1;
 const HOME_MOVES_PER_S = 8;
 
-/** Machines that each node should hold; their sum is what is held altogether. */
-export function targetShardSizes(holders: readonly ShardOwner[]): Map<NodeId, number> {
-  const weight = (h: ShardOwner): number => (h.isLeader ? LEADER_PART : 1);
-  const all = holders.reduce((sum, h) => sum + h.machineCount, 0);
-  const weights = holders.reduce((sum, h) => sum + weight(h), 0);
-  return new Map(holders.map((h) => [h.node, weights === 0 ? 0 : (all * weight(h)) / weights]));
+/** Redirections to a node since it last announced its shard size. */
+interface RecentRedirects {
+  readonly announcedMachineCount: number;
+  readonly count: number;
+}
+
+/** The size that each shard should have; the sum is the number of machines in all of them. */
+export function targetShardSizes(owners: readonly ShardOwner[]): Map<NodeId, number> {
+  const weightOf = (owner: ShardOwner): number => (owner.isLeader ? LEADER_WEIGHT : 1);
+  const totalMachines = owners.reduce((sum, owner) => sum + owner.machineCount, 0);
+  const totalWeight = owners.reduce((sum, owner) => sum + weightOf(owner), 0);
+  return new Map(
+    owners.map((owner) => [
+      owner.node,
+      totalWeight === 0 ? 0 : (totalMachines * weightOf(owner)) / totalWeight,
+    ]),
+  );
 }
 
-/** Decides for one node, at each report, whether its worker goes elsewhere. */
+/** Decides for one controller, at each heartbeat, whether the worker is redirected to another controller. */
 export class ShardBalancer {
-  private current: BalanceState = 'even';
-  private nextAt = 0 as MonotonicMs;
-  /** Sent there since the node last said how many it holds. */
-  private readonly sent = new Map<NodeId, { readonly said: number; count: number }>();
+  private current: BalanceState = 'balanced';
+  private nextRedirectAt = 0 as MonotonicMs;
+  private readonly recentRedirects = new Map<NodeId, RecentRedirects>();
 
   constructor(
     private readonly clock: Clock,
     private readonly self: NodeId,
   ) {}
 
+  /** Whether this controller is shedding workers at present. */
   get state(): BalanceState {
     return this.current;
   }
 
-  /** The only function that changes the state. */
-  private enter(next: BalanceState): void {
-    if (next === this.current) return;
-    transitions.assertAllowed(this.current, next);
-    this.current = next;
+  /** The controller to which the worker of this zone is redirected now, or null if it stays. */
+  selectTarget(own: ShardOwner, others: readonly ShardOwner[], workerZone: string): NodeId | null {
+    const now = this.clock.now();
+    if (now < this.nextRedirectAt) return null;
+    const targetSizes = targetShardSizes([own, ...others]);
+    const ownTargetSize = targetSizes.get(this.self) ?? 0;
+    this.updateState(own.machineCount, ownTargetSize);
+    if (!this.mayRedirect(own, ownTargetSize, workerZone)) return null;
+    const target = this.selectOwner(own, others, targetSizes, workerZone);
+    if (target === null) return null;
+    this.recordRedirect(target);
+    this.nextRedirectAt = (now + 1000 / this.redirectsPerS(own.machineCount)) as MonotonicMs;
+    return target.node;
   }
 
-  private room(h: ShardOwner, part: number): number {
-    const sent = this.sent.get(h.node);
-    const underWay = sent !== undefined && sent.said === h.machineCount ? sent.count : 0;
-    return part - h.machineCount - underWay;
+  private updateState(machineCount: number, targetSize: number): void {
+    if (this.current === 'balanced' && machineCount > targetSize * SHEDDING_START_RATIO + MIN_EXCESS_MACHINES)
+      this.transitionTo('shedding');
+    if (this.current === 'shedding' && machineCount <= targetSize * SHEDDING_STOP_RATIO)
+      this.transitionTo('balanced');
   }
 
-  /** Where the worker of this zone that reports now should go, or null: it stays. */
-  selectTarget(own: ShardOwner, others: readonly ShardOwner[], zone: string): NodeId | null {
-    const now = this.clock.now();
-    if (now < this.nextAt) return null;
-    const part = targetShardSizes([own, ...others]);
-    const mine = part.get(this.self) ?? 0;
-    if (this.current === 'even' && own.machineCount > mine * BEGIN + LEAST) this.enter('shedding');
-    if (this.current === 'shedding' && own.machineCount <= mine * END) this.enter('even');
-    const isShedding = this.current === 'shedding';
-    // One that is at home goes last: while there are strangers they report as often.
-    if (isShedding && zone === own.zone && own.machineCount <= mine * BEGIN) return null;
-    if (!isShedding && zone === own.zone) return null;
+  /** A worker of this controller's own zone is redirected last: while there are others, they send heartbeats as often. */
+  private mayRedirect(own: ShardOwner, targetSize: number, workerZone: string): boolean {
+    if (workerZone !== own.zone) return true;
+    return this.current === 'shedding' && own.machineCount > targetSize * SHEDDING_START_RATIO;
+  }
+
+  private selectOwner(
+    own: ShardOwner,
+    others: readonly ShardOwner[],
+    targetSizes: ReadonlyMap<NodeId, number>,
+    workerZone: string,
+  ): ShardOwner | null {
     let best: ShardOwner | null = null;
-    let most = 0;
-    for (const h of others) {
-      const whole = part.get(h.node) ?? 0;
-      const isHome = h.zone === zone;
-      if (!isShedding && !isHome) continue;
-      const room = this.room(h, isHome ? whole * HOME : whole);
-      // A node of its zone is preferred to any other that has room.
-      const worth = room <= 0 ? 0 : isHome ? room + whole + own.machineCount : room;
-      if (worth > most) {
-        most = worth;
-        best = h;
+    let bestScore = 0;
+    for (const owner of others) {
+      const targetSize = targetSizes.get(owner.node) ?? 0;
+      const isInWorkerZone = owner.zone === workerZone;
+      if (this.current !== 'shedding' && !isInWorkerZone) continue;
+      const room = this.remainingRoom(owner, isInWorkerZone ? targetSize * HOME_ZONE_RATIO : targetSize);
+      // A controller of the worker's zone is preferred to every other one that has room.
+      const score = room <= 0 ? 0 : isInWorkerZone ? room + targetSize + own.machineCount : room;
+      if (score > bestScore) {
+        bestScore = score;
+        best = owner;
       }
     }
-    if (best === null) return null;
-    const before = this.sent.get(best.node);
-    const count = before !== undefined && before.said === best.machineCount ? before.count + 1 : 1;
-    this.sent.set(best.node, { said: best.machineCount, count });
-    const perS = isShedding ? Math.max(MOVES_PER_S, own.machineCount * MOVED_SHARE) : HOME_MOVES_PER_S;
-    this.nextAt = (now + 1000 / perS) as MonotonicMs;
-    return best.node;
+    return best;
+  }
+
+  /** How many machines the shard can take, less those that were redirected and are not counted in its announced size yet. */
+  private remainingRoom(owner: ShardOwner, targetSize: number): number {
+    return targetSize - owner.machineCount - this.uncountedRedirects(owner);
+  }
+
+  private uncountedRedirects(owner: ShardOwner): number {
+    const recent = this.recentRedirects.get(owner.node);
+    return recent !== undefined && recent.announcedMachineCount === owner.machineCount ? recent.count : 0;
+  }
+
+  private recordRedirect(owner: ShardOwner): void {
+    this.recentRedirects.set(owner.node, {
+      announcedMachineCount: owner.machineCount,
+      count: this.uncountedRedirects(owner) + 1,
+    });
+  }
+
+  private redirectsPerS(machineCount: number): number {
+    if (this.current !== 'shedding') return HOME_MOVES_PER_S;
+    return Math.max(MIN_SHEDDING_RATE_PER_S, machineCount * SHEDDING_SHARE_PER_S);
+  }
+
+  /** The only function that changes the state. */
+  private transitionTo(next: BalanceState): void {
+    if (next === this.current) return;
+    balanceTransitions.assertAllowed(this.current, next);
+    this.current = next;
   }
 }
--- a/packages/worker-shards/src/worker-shard.ts
+++ b/packages/worker-shards/src/worker-shard.ts
@@ -1,113 +1,136 @@
+/**
+ * The machines whose workers send their heartbeats to this controller.
+ *
+ * @module
+ */
 import type { Clock, MonotonicMs } from '@spurbridge/net';
 import { TransitionTable } from '@spurbridge/model';
 import type { MachineId, FencingToken, Heartbeat } from '@spurbridge/wire';
 import { LeaseDelegation } from './lease-delegation.js';
 
 /**
- * `held`: its worker reports here. `moving`: it was sent to another node, and is not counted any more. `left`: not heard
- * here for long enough to have gone elsewhere, or nowhere.
+ * The membership of a machine in the shard.
+ *
+ * - `attached`: its worker sends heartbeats to this controller.
+ * - `moving`: its worker was redirected to another controller; it is no longer counted.
+ * - `departed`: no heartbeat came for so long that the worker uses another controller, or none.
  */
-export type ShardMembership = 'held' | 'moving' | 'left';
+export type ShardMembership = 'attached' | 'moving' | 'departed';
 
-const transitions = new TransitionTable<ShardMembership>('membership', {
-  held: ['moving', 'left'],
-  moving: ['held', 'left'],
-  left: [],
+const membershipTransitions = new TransitionTable<ShardMembership>('membership', {
+  attached: ['moving', 'departed'],
+  moving: ['attached', 'departed'],
+  departed: [],
 });
 
-interface Member {
-  state: ShardMembership;
-  report: Heartbeat;
-  at: MonotonicMs;
-  readonly grant: LeaseDelegation;
+interface ShardMember {
+  membership: ShardMembership;
+  heartbeat: Heartbeat;
+  receivedAt: MonotonicMs;
+  readonly delegation: LeaseDelegation;
 }
 
+/** The latest heartbeat of one machine. */
 export interface LatestHeartbeat {
   readonly heartbeat: Heartbeat;
-  /** How long ago it came, in milliseconds. */
+  /** Milliseconds since any heartbeat of the machine was received. */
   readonly ageMs: number;
 }
 
-/** The machines whose workers report to this node, with the last that each of them said. */
+/** The shard: its machines with the latest heartbeat and the delegated lease of each. */
 export class WorkerShard {
-  private readonly members = new Map<MachineId, Member>();
-  private held = 0;
-  /** When any of them reported here, the last time. */
+  private readonly members = new Map<MachineId, ShardMember>();
+  private attachedCount = 0;
+  /** When the latest heartbeat of any machine was received; null before the first one. */
   lastAt: MonotonicMs | null = null;
 
   constructor(
     private readonly clock: Clock,
-    /** A machine not heard for this long has left. */
+    /** Milliseconds without a heartbeat after which a machine counts as departed. */
     private readonly departedAfterMs: number,
   ) {}
 
-  /** Machines held now. */
+  /** The number of attached machines. */
   get size(): number {
-    return this.held;
-  }
-
-  /** The only function that changes a machine's membership. */
-  private enter(m: Member, next: ShardMembership): void {
-    if (m.state === next) return;
-    transitions.assertAllowed(m.state, next);
-    if (m.state === 'held') this.held -= 1;
-    if (next === 'held') this.held += 1;
-    m.state = next;
+    return this.attachedCount;
   }
 
-  recordHeartbeat(report: Heartbeat): void {
-    const m = this.members.get(report.machine);
-    const at = this.clock.now();
-    this.lastAt = at;
-    if (m === undefined) {
-      this.members.set(report.machine, { state: 'held', report, at, grant: new LeaseDelegation(this.clock) });
-      this.held += 1;
+  /** Records a heartbeat that a worker sent to this controller. */
+  recordHeartbeat(heartbeat: Heartbeat): void {
+    const member = this.members.get(heartbeat.machine);
+    const receivedAt = this.clock.now();
+    this.lastAt = receivedAt;
+    if (member === undefined) {
+      this.members.set(heartbeat.machine, {
+        membership: 'attached',
+        heartbeat,
+        receivedAt,
+        delegation: new LeaseDelegation(this.clock),
+      });
+      this.attachedCount += 1;
       return;
     }
-    // One that was held up on its way says nothing new, but its sender is here.
-    const isLater =
-      report.agentEpoch > m.report.agentEpoch ||
-      (report.agentEpoch === m.report.agentEpoch && report.sequence > m.report.sequence);
-    if (isLater) m.report = report;
-    m.at = at;
-    this.enter(m, 'held');
+    // A delayed heartbeat carries no news, but it shows that its sender uses this controller.
+    if (isNewer(heartbeat, member.heartbeat)) member.heartbeat = heartbeat;
+    member.receivedAt = receivedAt;
+    this.transitionTo(member, 'attached');
   }
 
   /**
-   * The leader answered a report of this machine, asked at `askedAt`: so long this one may be answered without it. Of no
-   * other machine, since the leader counts when each one's lease can end at the latest.
+   * Extends the delegated lease of one machine after the leader has answered a request about it, sent at `requestedAt`. No
+   * other machine is affected, because the leader tracks the latest possible end of each lease separately.
    */
-  extendDelegation(machine: MachineId, token: FencingToken, askedAt: MonotonicMs, leftMs: number): void {
-    this.members.get(machine)?.grant.extend(token, askedAt, leftMs);
+  extendDelegation(
+    machine: MachineId,
+    fencingToken: FencingToken,
+    requestedAt: MonotonicMs,
+    remainingMs: number,
+  ): void {
+    this.members.get(machine)?.delegation.extend(fencingToken, requestedAt, remainingMs);
   }
 
-  /** The token under which this machine may be answered without the leader now, or null. */
-  delegatedToken(machine: MachineId, highestKnown: FencingToken): FencingToken | null {
-    return this.members.get(machine)?.grant.currentToken(highestKnown) ?? null;
+  /** The fencing token under which this machine may be answered without the leader now, or null. */
+  delegatedToken(machine: MachineId, highestKnownToken: FencingToken): FencingToken | null {
+    return this.members.get(machine)?.delegation.currentToken(highestKnownToken) ?? null;
   }
 
-  /** Its worker was told to report elsewhere. */
+  /** Records that the worker of this machine was redirected to another controller. */
   markMoving(machine: MachineId): void {
-    const m = this.members.get(machine);
-    if (m !== undefined) this.enter(m, 'moving');
+    const member = this.members.get(machine);
+    if (member !== undefined) this.transitionTo(member, 'moving');
   }
 
-  /** Drops what was not heard for long; called once in a while. */
+  /** Removes the machines that have departed; to be called periodically. */
   removeDeparted(): void {
     const now = this.clock.now();
-    for (const [id, m] of this.members) {
-      if (now - m.at <= this.departedAfterMs) continue;
-      this.enter(m, 'left');
-      this.members.delete(id);
+    for (const [machine, member] of this.members) {
+      if (now - member.receivedAt <= this.departedAfterMs) continue;
+      this.transitionTo(member, 'departed');
+      this.members.delete(machine);
     }
   }
 
-  /** The last report of every machine held here. */
+  /** The latest heartbeat of each attached machine. */
   latestHeartbeats(): LatestHeartbeat[] {
     const now = this.clock.now();
-    const all: LatestHeartbeat[] = [];
-    for (const m of this.members.values())
-      if (m.state === 'held') all.push({ heartbeat: m.report, ageMs: Math.max(0, now - m.at) });
-    return all;
+    const latest: LatestHeartbeat[] = [];
+    for (const { membership, heartbeat, receivedAt } of this.members.values())
+      if (membership === 'attached') latest.push({ heartbeat, ageMs: Math.max(0, now - receivedAt) });
+    return latest;
   }
+
+  /** The only function that changes a machine's membership. */
+  private transitionTo(member: ShardMember, next: ShardMembership): void {
+    if (member.membership === next) return;
+    membershipTransitions.assertAllowed(member.membership, next);
+    if (member.membership === 'attached') this.attachedCount -= 1;
+    if (next === 'attached') this.attachedCount += 1;
+    member.membership = next;
+  }
+}
+
+/** Whether a heartbeat was made after the other one of the same machine. */
+function isNewer(heartbeat: Heartbeat, other: Heartbeat): boolean {
+  if (heartbeat.agentEpoch !== other.agentEpoch) return heartbeat.agentEpoch > other.agentEpoch;
+  return heartbeat.sequence > other.sequence;
 }
--- a/packages/worker-shards/test/worker-shards.test.ts
+++ b/packages/worker-shards/test/worker-shards.test.ts
@@ -93,18 +93,18 @@
   pending.complete(a.id, 'one' as NodeId, 'n-9 1 7', 'of the process before');
   pending.complete(a.id, 'one' as NodeId, 'n-1 1 7', 'right');
   pending.complete(a.id, 'one' as NodeId, 'n-1 1 7', 'again');
-  assert.equal(await a.answer, 'right');
+  assert.equal(await a.response, 'right');
   const b = pending.register('one' as NodeId, 'n-1 1 7');
   clock.at = 1000;
   const c = pending.register('two' as NodeId, 'n-2 1 7');
   clock.at = 2000;
   pending.expire();
-  assert.equal(await b.answer, null);
+  assert.equal(await b.response, null);
   assert.equal(pending.size, 1);
   pending.abandon('one' as NodeId);
   assert.equal(pending.size, 1);
   pending.abandon('two' as NodeId);
-  assert.equal(await c.answer, null);
+  assert.equal(await c.response, null);
 });
 
 test('a share knows the newest report of each machine held, and forgets those that left', () => {
