--- /dev/null
+++ b/packages/wire/src/graphs/batch.ts
@@ -0,0 +1,191 @@
+/**
+ * Batches of tasks, by which a task graph grows. A batch is added whole or not at all, and a batch that is sent again
+ * with the same content is the same batch.
+ *
+ * @module
+ */
+import * as read from '../json-fields.js';
+import type { BatchId, GraphTaskId } from './ids.js';
+import { asGraphTaskId, isBatchId, parseGraphTaskId } from './ids.js';
+
+/** What a task of a graph takes; tasks of one batch share a few of these. */
+export interface TaskShape {
+  readonly cpus: number;
+  readonly gpus: number;
+  readonly memoryGb: number;
+  readonly image: string;
+  readonly imageGb: number;
+  /** The owner's estimate of a task's run time, in seconds. */
+  readonly estimateS: number;
+  /** How often a task that failed is started again. */
+  readonly retries: number;
+  /** Whether it may run on spot machines. */
+  readonly spot: boolean;
+}
+
+/** One task of a batch. */
+export interface BatchTask {
+  /** Index into the batch's shapes. */
+  readonly shape: number;
+  /** Tasks whose results it depends on, without repetition. */
+  readonly after: readonly GraphTaskId[];
+  /** Whether its result is kept for the client until released, and not only for other tasks. */
+  readonly held: boolean;
+}
+
+/** Some tasks that are added to a graph together. */
+export interface Batch {
+  readonly id: BatchId;
+  /** The task that added it; null: the client did. */
+  readonly parent: GraphTaskId | null;
+  readonly shapes: readonly TaskShape[];
+  readonly tasks: readonly BatchTask[];
+}
+
+/** Most tasks in one batch. */
+export const MAX_BATCH_TASKS = 400;
+/** Most tasks that one task depends on. */
+export const MAX_TASK_DEPENDENCIES = 64;
+const MAX_SHAPES = 32;
+const MAX_RETRIES = 100;
+
+function parseShape(value: unknown, field: string): TaskShape {
+  return read.withFieldPath(field, () => {
+    const fields = read.asObject(value, 'entry');
+    const retries = read.optionalCount(fields, 'retries') ?? 0;
+    if (retries > MAX_RETRIES) throw new read.ValidationError('retries', `at most ${MAX_RETRIES}`);
+    return {
+      cpus: read.amount(fields, 'cpus'),
+      gpus: read.optionalAmount(fields, 'gpus') ?? 0,
+      memoryGb: read.optionalAmount(fields, 'memoryGb') ?? 0,
+      image: read.name(fields, 'image'),
+      imageGb: read.optionalAmount(fields, 'imageGb') ?? 0,
+      estimateS: read.amount(fields, 'estimateS'),
+      retries,
+      spot: read.booleanOrFalse(fields, 'spot'),
+    };
+  });
+}
+
+/** What is known of a batch before its tasks are read. */
+interface BatchOutline {
+  readonly id: BatchId;
+  readonly taskCount: number;
+  readonly shapeCount: number;
+}
+
+/** Reads one dependency: a task id, or the number of a task of the same batch. */
+function parseDependency(value: unknown, field: string, batch: BatchOutline, dependent: number): GraphTaskId {
+  const id = asGraphTaskId(typeof value === 'number' ? `${batch.id}:${value}` : value, field);
+  const on = parseGraphTaskId(id);
+  if (on.batch !== batch.id) return id;
+  if (on.task >= batch.taskCount) throw new read.ValidationError(field, 'a task of the batch');
+  if (on.task === dependent) throw new read.ValidationError(field, 'another task than itself');
+  return id;
+}
+
+function parseDependencies(
+  value: unknown,
+  field: string,
+  batch: BatchOutline,
+  dependent: number,
+): readonly GraphTaskId[] {
+  const listed = read.asArray(value, field);
+  if (listed.length > MAX_TASK_DEPENDENCIES)
+    throw new read.ValidationError(field, `at most ${MAX_TASK_DEPENDENCIES} tasks`);
+  const dependencies = new Set<GraphTaskId>();
+  listed.forEach((entry, index) => {
+    const path = `${field}[${index}]`;
+    const id = parseDependency(entry, path, batch, dependent);
+    if (dependencies.has(id)) throw new read.ValidationError(path, 'no task twice');
+    dependencies.add(id);
+  });
+  return [...dependencies];
+}
+
+/** Reads `[shape, [dependencies...], held]`, of which the last two may be missing. */
+function parseTask(value: unknown, index: number, batch: BatchOutline): BatchTask {
+  const field = `tasks[${index}]`;
+  const [shape, after, held] = read.asArray(value, field);
+  if (typeof shape !== 'number' || !Number.isInteger(shape) || shape < 0 || shape >= batch.shapeCount)
+    throw new read.ValidationError(`${field}[0]`, `a shape from 0 to ${batch.shapeCount - 1}`);
+  const dependencies = parseDependencies(after ?? [], `${field}[1]`, batch, index);
+  if (held !== undefined && typeof held !== 'boolean')
+    throw new read.ValidationError(`${field}[2]`, 'true or false');
+  return { shape, after: dependencies, held: held ?? false };
+}
+
+/** The tasks of the same batch that a task depends on, by their numbers. */
+function dependenciesWithin(batch: BatchId, task: BatchTask): number[] {
+  return task.after
+    .map(parseGraphTaskId)
+    .filter((on) => on.batch === batch)
+    .map((on) => on.task);
+}
+
+/** Throws a `ValidationError` that names a task on a cycle of dependencies, where there is one. */
+function checkAcyclic(batch: BatchId, tasks: readonly BatchTask[]): void {
+  const dependencies = tasks.map((task) => dependenciesWithin(batch, task));
+  const pendingCounts = dependencies.map((on) => on.length);
+  const dependents: number[][] = tasks.map(() => []);
+  dependencies.forEach((on, index) => {
+    for (const dependency of on) dependents[dependency]?.push(index);
+  });
+  const ready = [...tasks.keys()].filter((index) => pendingCounts[index] === 0);
+  for (let next = ready.pop(); next !== undefined; next = ready.pop())
+    for (const dependent of dependents[next] ?? []) {
+      const pending = (pendingCounts[dependent] as number) - 1;
+      pendingCounts[dependent] = pending;
+      if (pending === 0) ready.push(dependent);
+    }
+  const cyclic = pendingCounts.findIndex((pending) => pending > 0);
+  if (cyclic >= 0)
+    throw new read.ValidationError(`tasks[${cyclic}][1]`, 'no circle of tasks that wait for each other');
+}
+
+function parseBoundedArray(fields: read.JsonObject, field: string, max: number): readonly unknown[] {
+  const entries = read.asArray(fields[field], field);
+  if (entries.length === 0 || entries.length > max)
+    throw new read.ValidationError(field, `1 to ${max} entries`);
+  return entries;
+}
+
+/** Reads a batch as a client sends it; throws a `ValidationError` that names the field by its path. */
+export function parseBatch(body: unknown): Batch {
+  const fields = read.asObject(body, 'body');
+  const id = read.string(fields, 'batch');
+  if (!isBatchId(id)) throw new read.ValidationError('batch', 'a batch id');
+  const parent = read.optionalString(fields, 'parent');
+  const shapes = parseBoundedArray(fields, 'shapes', MAX_SHAPES);
+  const listed = parseBoundedArray(fields, 'tasks', MAX_BATCH_TASKS);
+  const outline = { id, taskCount: listed.length, shapeCount: shapes.length };
+  const tasks = listed.map((task, index) => parseTask(task, index, outline));
+  checkAcyclic(id, tasks);
+  return {
+    id,
+    parent: parent === null ? null : asGraphTaskId(parent, 'parent'),
+    shapes: shapes.map((shape, index) => parseShape(shape, `shapes[${index}]`)),
+    tasks,
+  };
+}
+
+/** A dependency as it is sent: tasks of the same batch by their number alone. */
+function formatDependency(id: GraphTaskId, batch: BatchId): GraphTaskId | number {
+  const on = parseGraphTaskId(id);
+  return on.batch === batch ? on.task : id;
+}
+
+function formatTask(task: BatchTask, batch: BatchId): unknown[] {
+  const after = task.after.map((id) => formatDependency(id, batch));
+  return task.held ? [task.shape, after, true] : [task.shape, after];
+}
+
+/** The batch as it is sent and stored; `parseBatch` reads it back. */
+export function formatBatch(batch: Batch): Record<string, unknown> {
+  return {
+    batch: batch.id,
+    parent: batch.parent,
+    shapes: batch.shapes,
+    tasks: batch.tasks.map((task) => formatTask(task, batch.id)),
+  };
+}
--- a/packages/wire/src/ids.ts
+++ b/packages/wire/src/ids.ts
@@ -1,22 +1,38 @@
-/** Ids, versions and tokens are small types of their own, so that none is taken for another. */
+/**
+ * Identifiers, versions and tokens. Each is a branded type of its own, so that the compiler does not let one be used in
+ * place of another.
+ *
+ * @module
+ */
+
+/** A string or number that the compiler keeps apart from all others of the same base type. */
 export type Brand<T, B extends string> = T & { readonly __brand: B };
 
+/** Id of a job, chosen by its user. */
 export type JobId = Brand<string, 'JobId'>;
+/** Name of a machine, given by the cloud in the order of creation. */
 export type MachineId = Brand<string, 'MachineId'>;
+/** Name of a controller node, as the settings give it. */
 export type NodeId = Brand<string, 'NodeId'>;
-export type FencingToken = Brand<number, 'Token'>;
-export type AgentEpoch = Brand<number, 'Session'>;
+/** Rises with every change of leader: a worker refuses commands that carry a lower token than it has seen. */
+export type FencingToken = Brand<number, 'FencingToken'>;
+/** Counts how often the lease of a worker agent has expired, from 1: tasks of an earlier epoch no longer exist. */
+export type AgentEpoch = Brand<number, 'AgentEpoch'>;
+/** Tells one start of a task from another; the tasks of a gang find each other by it. */
 export type Attempt = Brand<number, 'Attempt'>;
-/** State service revision of one key's last change. */
+/** Revision of the last change of one key in the key-value store. */
 export type Version = Brand<number, 'Version'>;
-/** State service revision counter. */
+/** Counts all changes in the key-value store. */
 export type Revision = Brand<number, 'Revision'>;
+/** Id of a lease that the key-value store has granted. */
 export type LeaseId = Brand<number, 'LeaseId'>;
 
+/** The version of a key that does not exist. */
 export const KEY_ABSENT = 0 as Version;
 
 const JOB_ID = /^wk-[A-Za-z0-9._-]{1,64}$/;
 
+/** Whether the text has the form of a job id. */
 export function isJobId(text: string): text is JobId {
   return JOB_ID.test(text);
 }
--- /dev/null
+++ b/packages/wire/src/peers/errors.ts
@@ -0,0 +1,13 @@
+/**
+ * Errors of the protocol between controller nodes.
+ *
+ * @module
+ */
+import { SpurbridgeError } from '../errors.js';
+
+/** A peer sent bytes that are no frame, or a message that this version cannot read. The connection is of no further use. */
+export class PeerMessageError extends SpurbridgeError {
+  constructor(message: string) {
+    super('PEER_MESSAGE_MALFORMED', message);
+  }
+}
--- a/packages/wire/src/tariff.ts
+++ b/packages/wire/src/tariff.ts
@@ -1,187 +1,255 @@
-import * as r from './read.js';
-
 /**
- * A tariff, as a file (TOML) states it and as a feed (JSON) publishes it; `docs/tariff-operators.md` is the
- * format's page. Everything is checked here, once, and refused whole: a `MalformedError` names the field.
+ * Electricity tariffs, as a file (TOML) states them and as a feed (JSON) publishes them; docs/tariff-operators.md
+ * describes the format. A document is checked whole, once; a `ValidationError` names the first bad field by its full path.
+ *
+ * @module
  */
-export interface TariffDocument {
-  /** Rises with every change of content. */
-  readonly revision: number;
-  /** IANA name; whether it exists is for whoever holds the calendar to say. */
-  readonly timeZone: string;
-  /** Milliseconds since 1970. */
-  readonly issuedAt: number;
-  /** Until when the document states its prices; null: until replaced. Milliseconds since 1970. */
-  readonly validUntil: number | null;
-  /** Seconds after which a feed has something new. */
-  readonly nextUpdateS: number | null;
-  readonly base: TariffRate;
-  /** Recurring windows; the first that applies wins, and `base` where none does. */
-  readonly windows: readonly RecurringWindow[];
-  readonly holidays: readonly { readonly date: string; readonly like: Weekday }[];
-  /** Absolute times, which win over windows: in order, without gaps or overlaps where zones are shared. */
-  readonly slots: readonly TariffSlot[];
-}
+import * as read from './json-fields.js';
 
+/** Price of energy and its carbon intensity. */
 export interface TariffRate {
-  /** Any currency a kilowatt-hour or a CPU hour: only ratios count. May be negative. */
+  /** In any currency, per kilowatt-hour or CPU hour: only ratios count. May be negative. */
   readonly price: number;
-  /** Grams of CO2 for the same. */
+  /** Grams of CO2 for the same amount. */
   readonly carbon: number;
 }
 
+/** Names of the days of the week, in order. */
 export const WEEKDAYS = ['mon', 'tue', 'wed', 'thu', 'fri', 'sat', 'sun'] as const;
+/** A day of the week. */
 export type Weekday = (typeof WEEKDAYS)[number];
 
+/** A rate that applies at the same time on some days of the week. */
 export interface RecurringWindow extends TariffRate {
   readonly name: string;
   readonly days: readonly Weekday[];
-  /** Minutes after local midnight; `to` at most 1440. With `to` before `from` it passes midnight. */
+  /** Start, in minutes after local midnight. */
   readonly from: number;
+  /** End, in minutes after local midnight, at most 1440. Where it is before `from` the window passes midnight. */
   readonly to: number;
-  /** Zones of the fleet, or null for all. */
+  /** Zones of the fleet; null: all. */
   readonly zones: readonly string[] | null;
 }
 
+/** A rate that applies during an absolute time, such as an hour of the day-ahead market. */
 export interface TariffSlot extends TariffRate {
-  /** Milliseconds since 1970. */
+  /** Start, in milliseconds since 1970. */
   readonly from: number;
+  /** End, in milliseconds since 1970. */
   readonly until: number;
+  /** Zones of the fleet; null: all. */
   readonly zones: readonly string[] | null;
 }
 
+/** A date on which the windows of another day of the week apply. */
+export interface TariffHoliday {
+  /** Local date, such as 2026-12-24. */
+  readonly date: string;
+  readonly like: Weekday;
+}
+
+/** A tariff: rates by time and zone. Slots win over windows, windows over `base`. */
+export interface TariffDocument {
+  /** Rises with every change of content. */
+  readonly revision: number;
+  /** IANA name; whether it exists is checked by the package that holds the calendar. */
+  readonly timeZone: string;
+  /** Milliseconds since 1970. */
+  readonly issuedAt: number;
+  /** Until when the document states its prices, in milliseconds since 1970; null: until replaced. */
+  readonly validUntil: number | null;
+  /** Seconds after which a feed has something new; null: not stated. */
+  readonly nextUpdateS: number | null;
+  /** The rate where neither a slot nor a window applies. */
+  readonly base: TariffRate;
+  /** The first that applies wins. */
+  readonly windows: readonly RecurringWindow[];
+  readonly holidays: readonly TariffHoliday[];
+  /** In order, without gaps or overlaps where they share zones. */
+  readonly slots: readonly TariffSlot[];
+}
+
+/** Version of the format that this module reads and writes. */
 export const TARIFF_FORMAT = 1;
+/** Longest document, in bytes. */
 export const MAX_TARIFF_BYTES = 512 * 1024;
-const MOST_WINDOWS = 200;
-const MOST_HOLIDAYS = 400;
-const MOST_SLOTS = 2000;
+
+const MAX_WINDOWS = 200;
+const MAX_HOLIDAYS = 400;
+const MAX_SLOTS = 2000;
 /** Beyond this a price or a carbon figure is taken for a mistake. */
-const ABSURD = 1e6;
+const MAX_RATE = 1e6;
+const MINUTES_PER_HOUR = 60;
+const MINUTES_PER_DAY = 1440;
+const END_OF_DAY = '24:00';
+/** Stands for the zone of slots without zones while their order is checked. */
+const ALL_ZONES = '*';
+
 const INSTANT = /^\d{4}-\d\d-\d\dT\d\d:\d\d(:\d\d(\.\d{1,3})?)?(Z|[+-]\d\d:\d\d)$/;
 const DATE = /^\d{4}-(0[1-9]|1[0-2])-(0[1-9]|[12]\d|3[01])$/;
-const TIME = /^(?:([01]\d|2[0-3]):([0-5]\d)|24:00)$/;
+const TIME_OF_DAY = /^(?:([01]\d|2[0-3]):([0-5]\d)|24:00)$/;
+
+/** Milliseconds since 1970 of a value that is a time; NaN where it is none. */
+function toInstant(value: unknown): number {
+  // TOML has times of its own, which its parser returns as dates.
+  if (value instanceof Date) return value.getTime();
+  return typeof value === 'string' && INSTANT.test(value) ? Date.parse(value) : NaN;
+}
+
+function parseInstant(fields: read.JsonObject, field: string): number {
+  const instantMs = toInstant(fields[field]);
+  if (!Number.isFinite(instantMs))
+    throw new read.ValidationError(field, 'a time such as 2026-12-01T18:00:00Z');
+  return instantMs;
+}
+
+function formatInstant(instantMs: number): string {
+  return new Date(instantMs).toISOString();
+}
 
-function instant(o: r.JsonObject, field: string): number {
-  const v = o[field];
-  // TOML has times of its own, which the reader hands over as dates.
-  const ms = v instanceof Date ? v.getTime() : typeof v === 'string' && INSTANT.test(v) ? Date.parse(v) : NaN;
-  if (!Number.isFinite(ms)) throw new r.ValidationError(field, 'a time such as 2026-12-01T18:00:00Z');
-  return ms;
+function isAbsent(value: unknown): boolean {
+  return value === undefined || value === null;
 }
 
-function figure(o: r.JsonObject, field: string, least: number): number {
-  const v = o[field];
-  if (typeof v !== 'number' || !Number.isFinite(v) || v < least || v > ABSURD)
-    throw new r.ValidationError(field, `a number from ${least} to ${ABSURD}`);
-  return v;
+function parseFigure(fields: read.JsonObject, field: string, min: number): number {
+  const value = fields[field];
+  if (typeof value !== 'number' || !Number.isFinite(value) || value < min || value > MAX_RATE)
+    throw new read.ValidationError(field, `a number from ${min} to ${MAX_RATE}`);
+  return value;
 }
 
-function rate(o: r.JsonObject): TariffRate {
+function parseRate(fields: read.JsonObject): TariffRate {
   return {
-    price: figure(o, 'price', -ABSURD),
-    carbon: o['carbon'] === undefined || o['carbon'] === null ? 0 : figure(o, 'carbon', 0),
+    price: parseFigure(fields, 'price', -MAX_RATE),
+    carbon: isAbsent(fields['carbon']) ? 0 : parseFigure(fields, 'carbon', 0),
   };
 }
 
-function minutes(o: r.JsonObject, field: string): number {
-  const text = r.string(o, field);
-  const m = TIME.exec(text);
-  if (m === null) throw new r.ValidationError(field, 'a time of day such as 17:30');
-  return text === '24:00' ? 1440 : Number(m[1]) * 60 + Number(m[2]);
+function parseTimeOfDay(fields: read.JsonObject, field: string): number {
+  const text = read.string(fields, field);
+  const match = TIME_OF_DAY.exec(text);
+  if (match === null) throw new read.ValidationError(field, 'a time of day such as 17:30');
+  return text === END_OF_DAY ? MINUTES_PER_DAY : Number(match[1]) * MINUTES_PER_HOUR + Number(match[2]);
 }
 
-function items<T>(o: r.JsonObject, field: string, most: number, read: (e: r.JsonObject) => T): T[] {
-  const v = o[field];
-  if (v === undefined || v === null) return [];
-  const all = r.asArray(v, field);
-  if (all.length > most) throw new r.ValidationError(field, `at most ${most} entries`);
-  return all.map((e, i) => r.withFieldPath(`${field}[${i}]`, () => read(r.asObject(e, 'entry'))));
+function formatTimeOfDay(minutes: number): string {
+  const hours = String(Math.floor(minutes / MINUTES_PER_HOUR)).padStart(2, '0');
+  return `${hours}:${String(minutes % MINUTES_PER_HOUR).padStart(2, '0')}`;
 }
 
-function window(o: r.JsonObject): RecurringWindow {
-  const from = minutes(o, 'from');
-  const to = minutes(o, 'to');
-  if (from === to || from === 1440) throw new r.ValidationError('to', 'a window of some width');
-  const days = r.optionalStrings(o, 'days') ?? [...WEEKDAYS];
-  for (const d of days)
-    if (!WEEKDAYS.includes(d as Weekday)) throw new r.ValidationError('days', WEEKDAYS.join(', '));
+/** Reads an array of objects, none where the field is null or missing. */
+function parseEntries<T>(
+  fields: read.JsonObject,
+  field: string,
+  max: number,
+  parseEntry: (entry: read.JsonObject) => T,
+): T[] {
+  const value = fields[field];
+  if (isAbsent(value)) return [];
+  const entries = read.asArray(value, field);
+  if (entries.length > max) throw new read.ValidationError(field, `at most ${max} entries`);
+  return entries.map((entry, index) =>
+    read.withFieldPath(`${field}[${index}]`, () => parseEntry(read.asObject(entry, 'entry'))),
+  );
+}
+
+function parseWindow(fields: read.JsonObject): RecurringWindow {
+  const from = parseTimeOfDay(fields, 'from');
+  const to = parseTimeOfDay(fields, 'to');
+  if (from === to || from === MINUTES_PER_DAY) throw new read.ValidationError('to', 'a window of some width');
+  const days = read.optionalStrings(fields, 'days') ?? [...WEEKDAYS];
+  for (const day of days)
+    if (!WEEKDAYS.includes(day as Weekday)) throw new read.ValidationError('days', WEEKDAYS.join(', '));
   return {
-    name: r.name(o, 'name'),
+    name: read.name(fields, 'name'),
     days: days as Weekday[],
     from,
     to,
-    zones: r.optionalStrings(o, 'zones'),
-    ...rate(o),
+    zones: read.optionalStrings(fields, 'zones'),
+    ...parseRate(fields),
   };
 }
 
-function slot(o: r.JsonObject): TariffSlot {
-  const from = instant(o, 'from');
-  const until = instant(o, 'until');
-  if (until <= from) throw new r.ValidationError('until', 'a time after `from`');
-  return { from, until, zones: r.optionalStrings(o, 'zones'), ...rate(o) };
+function parseHoliday(fields: read.JsonObject): TariffHoliday {
+  const date = read.string(fields, 'date');
+  if (!DATE.test(date)) throw new read.ValidationError('date', 'a date such as 2026-12-24');
+  return { date, like: read.oneOf(fields, 'like', WEEKDAYS) };
 }
 
-/** Slots that share a zone follow each other without gap or overlap. */
-function checkOrder(slots: readonly TariffSlot[]): void {
-  const ends = new Map<string, number>();
-  slots.forEach((s, i) => {
-    for (const zone of s.zones ?? ['*']) {
-      const before = ends.get(zone);
-      if (before !== undefined && s.from !== before)
-        throw new r.ValidationError(`slots[${i}].from`, `the end of the slot before it (no gap, no overlap)`);
-      ends.set(zone, s.until);
+function parseSlot(fields: read.JsonObject): TariffSlot {
+  const from = parseInstant(fields, 'from');
+  const until = parseInstant(fields, 'until');
+  if (until <= from) throw new read.ValidationError('until', 'a time after `from`');
+  return { from, until, zones: read.optionalStrings(fields, 'zones'), ...parseRate(fields) };
+}
+
+/** Throws a `ValidationError` unless slots that share a zone follow each other without gap or overlap. */
+function checkSlotOrder(slots: readonly TariffSlot[]): void {
+  const endByZone = new Map<string, number>();
+  slots.forEach((slot, index) => {
+    for (const zone of slot.zones ?? [ALL_ZONES]) {
+      const previousEnd = endByZone.get(zone);
+      if (previousEnd !== undefined && slot.from !== previousEnd)
+        throw new read.ValidationError(
+          `slots[${index}].from`,
+          `the end of the slot before it (no gap, no overlap)`,
+        );
+      endByZone.set(zone, slot.until);
     }
   });
-  if (ends.has('*') && ends.size > 1)
-    throw new r.ValidationError('slots', 'either all with zones or all without');
+  if (endByZone.has(ALL_ZONES) && endByZone.size > 1)
+    throw new read.ValidationError('slots', 'either all with zones or all without');
+}
+
+function parseValidUntil(fields: read.JsonObject, issuedAt: number): number | null {
+  if (isAbsent(fields['validUntil'])) return null;
+  const validUntil = parseInstant(fields, 'validUntil');
+  if (validUntil <= issuedAt) throw new read.ValidationError('validUntil', 'a time after `issuedAt`');
+  return validUntil;
 }
 
-/** Checks a tariff; the error's text names the field by its full path. */
+/** Reads and checks a tariff document; throws a `ValidationError`. */
 export function parseTariff(value: unknown): TariffDocument {
-  const o = r.asObject(value, 'tariff');
-  if (r.count(o, 'format') !== TARIFF_FORMAT) throw new r.ValidationError('format', `${TARIFF_FORMAT}`);
-  const issuedAt = instant(o, 'issuedAt');
-  const given = o['validUntil'];
-  const validUntil = given === undefined || given === null ? null : instant(o, 'validUntil');
-  if (validUntil !== null && validUntil <= issuedAt)
-    throw new r.ValidationError('validUntil', 'a time after `issuedAt`');
-  const slots = items(o, 'slots', MOST_SLOTS, slot);
-  checkOrder(slots);
+  const fields = read.asObject(value, 'tariff');
+  if (read.count(fields, 'format') !== TARIFF_FORMAT)
+    throw new read.ValidationError('format', `${TARIFF_FORMAT}`);
+  const issuedAt = parseInstant(fields, 'issuedAt');
+  const validUntil = parseValidUntil(fields, issuedAt);
+  const slots = parseEntries(fields, 'slots', MAX_SLOTS, parseSlot);
+  checkSlotOrder(slots);
   return {
-    revision: r.count(o, 'revision'),
-    timeZone: r.name(o, 'timeZone'),
+    revision: read.count(fields, 'revision'),
+    timeZone: read.name(fields, 'timeZone'),
     issuedAt,
     validUntil,
-    nextUpdateS: r.optionalAmount(o, 'nextUpdateS'),
-    base: r.withFieldPath('base', () => rate(r.asObject(o['base'], 'entry'))),
-    windows: items(o, 'windows', MOST_WINDOWS, window),
-    holidays: items(o, 'holidays', MOST_HOLIDAYS, (h) => {
-      const date = r.string(h, 'date');
-      if (!DATE.test(date)) throw new r.ValidationError('date', 'a date such as 2026-12-24');
-      return { date, like: r.oneOf(h, 'like', WEEKDAYS) };
-    }),
+    nextUpdateS: read.optionalAmount(fields, 'nextUpdateS'),
+    base: read.withFieldPath('base', () => parseRate(read.asObject(fields['base'], 'entry'))),
+    windows: parseEntries(fields, 'windows', MAX_WINDOWS, parseWindow),
+    holidays: parseEntries(fields, 'holidays', MAX_HOLIDAYS, parseHoliday),
     slots,
   };
 }
 
-function formatMinutes(m: number): string {
-  return `${String(Math.floor(m / 60)).padStart(2, '0')}:${String(m % 60).padStart(2, '0')}`;
+function formatWindow(window: RecurringWindow): Record<string, unknown> {
+  return { ...window, from: formatTimeOfDay(window.from), to: formatTimeOfDay(window.to) };
+}
+
+function formatSlot(slot: TariffSlot): Record<string, unknown> {
+  return { ...slot, from: formatInstant(slot.from), until: formatInstant(slot.until) };
 }
 
 /** The document as a feed publishes it; `parseTariff` reads it back. */
-export function formatTariff(t: TariffDocument): Record<string, unknown> {
-  const iso = (ms: number): string => new Date(ms).toISOString();
+export function formatTariff(tariff: TariffDocument): Record<string, unknown> {
   return {
     format: TARIFF_FORMAT,
-    revision: t.revision,
-    timeZone: t.timeZone,
-    issuedAt: iso(t.issuedAt),
-    validUntil: t.validUntil === null ? null : iso(t.validUntil),
-    nextUpdateS: t.nextUpdateS,
-    base: t.base,
-    windows: t.windows.map((w) => ({ ...w, from: formatMinutes(w.from), to: formatMinutes(w.to) })),
-    holidays: t.holidays,
-    slots: t.slots.map((s) => ({ ...s, from: iso(s.from), until: iso(s.until) })),
+    revision: tariff.revision,
+    timeZone: tariff.timeZone,
+    issuedAt: formatInstant(tariff.issuedAt),
+    validUntil: tariff.validUntil === null ? null : formatInstant(tariff.validUntil),
+    nextUpdateS: tariff.nextUpdateS,
+    base: tariff.base,
+    windows: tariff.windows.map(formatWindow),
+    holidays: tariff.holidays,
+    slots: tariff.slots.map(formatSlot),
   };
 }
--- /dev/null
+++ b/packages/wire/test/heartbeats.test.ts
@@ -0,0 +1,34 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import fc from 'fast-check';
+import type { AgentEpoch, FencingToken, MachineId } from '../src/index.js';
+import { ValidationError, formatHeartbeat, parseHeartbeat, parseTaskName } from '../src/index.js';
+import { RUNS, amount, taskStatus } from './arbitraries.js';
+
+test('a heartbeat survives being written and read', () => {
+  fc.assert(
+    fc.property(fc.array(taskStatus, { maxLength: 8 }), fc.nat(), fc.option(amount), (tasks, n, noticeS) => {
+      const heartbeat = {
+        machine: 'n-000001' as MachineId,
+        address: '10.0.0.1:9000',
+        type: 'g8',
+        zone: 'a',
+        spot: n % 2 === 0,
+        agentEpoch: n as AgentEpoch,
+        sequence: n,
+        fencingToken: n as FencingToken,
+        preemptionNoticeS: noticeS,
+        tasks,
+      };
+      const again = parseHeartbeat(JSON.parse(JSON.stringify(formatHeartbeat(heartbeat))));
+      assert.deepEqual(JSON.parse(JSON.stringify(again)), JSON.parse(JSON.stringify(heartbeat)));
+    }),
+    RUNS,
+  );
+});
+
+test('task names that name no task are malformed', () => {
+  for (const bad of ['', '/', 'wk-1', 'wk-1/', 'wk-1/x', 'x/1', 'wk-1/-1', 'wk-1/1.5'])
+    assert.throws(() => parseTaskName(bad), ValidationError, bad);
+  assert.deepEqual(parseTaskName('wk-000412/3'), { job: 'wk-000412', task: 3 });
+});
--- /dev/null
+++ b/packages/wire/test/peer-message.test.ts
@@ -0,0 +1,92 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import fc from 'fast-check';
+import type { AgentEpoch, Attempt, FencingToken, MachineId, NodeId } from '../src/index.js';
+import { decodePeerMessage, encodePeerMessage } from '../src/index.js';
+import { RUNS, jobId, label, taskStatus } from './arbitraries.js';
+
+const forwarded = fc.record({
+  id: fc.nat(),
+  ageMs: fc.nat(),
+  heartbeat: fc.record({
+    machine: label as unknown as fc.Arbitrary<MachineId>,
+    address: label,
+    type: label,
+    zone: label,
+    spot: fc.boolean(),
+    agentEpoch: fc.nat() as unknown as fc.Arbitrary<AgentEpoch>,
+    sequence: fc.nat(),
+    fencingToken: fc.nat(2 ** 31 - 1) as unknown as fc.Arbitrary<FencingToken>,
+    preemptionNoticeS: fc.option(fc.integer({ min: 0, max: 100 })),
+    tasks: fc.array(taskStatus, { maxLength: 5 }),
+  }),
+});
+const commandTarget = fc.record({
+  job: jobId,
+  task: fc.nat(),
+  attempt: fc.nat() as unknown as fc.Arbitrary<Attempt>,
+});
+const forwardedResponse = fc.record({
+  id: fc.nat(),
+  machine: label as unknown as fc.Arbitrary<MachineId>,
+  agentEpoch: fc.nat() as unknown as fc.Arbitrary<AgentEpoch>,
+  sequence: fc.nat(),
+  code: fc.constantFrom(200 as const, 503 as const),
+  fencingToken: fc.nat(2 ** 31 - 1) as unknown as fc.Arbitrary<FencingToken>,
+  delegatedLeaseMs: fc.nat(),
+  commands: fc.array(
+    fc.oneof(
+      commandTarget.map((target) => ({ op: 'start' as const, ...target })),
+      commandTarget.map((target) => ({ op: 'stop' as const, ...target, graceS: 4 })),
+      commandTarget.map((target) => ({ op: 'forget' as const, ...target })),
+    ),
+    { maxLength: 4 },
+  ),
+});
+
+test('peer messages are found again however the stream is cut', () => {
+  const message = fc.record({
+    status: fc.record({
+      node: label as fc.Arbitrary<NodeId>,
+      fencingToken: fc.nat(2 ** 31 - 1) as unknown as fc.Arbitrary<FencingToken>,
+      leader: label as fc.Arbitrary<NodeId>,
+      isStoreReachable: fc.boolean(),
+      storeEpoch: fc.nat(),
+      storeEpochId: fc.string(),
+      storeRevision: fc.nat(),
+      isStoreTrusted: fc.boolean(),
+      hasContinuousReplica: fc.boolean(),
+      acceptsForwardedHeartbeats: fc.boolean(),
+      leadershipPenalty: fc.nat(9),
+      isLeaderReady: fc.boolean(),
+      shardSize: fc.nat(),
+      canServeWorkers: fc.boolean(),
+      configurationVersion: fc.nat(),
+      configurationAgeMs: fc.nat(),
+    }),
+    jobProgress: fc.array(fc.record({ job: jobId, done: fc.nat(), running: fc.nat() }), { maxLength: 30 }),
+    sender: label as fc.Arbitrary<NodeId>,
+    forwardedHeartbeats: fc.array(forwarded, { minLength: 1, maxLength: 3 }),
+    forwardedHeartbeatResponses: fc.array(forwardedResponse, { minLength: 1, maxLength: 3 }),
+  });
+  fc.assert(
+    fc.property(
+      fc.array(message, { minLength: 1, maxLength: 4 }),
+      fc.integer({ min: 1, max: 64 }),
+      (sent, step) => {
+        const stream = Buffer.concat(sent.map((m) => encodePeerMessage(m)));
+        let held = Buffer.alloc(0);
+        const received: unknown[] = [];
+        for (let at = 0; at < stream.length; at += step) {
+          held = Buffer.concat([held, stream.subarray(at, at + step)]);
+          for (let f = decodePeerMessage(held); f !== null; f = decodePeerMessage(held)) {
+            received.push(JSON.parse(JSON.stringify(f.message)));
+            held = held.subarray(f.size);
+          }
+        }
+        assert.deepEqual(received, JSON.parse(JSON.stringify(sent)));
+      },
+    ),
+    RUNS,
+  );
+});
