--- a/packages/net/src/index.ts
+++ b/packages/net/src/index.ts
@@ -1,3 +1,8 @@
+/**
+ * Clocks, rate limits and JSON over HTTP.
+ *
+ * @module
+ */
 export * from './clock.js';
-export * from './budget.js';
-export * from './http.js';
+export * from './rate-limiter.js';
+export * from './json-client.js';
