--- /dev/null
+++ b/packages/store/src/http-key-value-store.ts
@@ -0,0 +1,271 @@
+/**
+ * The key-value store over HTTP: Protocol, Controller nodes -> state service.
+ *
+ * @module
+ */
+import type { Clock, HttpMethod, MonotonicMs, RequestPriority } from '@spurbridge/net';
+import { JsonClient, NoResponseError, REQUEST_PRIORITY, RateLimiter } from '@spurbridge/net';
+import type { Compare, FencingToken, KeyValue, LeaseId, Mutation, Revision, Version } from '@spurbridge/wire';
+import {
+  PATHS,
+  formatLeaseTtlMs,
+  formatTransaction,
+  parseFailedKeys,
+  parseKeyValue,
+  parseKeyValuePage,
+  parseLeaseId,
+  parseRevision,
+  parseWatchResponse,
+} from '@spurbridge/wire';
+import type {
+  CommitOutcome,
+  KeyValueStore,
+  LeaseGrantOutcome,
+  LeaseRenewalOutcome,
+  ListOutcome,
+  ReadOutcome,
+  RequestFailure,
+  WatchOutcome,
+} from './key-value-store.js';
+
+/** Limits of the key-value store, which all controller nodes share. */
+export interface KeyValueStoreLimits {
+  /** Requests per second. */
+  readonly rps: number;
+  /** Puts and deletes per second. */
+  readonly writeRps: number;
+  /** Longest value, in KiB. */
+  readonly valueKb: number;
+  /** Most puts and deletes in one transaction. */
+  readonly txnOps: number;
+}
+
+const RESPONSE_TIMEOUT_MS = 1500;
+const LIST_TIMEOUT_MS = 4000;
+/** How much longer than it may block a watch is waited for. */
+const WATCH_TIMEOUT_SLACK_MS = 3000;
+/** Keys in one page of a list: the most that the store returns. */
+const LIST_PAGE_SIZE = 1000;
+
+const REQUEST_SOCKETS = 24;
+/** Watches block, and have connections of their own. */
+const WATCH_SOCKETS = 4;
+
+/** The parts of the shared limits that one node uses at most, so that the others still get theirs. */
+const REQUEST_RATE_SHARE = 0.6;
+const REQUEST_BURST_SHARE = 0.5;
+const WRITE_RATE_SHARE = 0.8;
+const WRITE_BURST_SHARE = 0.8;
+
+const HTTP_OK = 200;
+const HTTP_BAD_REQUEST = 400;
+const HTTP_NOT_FOUND = 404;
+const HTTP_CONFLICT = 409;
+const HTTP_GONE = 410;
+const HTTP_TOO_MANY_REQUESTS = 429;
+
+const REFUSED: RequestFailure = { outcome: 'refused' };
+
+/** A request, and how its response is read. */
+interface StoreRequest<T> {
+  readonly method: HttpMethod;
+  readonly path: string;
+  readonly body?: unknown;
+  readonly timeoutMs: number;
+  /** The outcome of a response; null where its status says that the request was not served. */
+  readonly interpret: (status: number, body: unknown) => T | null;
+}
+
+/** A client of the key-value store that keeps within its node's part of the limits. */
+export class HttpKeyValueStore implements KeyValueStore {
+  /** The store's content is taken as it is: the package `recovery` adds the checks. */
+  readonly isTrusted = true;
+  readonly generation = 0;
+  private readonly client: JsonClient;
+  private readonly watchClient: JsonClient;
+  private readonly requests: RateLimiter;
+  private readonly writes: RateLimiter;
+  private failingFrom: MonotonicMs | null = null;
+
+  /** The address is `host:port`. */
+  constructor(
+    address: string,
+    limits: KeyValueStoreLimits,
+    private readonly clock: Clock,
+  ) {
+    this.client = new JsonClient(address, REQUEST_SOCKETS);
+    this.watchClient = new JsonClient(address, WATCH_SOCKETS);
+    this.requests = new RateLimiter(clock, limits.rps * REQUEST_RATE_SHARE, limits.rps * REQUEST_BURST_SHARE);
+    this.writes = new RateLimiter(
+      clock,
+      limits.writeRps * WRITE_RATE_SHARE,
+      limits.writeRps * WRITE_BURST_SHARE,
+    );
+  }
+
+  failingSince(): MonotonicMs | null {
+    return this.failingFrom;
+  }
+
+  /** The version of the leader's record: it rises with every election. */
+  fencingTokenOf(version: Version): FencingToken {
+    return version as number as FencingToken;
+  }
+
+  async read(key: string, priority: RequestPriority): Promise<ReadOutcome> {
+    if (!this.requests.tryAcquire(1, priority)) return REFUSED;
+    return this.send<ReadOutcome>({
+      method: 'GET',
+      path: `${PATHS.keys}/${key}`,
+      timeoutMs: RESPONSE_TIMEOUT_MS,
+      interpret: interpretRead,
+    });
+  }
+
+  /** Reads all keys with a prefix, a page at a time. */
+  async list(prefix: string, priority: RequestPriority): Promise<ListOutcome> {
+    const items: KeyValue[] = [];
+    let revision: Revision | null = null;
+    for (let from = ''; ;) {
+      if (!this.requests.tryAcquire(1, priority)) return REFUSED;
+      const page = await this.send({
+        method: 'GET',
+        path: listPath(prefix, from),
+        timeoutMs: LIST_TIMEOUT_MS,
+        interpret: interpretPage,
+      });
+      if (page.outcome !== 'page') return page;
+      revision ??= page.revision;
+      items.push(...page.items);
+      const last = page.items.at(-1);
+      if (!page.more || last === undefined)
+        return { outcome: 'listed', items, revision, latest: page.revision };
+      from = last.key;
+    }
+  }
+
+  async commit(
+    compares: readonly Compare[],
+    mutations: readonly Mutation[],
+    priority: RequestPriority,
+  ): Promise<CommitOutcome> {
+    if (!this.requests.tryAcquire(1, priority)) return REFUSED;
+    if (!this.writes.tryAcquire(mutations.length, priority)) return REFUSED;
+    return this.send<CommitOutcome>({
+      method: 'POST',
+      path: PATHS.transactions,
+      body: formatTransaction(compares, mutations),
+      timeoutMs: RESPONSE_TIMEOUT_MS,
+      interpret: interpretCommit,
+    });
+  }
+
+  async watch(prefix: string, after: Revision, waitMs: number): Promise<WatchOutcome> {
+    if (!this.requests.tryAcquire(1, REQUEST_PRIORITY.critical)) return REFUSED;
+    const request: StoreRequest<WatchOutcome> = {
+      method: 'GET',
+      path: `${PATHS.watch}?starts=${encodeURIComponent(prefix)}&from=${after}&blockMs=${waitMs}`,
+      timeoutMs: waitMs + WATCH_TIMEOUT_SLACK_MS,
+      interpret: interpretWatch,
+    };
+    return this.send(request, this.watchClient);
+  }
+
+  async grantLease(ttlMs: number): Promise<LeaseGrantOutcome> {
+    if (!this.requests.tryAcquire(1, REQUEST_PRIORITY.critical)) return REFUSED;
+    return this.send<LeaseGrantOutcome>({
+      method: 'POST',
+      path: PATHS.leases,
+      body: formatLeaseTtlMs(ttlMs),
+      timeoutMs: RESPONSE_TIMEOUT_MS,
+      interpret: interpretLeaseGrant,
+    });
+  }
+
+  async renewLease(lease: LeaseId): Promise<LeaseRenewalOutcome> {
+    if (!this.requests.tryAcquire(1, REQUEST_PRIORITY.critical)) return REFUSED;
+    return this.send<LeaseRenewalOutcome>({
+      method: 'POST',
+      path: `${PATHS.leases}/${lease}/touch`,
+      body: {},
+      timeoutMs: RESPONSE_TIMEOUT_MS,
+      interpret: interpretLeaseRenewal,
+    });
+  }
+
+  async revokeLease(lease: LeaseId): Promise<void> {
+    if (!this.requests.tryAcquire(1, REQUEST_PRIORITY.critical)) return;
+    await this.send({
+      method: 'DELETE',
+      path: `${PATHS.leases}/${lease}`,
+      timeoutMs: RESPONSE_TIMEOUT_MS,
+      interpret: interpretLeaseRevocation,
+    });
+  }
+
+  private async send<T>(request: StoreRequest<T>, client = this.client): Promise<T | RequestFailure> {
+    try {
+      const { method, path, body, timeoutMs } = request;
+      const response = await client.call(method, path, body, timeoutMs);
+      const outcome = request.interpret(response.status, response.body);
+      if (outcome !== null) {
+        this.failingFrom = null;
+        return outcome;
+      }
+      // Over the limit the store does serve requests, only not these.
+      if (response.status === HTTP_TOO_MANY_REQUESTS) this.requests.drain();
+      else this.failingFrom ??= this.clock.now();
+      return REFUSED;
+    } catch (error) {
+      // A `NoResponseError`, or a `ValidationError` where the response cannot be understood.
+      this.failingFrom ??= this.clock.now();
+      return error instanceof NoResponseError && error.notSent ? REFUSED : { outcome: 'unknown' };
+    }
+  }
+}
+
+/** Path of the page of a list that begins after the key `from`, or of the first page where that is ''. */
+function listPath(prefix: string, from: string): string {
+  const after = from === '' ? '' : `&from=${encodeURIComponent(from)}`;
+  return `${PATHS.keys}?starts=${encodeURIComponent(prefix)}${after}&most=${LIST_PAGE_SIZE}`;
+}
+
+function interpretRead(status: number, body: unknown): ReadOutcome | null {
+  if (status === HTTP_OK) return { outcome: 'found', item: parseKeyValue(body) };
+  return status === HTTP_NOT_FOUND ? { outcome: 'absent', revision: parseRevision(body) } : null;
+}
+
+function interpretPage(status: number, body: unknown) {
+  return status === HTTP_OK ? { outcome: 'page' as const, ...parseKeyValuePage(body) } : null;
+}
+
+function interpretCommit(status: number, body: unknown): CommitOutcome | null {
+  switch (status) {
+    case HTTP_OK:
+      return { outcome: 'committed', revision: parseRevision(body) };
+    case HTTP_CONFLICT:
+      return { outcome: 'conflict', failed: parseFailedKeys(body), revision: parseRevision(body) };
+    case HTTP_BAD_REQUEST:
+      return { outcome: 'no_lease' };
+    default:
+      return null;
+  }
+}
+
+function interpretWatch(status: number, body: unknown): WatchOutcome | null {
+  if (status === HTTP_OK) return { outcome: 'events', ...parseWatchResponse(body) };
+  return status === HTTP_GONE ? { outcome: 'compacted' } : null;
+}
+
+function interpretLeaseGrant(status: number, body: unknown): LeaseGrantOutcome | null {
+  return status === HTTP_OK ? { outcome: 'granted', lease: parseLeaseId(body) } : null;
+}
+
+function interpretLeaseRenewal(status: number): LeaseRenewalOutcome | null {
+  if (status === HTTP_OK) return { outcome: 'renewed' };
+  return status === HTTP_NOT_FOUND ? { outcome: 'ended' } : null;
+}
+
+function interpretLeaseRevocation(status: number): { readonly outcome: 'ended' } | null {
+  return status === HTTP_OK || status === HTTP_NOT_FOUND ? { outcome: 'ended' } : null;
+}
--- /dev/null
+++ b/packages/store/src/key-value-store.ts
@@ -0,0 +1,97 @@
+/**
+ * The interface of the key-value store and the outcomes of its requests.
+ *
+ * @module
+ */
+import type { MonotonicMs, RequestPriority } from '@spurbridge/net';
+import type {
+  Compare,
+  FencingToken,
+  KeyValue,
+  LeaseId,
+  Mutation,
+  Revision,
+  Version,
+  WatchEvent,
+} from '@spurbridge/wire';
+
+/** A request that was not served. */
+export type RequestFailure =
+  /** Certainly not executed: refused, over a limit, or never sent. */
+  | { readonly outcome: 'refused' }
+  /** No response: it may have been executed, or may still be, at any later time. */
+  | { readonly outcome: 'unknown' };
+
+/** Outcome of a transaction. */
+export type CommitOutcome =
+  | { readonly outcome: 'committed'; readonly revision: Revision }
+  /** Not executed, since the versions of these keys differ. */
+  | { readonly outcome: 'conflict'; readonly failed: readonly string[]; readonly revision: Revision }
+  /** Not executed, since a lease that it names has ended. */
+  | { readonly outcome: 'no_lease' }
+  | RequestFailure;
+
+/** Outcome of reading one key. */
+export type ReadOutcome =
+  | { readonly outcome: 'found'; readonly item: KeyValue }
+  | { readonly outcome: 'absent'; readonly revision: Revision }
+  | RequestFailure;
+
+/** Outcome of reading all keys with a prefix. */
+export type ListOutcome =
+  | {
+      readonly outcome: 'listed';
+      readonly items: readonly KeyValue[];
+      /** Revision of the first page: a watch from it misses nothing. */
+      readonly revision: Revision;
+      /** Revision of the last page: no item is later. */
+      readonly latest: Revision;
+    }
+  | RequestFailure;
+
+/** Outcome of waiting for changes. */
+export type WatchOutcome =
+  | { readonly outcome: 'events'; readonly revision: Revision; readonly events: readonly WatchEvent[] }
+  /** The store no longer keeps changes of that age: the keys have to be read again. */
+  | { readonly outcome: 'compacted' }
+  | RequestFailure;
+
+/** Outcome of asking for a lease. */
+export type LeaseGrantOutcome = { readonly outcome: 'granted'; readonly lease: LeaseId } | RequestFailure;
+
+/** Outcome of renewing a lease. */
+export type LeaseRenewalOutcome =
+  { readonly outcome: 'renewed' } | { readonly outcome: 'ended' } | RequestFailure;
+
+/** The key-value store as the controllers use it; the simulated one implements it too. */
+export interface KeyValueStore {
+  /**
+   * Whether its content is trusted now. While it is not, every call is refused, and nothing may be started, rented,
+   * forgotten or released because of what was read before.
+   */
+  readonly isTrusted: boolean;
+  /** Changes when data may have been lost: no lease is valid across such a change. */
+  readonly generation: number;
+  /** The fencing token of a leader whose record has this version. */
+  fencingTokenOf(version: Version): FencingToken;
+  /** Reads one key. */
+  read(key: string, priority: RequestPriority): Promise<ReadOutcome>;
+  /** Reads all keys with a prefix. */
+  list(prefix: string, priority: RequestPriority): Promise<ListOutcome>;
+  /** Executes a transaction. */
+  commit(
+    compares: readonly Compare[],
+    mutations: readonly Mutation[],
+    priority: RequestPriority,
+  ): Promise<CommitOutcome>;
+  /** Waits at most `waitMs` milliseconds for changes of a prefix after a revision. */
+  watch(prefix: string, after: Revision, waitMs: number): Promise<WatchOutcome>;
+  /** Asks for a lease that lasts `ttlMs` milliseconds without a renewal. */
+  grantLease(ttlMs: number): Promise<LeaseGrantOutcome>;
+  /** Renews a leader's lease; `leaderRecord` is what its record must be, for a store that checks that too. */
+  renewLease(lease: LeaseId, leaderRecord: Compare): Promise<LeaseRenewalOutcome>;
+  /** Ends a lease at once; the keys attached to it are removed. */
+  revokeLease(lease: LeaseId): Promise<void>;
+  /** Since when requests have failed without one being served; null while served. */
+  failingSince(): MonotonicMs | null;
+}
--- /dev/null
+++ b/packages/store/src/leadership/campaign-delay.ts
@@ -0,0 +1,37 @@
+/**
+ * How long a node that finds no leader waits before it campaigns, so that the most suitable node leads.
+ *
+ * @module
+ */
+import type { NodeId } from '@spurbridge/wire';
+
+/** A node that may lead, as it describes itself. */
+export interface LeaderCandidate {
+  readonly node: NodeId;
+  /** Counts what speaks against it: started lately, short of processor time, lost a lease lately; 0: nothing. */
+  readonly penalty: number;
+}
+
+/** A node with a lower penalty gets this long to lead first, in milliseconds. */
+const LOWER_PENALTY_DELAY_MS = 500;
+/** Added for each step by which the other's penalty is lower, in milliseconds. */
+const PENALTY_STEP_DELAY_MS = 150;
+/** Nodes of equal penalty campaign one after another: two at once end in a conflict, and neither leads for a while. */
+const TURN_DELAY_MS = 70;
+const MAX_DELAY_MS = 1200;
+
+/**
+ * How long the node `own` waits before it campaigns, in milliseconds. The delay only gives others the first turn: any
+ * node campaigns within 1.2 seconds if no other leads, whatever is known of them.
+ */
+export function campaignDelayMs(own: LeaderCandidate, others: readonly LeaderCandidate[]): number {
+  const equals = others.filter((other) => other.penalty === own.penalty);
+  const turn = equals.filter((other) => other.node < own.node).length;
+  return Math.min(MAX_DELAY_MS, lowerPenaltyDelayMs(own, others) + turn * TURN_DELAY_MS);
+}
+
+function lowerPenaltyDelayMs(own: LeaderCandidate, others: readonly LeaderCandidate[]): number {
+  const lowest = Math.min(own.penalty, ...others.map((other) => other.penalty));
+  if (lowest >= own.penalty) return 0;
+  return LOWER_PENALTY_DELAY_MS + PENALTY_STEP_DELAY_MS * (own.penalty - lowest);
+}
--- /dev/null
+++ b/packages/store/src/leadership/leader-record.ts
@@ -0,0 +1,32 @@
+/**
+ * The record that names the leader. It is attached to the leader's lease and removed when that ends.
+ *
+ * @module
+ */
+import type { NodeId } from '@spurbridge/wire';
+import { read } from '@spurbridge/wire';
+
+/** Key of the leader's record. */
+export const LEADER_KEY = 'leader';
+
+/** Who leads. */
+export interface LeaderRecord {
+  readonly node: NodeId;
+  /** Identifies the node's process: one that was restarted has another. Null where the record holds none. */
+  readonly incarnation: string | null;
+}
+
+/** Reads a leader's record; throws a `ValidationError`. */
+export function parseLeaderRecord(value: unknown): LeaderRecord {
+  const fields = read.asObject(value, LEADER_KEY);
+  const { incarnation } = fields;
+  return {
+    node: read.string(fields, 'node') as NodeId,
+    incarnation: typeof incarnation === 'string' ? incarnation : null,
+  };
+}
+
+/** The value of a leader's record. */
+export function formatLeaderRecord(record: LeaderRecord): Record<string, unknown> {
+  return { node: record.node, incarnation: record.incarnation };
+}
