--- /dev/null
+++ b/packages/cloud/src/cloud-provider.ts
@@ -0,0 +1,35 @@
+/**
+ * The interface of the cloud that rents machines.
+ *
+ * @module
+ */
+import type { RequestPriority } from '@spurbridge/net';
+import type { ListedMachine, MachineId, MachineType, RentalRequest } from '@spurbridge/wire';
+
+/** Outcome of a rental request. */
+export type RentalOutcome =
+  /** These machines were rented: as many as were asked for, or fewer. */
+  | { readonly outcome: 'rented'; readonly machines: readonly MachineId[] }
+  /** No such machine is available now. */
+  | { readonly outcome: 'no_capacity' }
+  /** Certainly not executed. */
+  | { readonly outcome: 'refused' }
+  /** May have been executed, or may still be: repeating the same request is safe. */
+  | { readonly outcome: 'unknown' };
+
+/** Most machines in one rental request. */
+export const MAX_MACHINES_PER_RENTAL = 50;
+/** Most machines in one release request. */
+export const MAX_MACHINES_PER_RELEASE = 100;
+
+/** The cloud as the controllers use it; the simulated one implements it too. */
+export interface CloudProvider {
+  /** All machine types with their present prices; null where the request was not served. */
+  listMachineTypes(): Promise<readonly MachineType[] | null>;
+  /** Rents machines. */
+  rent(request: RentalRequest): Promise<RentalOutcome>;
+  /** Returns machines; true once they and everything on them are certainly gone. */
+  release(machines: readonly MachineId[], priority: RequestPriority): Promise<boolean>;
+  /** All rented machines, as the cloud knew them some time ago; null where a request was not served. */
+  listMachines(): Promise<readonly ListedMachine[] | null>;
+}
