--- /dev/null
+++ b/packages/recovery/test/state-loss/recovery-steps.ts
@@ -0,0 +1,63 @@
+/**
+ * What the model's controllers do after a loss: recovery of the store, and reconciliation with the machines.
+ *
+ * @module
+ */
+import type { ControllerIndex, Guards, LeaderTerm, ModelState, TaskRecord } from './model-state.js';
+
+/** Rise of the token floor, above all that an epoch of the model issues. */
+const TOKEN_FLOOR_RISE = 100;
+
+/** The leader hears from every machine under its token; what the machines say replaces the record. */
+export function reconcile(state: ModelState, index: ControllerIndex): void {
+  const term = state.controllers[index].term as LeaderTerm;
+  for (const machine of state.machines) machine.token = Math.max(machine.token, term.token);
+  const runningOn = state.machines.findIndex((machine) => machine.runsTask) + 1;
+  if (runningOn !== term.placedOn) {
+    term.placedOn = runningOn;
+    state.store.revision += 1;
+    state.store.record = [runningOn, state.store.revision];
+    term.recordVersion = state.store.revision;
+    state.controllers[index].replica = [...state.store.record];
+  }
+  term.isDurable = term.placedOn !== 0;
+  term.isReconciled = true;
+  for (const controller of state.controllers) controller.isContinuous = controller.isAlive;
+  state.store.isContinuous = true;
+}
+
+/** A controller enters the epoch that the store is in. */
+export function joinEpoch(state: ModelState, index: ControllerIndex): void {
+  const controller = state.controllers[index];
+  controller.term = null;
+  controller.fence = state.store.fence;
+  controller.fenceVersion = state.store.fenceVersion;
+  controller.replica = [...state.store.record];
+  controller.isContinuous = state.store.isContinuous;
+}
+
+/** A controller moves the fence to a new epoch; the replica of the other one is merged unless it is dead. */
+export function moveFence(guards: Guards, state: ModelState, index: ControllerIndex): void {
+  const aliveBefore = structuredClone(state.controllers).filter((controller) => controller.isAlive);
+  const { store } = state;
+  state.fenceCount += 1;
+  store.revision += 1;
+  store.fence = state.fenceCount;
+  store.fenceVersion = store.revision;
+  store.tokenFloor = guards.risingTokenFloors ? state.lastToken + TOKEN_FLOOR_RISE : 0;
+  store.leaderVersion = 0;
+  const newest = newestRecord(aliveBefore.map((controller) => controller.replica));
+  if (guards.mergesReplicas && newest[1] > 0 && newest[0] !== store.record[0]) {
+    store.revision += 1;
+    store.record = [newest[0], store.revision];
+  }
+  const lastLeader = aliveBefore.find((controller) => controller.term?.token === state.lastToken);
+  store.isContinuous = state.lastToken === 0 || lastLeader?.isContinuous === true;
+  joinEpoch(state, index);
+  // The other one has left its marker, or its lease has expired, before the epoch opens.
+  if (guards.waitsForLeases) for (const controller of state.controllers) controller.term = null;
+}
+
+function newestRecord(records: readonly TaskRecord[]): TaskRecord {
+  return records.reduce((newest, record) => (record[1] > newest[1] ? record : newest), [0, 0]);
+}
--- /dev/null
+++ b/packages/recovery/test/state-loss/state-space.ts
@@ -0,0 +1,65 @@
+/**
+ * Breadth-first search of the model's states for one in which a rule is broken.
+ *
+ * @module
+ */
+import type { Guards, ModelState } from './model-state.js';
+import { initialState, isRuleBroken } from './model-state.js';
+import { possibleSteps } from './model-steps.js';
+
+/** Result of a search. */
+export interface SearchResult {
+  readonly stateCount: number;
+  /** The steps after the prefix that break a rule; null if none do. */
+  readonly stepsToBrokenRule: readonly string[] | null;
+}
+
+/** How a state was reached: the key of the state before, and the step from there. */
+interface Origin {
+  readonly previousKey: string | null;
+  readonly step: string;
+}
+
+/** Searches all states that can be reached by `maxSteps` steps after a prefix, until a rule is broken. */
+export function searchStates(guards: Guards, maxSteps: number, prefix: readonly string[] = []): SearchResult {
+  const start = stateAfter(guards, prefix);
+  const origins = new Map<string, Origin>([[keyOf(start), { previousKey: null, step: 'begin' }]]);
+  let level: ModelState[] = [start];
+  for (let depth = 0; depth < maxSteps && level.length > 0; depth += 1) {
+    const nextLevel: ModelState[] = [];
+    for (const state of level)
+      for (const [step, next] of possibleSteps(guards, state)) {
+        const key = keyOf(next);
+        if (origins.has(key)) continue;
+        origins.set(key, { previousKey: keyOf(state), step });
+        if (isRuleBroken(guards, next))
+          return { stateCount: origins.size, stepsToBrokenRule: stepsTo(origins, key) };
+        nextLevel.push(next);
+      }
+    level = nextLevel;
+  }
+  return { stateCount: origins.size, stepsToBrokenRule: null };
+}
+
+function stateAfter(guards: Guards, prefix: readonly string[]): ModelState {
+  let state = initialState();
+  for (const wanted of prefix) {
+    const found = [...possibleSteps(guards, state)].find(([step]) => step === wanted);
+    if (found === undefined) throw new Error(`${wanted} is no step here`);
+    state = found[1];
+  }
+  return state;
+}
+
+function keyOf(state: ModelState): string {
+  return JSON.stringify(state);
+}
+
+function stepsTo(origins: ReadonlyMap<string, Origin>, key: string): string[] {
+  const steps: string[] = [];
+  for (let origin = origins.get(key); origin !== undefined;) {
+    steps.unshift(origin.step);
+    origin = origin.previousKey === null ? undefined : origins.get(origin.previousKey);
+  }
+  return steps;
+}
