--- /dev/null
+++ b/packages/recovery/src/attachment.ts
@@ -0,0 +1,129 @@
+/**
+ * The first contact of a controller with the key-value store: whether it may work in the epoch that it finds.
+ *
+ * @module
+ */
+import type { Clock, MonotonicMs } from '@spurbridge/net';
+import type { KeyValueStore } from '@spurbridge/store';
+import { isControlKey } from './epoch/control-keys.js';
+import type { Epoch } from './epoch/epoch-record.js';
+import type { OpenEpoch } from './epoch/open-epoch.js';
+import type { PeerObservations } from './peer-observations.js';
+import { RETRY_MS } from './phases/recovery-dependencies.js';
+import type { StoreRecovery } from './phases/store-recovery.js';
+import type { SnapshotReplica, SnapshotSource } from './snapshot-source.js';
+import { findMissingFromSnapshot } from './snapshot-source.js';
+
+/** Time after which an empty store may be initialized where all peers were heard from, none of them in an epoch. */
+const INITIALIZE_AMONG_PEERS_MS = 700;
+/** Time after which an empty store may be initialized where not all peers were heard from. */
+const INITIALIZE_ALONE_MS = 2000;
+/** Pause while peers or workers may still show that the store is not a new one. */
+const AWAIT_PEERS_MS = 50;
+const AWAIT_WORKERS_MS = 100;
+
+/** Result of one attempt to attach to the store. */
+export type AttachOutcome =
+  | { readonly outcome: 'attached'; readonly openEpoch: OpenEpoch }
+  /** Something speaks against the store. */
+  | { readonly outcome: 'doubtful'; readonly evidence: string }
+  /** Nothing is certain yet. The attempt has ended with a pause, and is to be repeated. */
+  | { readonly outcome: 'undecided' };
+
+const UNDECIDED: AttachOutcome = { outcome: 'undecided' };
+
+/** What attaching works with. */
+export interface StoreAttachmentDependencies {
+  readonly raw: KeyValueStore;
+  readonly clock: Clock;
+  /** Number of controllers, this one included. */
+  readonly nodes: number;
+  readonly observations: PeerObservations;
+  readonly recovery: StoreRecovery;
+  readonly snapshots: SnapshotSource | undefined;
+}
+
+/** Attaches a controller that has just started to the store. */
+export class StoreAttachment {
+  private latestSnapshot: SnapshotReplica | null = null;
+  private readonly startedAt: MonotonicMs;
+
+  constructor(private readonly dependencies: StoreAttachmentDependencies) {
+    this.startedAt = dependencies.clock.now();
+  }
+
+  /** The newest snapshot, for as long as this controller has no replica of its own; null without one. */
+  get snapshot(): SnapshotReplica | null {
+    return this.latestSnapshot;
+  }
+
+  /** Forgets the snapshot: the controller has a replica that is at least as new. */
+  releaseSnapshot(): void {
+    this.latestSnapshot = null;
+  }
+
+  /** Makes one attempt to attach. */
+  async attempt(): Promise<AttachOutcome> {
+    const { observations, recovery } = this.dependencies;
+    const record = await recovery.readEpochRecord();
+    if (record === null) return this.pause(RETRY_MS);
+    const { epoch } = record;
+    await this.loadSnapshot(epoch?.deployment ?? null);
+    if (epoch === null) return this.attachWithoutEpoch();
+    const { ahead } = observations.reachablePeers();
+    if (epoch.phase !== 'open' || epoch.number < ahead)
+      return doubtful(`epoch ${epoch.number} is ${epoch.phase}, of others ${ahead}`);
+    return this.attachToEpoch(epoch);
+  }
+
+  /** The store has an epoch record: reads the epoch, and compares it with what peers and a snapshot know. */
+  private async attachToEpoch(epoch: Epoch): Promise<AttachOutcome> {
+    const { observations, recovery } = this.dependencies;
+    const knownRevision = observations.highestRevisionOf(epoch.id);
+    const openEpoch = await recovery.loadOpenEpoch(epoch);
+    if (openEpoch === null) return UNDECIDED;
+    const { latestRevision } = openEpoch;
+    if (latestRevision < knownRevision)
+      return doubtful(`revision ${latestRevision} was read, a peer knows ${knownRevision}`);
+    const evidence = this.snapshot === null ? null : findMissingFromSnapshot(this.snapshot, openEpoch);
+    return evidence === null ? { outcome: 'attached', openEpoch } : doubtful(evidence);
+  }
+
+  /** The store has no epoch record: this is a first start, or the store was emptied. */
+  private async attachWithoutEpoch(): Promise<AttachOutcome> {
+    const { clock, nodes, observations } = this.dependencies;
+    const now = clock.now();
+    const { peers, ahead } = observations.reachablePeers();
+    const waitMs = peers.length >= nodes - 1 ? INITIALIZE_AMONG_PEERS_MS : INITIALIZE_ALONE_MS;
+    if (observations.highestToken > 0 || this.snapshot !== null)
+      return doubtful('no epoch, but a token or a snapshot');
+    if (ahead > 0 || now - this.startedAt < waitMs) return this.pause(AWAIT_PEERS_MS);
+    if (!(await observations.isNewToWorkers())) return this.pause(AWAIT_WORKERS_MS);
+    return this.initialize();
+  }
+
+  private async initialize(): Promise<AttachOutcome> {
+    const { raw, recovery } = this.dependencies;
+    const listed = await raw.list('', 0);
+    if (listed.outcome !== 'listed') return this.pause(RETRY_MS);
+    if (listed.items.some((item) => !isControlKey(item.key))) return doubtful('records without an epoch');
+    await recovery.initializeStore();
+    return UNDECIDED;
+  }
+
+  private async loadSnapshot(deployment: string | null): Promise<void> {
+    const { snapshots, observations } = this.dependencies;
+    if (snapshots === undefined || this.latestSnapshot !== null) return;
+    this.latestSnapshot = await snapshots.latest(deployment);
+    if (this.latestSnapshot !== null) observations.receiveEpoch(this.latestSnapshot.epoch);
+  }
+
+  private async pause(ms: number): Promise<AttachOutcome> {
+    await this.dependencies.clock.sleep(ms);
+    return UNDECIDED;
+  }
+}
+
+function doubtful(evidence: string): AttachOutcome {
+  return { outcome: 'doubtful', evidence };
+}
--- a/packages/recovery/src/epoch-store/audit-selector.ts
+++ b/packages/recovery/src/epoch-store/audit-selector.ts
@@ -1,61 +1,65 @@
+/**
+ * The choice of the keys that an audit compares with the key-value store.
+ *
+ * @module
+ */
 import type { Compare, Revision } from '@spurbridge/wire';
 import type { Replica } from '../replica/replica.js';
 
-/** Chooses what the store is asked to confirm: what changed last, then everything in turn. */
+/** Chooses keys for audits: those written last, then all others in turn. Also keeps track of keys that may be lost. */
 export class AuditSelector {
-  private readonly recent = new Set<string>();
-  private turn: Iterator<string> | null = null;
-  /** Keys that were absent at a revision which the watch had not reached. */
-  private readonly suspects = new Map<string, Revision>();
+  private readonly recentlyWritten = new Set<string>();
+  private rotation: Iterator<string> | null = null;
+  /** Keys that were absent, by the revision of that response, which the watch had not reached yet. */
+  private readonly absentKeys = new Map<string, Revision>();
 
-  constructor(private readonly most: number) {}
+  /** @param maxCompares - Number of keys that one audit compares at most. */
+  constructor(private readonly maxCompares: number) {}
 
-  restart(): void {
-    this.recent.clear();
-    this.suspects.clear();
-    this.turn = null;
+  /** Notes that a key was written, so that one of the next audits compares it. */
+  noteWrite(key: string): void {
+    // Deleted and added again, the key moves to the end: the last writes are audited first.
+    this.recentlyWritten.delete(key);
+    this.recentlyWritten.add(key);
   }
 
-  changed(key: string): void {
-    this.recent.delete(key);
-    this.recent.add(key);
-  }
-
-  choose(copy: Replica, isStoodInFor: (key: string) => boolean): Compare[] {
-    const chosen = new Map<string, Compare>();
-    const add = (key: string): void => {
-      const seen = copy.get(key);
-      if (seen !== undefined && !isStoodInFor(key)) chosen.set(key, { key, version: seen.version });
+  /** Returns the comparisons of the next audit. Keys that `isReplaced` names have a repair in place of the store's value. */
+  selectCompares(replica: Replica, isReplaced: (key: string) => boolean): Compare[] {
+    const selected = new Map<string, Compare>();
+    const select = (key: string): void => {
+      const entry = replica.get(key);
+      if (entry !== undefined && !isReplaced(key)) selected.set(key, { key, version: entry.version });
     };
-    for (const key of [...this.recent].reverse()) {
-      if (chosen.size >= this.most) break;
-      add(key);
+    for (const key of [...this.recentlyWritten].reverse()) {
+      if (selected.size >= this.maxCompares) break;
+      select(key);
     }
-    this.recent.clear();
-    for (let n = 0; n < this.most && chosen.size < this.most; n += 1) {
-      this.turn ??= copy.keys();
-      const next = this.turn.next();
+    this.recentlyWritten.clear();
+    for (let count = 0; count < this.maxCompares && selected.size < this.maxCompares; count += 1) {
+      this.rotation ??= replica.keys();
+      const next = this.rotation.next();
       if (next.done === true) {
-        this.turn = null;
+        this.rotation = null;
         break;
       }
-      add(next.value);
+      select(next.value);
     }
-    return [...chosen.values()];
+    return [...selected.values()];
   }
 
-  suspect(key: string, at: Revision): void {
-    if (!this.suspects.has(key)) this.suspects.set(key, at);
+  /** Notes that a known key was absent at a revision. The watch will show whether it was deleted. */
+  noteAbsent(key: string, revision: Revision): void {
+    if (!this.absentKeys.has(key)) this.absentKeys.set(key, revision);
   }
 
-  /** A suspect that the watch, now past its revision, did not show as deleted. */
-  lost(copy: Replica): string | null {
-    for (const [key, at] of this.suspects) {
-      if (copy.revision < at) continue;
-      this.suspects.delete(key);
-      // Written again since, it is another record: deleted and made anew between two audits, it counted as lost.
-      const seen = copy.get(key);
-      if (seen !== undefined && seen.version <= at) return key;
+  /** Returns a key that was absent although the watch, now past that revision, showed no deletion; null if there is none. */
+  findLostKey(replica: Replica): string | null {
+    for (const [key, revision] of this.absentKeys) {
+      if (replica.revision < revision) continue;
+      this.absentKeys.delete(key);
+      // A later version is another record: one that was deleted and written again between two audits once counted as lost.
+      const entry = replica.get(key);
+      if (entry !== undefined && entry.version <= revision) return key;
     }
     return null;
   }
--- a/packages/recovery/src/epoch-store/epoch-store.ts
+++ b/packages/recovery/src/epoch-store/epoch-store.ts
@@ -1,328 +1,310 @@
+/**
+ * The key-value store in one open epoch, with this controller's replica of it.
+ *
+ * @module
+ */
 import { JOB_KEY_PREFIX } from '@spurbridge/model';
 import type { Clock, MonotonicMs, RequestPriority } from '@spurbridge/net';
 import type {
   CommitOutcome,
+  KeyValueStore,
+  LeaseRenewalOutcome,
   ListOutcome,
   ReadOutcome,
   RequestFailure,
-  KeyValueStore,
-  LeaseRenewalOutcome,
   WatchOutcome,
 } from '@spurbridge/store';
 import { LEADER_KEY } from '@spurbridge/store';
-import type { Mutation, Compare, KeyValue, LeaseId, Revision, Version, WatchEvent } from '@spurbridge/wire';
+import type { Compare, KeyValue, LeaseId, Mutation, Revision, Version, WatchEvent } from '@spurbridge/wire';
 import { KEY_ABSENT } from '@spurbridge/wire';
-import { AuditSelector } from './audit-selector.js';
-import type { ReplicaEntry } from '../replica/replica.js';
-import { Replica, findContradiction, isNeverDeleted } from '../replica/replica.js';
+import { isControlKey } from '../epoch/control-keys.js';
 import type { Epoch } from '../epoch/epoch-record.js';
-import { EPOCH_KEY, decodeEpoch, isControlKey } from '../epoch/epoch-record.js';
-import type { OpenEpoch } from '../phases/store-recovery.js';
-import { TOMBSTONE_VALUE, isTombstone } from '../phases/store-recovery.js';
+import type { OpenEpoch } from '../epoch/open-epoch.js';
+import { isTombstone } from '../epoch/tombstone.js';
+import type { ReplicaEntry } from '../replica/replica-entry.js';
+import { isNeverDeleted } from '../replica/replica-entry.js';
 import { RepairOverlay } from '../replica/repair-overlay.js';
+import { Replica } from '../replica/replica.js';
+import { AuditSelector } from './audit-selector.js';
+import { IntegrityAuditor } from './integrity-auditor.js';
+import { ReplicaFollower } from './replica-follower.js';
+import type { EpochTrust } from './response-validator.js';
+import { REFUSED, ResponseValidator, UNKNOWN } from './response-validator.js';
+import { translateCompares, translateMutations } from './transaction-translation.js';
+import { mutatedKey, withoutTombstone } from './watch-events.js';
+
+/** Audits compare up to this many times as many keys as a transaction may mutate. */
+const COMPARES_PER_TRANSACTION_OPERATION = 4;
+/** Comparisons of an audit that are not left for records. */
+const RESERVED_COMPARES = 2;
+/** Time for which users repeat a submission: until then a job id that is not known may still arrive. */
+const SUBMISSION_RETRY_MS = 60_000;
+const HIGHEST_PRIORITY: RequestPriority = 0;
+const LOWEST_PRIORITY: RequestPriority = 3;
 
-/** Changes are taken in together: a watch for each of them would cost as many requests. */
-const WATCH_PAUSE_MS = 300;
-const WATCH_MS = 2000;
-/** Everything is read this seldom, and only up to so many records. */
-const SCRUB_AUDITS = 60;
-const SCRUB_MOST = 20_000;
-const RETRY_MS = 150;
-/** Users repeat a submission for so long: until then an id that is not known may yet come. */
-const RETRIES_MS = 60_000;
-export const REFUSED: RequestFailure = { outcome: 'refused' };
-const UNKNOWN: RequestFailure = { outcome: 'unknown' };
+type FoundOrAbsent = Extract<ReadOutcome, { outcome: 'found' | 'absent' }>;
+type Found = Extract<ReadOutcome, { outcome: 'found' }>;
+type Absent = Extract<ReadOutcome, { outcome: 'absent' }>;
+type Listed = Extract<ListOutcome, { outcome: 'listed' }>;
 
+/** What the store of an epoch works with. */
 export interface EpochStoreDependencies {
+  /** The store as it is, whose responses are validated here. */
   readonly raw: KeyValueStore;
   readonly clock: Clock;
+  /** Number of mutations that a transaction may hold. */
   readonly txnOps: number;
-  /** Something cannot be in a sound store. */
-  readonly doubt: (evidence: string) => void;
-  /** Whether this is still the epoch that is trusted. */
-  readonly isCurrent: (view: EpochStore) => boolean;
-  /** Whether all that was ever written is known to have been read. */
+  /** Reports evidence that the store is not intact. */
+  readonly suspect: (evidence: string) => void;
+  /** Returns whether this is still the epoch that is trusted. */
+  readonly isCurrent: (store: EpochStore) => boolean;
+  /** Returns whether everything that was ever written is known to have been read. */
   readonly isContinuous: () => boolean;
-  /** The copy has changed. */
-  readonly copied: () => void;
+  /** Called after the replica has changed. */
+  readonly onReplicaChanged: () => void;
 }
 
-/** The state service in one epoch, with this node's copy: every answer is held against what was known. */
+/**
+ * The store in one epoch. Every commit carries the fence, and every response is compared with what was known when its
+ * request was sent. Readers see pending repairs in place of the values that they replace.
+ */
 export class EpochStore {
   readonly epoch: Epoch;
-  readonly copy = new Replica();
+  readonly replica = new Replica();
   readonly overlay: RepairOverlay;
-  /** Keys of pages, and tombstones, to be removed once everything is written back. */
-  leftovers: readonly string[];
-  /** Highest revision known to have been in this epoch. */
-  claimed: number;
-  private readonly fence: Compare;
-  private readonly auditor: AuditSelector;
+  /** Keys of contributions and of tombstones, to be deleted once everything is written back. */
+  obsoleteKeys: readonly string[];
+  private readonly raw: KeyValueStore;
+  private readonly validator: ResponseValidator;
+  private readonly selector: AuditSelector;
+  private readonly follower: ReplicaFollower;
+  private readonly auditor: IntegrityAuditor;
   private readonly enteredAt: MonotonicMs;
-  private audits = 0;
-  /** All that was durable before this is in the copy; null until it was followed once. */
-  private knownAt: MonotonicMs | null = null;
 
   constructor(
-    private readonly p: EpochStoreDependencies,
-    o: OpenEpoch,
+    private readonly dependencies: EpochStoreDependencies,
+    { epoch, fence, records, pendingRepairs, obsoleteKeys, revision }: OpenEpoch,
   ) {
-    const { epoch, fence, revision } = o;
-    const atFence = o.pending.map((r) => ({
-      key: r.key,
-      value: JSON.parse(r.text) as unknown,
-      // Newer than all from before the fence, older than all that is written after it.
+    const { raw, clock, txnOps } = dependencies;
+    const repairedRecords = pendingRepairs.map((repair) => ({
+      key: repair.key,
+      value: JSON.parse(repair.text) as unknown,
+      // Newer than everything from before the fence, older than everything that is written after it.
       version: fence.version,
     }));
-    this.copy.replaceAll([...o.items, ...atFence], revision);
+    this.replica.replaceAll([...records, ...repairedRecords], revision);
     this.epoch = epoch;
-    this.fence = fence;
-    this.overlay = new RepairOverlay(o.pending, fence.version);
-    this.leftovers = [...o.leftovers];
-    this.claimed = revision;
-    this.enteredAt = p.clock.now();
-    this.auditor = new AuditSelector(p.txnOps * 4 - 2);
-  }
-
-  private get isCurrent(): boolean {
-    return this.p.isCurrent(this);
+    this.raw = raw;
+    this.overlay = new RepairOverlay(pendingRepairs, fence.version);
+    this.obsoleteKeys = [...obsoleteKeys];
+    this.enteredAt = clock.now();
+    this.selector = new AuditSelector(txnOps * COMPARES_PER_TRANSACTION_OPERATION - RESERVED_COMPARES);
+    const trust: EpochTrust = {
+      isCurrent: () => this.isCurrent,
+      suspect: (evidence) => {
+        dependencies.suspect(evidence);
+      },
+    };
+    this.validator = new ResponseValidator(raw, fence, trust, revision);
+    this.follower = this.createFollower(trust);
+    this.auditor = this.createAuditor(trust);
   }
 
-  /** How old the copy is, counted from the sending of the request that last brought it up to date, in milliseconds. */
-  get ageMs(): number {
-    return this.knownAt === null ? Infinity : this.p.clock.now() - this.knownAt;
-  }
-
-  /** Takes in what changed, for as long as it is trusted. */
-  async follow(): Promise<void> {
-    const askedAt = this.p.clock.now();
-    const seen = await this.asked(() => this.p.raw.watch('', this.copy.revision, WATCH_MS));
-    if (!this.isCurrent) return;
-    if (seen.outcome === 'compacted') return this.catchUp();
-    if (seen.outcome !== 'events') return this.p.clock.sleep(RETRY_MS);
-    if (seen.events.some((e) => 'put' in e && e.put === EPOCH_KEY && e.version > this.fence.version))
-      await this.checkEpoch();
-    this.take(seen.events, seen.revision);
-    this.knownAt = askedAt;
-    if (seen.events.length > 0) this.p.copied();
-    if (seen.events.length > 0) await this.p.clock.sleep(WATCH_PAUSE_MS);
+  private createFollower(trust: EpochTrust): ReplicaFollower {
+    const { raw, clock, onReplicaChanged } = this.dependencies;
+    return new ReplicaFollower({
+      raw,
+      clock,
+      epoch: this.epoch,
+      replica: this.replica,
+      validator: this.validator,
+      trust,
+      listAll: () => this.list('', HIGHEST_PRIORITY),
+      onEvent: (event) => {
+        this.noteMutation(event, event.version);
+      },
+      onReplicaChanged,
+    });
   }
 
-  /** Left behind by more changes than the state service keeps: read anew, and compared with what was known. */
-  private async catchUp(): Promise<void> {
-    const listed = await this.list('', 0);
-    if (listed.outcome !== 'listed' || !this.isCurrent) return this.p.clock.sleep(RETRY_MS);
-    // A stand-in is no newer than the fence; those that were written since are in the list as themselves.
-    this.copy.replaceAll(
-      listed.items.map((i) => (i.version < 0 ? { ...i, version: this.fence.version } : i)),
-      listed.revision,
-    );
-    this.p.copied();
+  private createAuditor(trust: EpochTrust): IntegrityAuditor {
+    return new IntegrityAuditor({
+      raw: this.raw,
+      replica: this.replica,
+      overlay: this.overlay,
+      selector: this.selector,
+      validator: this.validator,
+      trust,
+      readAll: () => this.list('', LOWEST_PRIORITY),
+    });
   }
 
-  private async checkEpoch(): Promise<void> {
-    const found = await this.p.raw.read(EPOCH_KEY, 0);
-    const id = found.outcome === 'found' ? decodeEpoch(found.item.value)?.id : null;
-    if ((found.outcome === 'found' && id !== this.epoch.id) || found.outcome === 'absent')
-      this.p.doubt('the fence was moved');
+  private get isCurrent(): boolean {
+    return this.dependencies.isCurrent(this);
   }
 
-  private take(events: readonly WatchEvent[], revision: Revision): void {
-    const plain = events.map((e) => plainEvent(e));
-    for (const e of plain) this.changed(e, e.version);
-    this.copy.applyWatchEvents(plain, revision);
+  /** Highest revision that the epoch is known to have reached. */
+  get highestKnownRevision(): number {
+    return this.validator.highestKnownRevision;
   }
 
-  /** A key was written or deleted: no page stands in for it any more, and it is audited soon. */
-  private changed(c: Mutation, version: Version): void {
-    const key = keyOf(c);
-    this.overlay.changed(key, version);
-    if ('put' in c && !isControlKey(key)) this.auditor.changed(key);
+  /** Age of the replica in milliseconds; Infinity until it was followed once. */
+  get replicaAgeMs(): number {
+    return this.follower.ageMs;
   }
 
-  /** Asks the store to confirm, without a change, that keys are as they were last seen here. */
-  async check(): Promise<void> {
-    this.audits += 1;
-    // A comparison sees versions alone; values that changed under them are seen by reading them all.
-    if (this.audits % SCRUB_AUDITS === 0 && this.copy.size <= SCRUB_MOST) await this.list('', 3);
-    else await this.audit();
+  /** Notes that the epoch has reached a revision, by the word of another controller or of a worker. */
+  noteRevision(revision: number): void {
+    this.validator.highestKnownRevision = Math.max(this.validator.highestKnownRevision, revision);
   }
 
-  private async audit(): Promise<void> {
-    const conditions = this.auditor.choose(this.copy, (key) => this.overlay.has(key));
-    const outcome = await this.compare(conditions);
-    if (outcome.outcome !== 'conflict') return;
-    for (const key of outcome.failed) {
-      const known = this.copy.get(key);
-      const found = await this.p.raw.read(key, 0);
-      if (!this.isCurrent) return;
-      if (found.outcome === 'found') {
-        if (!isTombstone(found.item.value)) this.believes(key, known, found.item.version, found.item.value);
-        if (!this.isCurrent) return;
-      } else if (found.outcome === 'absent') {
-        // Deleted meanwhile, or lost: the watch shows a deletion.
-        if (!this.believes(key, known, KEY_ABSENT, undefined)) return;
-        this.auditor.suspect(key, found.revision);
-      }
-    }
-    const gone = this.auditor.lost(this.copy);
-    if (gone !== null) this.p.doubt(`${gone} is gone`);
+  /** Waits for changes once, and applies them to the replica. */
+  follow(): Promise<void> {
+    return this.follower.follow();
   }
 
-  /** A transaction without changes; a fence that fails it ends the trust. */
-  private async compare(conditions: readonly Compare[]): Promise<CommitOutcome> {
-    return this.fenced(await this.asked(() => this.p.raw.commit([this.fence, ...conditions], [], 0)));
+  /** Compares part of the replica with the store. */
+  audit(): Promise<void> {
+    return this.auditor.run();
   }
 
-  private fenced(outcome: CommitOutcome): CommitOutcome {
-    if (outcome.outcome !== 'conflict' || !outcome.failed.includes(this.fence.key)) return outcome;
-    if (this.isCurrent) this.p.doubt('the fence is gone');
-    return REFUSED;
+  /** Reads a key. A response that contradicts the replica is refused, and reported as evidence of a loss. */
+  async read(key: string, priority: RequestPriority): Promise<ReadOutcome> {
+    const known = this.replica.get(key);
+    const found = await this.validator.send<FoundOrAbsent>(() => this.raw.read(key, priority));
+    if (!this.isCurrent) return REFUSED;
+    if (found.outcome === 'found') return this.validateFound(key, found, known);
+    if (found.outcome === 'absent') return this.validateAbsent(key, found, known);
+    return found;
   }
 
-  /** Every answer's revision must be at least what was known when it was asked for. */
-  private async asked<T extends { readonly outcome: string; readonly revision?: Revision }>(
-    call: () => Promise<T | RequestFailure>,
-  ): Promise<T | RequestFailure> {
-    const { claimed } = this;
-    const answer = await call();
-    if (!('revision' in answer) || answer.revision === undefined || !this.isCurrent) return answer;
-    if (answer.revision < claimed) {
-      this.p.doubt(`revision ${answer.revision} was answered, ${claimed} was known`);
-      return answer.outcome === 'committed' ? UNKNOWN : REFUSED;
+  private validateFound(key: string, found: Found, known: ReplicaEntry | undefined): ReadOutcome {
+    const { version, value } = found.item;
+    if (key === LEADER_KEY && !isObject(value)) {
+      this.dependencies.suspect('the leader record cannot be read');
+      return REFUSED;
     }
-    this.claimed = Math.max(this.claimed, answer.revision);
-    return answer;
+    if (isTombstone(value)) return { outcome: 'absent', revision: this.highestKnownRevision as Revision };
+    const substitute = this.overlay.substitute(key, version);
+    if (substitute !== null) return { outcome: 'found', item: substitute };
+    return this.validator.accepts(key, known, version, value) ? found : REFUSED;
   }
 
-  // --- the state service as everybody else uses it -----------------------------------------------------
+  private validateAbsent(key: string, absent: Absent, known: ReplicaEntry | undefined): ReadOutcome {
+    const substitute = this.overlay.substitute(key, KEY_ABSENT);
+    if (substitute !== null) return { outcome: 'found', item: substitute };
+    if (!this.validator.accepts(key, known, KEY_ABSENT, undefined)) return REFUSED;
+    // While records may be missing, a job that is not known may have been accepted all the same.
+    const mayBeRetried = this.dependencies.clock.now() - this.enteredAt < SUBMISSION_RETRY_MS;
+    const isUncertain = key.startsWith(JOB_KEY_PREFIX) && !this.dependencies.isContinuous() && mayBeRetried;
+    return isUncertain ? REFUSED : absent;
+  }
 
-  async read(key: string, urgency: RequestPriority): Promise<ReadOutcome> {
-    const known = this.copy.get(key);
-    const found = await this.asked<Extract<ReadOutcome, { outcome: 'found' | 'absent' }>>(() =>
-      this.p.raw.read(key, urgency),
-    );
+  /** Reads all keys with a prefix. A response that contradicts the replica is refused, and reported as evidence of a loss. */
+  async list(prefix: string, priority: RequestPriority): Promise<ListOutcome> {
+    const listed = await this.validator.send<Listed>(() => this.raw.list(prefix, priority));
     if (!this.isCurrent) return REFUSED;
-    if (found.outcome === 'found') {
-      if (key === LEADER_KEY && !isReadable(found.item.value)) {
-        this.p.doubt('the leader record cannot be read');
-        return REFUSED;
-      }
-      if (isTombstone(found.item.value)) return { outcome: 'absent', revision: this.claimed as Revision };
-      const standIn = this.overlay.standIn(key, found.item.version);
-      if (standIn !== null) return { outcome: 'found', item: standIn };
-      return this.believes(key, known, found.item.version, found.item.value) ? found : REFUSED;
+    if (listed.outcome !== 'listed') return listed;
+    const items = this.validateListed(listed);
+    if (items === null) return REFUSED;
+    const listedKeys = new Set(listed.items.map((item) => item.key));
+    for (const item of this.overlay.substitutesOfAbsentKeys(prefix))
+      if (!listedKeys.has(item.key)) items.push(item);
+    const lostJobKey = this.findLostJob(prefix, listed, listedKeys);
+    if (lostJobKey !== null) {
+      this.dependencies.suspect(`${lostJobKey} is gone`);
+      return REFUSED;
     }
-    if (found.outcome !== 'absent') return found;
-    const standIn = this.overlay.standIn(key, KEY_ABSENT);
-    if (standIn !== null) return { outcome: 'found', item: standIn };
-    if (!this.believes(key, known, KEY_ABSENT, undefined)) return REFUSED;
-    // Without a whole copy, an id that is not known may have been accepted all the same.
-    const early = this.p.clock.now() - this.enteredAt < RETRIES_MS;
-    return key.startsWith(JOB_KEY_PREFIX) && !this.p.isContinuous() && early ? REFUSED : found;
+    return { ...listed, items };
   }
 
-  private believes(key: string, known: ReplicaEntry | undefined, version: Version, value: unknown): boolean {
-    const why = findContradiction(key, known, version, value);
-    if (why !== null) this.p.doubt(why);
-    return why === null;
+  /** Returns the listed records as readers see them, or null where one of them contradicts the replica. */
+  private validateListed(listed: Listed): KeyValue[] | null {
+    const items: KeyValue[] = [];
+    for (const item of listed.items) {
+      if (isTombstone(item.value)) continue;
+      const substitute = this.overlay.substitute(item.key, item.version);
+      // What became known after the list was begun does not contradict it.
+      const known = this.replica.get(item.key);
+      const knownBefore = known !== undefined && known.version <= listed.revision ? known : undefined;
+      if (substitute === null && !this.validator.accepts(item.key, knownBefore, item.version, item.value))
+        return null;
+      items.push(substitute ?? item);
+    }
+    return items;
   }
 
-  async list(prefix: string, urgency: RequestPriority): Promise<ListOutcome> {
-    const listed = await this.asked<Extract<ListOutcome, { outcome: 'listed' }>>(() =>
-      this.p.raw.list(prefix, urgency),
-    );
-    if (!this.isCurrent) return REFUSED;
-    if (listed.outcome !== 'listed') return listed;
-    const items: KeyValue[] = [];
-    const present = new Set<string>();
-    for (const i of listed.items) {
-      present.add(i.key);
-      if (isTombstone(i.value)) continue;
-      const standIn = this.overlay.standIn(i.key, i.version);
-      // What became known after the list was begun says nothing against it.
-      const known = this.copy.get(i.key);
-      const old = known !== undefined && known.version <= listed.revision ? known : undefined;
-      if (standIn === null && !this.believes(i.key, old, i.version, i.value)) return REFUSED;
-      items.push(standIn ?? i);
+  /** Returns the key of a job that was known before the list was begun, and that is missing from it; null if there is none. */
+  private findLostJob(prefix: string, listed: Listed, listedKeys: ReadonlySet<string>): string | null {
+    if (!JOB_KEY_PREFIX.startsWith(prefix)) return null;
+    for (const [key, known] of this.replica.entries()) {
+      const wasWrittenBefore = isNeverDeleted(key, known) && known.version <= listed.revision;
+      if (wasWrittenBefore && !listedKeys.has(key) && !this.overlay.has(key)) return key;
     }
-    for (const i of this.overlay.absentBelow(prefix)) if (!present.has(i.key)) items.push(i);
-    if (JOB_KEY_PREFIX.startsWith(prefix))
-      for (const [key, known] of this.copy.entries())
-        if (
-          isNeverDeleted(key, known) &&
-          known.version <= listed.revision &&
-          !present.has(key) &&
-          !this.overlay.has(key)
-        ) {
-          this.p.doubt(`${key} is gone`);
-          return REFUSED;
-        }
-    return { ...listed, items };
+    return null;
   }
 
+  /** Commits a transaction that also compares the fence. Versions are those that readers saw, of pending repairs too. */
   async commit(
-    conditions: readonly Compare[],
-    changes: readonly Mutation[],
-    urgency: RequestPriority,
+    compares: readonly Compare[],
+    mutations: readonly Mutation[],
+    priority: RequestPriority,
   ): Promise<CommitOutcome> {
-    const real: Compare[] = [this.fence];
-    const failed: string[] = [];
-    for (const c of conditions) {
-      const version = this.overlay.real(c);
-      // A record that was seen is not taken for one that never was, whatever the store says now.
-      const known = c.version === KEY_ABSENT ? this.copy.get(c.key) : undefined;
-      const lost = known !== undefined && isNeverDeleted(c.key, known);
-      if (version === null || lost) failed.push(c.key);
-      else real.push({ key: c.key, version });
+    const translated = translateCompares(compares, this.overlay, this.replica);
+    if (translated.failedKeys.length > 0) {
+      const revision = this.highestKnownRevision as Revision;
+      return { outcome: 'conflict', failed: translated.failedKeys, revision };
     }
-    if (failed.length > 0) return { outcome: 'conflict', failed, revision: this.claimed as Revision };
-    const buried: string[] = [];
-    const written = changes.map((c): Mutation => {
-      if ('put' in c || !this.overlay.has(c.delete)) return c;
-      // Its page would stand in for it again: a tombstone stays until the pages are gone.
-      buried.push(c.delete);
-      return { put: c.delete, value: TOMBSTONE_VALUE };
-    });
-    const outcome = this.fenced(await this.asked(() => this.p.raw.commit(real, written, urgency)));
+    const fencedCompares = [this.validator.fence, ...translated.compares];
+    const written = translateMutations(mutations, this.overlay);
+    const outcome = this.validator.checkFence(
+      await this.validator.send(() => this.raw.commit(fencedCompares, written.mutations, priority)),
+    );
     if (!this.isCurrent) return outcome.outcome === 'committed' ? UNKNOWN : outcome;
     if (outcome.outcome !== 'committed') return outcome;
-    this.leftovers = [...this.leftovers, ...buried];
-    this.copy.applyCommit(
-      changes.filter((c) => !isControlKey(keyOf(c))),
-      outcome.revision,
-    );
-    for (const c of changes) this.changed(c, outcome.revision as number as Version);
-    if (changes.length > 0) this.p.copied();
+    this.obsoleteKeys = [...this.obsoleteKeys, ...written.tombstoneKeys];
+    this.applyOwnCommit(mutations, outcome.revision);
     return outcome;
   }
 
+  private applyOwnCommit(mutations: readonly Mutation[], revision: Revision): void {
+    const ofRecords = mutations.filter((mutation) => !isControlKey(mutatedKey(mutation)));
+    this.replica.applyCommit(ofRecords, revision);
+    for (const mutation of mutations) this.noteMutation(mutation, revision as number as Version);
+    if (mutations.length > 0) this.dependencies.onReplicaChanged();
+  }
+
+  /** A key was written or deleted: no repair stands in for it any more, and it is audited soon. */
+  private noteMutation(mutation: Mutation | WatchEvent, version: Version): void {
+    const key = mutatedKey(mutation);
+    this.overlay.dropIfWritten(key, version);
+    if ('put' in mutation && !isControlKey(key)) this.selector.noteWrite(key);
+  }
+
+  /** Waits up to `waitMs` milliseconds for changes of keys with a prefix after a revision. */
   async watch(prefix: string, after: Revision, waitMs: number): Promise<WatchOutcome> {
-    const seen = await this.asked<Exclude<WatchOutcome, RequestFailure>>(() =>
-      this.p.raw.watch(prefix, after, waitMs),
+    const watched = await this.validator.send<Exclude<WatchOutcome, RequestFailure>>(() =>
+      this.raw.watch(prefix, after, waitMs),
     );
     if (!this.isCurrent) return REFUSED;
-    return seen.outcome === 'events' ? { ...seen, events: seen.events.map(plainEvent) } : seen;
+    return watched.outcome === 'events'
+      ? { ...watched, events: watched.events.map(withoutTombstone) }
+      : watched;
   }
 
-  /** A renewal counts only if fence and leader's record stand: the id may be somebody else's by now. */
-  async renewLease(lease: LeaseId, held: Compare): Promise<LeaseRenewalOutcome> {
-    const [touched, compared] = await Promise.all([this.p.raw.renewLease(lease, held), this.compare([held])]);
+  /** Renews a lease. It counts only while fence and leader record stand: the id may belong to another process by now. */
+  async renewLease(lease: LeaseId, leadership: Compare): Promise<LeaseRenewalOutcome> {
+    const [renewed, compared] = await Promise.all([
+      this.raw.renewLease(lease, leadership),
+      this.validator.compare([leadership]),
+    ]);
     if (compared.outcome === 'conflict') return { outcome: 'ended' };
-    if (compared.outcome !== 'committed') return touched.outcome === 'ended' ? touched : UNKNOWN;
-    return this.isCurrent ? touched : REFUSED;
+    if (compared.outcome !== 'committed') return renewed.outcome === 'ended' ? renewed : UNKNOWN;
+    return this.isCurrent ? renewed : REFUSED;
   }
 }
 
-function keyOf(c: Mutation): string {
-  return 'put' in c ? c.put : c.delete;
-}
-
-function plainEvent(e: WatchEvent): WatchEvent {
-  return 'put' in e && isTombstone(e.value) ? { delete: e.put, version: e.version } : e;
-}
-
-/** Records are objects; a leader's of anything else ended every node that read it. */
-function isReadable(value: unknown): boolean {
+/** Records are objects. A leader record of any other type once ended every process that read it. */
+function isObject(value: unknown): boolean {
   return typeof value === 'object' && value !== null;
 }
--- /dev/null
+++ b/packages/recovery/src/epoch-store/integrity-auditor.ts
@@ -0,0 +1,74 @@
+/**
+ * Audits: comparisons of the replica with the store that notice losses which no other request would show.
+ *
+ * @module
+ */
+import type { KeyValueStore, ListOutcome } from '@spurbridge/store';
+import { KEY_ABSENT } from '@spurbridge/wire';
+import { isTombstone } from '../epoch/tombstone.js';
+import type { Replica } from '../replica/replica.js';
+import type { RepairOverlay } from '../replica/repair-overlay.js';
+import type { AuditSelector } from './audit-selector.js';
+import type { EpochTrust, ResponseValidator } from './response-validator.js';
+
+/** Number of audits after which everything is read once instead. */
+const AUDITS_PER_FULL_READ = 60;
+/** Number of records up to which everything is read at all. */
+const FULL_READ_MAX_RECORDS = 20_000;
+
+/** What an auditor works with. */
+export interface IntegrityAuditorDependencies {
+  readonly raw: KeyValueStore;
+  readonly replica: Replica;
+  readonly overlay: RepairOverlay;
+  readonly selector: AuditSelector;
+  readonly validator: ResponseValidator;
+  readonly trust: EpochTrust;
+  /** Reads all records at the lowest priority, and validates them. */
+  readonly readAll: () => Promise<ListOutcome>;
+}
+
+/** Asks the store to confirm, without a change, that keys are as the replica has them. */
+export class IntegrityAuditor {
+  private auditCount = 0;
+
+  constructor(private readonly dependencies: IntegrityAuditorDependencies) {}
+
+  /** Runs one audit. */
+  async run(): Promise<void> {
+    this.auditCount += 1;
+    const { replica, readAll } = this.dependencies;
+    // A transaction compares versions alone; values that changed under the same version are only seen by reading them.
+    if (this.auditCount % AUDITS_PER_FULL_READ === 0 && replica.size <= FULL_READ_MAX_RECORDS)
+      await readAll();
+    else await this.compareSelected();
+  }
+
+  private async compareSelected(): Promise<void> {
+    const { replica, overlay, selector, validator, trust } = this.dependencies;
+    const compares = selector.selectCompares(replica, (key) => overlay.has(key));
+    const outcome = await validator.compare(compares);
+    if (outcome.outcome !== 'conflict') return;
+    for (const key of outcome.failed) if (!(await this.checkKey(key))) return;
+    const lostKey = selector.findLostKey(replica);
+    if (lostKey !== null) trust.suspect(`${lostKey} is gone`);
+  }
+
+  /** Reads a key whose comparison failed. Returns false where the epoch is no longer trusted. */
+  private async checkKey(key: string): Promise<boolean> {
+    const { raw, replica, selector, validator, trust } = this.dependencies;
+    const known = replica.get(key);
+    const found = await raw.read(key, 0);
+    if (!trust.isCurrent()) return false;
+    if (found.outcome === 'found') {
+      const { version, value } = found.item;
+      return isTombstone(value) || validator.accepts(key, known, version, value);
+    }
+    if (found.outcome === 'absent') {
+      if (!validator.accepts(key, known, KEY_ABSENT, undefined)) return false;
+      // Deleted meanwhile, or lost: the watch shows a deletion.
+      selector.noteAbsent(key, found.revision);
+    }
+    return true;
+  }
+}
--- /dev/null
+++ b/packages/recovery/src/epoch-store/response-validator.ts
@@ -0,0 +1,72 @@
+/**
+ * Comparison of the store's responses with what is known of the epoch.
+ *
+ * @module
+ */
+import type { CommitOutcome, KeyValueStore, RequestFailure } from '@spurbridge/store';
+import type { Compare, Revision, Version } from '@spurbridge/wire';
+import type { ReplicaEntry } from '../replica/replica-entry.js';
+import { findContradiction } from '../replica/replica-entry.js';
+
+/** Outcome of a request that was certainly not executed. */
+export const REFUSED: RequestFailure = { outcome: 'refused' };
+
+/** Outcome of a request that may have been executed. */
+export const UNKNOWN: RequestFailure = { outcome: 'unknown' };
+
+/** How a validator reports on the epoch that it belongs to. */
+export interface EpochTrust {
+  /** Returns whether the epoch is still the one that this controller trusts. */
+  isCurrent(): boolean;
+  /** Reports evidence that the store is not intact, which ends the trust in the epoch. */
+  suspect(evidence: string): void;
+}
+
+/** Validates responses of the store within one epoch, and reports those that an intact store cannot give. */
+export class ResponseValidator {
+  /**
+   * @param fence - The fence of the epoch, which every commit compares.
+   * @param highestKnownRevision - Highest revision that the epoch is known to have reached.
+   */
+  constructor(
+    private readonly raw: KeyValueStore,
+    readonly fence: Compare,
+    private readonly trust: EpochTrust,
+    public highestKnownRevision: number,
+  ) {}
+
+  /** Sends a request. The revision of the response must be at least the one that was known when the request was sent. */
+  async send<T extends { readonly outcome: string; readonly revision?: Revision }>(
+    request: () => Promise<T | RequestFailure>,
+  ): Promise<T | RequestFailure> {
+    const knownRevision = this.highestKnownRevision;
+    const response = await request();
+    if (!('revision' in response) || response.revision === undefined || !this.trust.isCurrent())
+      return response;
+    if (response.revision < knownRevision) {
+      this.trust.suspect(`revision ${response.revision} was answered, ${knownRevision} was known`);
+      return response.outcome === 'committed' ? UNKNOWN : REFUSED;
+    }
+    this.highestKnownRevision = Math.max(this.highestKnownRevision, response.revision);
+    return response;
+  }
+
+  /** Compares the fence, and other keys, in a transaction without mutations. */
+  async compare(compares: readonly Compare[]): Promise<CommitOutcome> {
+    return this.checkFence(await this.send(() => this.raw.commit([this.fence, ...compares], [], 0)));
+  }
+
+  /** Returns the outcome of a commit, unless the fence is gone: the epoch is over then. */
+  checkFence(outcome: CommitOutcome): CommitOutcome {
+    if (outcome.outcome !== 'conflict' || !outcome.failed.includes(this.fence.key)) return outcome;
+    if (this.trust.isCurrent()) this.trust.suspect('the fence is gone');
+    return REFUSED;
+  }
+
+  /** Returns whether a response agrees with what was known of the key, as `findContradiction` says; reports it if not. */
+  accepts(key: string, known: ReplicaEntry | undefined, version: Version, value: unknown): boolean {
+    const contradiction = findContradiction(key, known, version, value);
+    if (contradiction !== null) this.trust.suspect(contradiction);
+    return contradiction === null;
+  }
+}
--- /dev/null
+++ b/packages/recovery/src/epoch-store/transaction-translation.ts
@@ -0,0 +1,59 @@
+/**
+ * Translation of a transaction from what readers see, with pending repairs, to what the store holds.
+ *
+ * @module
+ */
+import type { Compare, Mutation } from '@spurbridge/wire';
+import { KEY_ABSENT } from '@spurbridge/wire';
+import { TOMBSTONE_VALUE } from '../epoch/tombstone.js';
+import { isNeverDeleted } from '../replica/replica-entry.js';
+import type { RepairOverlay } from '../replica/repair-overlay.js';
+import type { Replica } from '../replica/replica.js';
+
+/** Comparisons in the store's own versions. */
+export interface TranslatedCompares {
+  readonly compares: readonly Compare[];
+  /** Keys whose comparison cannot hold, whatever the store answers. */
+  readonly failedKeys: readonly string[];
+}
+
+/** Mutations as the store gets them. */
+export interface TranslatedMutations {
+  readonly mutations: readonly Mutation[];
+  /** Keys that get a tombstone instead of being deleted. */
+  readonly tombstoneKeys: readonly string[];
+}
+
+/** Translates the versions that readers saw, those of pending repairs among them, to the store's own. */
+export function translateCompares(
+  compares: readonly Compare[],
+  overlay: RepairOverlay,
+  replica: Replica,
+): TranslatedCompares {
+  const translated: Compare[] = [];
+  const failedKeys: string[] = [];
+  for (const compare of compares) {
+    const version = overlay.storeVersionOf(compare);
+    // A record that was read once is not taken for one that never existed, whatever the store answers now.
+    const known = compare.version === KEY_ABSENT ? replica.get(compare.key) : undefined;
+    const isLost = known !== undefined && isNeverDeleted(compare.key, known);
+    if (version === null || isLost) failedKeys.push(compare.key);
+    else translated.push({ key: compare.key, version });
+  }
+  return { compares: translated, failedKeys };
+}
+
+/** Replaces deletions of keys that have a pending repair: their pages would stand in for them again. */
+export function translateMutations(
+  mutations: readonly Mutation[],
+  overlay: RepairOverlay,
+): TranslatedMutations {
+  const tombstoneKeys: string[] = [];
+  const translated = mutations.map((mutation): Mutation => {
+    if ('put' in mutation || !overlay.has(mutation.delete)) return mutation;
+    tombstoneKeys.push(mutation.delete);
+    // The tombstone stays until the pages are deleted.
+    return { put: mutation.delete, value: TOMBSTONE_VALUE };
+  });
+  return { mutations: translated, tombstoneKeys };
+}
--- a/packages/recovery/src/epoch/epoch-record.ts
+++ b/packages/recovery/src/epoch/epoch-record.ts
@@ -1,86 +1,82 @@
-import type { Brand, NodeId, FencingToken, Version } from '@spurbridge/wire';
+/**
+ * The epoch record: which uninterrupted life of the key-value store is current (docs/state-loss.md).
+ *
+ * @module
+ */
+import type { Brand, NodeId, Version } from '@spurbridge/wire';
 import { read } from '@spurbridge/wire';
+import { EPOCH_KEY } from './control-keys.js';
 
-/** Number of one uninterrupted life of the state service; 0 stands for none. */
+/** Number of one uninterrupted life of the key-value store; `NO_EPOCH` stands for none. */
 export type EpochNumber = Brand<number, 'EpochNumber'>;
 
+/** The number that stands for no epoch at all. */
 export const NO_EPOCH = 0 as EpochNumber;
-export const EPOCH_KEY = 'epoch';
-export const FENCE_PREFIX = 'e/';
-export const CONTRIBUTION_PREFIX = 'm/';
-const LEADER_KEY = 'leader';
-/** More revisions than a state service makes in a millisecond, and in a second: what floors rise by. */
-const FLOOR_STEP_MS = 2 ** 10;
-const FLOOR_STEP = 2 ** 20;
 
-/** The record `epoch`: which life of the state service this is. */
+const EPOCH_PHASES = ['gathering', 'open'] as const;
+
+/** Whether controllers still contribute their replicas to an epoch, or already work in it. */
+export type EpochPhase = (typeof EPOCH_PHASES)[number];
+
+/** One uninterrupted life of the key-value store, as the record `epoch` describes it. */
 export interface Epoch {
   readonly number: EpochNumber;
-  /** Random; the name of the fence holds it, so an earlier fence never comes again. */
+  /** Random. It is part of the name of the fence, so a fence of an earlier epoch never becomes valid again. */
   readonly id: string;
-  /** Random, given at the very first start: tells deployments apart. */
+  /** Random, drawn when the store is initialized; tells deployments apart. */
   readonly deployment: string;
-  /** Added to a revision to make a token. */
-  readonly floor: number;
-  readonly phase: 'gathering' | 'open';
-  /** Number of the epoch that the store's own records belong to: copies of a later one beat them. */
-  readonly after: number;
-  /** Who moved the fence, and opens. */
-  readonly by: NodeId;
-  /** The very first: nothing was recorded before it. */
-  readonly first: boolean;
-  /** Once open: whether the copies that were merged hold every intent that may have been acted on. */
+  /** Added to the revision of an election to make the leader's fencing token. */
+  readonly tokenFloor: number;
+  readonly phase: EpochPhase;
+  /** Number of the epoch that the store's own records belong to: replicas of a later epoch take precedence over them. */
+  readonly baseEpoch: number;
+  /** The controller that moved the fence, and that opens the epoch. */
+  readonly initiator: NodeId;
+  /** Whether this is the first epoch of the deployment: nothing was recorded before it. */
+  readonly isInitial: boolean;
+  /** Once open: whether the merged replicas hold every intent that a leader may have acted on. */
   readonly continuous: boolean;
 }
 
-export function fenceKey(id: string): string {
-  return FENCE_PREFIX + id;
-}
-
-/** Keys that are about the store itself, or about who leads: no part of any copy. */
-export function isControlKey(key: string): boolean {
-  return (
-    key === EPOCH_KEY ||
-    key === LEADER_KEY ||
-    key.startsWith(FENCE_PREFIX) ||
-    key.startsWith(CONTRIBUTION_PREFIX)
-  );
+/** The epoch record as it was read, with the version that a transaction compares to replace it. */
+export interface VersionedEpoch {
+  /** Null where the record is absent or cannot be decoded: either way the epoch is lost. */
+  readonly epoch: Epoch | null;
+  readonly version: Version;
 }
 
-export function encodeEpoch(e: Epoch): Record<string, unknown> {
-  return { ...e };
+/** Encodes an epoch as the value of its record. */
+export function encodeEpoch(epoch: Epoch): Record<string, unknown> {
+  return {
+    number: epoch.number,
+    id: epoch.id,
+    deployment: epoch.deployment,
+    floor: epoch.tokenFloor,
+    phase: epoch.phase,
+    after: epoch.baseEpoch,
+    by: epoch.initiator,
+    first: epoch.isInitial,
+    continuous: epoch.continuous,
+  };
 }
 
-/** Null where the value is not an epoch's: the record counts as lost. */
+/** Decodes the value of an epoch record. Returns null for a malformed value: the record then counts as lost. */
 export function decodeEpoch(value: unknown): Epoch | null {
   try {
-    const o = read.asObject(value, EPOCH_KEY);
+    const record = read.asObject(value, EPOCH_KEY);
     return {
-      number: read.count(o, 'number', 1) as EpochNumber,
-      id: read.name(o, 'id'),
-      deployment: read.name(o, 'deployment'),
-      floor: read.count(o, 'floor'),
-      phase: read.oneOf(o, 'phase', ['gathering', 'open']),
-      after: read.count(o, 'after'),
-      by: read.string(o, 'by') as NodeId,
-      first: read.boolean(o, 'first'),
-      continuous: read.boolean(o, 'continuous'),
+      number: read.count(record, 'number', 1) as EpochNumber,
+      id: read.name(record, 'id'),
+      deployment: read.name(record, 'deployment'),
+      tokenFloor: read.count(record, 'floor'),
+      phase: read.oneOf(record, 'phase', EPOCH_PHASES),
+      baseEpoch: read.count(record, 'after'),
+      initiator: read.string(record, 'by') as NodeId,
+      isInitial: read.boolean(record, 'first'),
+      continuous: read.boolean(record, 'continuous'),
     };
   } catch {
+    // Whatever the reason, a record that cannot be decoded no longer says which epoch is current.
     return null;
   }
 }
-
-/** Token of a leader elected at this revision of the epoch. */
-export function fencingTokenAt(floor: number, version: Version): FencingToken {
-  return (floor + version) as FencingToken;
-}
-
-/**
- * The floor of the next epoch: above the last one that is known and every token that anybody was seen to use, and above
- * all that may have been used without anybody remembering, by the time of day in milliseconds.
- */
-export function nextTokenFloor(last: number, seen: FencingToken, wallMs: number): number {
-  // By the second, two epochs shortly after one another had the same floor, and gave a token twice.
-  return Math.max(Math.max(last, seen) + FLOOR_STEP, Math.floor(wallMs) * FLOOR_STEP_MS);
-}
--- /dev/null
+++ b/packages/recovery/src/epoch/fencing-tokens.ts
@@ -0,0 +1,27 @@
+/**
+ * Fencing tokens of leaders, which rise across losses of the key-value store.
+ *
+ * @module
+ */
+import type { FencingToken, Version } from '@spurbridge/wire';
+
+/** More revisions than a store makes within a millisecond: the minimum rise of the token floor per millisecond. */
+const TOKENS_PER_MS = 2 ** 10;
+
+/** More revisions than a store makes within a second: the minimum rise of the token floor per epoch. */
+const TOKENS_PER_EPOCH = 2 ** 20;
+
+/** Returns the fencing token of a leader whose record was written at this version of an epoch. */
+export function fencingTokenAt(tokenFloor: number, version: Version): FencingToken {
+  return (tokenFloor + version) as FencingToken;
+}
+
+/**
+ * Returns the token floor of the next epoch. It lies above the last floor that is known, above every token that was
+ * seen in use and, by the time of day in milliseconds, above those that may have been used without a witness.
+ */
+export function nextTokenFloor(lastFloor: number, highestSeenToken: FencingToken, wallMs: number): number {
+  // Milliseconds rather than seconds: two epochs begun within one second once got the same floor, and a token was issued twice.
+  const aboveTime = Math.floor(wallMs) * TOKENS_PER_MS;
+  return Math.max(Math.max(lastFloor, highestSeenToken) + TOKENS_PER_EPOCH, aboveTime);
+}
--- a/packages/recovery/src/peer-observations.ts
+++ b/packages/recovery/src/peer-observations.ts
@@ -1,101 +1,132 @@
+/**
+ * What peers and workers have shown of the key-value store.
+ *
+ * @module
+ */
 import type { Clock, MonotonicMs } from '@spurbridge/net';
-import type { MachineId, NodeId, PeerStatus, FencingToken } from '@spurbridge/wire';
-
-/** A peer not heard for this long is no longer counted on. */
-const PEER_MS = 4000;
-/** A peer in a later epoch that it does not trust yet is waited for no longer than this. */
-const GATHERS_MS = 10_000;
-/** So many workers that have seen no token, or half of those there are. */
-const FRESH_WORKERS = 20;
-
-interface Peer {
-  readonly at: MonotonicMs;
-  /** Since when it has named this epoch. */
-  readonly since: MonotonicMs;
+import type { FencingToken, MachineId, NodeId, PeerStatus } from '@spurbridge/wire';
+import type { Epoch } from './epoch/epoch-record.js';
+import type { ReachablePeers } from './phases/recovery-dependencies.js';
+
+/** A peer that was not heard from for this long does not count as reachable. */
+const PEER_TIMEOUT_MS = 4000;
+/** A peer that takes part in a later epoch without trusting it yet is waited for no longer than this. */
+const PEER_RECOVERY_TIMEOUT_MS = 10_000;
+/** Number of workers without a token that proves a first start on its own, however many machines there are. */
+const SUFFICIENT_NEW_WORKERS = 20;
+
+interface ObservedPeer {
+  readonly receivedAt: MonotonicMs;
+  /** Since when the peer has named its present epoch. */
+  readonly inEpochSince: MonotonicMs;
   readonly status: PeerStatus;
 }
 
-/** What peers and workers have said of the state service, without a judgement. */
+/** Collects statements of peers and workers. It draws no conclusions by itself. */
 export class PeerObservations {
-  private readonly peers = new Map<NodeId, Peer>();
-  /** Workers that have never seen a token; and how many machines the cloud lists. */
-  private readonly fresh = new Set<MachineId>();
-  private listed: number | null = null;
-  /** Highest token that anybody showed. */
-  token = 0 as FencingToken;
-  /** Highest number of an epoch that anybody named. */
-  highest = 0;
+  private readonly peers = new Map<NodeId, ObservedPeer>();
+  /** Workers that have never seen a token. */
+  private readonly newWorkers = new Set<MachineId>();
+  /** Number of machines that the cloud lists as running; null until it is known. */
+  private runningMachines: number | null = null;
+  private highestTokenSeen = 0 as FencingToken;
+  private highestEpochSeen = 0;
 
+  /** @param countRunningMachines - Asks the cloud for its running machines; null where it does not answer. */
   constructor(
     private readonly clock: Clock,
-    /** Machines that the cloud lists as running, or null without an answer. */
-    private readonly machines: () => Promise<number | null>,
+    private readonly countRunningMachines: () => Promise<number | null>,
   ) {}
 
-  peerSaid(status: PeerStatus): void {
-    const at = this.clock.now();
-    const before = this.peers.get(status.node);
-    const since = before !== undefined && before.status.epoch === status.epoch ? before.since : at;
-    this.peers.set(status.node, { at, since, status });
-    this.met(status.epoch);
+  /** Highest token that a peer, a worker or a leader record has shown; 0 without any. */
+  get highestToken(): FencingToken {
+    return this.highestTokenSeen;
   }
 
-  met(number: number): void {
-    this.highest = Math.max(this.highest, number);
+  /** Highest number of an epoch that was seen anywhere; 0 without any. */
+  get highestEpoch(): number {
+    return this.highestEpochSeen;
   }
 
-  /** Whether the token is higher than all before. */
-  tokenShown(token: FencingToken): boolean {
-    if (token <= this.token) return false;
-    this.token = token;
-    return true;
+  /** Receives the status of a peer. */
+  receivePeerStatus(status: PeerStatus): void {
+    const receivedAt = this.clock.now();
+    const previous = this.peers.get(status.node);
+    const isSameEpoch = previous !== undefined && previous.status.epoch === status.epoch;
+    const inEpochSince = isSameEpoch ? previous.inEpochSince : receivedAt;
+    this.peers.set(status.node, { receivedAt, inEpochSince, status });
+    this.receiveEpoch(status.epoch);
   }
 
-  freshWorker(machine: MachineId): void {
-    this.fresh.add(machine);
+  /** Receives the number of an epoch. */
+  receiveEpoch(epoch: number): void {
+    this.highestEpochSeen = Math.max(this.highestEpochSeen, epoch);
   }
 
-  private alive(): Peer[] {
-    const now = this.clock.now();
-    return [...this.peers.values()].filter((p) => now - p.at < PEER_MS);
+  /** Receives a token. Returns whether it is higher than all before. */
+  receiveToken(token: FencingToken): boolean {
+    if (token <= this.highestTokenSeen) return false;
+    this.highestTokenSeen = token;
+    return true;
   }
 
-  /** Peers heard of late, and the highest epoch that one of them is in. */
-  heard(): { readonly peers: readonly NodeId[]; readonly ahead: number } {
-    const now = this.clock.now();
-    const alive = this.alive();
-    return {
-      peers: alive.map((p) => p.status.node),
-      // A peer that gathers and does not come to an end is not waited for for ever.
-      ahead: Math.max(
-        0,
-        ...alive.filter((p) => p.status.trusted || now - p.since < GATHERS_MS).map((p) => p.status.epoch),
-      ),
-    };
+  /** Receives the heartbeat of a worker that has never seen a token. */
+  receiveNewWorker(machine: MachineId): void {
+    this.newWorkers.add(machine);
   }
 
-  private following(epochId: string): PeerStatus[] {
-    return this.alive()
-      .map((p) => p.status)
-      .filter((s) => s.epochId === epochId && s.trusted);
+  /** Returns the peers that were heard from lately, and the highest epoch that one of them is in. */
+  reachablePeers(): ReachablePeers {
+    const now = this.clock.now();
+    const reachable = this.currentPeers();
+    const epochs = reachable
+      // A peer whose recovery does not end must not be waited for forever.
+      .filter((peer) => peer.status.trusted || now - peer.inEpochSince < PEER_RECOVERY_TIMEOUT_MS)
+      .map((peer) => peer.status.epoch);
+    return { peers: reachable.map((peer) => peer.status.node), ahead: Math.max(0, ...epochs) };
   }
 
-  /** Whether a peer has followed the epoch from its opening. */
-  attests(epochId: string): boolean {
-    return this.following(epochId).some((s) => s.continuous);
+  /** Returns whether a peer that is reachable has followed the epoch from its opening. */
+  isConfirmedContinuous(epochId: string): boolean {
+    return this.trustingPeers(epochId).some((status) => status.continuous);
   }
 
-  /** Highest revision that a peer knows of in the epoch. */
-  revisionOf(epochId: string): number {
-    return Math.max(0, ...this.following(epochId).map((s) => s.revision));
+  /** Returns the highest revision of the epoch that a reachable peer knows; 0 without any. */
+  highestRevisionOf(epochId: string): number {
+    return Math.max(0, ...this.trustingPeers(epochId).map((status) => status.revision));
   }
 
   /**
-   * Whether the workers know of no earlier leader. Where the cloud lists machines, some of them are heard first: a store
-   * that was emptied with all controllers dead once passed for a new one, and its first token for a higher one.
+   * Returns whether enough workers have never seen a leader. Where the cloud lists machines, half of them or
+   * `SUFFICIENT_NEW_WORKERS` must have said so: a store that was emptied while no controller was alive once passed for a
+   * new one, and its first token for a higher one.
    */
   async isNewToWorkers(): Promise<boolean> {
-    this.listed ??= await this.machines();
-    return this.listed !== null && this.fresh.size >= Math.min(Math.ceil(this.listed / 2), FRESH_WORKERS);
+    this.runningMachines ??= await this.countRunningMachines();
+    if (this.runningMachines === null) return false;
+    const required = Math.min(Math.ceil(this.runningMachines / 2), SUFFICIENT_NEW_WORKERS);
+    return this.newWorkers.size >= required;
+  }
+
+  private currentPeers(): ObservedPeer[] {
+    const now = this.clock.now();
+    return [...this.peers.values()].filter((peer) => now - peer.receivedAt < PEER_TIMEOUT_MS);
+  }
+
+  private trustingPeers(epochId: string): PeerStatus[] {
+    return this.currentPeers()
+      .map((peer) => peer.status)
+      .filter((status) => status.epochId === epochId && status.trusted);
+  }
+}
+
+/** Returns why a peer's status speaks against the epoch that this controller works in, or null if it does not. */
+export function findPeerContradiction(status: PeerStatus, { number, id }: Epoch): string | null {
+  if (status.epoch > number) return `${status.node} is in epoch ${status.epoch}`;
+  if (status.epoch < number || status.epochId === '') return null;
+  if (status.epochId !== id) {
+    // Two stores behind one address. One side moves on, so that the other hears of a later epoch and refuses.
+    return status.epochId > id ? `${status.node} follows another epoch ${status.epoch}` : null;
   }
+  return status.trusted ? null : `${status.node} doubts it`;
 }
--- /dev/null
+++ b/packages/recovery/src/phases/commit-with-retry.ts
@@ -0,0 +1,25 @@
+/**
+ * Commits of a recovery, which are repeated until they are confirmed.
+ *
+ * @module
+ */
+import type { Compare, Mutation } from '@spurbridge/wire';
+import type { StoreRecoveryDependencies } from './recovery-dependencies.js';
+import { RETRY_MS } from './recovery-dependencies.js';
+
+const MAX_ATTEMPTS = 20;
+
+/** Commits until the store confirms. Returns false once a comparison fails, or after too many attempts. */
+export async function commitWithRetry(
+  { raw, clock }: StoreRecoveryDependencies,
+  compares: readonly Compare[],
+  mutations: readonly Mutation[],
+): Promise<boolean> {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
+    const outcome = await raw.commit(compares, mutations, 0);
+    if (outcome.outcome === 'committed') return true;
+    if (outcome.outcome === 'conflict' || outcome.outcome === 'no_lease') return false;
+    await clock.sleep(RETRY_MS);
+  }
+  return false;
+}
--- a/packages/recovery/src/phases/contribution-codec.ts
+++ b/packages/recovery/src/phases/contribution-codec.ts
@@ -1,126 +1,209 @@
-import { createHash } from 'node:crypto';
-import { brotliCompressSync, brotliDecompressSync, constants } from 'node:zlib';
-import type { KeyValue, NodeId, FencingToken, Version } from '@spurbridge/wire';
-import { JOB_KEY_PREFIX, TASK_KEY_PREFIX } from '@spurbridge/model';
+/**
+ * Contributions of controllers to a recovery, as they are kept in the key-value store: numbered pages with compressed
+ * records, and a marker that says that the contribution is complete.
+ *
+ * @module
+ */
+import { brotliDecompressSync } from 'node:zlib';
+import type { FencingToken, KeyValue, NodeId, Version } from '@spurbridge/wire';
 import { read } from '@spurbridge/wire';
-import { CONTRIBUTION_PREFIX } from '../epoch/epoch-record.js';
+import { compress, sha256Hex } from '../compression.js';
+import { CONTRIBUTION_PREFIX } from '../epoch/control-keys.js';
+import { ContributionFormatError } from '../errors.js';
 import type { RecordRepair } from '../replica/merge.js';
+import { writeBackPriority } from './write-back-priority.js';
 
-/** Room in a value for what is around the text of a page. */
-const FRAME_BYTES = 256;
-const QUALITY = 4;
+/** Bytes of a value that are left for what is around the text of a page. */
+const PAGE_OVERHEAD_BYTES = 256;
+const BYTES_PER_KIB = 1024;
+/** Last part of the key of a marker, where the key of a page has its number. */
+const MARKER_PART = 'done';
 
-/** A node's word in a gathering epoch: it gives no orders any more, and what it remembers is on so many pages. */
+/** Statement of a controller in a recovery: it acts on no earlier lease any more, and its contribution is complete. */
 export interface ContributionMarker {
-  readonly pages: number;
+  readonly pageCount: number;
   /** SHA-256 of the compressed bytes. */
   readonly digest: string;
-  /** Token under which this process has led last; 0 if never. */
-  readonly led: FencingToken;
-  /** Highest token that it has seen. */
-  readonly seen: FencingToken;
-  /** Whether its copy was continuous. */
+  /** Token under which this process led last; 0 if it never did. */
+  readonly lastLedToken: FencingToken;
+  /** Highest token that the process has seen. */
+  readonly highestSeenToken: FencingToken;
+  /** Whether the process had followed its epoch without a gap. */
   readonly continuous: boolean;
-  /** Highest lease id that it was granted. */
-  readonly lease: number;
+  /** Highest lease id that the process was granted. */
+  readonly highestLeaseId: number;
 }
 
-export function contributionKeyPrefix(id: string, node: NodeId): string {
-  return `${CONTRIBUTION_PREFIX}${id}/${node}/`;
+/** A complete contribution. */
+export interface Contribution {
+  readonly epochId: string;
+  readonly node: NodeId;
+  readonly marker: ContributionMarker;
+  readonly repairs: readonly RecordRepair[];
+}
+
+/** Pages that hold repairs, with the checksum that the marker names. */
+export interface EncodedPages {
+  readonly pages: readonly string[];
+  /** SHA-256 of the compressed bytes; empty without any page. */
+  readonly digest: string;
+}
+
+/** Returns the prefix of the keys of all contributions to an epoch. */
+export function epochContributionPrefix(epochId: string): string {
+  return `${CONTRIBUTION_PREFIX}${epochId}/`;
+}
+
+/** Returns the prefix of all keys of a controller's contribution to an epoch. */
+export function contributionKeyPrefix(epochId: string, node: NodeId): string {
+  return `${epochContributionPrefix(epochId)}${node}/`;
+}
+
+/** Returns the key of the marker of a controller's contribution to an epoch. */
+export function markerKey(epochId: string, node: NodeId): string {
+  return `${contributionKeyPrefix(epochId, node)}${MARKER_PART}`;
 }
 
-export function markerKey(id: string, node: NodeId): string {
-  return `${contributionKeyPrefix(id, node)}done`;
+/** Returns the key of a page of a controller's contribution to an epoch. */
+export function pageKey(epochId: string, node: NodeId, page: number): string {
+  return `${contributionKeyPrefix(epochId, node)}${page}`;
 }
 
-export function compress(text: string): Buffer {
-  return brotliCompressSync(text, { params: { [constants.BROTLI_PARAM_QUALITY]: QUALITY } });
+/** Returns whether a key is that of a marker. */
+export function isMarkerKey(key: string): boolean {
+  return key.endsWith(`/${MARKER_PART}`);
 }
 
-export function sha256Hex(bytes: Uint8Array): string {
-  return createHash('sha256').update(bytes).digest('hex');
+/** Encodes a marker as the value of its key. */
+export function encodeMarker(marker: ContributionMarker): Record<string, unknown> {
+  return {
+    pages: marker.pageCount,
+    digest: marker.digest,
+    led: marker.lastLedToken,
+    seen: marker.highestSeenToken,
+    continuous: marker.continuous,
+    lease: marker.highestLeaseId,
+  };
 }
 
-/** Most needed first: open jobs, then their tasks, then the rest. */
-export function writeBackPriority(key: string): number {
-  return key.startsWith(JOB_KEY_PREFIX) ? 0 : key.startsWith(TASK_KEY_PREFIX) ? 1 : 2;
+function decodeMarker(record: Readonly<Record<string, unknown>>): ContributionMarker {
+  return {
+    pageCount: read.count(record, 'pages'),
+    digest: read.string(record, 'digest'),
+    lastLedToken: read.count(record, 'led') as FencingToken,
+    highestSeenToken: read.count(record, 'seen') as FencingToken,
+    continuous: read.boolean(record, 'continuous'),
+    highestLeaseId: read.count(record, 'lease'),
+  };
 }
 
-/** Repairs as pages of at most `valueKb` KiB, as values of the store. */
-export function encodePages(
-  repairs: readonly RecordRepair[],
-  valueKb: number,
-): { readonly pages: readonly string[]; readonly digest: string } {
+/** Encodes the text of a page as the value of its key. */
+export function encodePage(text: string): Record<string, unknown> {
+  return { text };
+}
+
+/** Encodes repairs as the texts of pages whose values take `valueKb` KiB at most. */
+export function encodePages(repairs: readonly RecordRepair[], valueKb: number): EncodedPages {
   if (repairs.length === 0) return { pages: [], digest: '' };
-  const ordered = [...repairs].sort((a, b) => writeBackPriority(a.key) - writeBackPriority(b.key));
-  const bytes = compress(JSON.stringify(ordered.map((r) => [r.key, r.epoch, r.version, r.over, r.text])));
+  const ordered = [...repairs].sort(
+    (first, second) => writeBackPriority(first.key) - writeBackPriority(second.key),
+  );
+  const bytes = compress(
+    JSON.stringify(
+      ordered.map(({ key, epoch, version, replacedVersion, text }) => [
+        key,
+        epoch,
+        version,
+        replacedVersion,
+        text,
+      ]),
+    ),
+  );
   const text = bytes.toString('base64');
-  const most = valueKb * 1024 - FRAME_BYTES;
+  const pageLength = valueKb * BYTES_PER_KIB - PAGE_OVERHEAD_BYTES;
   const pages: string[] = [];
-  for (let i = 0; i < text.length; i += most) pages.push(text.slice(i, i + most));
+  for (let start = 0; start < text.length; start += pageLength)
+    pages.push(text.slice(start, start + pageLength));
   return { pages, digest: sha256Hex(bytes) };
 }
 
 function decodePages(pages: readonly string[], digest: string): RecordRepair[] {
   if (pages.length === 0) return [];
   const bytes = Buffer.from(pages.join(''), 'base64');
-  if (sha256Hex(bytes) !== digest) throw new Error('the checksum does not match');
+  const actualDigest = sha256Hex(bytes);
+  if (actualDigest !== digest) throw new ContributionFormatError('checksum', digest, actualDigest);
   const entries = read.asArray(JSON.parse(brotliDecompressSync(bytes).toString()), 'pages');
-  return entries.map((entry) => {
-    const [key, epoch, version, over, text] = read.asArray(entry, 'page entry');
-    if (typeof key !== 'string' || typeof text !== 'string') throw new Error('a page entry is malformed');
-    return { key, epoch: epoch as number, version: version as Version, over: over as Version, text };
-  });
+  return entries.map(decodePageEntry);
 }
 
-export interface Contribution {
-  readonly id: string;
+function decodePageEntry(entry: unknown): RecordRepair {
+  const [key, epoch, version, replacedVersion, text] = read.asArray(entry, 'page entry');
+  if (typeof key !== 'string' || typeof text !== 'string')
+    throw new ContributionFormatError(
+      'page entry',
+      'a key and a value as texts',
+      `${typeof key} and ${typeof text}`,
+    );
+  return {
+    key,
+    epoch: epoch as number,
+    version: version as Version,
+    replacedVersion: replacedVersion as Version,
+    text,
+  };
+}
+
+/** Pages and marker of one contribution, as far as they were found. */
+interface PartialContribution {
+  readonly epochId: string;
   readonly node: NodeId;
-  readonly marker: ContributionMarker;
-  readonly repairs: readonly RecordRepair[];
+  readonly pages: string[];
+  marker: ContributionMarker | null;
 }
 
-/** What nodes have contributed, from all keys below `m/`. Damaged pages are told and passed over. */
+/**
+ * Decodes all complete contributions among the given keys.
+ *
+ * @param onDamaged - Called with a description of each key, or contribution, that cannot be decoded and is left out.
+ */
 export function readContributions(
-  items: Iterable<KeyValue>,
-  damaged: (what: string) => void,
+  keyValues: Iterable<KeyValue>,
+  onDamaged: (description: string) => void,
 ): Contribution[] {
-  const byPrefix = new Map<
-    string,
-    { id: string; node: NodeId; pages: string[]; marker: ContributionMarker | null }
-  >();
-  for (const item of items) {
-    const [, id, node, part] = item.key.split('/');
-    if (!item.key.startsWith(CONTRIBUTION_PREFIX) || id === undefined || node === undefined) continue;
-    const prefix = contributionKeyPrefix(id, node as NodeId);
-    const found = byPrefix.get(prefix) ?? { id, node: node as NodeId, pages: [], marker: null };
-    byPrefix.set(prefix, found);
+  const contributions: Contribution[] = [];
+  for (const [prefix, { epochId, node, pages, marker }] of groupByContribution(keyValues, onDamaged)) {
+    if (marker === null) continue;
     try {
-      const o = read.asObject(item.value, item.key);
-      if (part === 'done')
-        found.marker = {
-          pages: read.count(o, 'pages'),
-          digest: read.string(o, 'digest'),
-          led: read.count(o, 'led') as FencingToken,
-          seen: read.count(o, 'seen') as FencingToken,
-          continuous: read.boolean(o, 'continuous'),
-          lease: read.count(o, 'lease'),
-        };
-      else found.pages[Number(part)] = read.string(o, 'text');
-    } catch (e) {
-      damaged(`${item.key}: ${String(e)}`);
+      // Pages of a later attempt may already be there under the marker of an earlier one: its own number of pages counts.
+      const repairs = decodePages(pages.slice(0, marker.pageCount), marker.digest);
+      contributions.push({ epochId, node, marker, repairs });
+    } catch (error) {
+      // The checksum does not match, or the text is no valid Base64, Brotli or JSON.
+      onDamaged(`${prefix}: ${String(error)}`);
     }
   }
-  const contributions: Contribution[] = [];
-  for (const [prefix, c] of byPrefix) {
-    if (c.marker === null) continue;
+  return contributions;
+}
+
+function groupByContribution(
+  keyValues: Iterable<KeyValue>,
+  onDamaged: (description: string) => void,
+): Map<string, PartialContribution> {
+  const partials = new Map<string, PartialContribution>();
+  for (const { key, value } of keyValues) {
+    const [, epochId, node, part] = key.split('/') as [string, string?, NodeId?, string?];
+    if (!key.startsWith(CONTRIBUTION_PREFIX) || epochId === undefined || node === undefined) continue;
+    const prefix = contributionKeyPrefix(epochId, node);
+    const partial = partials.get(prefix) ?? { epochId, node, pages: [], marker: null };
+    partials.set(prefix, partial);
     try {
-      // A marker may be older than pages of a later try under it: only its own number counts.
-      const repairs = decodePages(c.pages.slice(0, c.marker.pages), c.marker.digest);
-      contributions.push({ id: c.id, node: c.node, marker: c.marker, repairs });
-    } catch (e) {
-      damaged(`${prefix}: ${String(e)}`);
+      const record = read.asObject(value, key);
+      if (part === MARKER_PART) partial.marker = decodeMarker(record);
+      else partial.pages[Number(part)] = read.string(record, 'text');
+    } catch (error) {
+      // The value has another form than that of a marker or a page.
+      onDamaged(`${key}: ${String(error)}`);
     }
   }
-  return contributions;
+  return partials;
 }
--- /dev/null
+++ b/packages/recovery/src/phases/move-fence.ts
@@ -0,0 +1,116 @@
+/**
+ * First phase of a recovery: the fence of the store moves to a new epoch, which makes all earlier commits void.
+ *
+ * @module
+ */
+import { randomUUID } from 'node:crypto';
+import type { MonotonicMs } from '@spurbridge/net';
+import { LEADER_KEY } from '@spurbridge/store';
+import type { KeyValue } from '@spurbridge/wire';
+import { EPOCH_KEY, FENCE_PREFIX, fenceKey } from '../epoch/control-keys.js';
+import type { Epoch, EpochNumber, VersionedEpoch } from '../epoch/epoch-record.js';
+import { encodeEpoch } from '../epoch/epoch-record.js';
+import { nextTokenFloor } from '../epoch/fencing-tokens.js';
+import type { LocalRecoveryState, StoreRecoveryDependencies } from './recovery-dependencies.js';
+
+/** Fences of earlier epochs that one transaction deletes. */
+const MAX_DELETED_FENCES = 4;
+
+/** Moves the fence, and keeps in mind which epochs this process has initiated. */
+export class FenceMover {
+  /**
+   * Times at which this process moved the fence, by epoch id. An epoch under this controller's name that is not here was
+   * initiated by an earlier process of it.
+   */
+  private readonly initiatedAt = new Map<string, MonotonicMs>();
+
+  constructor(private readonly dependencies: StoreRecoveryDependencies) {}
+
+  /** Returns whether this process initiated the epoch. */
+  hasInitiated(epoch: Epoch): boolean {
+    return this.initiatedAt.has(epoch.id);
+  }
+
+  /** Returns the milliseconds since this process moved the fence to the epoch; Infinity if it did not. */
+  msSinceInitiated(epoch: Epoch): number {
+    const initiatedAt = this.initiatedAt.get(epoch.id);
+    return initiatedAt === undefined ? Infinity : this.dependencies.clock.now() - initiatedAt;
+  }
+
+  /** Moves the fence to a new epoch in which the controllers gather their replicas. */
+  beginRecovery(found: VersionedEpoch, localState: LocalRecoveryState): Promise<void> {
+    return this.moveTo(found, () => this.recoveryEpoch(found.epoch, localState));
+  }
+
+  /** Creates the first epoch of a store that never held anything. It is open at once. */
+  initializeStore(found: VersionedEpoch, localState: LocalRecoveryState): Promise<void> {
+    return this.moveTo(found, () => this.initialEpoch(found.epoch, localState));
+  }
+
+  private async moveTo(found: VersionedEpoch, createEpoch: () => Epoch): Promise<void> {
+    const { raw, clock, log } = this.dependencies;
+    const fences = await raw.list(FENCE_PREFIX, 0);
+    if (fences.outcome !== 'listed') return;
+    const epoch = createEpoch();
+    this.initiatedAt.set(epoch.id, clock.now());
+    const outcome = await raw.commit(
+      [{ key: EPOCH_KEY, version: found.version }],
+      [
+        { put: EPOCH_KEY, value: encodeEpoch(epoch) },
+        ...fences.items.slice(0, MAX_DELETED_FENCES).map((fence: KeyValue) => ({ delete: fence.key })),
+        { delete: LEADER_KEY },
+        { put: fenceKey(epoch.id), value: {} },
+      ],
+      0,
+    );
+    if (outcome.outcome !== 'committed') return;
+    const { number, isInitial, tokenFloor, baseEpoch } = epoch;
+    log.info({ epoch: number, first: isInitial, floor: tokenFloor, after: baseEpoch }, 'fence moved');
+  }
+
+  private recoveryEpoch(found: Epoch | null, localState: LocalRecoveryState): Epoch {
+    const lastFloor = Math.max(localState.tokenFloor, found?.tokenFloor ?? 0);
+    return {
+      ...this.identify(found, localState),
+      tokenFloor: nextTokenFloor(lastFloor, localState.highestSeenToken, this.dependencies.wallNow()),
+      phase: 'gathering',
+      baseEpoch: baseEpochOf(found, localState),
+      initiator: this.dependencies.node,
+      isInitial: false,
+      continuous: false,
+    };
+  }
+
+  private initialEpoch(found: Epoch | null, localState: LocalRecoveryState): Epoch {
+    return {
+      ...this.identify(found, localState),
+      tokenFloor: 0,
+      phase: 'open',
+      baseEpoch: baseEpochOf(found, localState),
+      initiator: this.dependencies.node,
+      isInitial: true,
+      continuous: true,
+    };
+  }
+
+  private identify(
+    found: Epoch | null,
+    localState: LocalRecoveryState,
+  ): Pick<Epoch, 'number' | 'id' | 'deployment'> {
+    const newId = this.dependencies.newId ?? randomUUID;
+    const { highestKnownEpoch, replicaEpoch } = localState;
+    const number = Math.max(highestKnownEpoch, replicaEpoch, found?.number ?? 0) + 1;
+    return {
+      number: number as EpochNumber,
+      id: newId(),
+      deployment: localState.deployment ?? found?.deployment ?? newId(),
+    };
+  }
+}
+
+/** Returns the number of the epoch that the store's records belong to. */
+function baseEpochOf(found: Epoch | null, localState: LocalRecoveryState): number {
+  if (found === null) return localState.replicaEpoch;
+  // A recovery that never opened its epoch has written no records: those are still of the epoch before it.
+  return found.phase === 'open' ? found.number : found.baseEpoch;
+}
--- /dev/null
+++ b/packages/recovery/src/phases/quorum.ts
@@ -0,0 +1,92 @@
+/**
+ * Third phase of a recovery: the initiator waits until enough controllers have left their markers.
+ *
+ * @module
+ */
+import { LEASE_TTL_MS } from '@spurbridge/store';
+import type { NodeId } from '@spurbridge/wire';
+import type { Epoch } from '../epoch/epoch-record.js';
+import { epochContributionPrefix } from './contribution-codec.js';
+import { decodeContributions } from './contributed-replicas.js';
+import type { ContributionMarker } from './contribution-codec.js';
+import type { FenceMover } from './move-fence.js';
+import type { StoreRecoveryDependencies } from './recovery-dependencies.js';
+import { POLL_INTERVAL_MS, STALL_TIMEOUT_MS } from './recovery-dependencies.js';
+
+/** Largest deviation of a controller's clock rate. */
+const CLOCK_DRIFT = 0.002;
+const LEASE_MARGIN_MS = 200;
+/** After this time an earlier leader that has not noticed the loss no longer relies on its lease either. */
+const LEASE_EXPIRY_MS = LEASE_TTL_MS * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
+/** Controllers that are reachable, but leave no marker, are not waited for longer than this. */
+const MARKER_TIMEOUT_MS = 5000;
+/** Leases that are requested at most to pass the ids from before the loss. */
+const MAX_REQUESTED_LEASES = 200;
+const REQUESTED_LEASE_TTL_MS = 100;
+
+/** The markers of a recovery, by controller. */
+export type Markers = ReadonlyMap<NodeId, ContributionMarker>;
+
+/**
+ * Waits for markers: of all controllers or, once every earlier lease has expired, of all that are reachable. Returns null
+ * where the recovery has to begin again.
+ */
+export async function collectMarkers(
+  dependencies: StoreRecoveryDependencies,
+  fenceMover: FenceMover,
+  epoch: Epoch,
+): Promise<Markers | null> {
+  const { raw, clock, node, log } = dependencies;
+  for (;;) {
+    const elapsedMs = fenceMover.msSinceInitiated(epoch);
+    const listed = await raw.list(epochContributionPrefix(epoch.id), 0);
+    if (listed.outcome === 'listed') {
+      const contributions = decodeContributions(listed.items, log);
+      const markers = new Map(contributions.map((contribution) => [contribution.node, contribution.marker]));
+      if (!markers.has(node)) return null;
+      if (isQuorum(dependencies, markers, elapsedMs)) return markers;
+    } else if (elapsedMs > STALL_TIMEOUT_MS) return null;
+    await clock.sleep(POLL_INTERVAL_MS);
+  }
+}
+
+function isQuorum(
+  { nodes, reachablePeers }: StoreRecoveryDependencies,
+  markers: Markers,
+  elapsedMs: number,
+): boolean {
+  if (markers.size >= nodes) return true;
+  const missing = reachablePeers().peers.filter((peer) => !markers.has(peer));
+  return elapsedMs > LEASE_EXPIRY_MS && (missing.length === 0 || elapsedMs > MARKER_TIMEOUT_MS);
+}
+
+/**
+ * Requests leases until their ids are past all that were granted before the loss, so that a late revocation of an earlier
+ * lease hits nobody. Returns false where the store does not grant one.
+ */
+export async function passEarlierLeaseIds(
+  { raw, log }: StoreRecoveryDependencies,
+  markers: Markers,
+): Promise<boolean> {
+  const highestEarlierId = Math.max(0, ...[...markers.values()].map((marker) => marker.highestLeaseId));
+  for (let count = 0; count < MAX_REQUESTED_LEASES; count += 1) {
+    const granted = await raw.grantLease(REQUESTED_LEASE_TTL_MS);
+    if (granted.outcome !== 'granted') return false;
+    if (granted.lease > highestEarlierId) return true;
+  }
+  log.info({ past: highestEarlierId }, 'lease ids were set back too far to pass them');
+  return true;
+}
+
+/**
+ * Returns whether no intent of a leader is missing from the merged replicas: the replica of the last leader is among them
+ * and is continuous, and no other controller has added records without knowing that they are the latest.
+ */
+export function isContinuous(markers: Markers): boolean {
+  const all = [...markers.values()];
+  const highestSeenToken = Math.max(...all.map((marker) => marker.highestSeenToken));
+  const lastLeader = all.find((marker) => marker.lastLedToken === highestSeenToken);
+  return (
+    lastLeader?.continuous === true && all.every((marker) => marker.continuous || marker.pageCount === 0)
+  );
+}
--- a/packages/recovery/src/phases/write-back.ts
+++ b/packages/recovery/src/phases/write-back.ts
@@ -1,66 +1,85 @@
+/**
+ * Last phase of a recovery: repairs that the contribution pages hold are written to their own keys, and the pages deleted.
+ *
+ * @module
+ */
 import type { Clock, RequestPriority } from '@spurbridge/net';
 import type { CommitOutcome, KeyValueStore } from '@spurbridge/store';
-import { isControlKey } from '../epoch/epoch-record.js';
-import { writeBackPriority } from './contribution-codec.js';
+import { isControlKey } from '../epoch/control-keys.js';
 import type { EpochStore } from '../epoch-store/epoch-store.js';
+import { isMarkerKey } from './contribution-codec.js';
+import type { RecoveryLog } from './recovery-dependencies.js';
+import { writeBackPriority } from './write-back-priority.js';
 
-const WRITE_BACK_MS = 250;
-/** Least urgent of all: work that waits for a record gets it written by its own commit. */
-const URGENCY: RequestPriority = 3;
+const WRITE_BACK_INTERVAL_MS = 250;
+/** The lowest of all: a record that is needed sooner is written by the commit that needs it. */
+const WRITE_BACK_PRIORITY: RequestPriority = 3;
 
-export interface WriteBackParts {
+/** What writing back works with. */
+export interface WriteBackDependencies {
   readonly store: Pick<KeyValueStore, 'commit' | 'read'>;
   readonly clock: Clock;
-  readonly log: { info(fields: object, message: string): void };
-  /** Changes in one commit. */
-  readonly most: number;
-  /** The epoch that is trusted now. */
-  readonly view: () => EpochStore | null;
+  readonly log: RecoveryLog;
+  /** Number of mutations in one commit. */
+  readonly batchSize: number;
+  /** Returns the store of the epoch that is trusted now; null without one. */
+  readonly currentEpochStore: () => EpochStore | null;
 }
 
-/** Markers and pages first: a tombstone that went before its page would bring the record back. */
-function order(key: string): number {
-  return key.endsWith('/done') ? 0 : isControlKey(key) ? 1 : 2;
-}
-
-/** Writes stand-ins back as records of their own, for as long as `goesOn`; then the pages go. */
-export async function writeBack(p: WriteBackParts, goesOn: () => boolean): Promise<void> {
-  const began = p.clock.now();
-  let written = 0;
-  while (goesOn()) {
-    await p.clock.sleep(WRITE_BACK_MS);
-    const view = p.view();
-    if (view === null || !goesOn()) continue;
-    const batch = view.overlay.first(p.most, writeBackPriority);
-    if (batch.length > 0) {
-      const outcome = await p.store.commit(
-        batch.map((i) => ({ key: i.key, version: i.version })),
-        batch.map((i) => ({ put: i.key, value: i.value })),
-        URGENCY,
-      );
-      if (outcome.outcome === 'committed') written += batch.length;
-      await readAgain(p, outcome);
-      if (outcome.outcome === 'committed' && view.overlay.size === 0)
-        p.log.info(
-          { epoch: view.epoch.number, records: written, ms: Math.round(p.clock.now() - began) },
-          'all written back',
-        );
-    } else if (view.leftovers.length > 0) await clean(p, view);
+/** Writes pending repairs back, and then deletes what the recovery has left, for as long as `isWanted` says so. */
+export async function writeBack(dependencies: WriteBackDependencies, isWanted: () => boolean): Promise<void> {
+  const { clock, log, batchSize, currentEpochStore } = dependencies;
+  const startedAt = clock.now();
+  let recordCount = 0;
+  while (isWanted()) {
+    await clock.sleep(WRITE_BACK_INTERVAL_MS);
+    const epochStore = currentEpochStore();
+    if (epochStore === null || !isWanted()) continue;
+    const { epoch, overlay } = epochStore;
+    const batch = overlay.nextBatch(batchSize, writeBackPriority);
+    if (batch.length === 0) {
+      if (epochStore.obsoleteKeys.length > 0) await deleteObsoleteKeys(dependencies, epochStore);
+      continue;
+    }
+    const outcome = await dependencies.store.commit(
+      batch.map(({ key, version }) => ({ key, version })),
+      batch.map(({ key, value }) => ({ put: key, value })),
+      WRITE_BACK_PRIORITY,
+    );
+    const isCommitted = outcome.outcome === 'committed';
+    if (isCommitted) recordCount += batch.length;
+    await readConflictingKeys(dependencies, outcome);
+    if (isCommitted && overlay.size === 0) {
+      const ms = Math.round(clock.now() - startedAt);
+      log.info({ epoch: epoch.number, records: recordCount, ms }, 'all written back');
+    }
   }
 }
 
-/** Written meanwhile, or filled up again with an old record: reading tells which. */
-async function readAgain(p: WriteBackParts, outcome: CommitOutcome): Promise<void> {
+/** A key was written meanwhile, or the store was refilled with an old record of it: reading it drops or keeps its repair. */
+async function readConflictingKeys({ store }: WriteBackDependencies, outcome: CommitOutcome): Promise<void> {
   if (outcome.outcome !== 'conflict') return;
-  for (const key of outcome.failed) await p.store.read(key, URGENCY);
+  for (const key of outcome.failed) await store.read(key, WRITE_BACK_PRIORITY);
 }
 
-async function clean(p: WriteBackParts, view: EpochStore): Promise<void> {
-  const now = [...view.leftovers].sort((a, b) => order(a) - order(b)).slice(0, p.most);
-  const outcome = await p.store.commit(
+async function deleteObsoleteKeys(
+  { store, batchSize }: WriteBackDependencies,
+  epochStore: EpochStore,
+): Promise<void> {
+  const batch = [...epochStore.obsoleteKeys]
+    .sort((first, second) => deletionPriority(first) - deletionPriority(second))
+    .slice(0, batchSize);
+  const outcome = await store.commit(
     [],
-    now.map((key) => ({ delete: key })),
-    URGENCY,
+    batch.map((key) => ({ delete: key })),
+    WRITE_BACK_PRIORITY,
   );
-  if (outcome.outcome === 'committed') view.leftovers = view.leftovers.filter((k) => !now.includes(k));
+  if (outcome.outcome === 'committed')
+    epochStore.obsoleteKeys = epochStore.obsoleteKeys.filter((key) => !batch.includes(key));
+}
+
+/** Markers and pages go first: a tombstone that is deleted before its page would bring the record back. */
+function deletionPriority(key: string): number {
+  if (isMarkerKey(key)) return 0;
+  return isControlKey(key) ? 1 : 2;
 }
--- a/packages/recovery/src/recoverable-store.ts
+++ b/packages/recovery/src/recoverable-store.ts
@@ -1,414 +1,210 @@
+/**
+ * The key-value store as controllers use it: every response is validated, and lost data is recovered (docs/state-loss.md).
+ *
+ * @module
+ */
 import { jobKey } from '@spurbridge/model';
-import type { WallClockMs } from '@spurbridge/model';
-import type { Clock, MonotonicMs, RequestPriority } from '@spurbridge/net';
+import type { MonotonicMs, RequestPriority } from '@spurbridge/net';
 import type {
   CommitOutcome,
+  KeyValueStore,
   LeaseGrantOutcome,
+  LeaseRenewalOutcome,
   ListOutcome,
   ReadOutcome,
-  KeyValueStore,
-  LeaseRenewalOutcome,
   WatchOutcome,
 } from '@spurbridge/store';
 import type {
-  Mutation,
   Compare,
-  KeyValue,
+  FencingToken,
   JobId,
+  KeyValue,
   LeaseId,
   MachineId,
-  NodeId,
+  Mutation,
   PeerStatus,
   Revision,
-  FencingToken,
   Version,
 } from '@spurbridge/wire';
-import type { Replica } from './replica/replica.js';
-import { jobPhaseOf } from './replica/replica.js';
+import type { RecoverableStoreDependencies } from './dependencies.js';
 import type { Epoch, EpochNumber } from './epoch/epoch-record.js';
-import { NO_EPOCH, isControlKey, fencingTokenAt } from './epoch/epoch-record.js';
-import type { LocalRecoveryState, OpenEpoch } from './phases/store-recovery.js';
-import { StoreRecovery } from './phases/store-recovery.js';
-import { PeerObservations } from './peer-observations.js';
-import type { EpochReplica } from './replica/merge.js';
-import type { SnapshotReplica, SnapshotSource } from './snapshot-source.js';
-import { findMissingFromSnapshot } from './snapshot-source.js';
-import { StoreIntegrity } from './store-integrity.js';
-import { REFUSED, EpochStore } from './epoch-store/epoch-store.js';
+import { fencingTokenAt } from './epoch/fencing-tokens.js';
+import { REFUSED } from './epoch-store/response-validator.js';
 import { writeBack } from './phases/write-back.js';
+import { jobPhaseOf } from './replica/replica-entry.js';
+import type { Replica } from './replica/replica.js';
+import { StoreLifecycle } from './store-lifecycle.js';
 
-const AUDIT_MS = 1000;
-const RETRY_MS = 150;
-/** A first start is believed after this: all peers were heard without a copy, or twice waited for. */
-const FIRST_MS = 700;
-const FIRST_ALONE_MS = 2000;
-const ASK_MS = 100;
-
-export interface RecoverableStoreDependencies {
-  readonly raw: KeyValueStore;
-  readonly clock: Clock;
-  readonly wallNow: () => WallClockMs;
-  readonly newId?: () => string;
-  readonly node: NodeId;
-  readonly nodes: number;
-  readonly limits: { readonly valueKb: number; readonly txnOps: number };
-  readonly log: { info(fields: object, message: string): void };
-  /** Machines that the cloud lists as running, or null without an answer: asked only where no epoch is found. */
-  readonly countRunningMachines: () => Promise<number | null>;
-  /** Told of every change of trust, after it. */
-  readonly onIntegrityChanged: () => void;
-  /** Told when the copy has changed. */
-  readonly onReplicaChanged?: () => void;
-  readonly shelf?: SnapshotSource;
+/** The replica with the epoch that it belongs to, and the revision up to which it is consistent. */
+export interface ReplicaSnapshot {
+  readonly epoch: Epoch;
+  readonly revision: Revision;
+  readonly copy: Replica;
 }
 
+/** What peers are told about the store. */
+export type StoreStatus = Pick<PeerStatus, 'epoch' | 'epochId' | 'revision' | 'trusted' | 'continuous'>;
+
 /**
- * A state service that can be doubted (docs/state-loss.md). It is the raw one as long as nothing speaks against it;
- * otherwise every call is refused until an epoch is open in which what the nodes remember was put back.
+ * The key-value store behind a validation of all its responses. While nothing speaks against the store, calls are passed
+ * on; otherwise every call is refused until an epoch is open in which the replicas of the controllers were merged. To its
+ * users a loss is an outage.
  */
 export class RecoverableStore implements KeyValueStore {
-  private readonly soundness: StoreIntegrity;
-  /** The epoch that it follows, or has followed and doubts. */
-  private view: EpochStore | null = null;
-  /** Number of the epoch that it helps to gather, or follows. */
-  private joined = 0;
-  private isContinuous = false;
-  private deployment: string | null = null;
-  private ledToken = 0 as FencingToken;
-  private lease = 0;
-  private doubtedAt: MonotonicMs | null = null;
-  private readonly startedAt: MonotonicMs;
-  private readonly claims: PeerObservations;
-  private readonly gathering: StoreRecovery;
-  private snapshot: SnapshotReplica | null = null;
+  private readonly lifecycle: StoreLifecycle;
 
-  constructor(private readonly p: RecoverableStoreDependencies) {
-    this.startedAt = p.clock.now();
-    this.soundness = new StoreIntegrity((from, to, evidence) => {
-      p.log.info(
-        { from, to, evidence, epoch: this.generation, revision: this.view?.claimed ?? 0 },
-        'state service',
-      );
-    });
-    this.claims = new PeerObservations(p.clock, p.countRunningMachines);
-    this.gathering = new StoreRecovery({
-      ...p,
-      valueKb: p.limits.valueKb,
-      localState: () => this.brings(),
-      reachablePeers: () => this.claims.heard(),
-      onEpochObserved: (number) => {
-        this.claims.met(number);
-      },
-      onEpochJoined: (number) => {
-        if (number === this.joined) return;
-        this.joined = number;
-        p.onIntegrityChanged();
-      },
-    });
+  constructor(private readonly dependencies: RecoverableStoreDependencies) {
+    this.lifecycle = new StoreLifecycle(dependencies);
   }
 
-  get isTrusted(): boolean {
-    return this.soundness.state === 'sound';
+  /** Attaches to the store, follows it and recovers it, for as long as the process runs. */
+  run(): Promise<never> {
+    return this.lifecycle.run();
   }
 
-  /** Number of the epoch that its copy belongs to. */
-  get generation(): EpochNumber {
-    return this.view?.epoch.number ?? NO_EPOCH;
+  /** Whether the store is trusted now. */
+  get isTrusted(): boolean {
+    return this.lifecycle.integrity.isSound;
   }
 
-  /** What is trusted now. */
-  private get sound(): EpochStore | null {
-    return this.isTrusted ? this.view : null;
+  /** Number of the epoch that the replica belongs to. */
+  get generation(): EpochNumber {
+    return this.lifecycle.generation;
   }
 
-  /** Whether it followed the epoch without a gap: what it read is all that was written. */
+  /** Whether the epoch was followed without a gap: everything that was ever written was read. */
   get continuous(): boolean {
-    return this.isTrusted && this.isContinuous;
+    return this.lifecycle.isContinuous;
   }
 
-  /** Whether this epoch opened without the last leader's copy. */
+  /** Whether the epoch opened without the replica of the last leader. */
   get hasLost(): boolean {
-    return this.view !== null && !this.view.epoch.continuous;
+    const { epochStore } = this.lifecycle;
+    return epochStore !== null && !epochStore.epoch.continuous;
   }
 
-  /** Phase of a job by its record; null: no such record was ever seen. */
-  phaseOf(id: JobId): string | null {
-    const seen = this.view?.copy.get(jobKey(id));
-    return seen === undefined ? null : jobPhaseOf(seen.text);
+  /** Age of the replica in milliseconds: everything that was durable before is in it. Infinity without a replica. */
+  get copyAgeMs(): number {
+    return this.lifecycle.epochStore?.replicaAgeMs ?? Infinity;
   }
 
-  /** A record by this node's copy, while the state service is trusted; undefined: none is known. */
-  replicatedRecord(key: string): KeyValue | undefined {
-    const seen = this.sound?.copy.get(key);
-    if (seen === undefined) return undefined;
-    return { key, value: JSON.parse(seen.text) as unknown, version: seen.version };
+  /** Returns the phase of a job by the replica, or null where no record of it was ever read. */
+  phaseOf(id: JobId): string | null {
+    const entry = this.lifecycle.epochStore?.replica.get(jobKey(id));
+    return entry === undefined ? null : jobPhaseOf(entry.text);
   }
 
-  /** How old the copy is at most, in milliseconds: all that was durable before is in it. */
-  get copyAgeMs(): number {
-    return this.view?.ageMs ?? Infinity;
+  /** Returns a record by the replica. Undefined where it is not known, or the store is not trusted. */
+  replicatedRecord(key: string): KeyValue | undefined {
+    const entry = this.lifecycle.trustedStore?.replica.get(key);
+    if (entry === undefined) return undefined;
+    return { key, value: JSON.parse(entry.text) as unknown, version: entry.version };
   }
 
-  /** The copy as a consistent memory up to its revision, for a snapshot; null while the store is not trusted. */
-  replicaSnapshot(): { readonly epoch: Epoch; readonly revision: Revision; readonly copy: Replica } | null {
-    const { sound } = this;
-    return sound === null ? null : { epoch: sound.epoch, revision: sound.copy.revision, copy: sound.copy };
+  /** Returns the replica, for a snapshot; null while the store is not trusted. */
+  replicaSnapshot(): ReplicaSnapshot | null {
+    const store = this.lifecycle.trustedStore;
+    if (store === null) return null;
+    return { epoch: store.epoch, revision: store.replica.revision, copy: store.replica };
   }
 
+  /** Returns the fencing token of a leader whose record was written at this version. */
   fencingTokenOf(version: Version): FencingToken {
-    return fencingTokenAt(this.view?.epoch.floor ?? 0, version);
+    return fencingTokenAt(this.lifecycle.epochStore?.epoch.tokenFloor ?? 0, version);
   }
 
+  /** Returns since when the store is doubted, or has not served requests; null while it works. */
   failingSince(): MonotonicMs | null {
-    return this.doubtedAt ?? this.p.raw.failingSince();
+    return this.lifecycle.doubtedAt ?? this.dependencies.raw.failingSince();
   }
 
-  // --- what others say -----------------------------------------------------------------------------
-
-  /** What peers are told of this node's trust. */
-  status(): Pick<PeerStatus, 'epoch' | 'epochId' | 'revision' | 'trusted' | 'continuous'> {
-    const { isTrusted: trusted, continuous, view } = this;
+  /** Returns what peers are told about the store. */
+  status(): StoreStatus {
+    const { joinedEpoch, epochStore, trustedStore } = this.lifecycle;
     return {
-      epoch: Math.max(this.generation, this.joined),
-      // Of the epoch that it follows, or has followed and doubts; not of one that it only helps to gather.
-      epochId: this.joined > this.generation ? '' : (view?.epoch.id ?? ''),
-      revision: this.sound?.claimed ?? 0,
-      trusted,
-      continuous,
+      epoch: Math.max(this.generation, joinedEpoch),
+      // The id of the epoch that this controller works in, or worked in; not of one that it only helps to recover.
+      epochId: joinedEpoch > this.generation ? '' : (epochStore?.epoch.id ?? ''),
+      revision: trustedStore?.highestKnownRevision ?? 0,
+      trusted: this.isTrusted,
+      continuous: this.continuous,
     };
   }
 
+  /** Receives the status of a peer, which may speak against the store. */
   receivePeerStatus(status: PeerStatus): void {
-    this.claims.peerSaid(status);
-    const { sound } = this;
-    if (sound === null) return;
-    const { number, id } = sound.epoch;
-    if (status.epoch > number) this.doubt(`${status.node} is in epoch ${status.epoch}`);
-    else if (status.epoch < number) return;
-    else if (status.epochId === '') return;
-    else if (status.epochId !== id) {
-      // Two stores behind one address. One side moves on, so that the other hears of a later epoch and refuses.
-      if (status.epochId > id) this.doubt(`${status.node} follows another epoch ${status.epoch}`);
-    } else if (!status.trusted) this.doubt(`${status.node} doubts it`);
-    else {
-      sound.claimed = Math.max(sound.claimed, status.revision);
-      if (status.continuous) this.isContinuous = true;
-    }
+    this.lifecycle.receivePeerStatus(status);
   }
 
-  /** A worker reported with this token. */
+  /** Receives the token in a worker's heartbeat; 0 where the worker has never seen a leader. */
   receiveWorkerToken(machine: MachineId, token: FencingToken): void {
-    if (this.soundness.state === 'unattached' && token === 0) this.claims.freshWorker(machine);
-    this.tokenShown(token);
-  }
-
-  /** A worker, or a leader's record, showed this token. */
-  private tokenShown(token: FencingToken): void {
-    if (!this.claims.tokenShown(token)) return;
-    // A leader of this epoch was elected at that revision: the store must have reached it.
-    const { view } = this;
-    if (view !== null && token > view.epoch.floor)
-      view.claimed = Math.max(view.claimed, token - view.epoch.floor);
+    const { integrity, observations } = this.lifecycle;
+    if (integrity.state === 'unattached' && token === 0) observations.receiveNewWorker(machine);
+    this.lifecycle.receiveToken(token);
   }
 
+  /** Records that this process was elected leader under a token. */
   recordElection(token: FencingToken): void {
-    this.ledToken = token;
-    this.tokenShown(token);
+    this.lifecycle.recordElection(token);
   }
 
-  /** The leader knows what is on every machine: nothing written before can be missing from now on. */
+  /** Records that the leader knows what runs on every machine: nothing that was written before can be missing any more. */
   settled(): void {
-    if (this.isTrusted) this.isContinuous = true;
-  }
-
-  /** Something cannot be in a sound store: nothing it says is acted on until the copies were put back. */
-  doubt(evidence: string): void {
-    if (this.soundness.state !== 'sound' && this.soundness.state !== 'unattached') return;
-    this.doubtedAt = this.p.clock.now();
-    this.soundness.transitionTo('doubtful', evidence);
-    this.p.onIntegrityChanged();
+    this.lifecycle.confirmContinuous();
   }
 
-  private brings(): LocalRecoveryState {
-    const { view, generation: era } = this;
-    const own: EpochReplica[] =
-      view === null ? [] : [{ epoch: era, get: (k) => view.copy.get(k), keys: () => view.copy.keys() }];
-    return {
-      replicaEpoch: era,
-      highestKnownEpoch: Math.max(this.claims.highest, era),
-      deployment: this.deployment,
-      tokenFloor: view?.epoch.floor ?? 0,
-      lastLedToken: this.ledToken,
-      highestSeenToken: this.claims.token,
-      continuous: this.isContinuous,
-      highestLeaseId: this.lease,
-      replicas: this.snapshot === null ? own : [...own, this.snapshot],
+  /** Writes contributed records to their own keys, for as long as `isWanted` says so. */
+  writeBack(isWanted: () => boolean): Promise<void> {
+    const { clock, log, limits } = this.dependencies;
+    const dependencies = {
+      store: this,
+      clock,
+      log,
+      batchSize: limits.txnOps - 1,
+      currentEpochStore: () => this.lifecycle.trustedStore,
     };
+    return writeBack(dependencies, isWanted);
   }
 
-  // --- its life --------------------------------------------------------------------------------------
-
-  async run(): Promise<never> {
-    void this.auditLoop().catch((e: unknown) => {
-      this.p.log.info({ error: String(e) }, 'audits ended');
-    });
-    for (;;) {
-      try {
-        await this.step();
-      } catch (e) {
-        // Whatever was read could not be understood: a store that holds such things is not trusted.
-        this.p.log.info({ error: String(e) }, 'state service cannot be read');
-        if (this.soundness.state === 'rebuilding') this.soundness.transitionTo('doubtful', String(e));
-        else this.doubt(String(e));
-        await this.p.clock.sleep(RETRY_MS);
-      }
-    }
-  }
-
-  private async step(): Promise<void> {
-    switch (this.soundness.state) {
-      case 'unattached':
-        return this.attach();
-      case 'sound':
-        return this.sound?.follow();
-      case 'doubtful':
-        this.soundness.transitionTo('rebuilding', 'what the nodes remember is gathered');
-        return;
-      case 'rebuilding': {
-        const opened = await this.gathering.attempt();
-        if (opened !== null) this.enter(opened);
-      }
-    }
-  }
-
-  private async attach(): Promise<void> {
-    const found = await this.gathering.readEpochRecord();
-    if (found === null) return this.p.clock.sleep(RETRY_MS);
-    const { epoch } = found;
-    await this.takeSnapshot(epoch?.deployment ?? null);
-    if (epoch === null) return this.attachToNothing();
-    const { ahead } = this.claims.heard();
-    if (epoch.phase !== 'open' || epoch.number < ahead)
-      return this.doubt(`epoch ${epoch.number} is ${epoch.phase}, of others ${ahead}`);
-    const known = this.claims.revisionOf(epoch.id);
-    const opened = await this.gathering.loadOpenEpoch(epoch);
-    if (opened === null) return;
-    if (opened.latest < known) return this.doubt(`revision ${opened.latest} was read, a peer knows ${known}`);
-    const later = this.snapshot === null ? null : findMissingFromSnapshot(this.snapshot, opened);
-    if (later !== null) return this.doubt(later);
-    this.enter(opened);
-  }
-
-  private async takeSnapshot(deployment: string | null): Promise<void> {
-    if (this.p.shelf === undefined || this.snapshot !== null) return;
-    this.snapshot = await this.p.shelf.latest(deployment);
-    if (this.snapshot === null) return;
-    this.deployment = this.snapshot.deployment;
-    this.claims.met(this.snapshot.epoch);
+  /** See `KeyValueStore`. Refused while the store is not trusted. */
+  async read(key: string, priority: RequestPriority): Promise<ReadOutcome> {
+    return this.lifecycle.trustedStore?.read(key, priority) ?? REFUSED;
   }
 
-  /** No epoch's record: a first start, or a store that was emptied. */
-  private async attachToNothing(): Promise<void> {
-    const now = this.p.clock.now();
-    const { peers, ahead } = this.claims.heard();
-    const aloneMs = peers.length >= this.p.nodes - 1 ? FIRST_MS : FIRST_ALONE_MS;
-    if (this.claims.token > 0 || this.snapshot !== null) this.doubt('no epoch, but a token or a snapshot');
-    else if (ahead > 0 || now - this.startedAt < aloneMs) await this.p.clock.sleep(50);
-    else if (!(await this.claims.isNewToWorkers())) await this.p.clock.sleep(ASK_MS);
-    else {
-      const listed = await this.p.raw.list('', 0);
-      if (listed.outcome !== 'listed') await this.p.clock.sleep(RETRY_MS);
-      else if (listed.items.some((i) => !isControlKey(i.key))) this.doubt('records without an epoch');
-      else await this.gathering.initializeStore();
-    }
-  }
-
-  private enter(o: OpenEpoch): void {
-    const { epoch, revision } = o;
-    this.view = new EpochStore(
-      {
-        raw: this.p.raw,
-        clock: this.p.clock,
-        txnOps: this.p.limits.txnOps,
-        doubt: (evidence) => {
-          this.doubt(evidence);
-        },
-        isCurrent: (view) => this.sound === view,
-        isContinuous: () => this.isContinuous,
-        copied: () => this.p.onReplicaChanged?.(),
-      },
-      o,
-    );
-    this.joined = epoch.number;
-    this.deployment = epoch.deployment;
-    // A node that comes later knows of the epoch's opening only what its peers say.
-    const begun = epoch.first && this.gathering.hasInitiated(epoch);
-    this.isContinuous = this.claims.attests(epoch.id) || begun || (o.gathered && epoch.continuous);
-    this.snapshot = null;
-    this.doubtedAt = null;
-    this.soundness.transitionTo(
-      'sound',
-      `epoch ${epoch.number} at ${revision}, ${o.pending.length} to write back`,
-    );
-    this.p.onIntegrityChanged();
-    this.p.onReplicaChanged?.();
-    const impossible = o.items.find((i) => i.version > o.latest);
-    if (impossible !== undefined) this.doubt(`${impossible.key} is later than the store`);
-  }
-
-  private async auditLoop(): Promise<never> {
-    for (;;) {
-      await this.p.clock.sleep(AUDIT_MS);
-      await this.sound?.check();
-    }
-  }
-
-  // --- the state service as everybody else uses it -----------------------------------------------------
-
-  async read(key: string, urgency: RequestPriority): Promise<ReadOutcome> {
-    return this.sound?.read(key, urgency) ?? REFUSED;
-  }
-
-  async list(prefix: string, urgency: RequestPriority): Promise<ListOutcome> {
-    return this.sound?.list(prefix, urgency) ?? REFUSED;
+  /** See `KeyValueStore`. Refused while the store is not trusted. */
+  async list(prefix: string, priority: RequestPriority): Promise<ListOutcome> {
+    return this.lifecycle.trustedStore?.list(prefix, priority) ?? REFUSED;
   }
 
+  /** See `KeyValueStore`. Refused while the store is not trusted. Also compares the fence of the epoch. */
   async commit(
-    conditions: readonly Compare[],
-    changes: readonly Mutation[],
-    urgency: RequestPriority,
+    compares: readonly Compare[],
+    mutations: readonly Mutation[],
+    priority: RequestPriority,
   ): Promise<CommitOutcome> {
-    return this.sound?.commit(conditions, changes, urgency) ?? REFUSED;
+    return this.lifecycle.trustedStore?.commit(compares, mutations, priority) ?? REFUSED;
   }
 
+  /** See `KeyValueStore`. Refused while the store is not trusted. */
   async watch(prefix: string, after: Revision, waitMs: number): Promise<WatchOutcome> {
-    return this.sound?.watch(prefix, after, waitMs) ?? REFUSED;
+    return this.lifecycle.trustedStore?.watch(prefix, after, waitMs) ?? REFUSED;
   }
 
+  /** See `KeyValueStore`. Refused while the store is not trusted. */
   async grantLease(ttlMs: number): Promise<LeaseGrantOutcome> {
     if (!this.isTrusted) return REFUSED;
-    const granted = await this.p.raw.grantLease(ttlMs);
-    if (granted.outcome === 'granted') this.lease = Math.max(this.lease, granted.lease);
+    const granted = await this.dependencies.raw.grantLease(ttlMs);
+    if (granted.outcome === 'granted') this.lifecycle.recordLeaseGrant(granted.lease);
     return granted;
   }
 
-  async renewLease(lease: LeaseId, held: Compare): Promise<LeaseRenewalOutcome> {
-    return this.sound?.renewLease(lease, held) ?? REFUSED;
+  /** See `KeyValueStore`. Refused while the store is not trusted. Also compares the fence of the epoch. */
+  async renewLease(lease: LeaseId, leadership: Compare): Promise<LeaseRenewalOutcome> {
+    return this.lifecycle.trustedStore?.renewLease(lease, leadership) ?? REFUSED;
   }
 
+  /** See `KeyValueStore`. Does nothing while the store is not trusted. */
   revokeLease(lease: LeaseId): Promise<void> {
-    return this.isTrusted ? this.p.raw.revokeLease(lease) : Promise.resolve();
-  }
-
-  /** Writes what pages hold back as records of their own, for as long as `goesOn`. */
-  writeBack(goesOn: () => boolean): Promise<void> {
-    const parts = {
-      store: this,
-      clock: this.p.clock,
-      log: this.p.log,
-      most: this.p.limits.txnOps - 1,
-      view: () => this.sound,
-    };
-    return writeBack(parts, goesOn);
+    return this.isTrusted ? this.dependencies.raw.revokeLease(lease) : Promise.resolve();
   }
 }
--- a/packages/recovery/src/replica/merge.ts
+++ b/packages/recovery/src/replica/merge.ts
@@ -1,73 +1,110 @@
+/**
+ * Merging of replicas: which value of a key stands, and what of it the key-value store lacks.
+ *
+ * @module
+ */
 import { JOB_KEY_PREFIX } from '@spurbridge/model';
 import type { Version } from '@spurbridge/wire';
-import type { ReplicaEntry } from './replica.js';
-import { jobPhaseOf, isSameValue } from './replica.js';
+import { KEY_ABSENT } from '@spurbridge/wire';
+import type { ReplicaEntry } from './replica-entry.js';
+import { isSameValue, jobPhaseOf } from './replica-entry.js';
 
-/** One memory of the store: a node's copy, a page that a node wrote, or a snapshot. */
+/** Records of one epoch from any source: a controller's replica, a contribution to a recovery, or a snapshot. */
 export interface EpochReplica {
-  /** Number of the epoch in which it was seen; versions of different epochs do not compare. */
+  /** Number of the epoch in which the records were read; versions of different epochs do not compare. */
   readonly epoch: number;
+  /** Returns the entry of a key, or undefined where the source does not have it. */
   get(key: string): ReplicaEntry | undefined;
+  /** Iterates over all keys of the source. */
   keys(): Iterable<string>;
 }
 
+/** An entry with the number of the epoch in which it was read. */
 export interface EpochEntry extends ReplicaEntry {
   readonly epoch: number;
 }
 
+/** A record whose value in the store is missing or out of date, with the value that stands. */
+export interface RecordRepair extends EpochEntry {
+  readonly key: string;
+  /** Version of the store's own value that the repair replaces; `KEY_ABSENT` where the store has none. */
+  readonly replacedVersion: Version;
+}
+
+/** A replica without any records. */
+export const EMPTY_REPLICA: EpochReplica = { epoch: 0, get: () => undefined, keys: () => [] };
+
 /**
- * Which of two memories of a key stands. A job that is over in either is over; of two different ends the earlier
- * one was told first. Otherwise the later epoch, then the higher version; at the same the first given.
+ * Returns which of two entries of a key stands. A job that has ended in either has ended; of two different ends the earlier
+ * one stands, since users were told of that one first. Otherwise the later epoch stands, then the higher version, then the
+ * first entry.
  */
-export function selectNewerEntry(key: string, a: EpochEntry, b: EpochEntry): EpochEntry {
-  const later = a.epoch !== b.epoch ? (a.epoch > b.epoch ? a : b) : b.version > a.version ? b : a;
-  if (!key.startsWith(JOB_KEY_PREFIX) || a.text === b.text) return later;
-  const [pa, pb] = [jobPhaseOf(a.text), jobPhaseOf(b.text)];
-  if (pa === null || pb === null) return pa === null ? (pb === null ? later : b) : a;
-  if (pa === pb) return later;
-  if (pa === 'active' || pb === 'active') return pa === 'active' ? b : a;
-  return later === a ? b : a;
+function selectNewerEntry(key: string, first: EpochEntry, second: EpochEntry): EpochEntry {
+  const later = selectLaterEntry(first, second);
+  if (!key.startsWith(JOB_KEY_PREFIX) || first.text === second.text) return later;
+  const firstPhase = jobPhaseOf(first.text);
+  const secondPhase = jobPhaseOf(second.text);
+  if (firstPhase === secondPhase) return later;
+  if (firstPhase === null) return second;
+  if (secondPhase === null) return first;
+  if (firstPhase === 'active') return second;
+  if (secondPhase === 'active') return first;
+  return later === first ? second : first;
 }
 
-/** A key whose value in the store is not what stands: what does, and the store's version of it. */
-export interface RecordRepair extends ReplicaEntry {
-  readonly key: string;
-  readonly epoch: number;
-  readonly over: Version;
+function selectLaterEntry(first: EpochEntry, second: EpochEntry): EpochEntry {
+  if (first.epoch !== second.epoch) return first.epoch > second.epoch ? first : second;
+  return second.version > first.version ? second : first;
 }
 
 /**
- * What of `memories` has to be put into `store`: all that is newer there, or missing. `store` is what was read after
- * the fence moved; an entry the same as in the store but for its version needs no repair.
+ * Returns what has to be written to `store` so that it holds all that any of `replicas` has and that is newer there or
+ * missing. An entry with the same value needs no repair, whatever its version.
+ *
+ * @param store - The store's records as they were read after the fence had moved.
  */
-export function mergeReplicas(store: EpochReplica, memories: readonly EpochReplica[]): RecordRepair[] {
+export function mergeReplicas(store: EpochReplica, replicas: readonly EpochReplica[]): RecordRepair[] {
   const repairs: RecordRepair[] = [];
-  const done = new Set<string>();
-  for (const memory of memories)
-    for (const key of memory.keys()) {
-      if (done.has(key)) continue;
-      done.add(key);
-      let best: EpochEntry | null = null;
-      for (const m of memories) {
-        const s = m.get(key);
-        if (s === undefined) continue;
-        const aged = { ...s, epoch: m.epoch };
-        best = best === null ? aged : selectNewerEntry(key, best, aged);
-      }
-      if (best === null) continue;
-      const there = store.get(key);
-      if (there !== undefined) {
-        if (isSameValue(key, there.text, best.text)) continue;
-        const aged = { ...there, epoch: store.epoch };
-        if (selectNewerEntry(key, best, aged) === aged) continue;
-      }
-      repairs.push({
-        key,
-        version: best.version,
-        text: best.text,
-        epoch: best.epoch,
-        over: there?.version ?? (0 as Version),
-      });
+  const mergedKeys = new Set<string>();
+  for (const replica of replicas)
+    for (const key of replica.keys()) {
+      if (mergedKeys.has(key)) continue;
+      mergedKeys.add(key);
+      const repair = findRepair(key, store, replicas);
+      if (repair !== null) repairs.push(repair);
     }
   return repairs;
 }
+
+function findRepair(
+  key: string,
+  store: EpochReplica,
+  replicas: readonly EpochReplica[],
+): RecordRepair | null {
+  const newest = selectNewestEntry(key, replicas);
+  if (newest === null) return null;
+  const stored = store.get(key);
+  if (stored !== undefined) {
+    if (isSameValue(key, stored.text, newest.text)) return null;
+    const storedEntry = { ...stored, epoch: store.epoch };
+    if (selectNewerEntry(key, newest, storedEntry) === storedEntry) return null;
+  }
+  return {
+    key,
+    version: newest.version,
+    text: newest.text,
+    epoch: newest.epoch,
+    replacedVersion: stored?.version ?? KEY_ABSENT,
+  };
+}
+
+function selectNewestEntry(key: string, replicas: readonly EpochReplica[]): EpochEntry | null {
+  let newest: EpochEntry | null = null;
+  for (const replica of replicas) {
+    const entry = replica.get(key);
+    if (entry === undefined) continue;
+    const candidate = { ...entry, epoch: replica.epoch };
+    newest = newest === null ? candidate : selectNewerEntry(key, newest, candidate);
+  }
+  return newest;
+}
--- a/packages/recovery/src/replica/repair-overlay.ts
+++ b/packages/recovery/src/replica/repair-overlay.ts
@@ -1,82 +1,104 @@
+/**
+ * Repairs that are durable in contribution pages, but not yet written back to their own keys.
+ *
+ * @module
+ */
 import type { Compare, KeyValue, Version } from '@spurbridge/wire';
+import { KEY_ABSENT } from '@spurbridge/wire';
 
-/** An entry of a page: stands in for its key while that has the version `over`. */
+/** A value from a contribution page. It stands in for the value of its key while that has the replaced version. */
 export interface PendingRepair {
   readonly key: string;
-  readonly over: Version;
+  readonly replacedVersion: Version;
+  /** The value as JSON text. */
   readonly text: string;
 }
 
-interface Entry extends PendingRepair {
-  over: Version;
-  /** Names the entry in conditions: negative, so that no version of the store is like it. */
-  readonly virtual: Version;
+interface OverlayEntry extends PendingRepair {
+  replacedVersion: Version;
+  /** Version that readers see. It is negative, so it never equals a version of the store. */
+  readonly virtualVersion: Version;
 }
 
 /**
- * Whether an entry still stands where the store has `version` of its key. What is older than the fence was not written
- * since: a store that fills up again shows old records where the key was absent before.
+ * Returns whether a repair still applies where the store has `version` of its key. A version from before the fence was not
+ * written since: a store that is being refilled shows old records where the key had been absent.
  */
-export function standsOver(over: Version, version: Version, fencedAt: Version): boolean {
-  return version === over || version < fencedAt;
+export function isRepairApplicable(
+  replacedVersion: Version,
+  version: Version,
+  fenceVersion: Version,
+): boolean {
+  return version === replacedVersion || version < fenceVersion;
 }
 
-/** Entries of pages that stand in for their keys until those are written again. */
+/** Repairs that stand in for the values of their keys until those keys are written again. */
 export class RepairOverlay {
-  private readonly entries = new Map<string, Entry>();
+  private readonly entriesByKey = new Map<string, OverlayEntry>();
 
+  /** @param fenceVersion - Version of the fence of the epoch; everything the epoch writes has a later one. */
   constructor(
-    pending: readonly PendingRepair[],
-    private readonly fencedAt: Version,
+    repairs: readonly PendingRepair[],
+    private readonly fenceVersion: Version,
   ) {
-    pending.forEach((p, i) => this.entries.set(p.key, { ...p, virtual: -(i + 1) as Version }));
+    repairs.forEach((repair, index) => {
+      this.entriesByKey.set(repair.key, { ...repair, virtualVersion: -(index + 1) as Version });
+    });
   }
 
+  /** Number of repairs that are not written back yet. */
   get size(): number {
-    return this.entries.size;
+    return this.entriesByKey.size;
   }
 
+  /** Returns whether a repair stands in for a key. */
   has(key: string): boolean {
-    return this.entries.has(key);
+    return this.entriesByKey.has(key);
   }
 
-  /** What stands in for a key that the store has at this version; null where the store's own stands. */
-  standIn(key: string, version: Version): KeyValue | null {
-    const e = this.entries.get(key);
-    if (e === undefined) return null;
-    if (!standsOver(e.over, version, this.fencedAt)) {
-      this.entries.delete(key);
+  /**
+   * Returns what stands in for a key that the store has at `version`, or null where the store's own value stands. A
+   * repair that does not apply any more is dropped.
+   */
+  substitute(key: string, version: Version): KeyValue | null {
+    const entry = this.entriesByKey.get(key);
+    if (entry === undefined) return null;
+    if (!isRepairApplicable(entry.replacedVersion, version, this.fenceVersion)) {
+      this.entriesByKey.delete(key);
       return null;
     }
-    e.over = version;
-    return itemOf(e);
+    entry.replacedVersion = version;
+    return toKeyValue(entry);
   }
 
-  absentBelow(prefix: string): KeyValue[] {
-    return [...this.entries.values()].filter((e) => e.key.startsWith(prefix) && e.over === 0).map(itemOf);
+  /** Returns the repairs of keys with this prefix that the store does not have at all. */
+  substitutesOfAbsentKeys(prefix: string): KeyValue[] {
+    return [...this.entriesByKey.values()]
+      .filter((entry) => entry.key.startsWith(prefix) && entry.replacedVersion === KEY_ABSENT)
+      .map(toKeyValue);
   }
 
-  /** The store's version for a condition that was read here; null where it cannot hold any more. */
-  real(c: Compare): Version | null {
-    const e = this.entries.get(c.key);
-    if (c.version < 0) return e?.virtual === c.version ? e.over : null;
-    return e === undefined ? c.version : null;
+  /** Returns the store's version for a comparison with a version that readers saw; null where it cannot hold any more. */
+  storeVersionOf(compare: Compare): Version | null {
+    const entry = this.entriesByKey.get(compare.key);
+    if (compare.version >= 0) return entry === undefined ? compare.version : null;
+    return entry?.virtualVersion === compare.version ? entry.replacedVersion : null;
   }
 
-  /** The key was written after the fence moved. */
-  changed(key: string, version: Version): void {
-    if (version > this.fencedAt) this.entries.delete(key);
+  /** Drops the repair of a key that was written, or deleted, after the fence had moved. */
+  dropIfWritten(key: string, version: Version): void {
+    if (version > this.fenceVersion) this.entriesByKey.delete(key);
   }
 
-  /** Some entries, those of the lowest rank first. */
-  first(most: number, rank: (key: string) => number): KeyValue[] {
-    return [...this.entries.values()]
-      .sort((a, b) => rank(a.key) - rank(b.key))
-      .slice(0, most)
-      .map(itemOf);
+  /** Returns up to `limit` repairs, those with the lowest priority number first. */
+  nextBatch(limit: number, priorityOf: (key: string) => number): KeyValue[] {
+    return [...this.entriesByKey.values()]
+      .sort((first, second) => priorityOf(first.key) - priorityOf(second.key))
+      .slice(0, limit)
+      .map(toKeyValue);
   }
 }
 
-function itemOf(e: Entry): KeyValue {
-  return { key: e.key, value: JSON.parse(e.text) as unknown, version: e.virtual };
+function toKeyValue(entry: OverlayEntry): KeyValue {
+  return { key: entry.key, value: JSON.parse(entry.text) as unknown, version: entry.virtualVersion };
 }
--- a/packages/recovery/src/snapshot-source.ts
+++ b/packages/recovery/src/snapshot-source.ts
@@ -1,32 +1,40 @@
-import { KEY_ABSENT } from '@spurbridge/wire';
+/**
+ * Snapshots as a source of records that outlives all controllers.
+ *
+ * @module
+ */
 import type { KeyValue, Version } from '@spurbridge/wire';
-import { findContradiction } from './replica/replica.js';
-import type { OpenEpoch } from './phases/store-recovery.js';
+import { KEY_ABSENT } from '@spurbridge/wire';
+import type { OpenEpoch } from './epoch/open-epoch.js';
 import type { EpochReplica } from './replica/merge.js';
+import { findContradiction } from './replica/replica-entry.js';
 
+/** The records of a snapshot, as of one revision of an epoch. */
 export type SnapshotReplica = EpochReplica & { readonly revision: number; readonly deployment: string };
 
-/** Snapshots that outlive all nodes, where the operators keep some. */
+/** Where snapshots are kept, if operators keep any. */
 export interface SnapshotSource {
-  /** The newest that is whole and of this deployment (null: not known yet), as a memory; null without one. */
+  /** Returns the newest undamaged snapshot of a deployment, or of any if that is null; null without one. */
   latest(deployment: string | null): Promise<SnapshotReplica | null>;
 }
 
-/** Why the store that was read lacks what a snapshot of it has, or null. */
-export function findMissingFromSnapshot(s: SnapshotReplica, o: OpenEpoch): string | null {
-  const { number } = o.epoch;
-  if (s.epoch > number || (s.epoch === number && s.revision > o.revision))
-    return `a snapshot is later: epoch ${s.epoch}, revision ${s.revision}`;
-  const here = new Map<string, KeyValue>(o.items.map((i) => [i.key, i]));
-  for (const p of o.pending)
-    here.set(p.key, { key: p.key, value: JSON.parse(p.text) as unknown, version: s.revision as Version });
-  for (const key of s.keys()) {
-    const seen = s.get(key);
-    const item = here.get(key);
-    // Versions of an earlier epoch do not compare, but that a job is known does.
-    if (seen === undefined || (item !== undefined && s.epoch < number)) continue;
-    const why = findContradiction(key, seen, item?.version ?? KEY_ABSENT, item?.value);
-    if (why !== null) return `${why} in a snapshot`;
+/** Returns why the store's content cannot be later than a snapshot of it, or null if it can. */
+export function findMissingFromSnapshot(
+  snapshot: SnapshotReplica,
+  { epoch, records, pendingRepairs, revision }: OpenEpoch,
+): string | null {
+  if (snapshot.epoch > epoch.number || (snapshot.epoch === epoch.number && snapshot.revision > revision))
+    return `a snapshot is later: epoch ${snapshot.epoch}, revision ${snapshot.revision}`;
+  const current = new Map<string, KeyValue>(records.map((record) => [record.key, record]));
+  for (const { key, text } of pendingRepairs)
+    current.set(key, { key, value: JSON.parse(text) as unknown, version: snapshot.revision as Version });
+  for (const key of snapshot.keys()) {
+    const entry = snapshot.get(key);
+    const record = current.get(key);
+    // Versions of an earlier epoch do not compare, but a job that is missing is missing in any epoch.
+    if (entry === undefined || (record !== undefined && snapshot.epoch < epoch.number)) continue;
+    const contradiction = findContradiction(key, entry, record?.version ?? KEY_ABSENT, record?.value);
+    if (contradiction !== null) return `${contradiction} in a snapshot`;
   }
   return null;
 }
--- a/packages/recovery/src/store-integrity.ts
+++ b/packages/recovery/src/store-integrity.ts
@@ -1,8 +1,15 @@
+/**
+ * Whether a controller trusts the key-value store: the states, and the only function that changes them.
+ *
+ * @module
+ */
 import { TransitionTable } from '@spurbridge/model';
 
 /**
- * Whether a node trusts the state service. `unattached`: it has read nothing yet. `doubtful`: something was seen that
- * cannot be in a sound store. `rebuilding`: it takes part in an epoch that gathers what the nodes remember.
+ * - `unattached`: the controller has not read the store yet.
+ * - `sound`: nothing speaks against the store; its responses are validated and passed on.
+ * - `doubtful`: a response, a peer or a worker gave evidence that the store has lost data. All calls are refused.
+ * - `rebuilding`: the controller takes part in a recovery. All calls are refused.
  */
 export type IntegrityState = 'unattached' | 'sound' | 'doubtful' | 'rebuilding';
 
@@ -13,23 +20,40 @@
   rebuilding: ['sound', 'doubtful'],
 });
 
+/** Called after each change of state, with the evidence for it. */
+export type IntegrityListener = (from: IntegrityState, to: IntegrityState, evidence: string) => void;
+
+/** The integrity of the store as this controller sees it. */
 export class StoreIntegrity {
   private current: IntegrityState = 'unattached';
 
-  constructor(
-    private readonly changed: (from: IntegrityState, to: IntegrityState, evidence: string) => void,
-  ) {}
+  constructor(private readonly onChange: IntegrityListener) {}
 
   get state(): IntegrityState {
     return this.current;
   }
 
-  /** The only function that changes the state. */
+  /** Whether the store is trusted. */
+  get isSound(): boolean {
+    return this.current === 'sound';
+  }
+
+  /** Whether evidence of a loss changes anything: in the other states the loss is known already. */
+  get canBecomeDoubtful(): boolean {
+    return this.current === 'sound' || this.current === 'unattached';
+  }
+
+  /**
+   * Changes the state; does nothing where it is the state already.
+   *
+   * @param evidence - Why the state changes, for the log.
+   * @throws InvalidTransitionError if the state cannot follow the current one.
+   */
   transitionTo(next: IntegrityState, evidence: string): void {
     if (next === this.current) return;
     transitions.assertAllowed(this.current, next);
-    const before = this.current;
+    const previous = this.current;
     this.current = next;
-    this.changed(before, next, evidence);
+    this.onChange(previous, next, evidence);
   }
 }
--- /dev/null
+++ b/packages/recovery/src/store-lifecycle.ts
@@ -0,0 +1,257 @@
+/**
+ * The life of the key-value store as one controller sees it: attaching, following, doubting and recovering it.
+ *
+ * @module
+ */
+import type { MonotonicMs } from '@spurbridge/net';
+import type { FencingToken, LeaseId, PeerStatus } from '@spurbridge/wire';
+import { StoreAttachment } from './attachment.js';
+import type { RecoverableStoreDependencies } from './dependencies.js';
+import type { EpochNumber } from './epoch/epoch-record.js';
+import { NO_EPOCH } from './epoch/epoch-record.js';
+import type { OpenEpoch } from './epoch/open-epoch.js';
+import { EpochStore } from './epoch-store/epoch-store.js';
+import { PeerObservations, findPeerContradiction } from './peer-observations.js';
+import type { LocalRecoveryState } from './phases/recovery-dependencies.js';
+import { RETRY_MS } from './phases/recovery-dependencies.js';
+import { StoreRecovery } from './phases/store-recovery.js';
+import type { EpochReplica } from './replica/merge.js';
+import { StoreIntegrity } from './store-integrity.js';
+
+const AUDIT_INTERVAL_MS = 1000;
+
+/** Runs the state machine of the store's integrity, and keeps the store of the epoch that the controller works in. */
+export class StoreLifecycle {
+  readonly integrity: StoreIntegrity;
+  readonly observations: PeerObservations;
+  private readonly recovery: StoreRecovery;
+  private readonly attachment: StoreAttachment;
+  private latestEpochStore: EpochStore | null = null;
+  private latestJoinedEpoch = 0;
+  private wasFollowedWithoutGap = false;
+  private lastLedToken = 0 as FencingToken;
+  private highestLeaseId = 0;
+  private suspectedAt: MonotonicMs | null = null;
+
+  constructor(private readonly dependencies: RecoverableStoreDependencies) {
+    const { raw, clock, nodes, log, shelf, countRunningMachines } = dependencies;
+    this.integrity = new StoreIntegrity((from, to, evidence) => {
+      const revision = this.epochStore?.highestKnownRevision ?? 0;
+      log.info({ from, to, evidence, epoch: this.generation, revision }, 'state service');
+    });
+    this.observations = new PeerObservations(clock, countRunningMachines);
+    this.recovery = this.createRecovery();
+    this.attachment = new StoreAttachment({
+      raw,
+      clock,
+      nodes,
+      observations: this.observations,
+      recovery: this.recovery,
+      snapshots: shelf,
+    });
+  }
+
+  /** The store of the epoch that this controller works in, or worked in before it doubted the store; null before that. */
+  get epochStore(): EpochStore | null {
+    return this.latestEpochStore;
+  }
+
+  /** The store of the epoch that is trusted now; null without one. */
+  get trustedStore(): EpochStore | null {
+    return this.integrity.isSound ? this.latestEpochStore : null;
+  }
+
+  /** Number of the epoch that the replica belongs to. */
+  get generation(): EpochNumber {
+    return this.latestEpochStore?.epoch.number ?? NO_EPOCH;
+  }
+
+  /** Number of the epoch that this controller works in, or helps to recover. */
+  get joinedEpoch(): number {
+    return this.latestJoinedEpoch;
+  }
+
+  /** Whether the epoch is trusted and was followed without a gap: everything that was ever written was read. */
+  get isContinuous(): boolean {
+    return this.integrity.isSound && this.wasFollowedWithoutGap;
+  }
+
+  /** When the store was last doubted; null while it is not. */
+  get doubtedAt(): MonotonicMs | null {
+    return this.suspectedAt;
+  }
+
+  /** Records that nothing that was written before can be missing any more. */
+  confirmContinuous(): void {
+    if (this.integrity.isSound) this.wasFollowedWithoutGap = true;
+  }
+
+  /** Records that this process was elected leader under a token. */
+  recordElection(token: FencingToken): void {
+    this.lastLedToken = token;
+    this.receiveToken(token);
+  }
+
+  /** Records that this process was granted a lease. */
+  recordLeaseGrant(lease: LeaseId): void {
+    this.highestLeaseId = Math.max(this.highestLeaseId, lease);
+  }
+
+  /** Receives a token that a worker, or a leader record, has shown. */
+  receiveToken(token: FencingToken): void {
+    if (!this.observations.receiveToken(token)) return;
+    const { epochStore } = this;
+    if (epochStore === null || token <= epochStore.epoch.tokenFloor) return;
+    // A leader of this epoch was elected at the revision that its token names: the store must have reached it.
+    epochStore.noteRevision(token - epochStore.epoch.tokenFloor);
+  }
+
+  /** Receives the status of a peer, which may speak against the store. */
+  receivePeerStatus(status: PeerStatus): void {
+    this.observations.receivePeerStatus(status);
+    const store = this.trustedStore;
+    if (store === null) return;
+    const evidence = findPeerContradiction(status, store.epoch);
+    if (evidence !== null) {
+      this.suspect(evidence);
+      return;
+    }
+    if (status.epoch !== store.epoch.number || status.epochId !== store.epoch.id) return;
+    store.noteRevision(status.revision);
+    if (status.continuous) this.confirmContinuous();
+  }
+
+  /** Attaches to the store, follows it and recovers it, for as long as the process runs. */
+  async run(): Promise<never> {
+    const { clock, log } = this.dependencies;
+    void this.runAudits().catch((error: unknown) => {
+      log.info({ error: String(error) }, 'audits ended');
+    });
+    for (;;) {
+      try {
+        await this.step();
+      } catch (error) {
+        // What was read cannot be understood, for whatever reason: a store with such content is not trusted.
+        log.info({ error: String(error) }, 'state service cannot be read');
+        if (this.integrity.state === 'rebuilding') this.integrity.transitionTo('doubtful', String(error));
+        else this.suspect(String(error));
+        await clock.sleep(RETRY_MS);
+      }
+    }
+  }
+
+  private async step(): Promise<void> {
+    switch (this.integrity.state) {
+      case 'unattached':
+        return this.attach();
+      case 'sound':
+        return this.trustedStore?.follow();
+      case 'doubtful':
+        this.integrity.transitionTo('rebuilding', 'what the nodes remember is gathered');
+        return;
+      case 'rebuilding': {
+        const openEpoch = await this.recovery.attempt();
+        if (openEpoch !== null) this.enter(openEpoch);
+      }
+    }
+  }
+
+  private async runAudits(): Promise<never> {
+    for (;;) {
+      await this.dependencies.clock.sleep(AUDIT_INTERVAL_MS);
+      await this.trustedStore?.audit();
+    }
+  }
+
+  private async attach(): Promise<void> {
+    const attached = await this.attachment.attempt();
+    if (attached.outcome === 'doubtful') this.suspect(attached.evidence);
+    else if (attached.outcome === 'attached') this.enter(attached.openEpoch);
+  }
+
+  /** Records evidence that the store is not intact. All calls are refused until a recovery has ended. */
+  private suspect(evidence: string): void {
+    if (!this.integrity.canBecomeDoubtful) return;
+    this.suspectedAt = this.dependencies.clock.now();
+    this.integrity.transitionTo('doubtful', evidence);
+    this.dependencies.onIntegrityChanged();
+  }
+
+  /** Begins to work in an epoch. */
+  private enter(openEpoch: OpenEpoch): void {
+    const { epoch, records, pendingRepairs, revision, latestRevision, tookPartInRecovery } = openEpoch;
+    this.latestEpochStore = this.createEpochStore(openEpoch);
+    this.latestJoinedEpoch = epoch.number;
+    // A controller that comes later only knows from its peers whether the epoch was followed from its opening.
+    const hasInitialized = epoch.isInitial && this.recovery.hasInitiated(epoch);
+    this.wasFollowedWithoutGap =
+      this.observations.isConfirmedContinuous(epoch.id) ||
+      hasInitialized ||
+      (tookPartInRecovery && epoch.continuous);
+    this.attachment.releaseSnapshot();
+    this.suspectedAt = null;
+    const evidence = `epoch ${epoch.number} at ${revision}, ${pendingRepairs.length} to write back`;
+    this.integrity.transitionTo('sound', evidence);
+    this.dependencies.onIntegrityChanged();
+    this.dependencies.onReplicaChanged?.();
+    const impossible = records.find((record) => record.version > latestRevision);
+    if (impossible !== undefined) this.suspect(`${impossible.key} is later than the store`);
+  }
+
+  private createEpochStore(openEpoch: OpenEpoch): EpochStore {
+    const { raw, clock, limits } = this.dependencies;
+    const dependencies = {
+      raw,
+      clock,
+      txnOps: limits.txnOps,
+      suspect: (evidence: string) => {
+        this.suspect(evidence);
+      },
+      isCurrent: (store: EpochStore) => this.trustedStore === store,
+      isContinuous: () => this.wasFollowedWithoutGap,
+      onReplicaChanged: () => this.dependencies.onReplicaChanged?.(),
+    };
+    return new EpochStore(dependencies, openEpoch);
+  }
+
+  private createRecovery(): StoreRecovery {
+    const { limits, onIntegrityChanged } = this.dependencies;
+    return new StoreRecovery({
+      ...this.dependencies,
+      valueKb: limits.valueKb,
+      localState: () => this.localState(),
+      reachablePeers: () => this.observations.reachablePeers(),
+      onEpochObserved: (epoch) => {
+        this.observations.receiveEpoch(epoch);
+      },
+      onEpochJoined: (epoch) => {
+        if (epoch === this.latestJoinedEpoch) return;
+        this.latestJoinedEpoch = epoch;
+        onIntegrityChanged();
+      },
+    });
+  }
+
+  private localState(): LocalRecoveryState {
+    const { epochStore, generation, observations } = this;
+    const { snapshot } = this.attachment;
+    const replicas: EpochReplica[] = [];
+    if (epochStore !== null) replicas.push(toEpochReplica(epochStore));
+    if (snapshot !== null) replicas.push(snapshot);
+    return {
+      replicaEpoch: generation,
+      highestKnownEpoch: Math.max(observations.highestEpoch, generation),
+      deployment: epochStore?.epoch.deployment ?? snapshot?.deployment ?? null,
+      tokenFloor: epochStore?.epoch.tokenFloor ?? 0,
+      lastLedToken: this.lastLedToken,
+      highestSeenToken: observations.highestToken,
+      continuous: this.wasFollowedWithoutGap,
+      highestLeaseId: this.highestLeaseId,
+      replicas,
+    };
+  }
+}
+
+function toEpochReplica({ epoch, replica }: EpochStore): EpochReplica {
+  return { epoch: epoch.number, get: (key) => replica.get(key), keys: () => replica.keys() };
+}
--- a/packages/snapshot/src/restore.ts
+++ b/packages/snapshot/src/restore.ts
@@ -59,7 +59,7 @@
     copy,
     epoch: epoch?.number ?? 0,
     deployment: epoch?.deployment ?? null,
-    floor: epoch?.floor ?? 0,
+    floor: epoch?.tokenFloor ?? 0,
   };
 }
 
@@ -97,8 +97,8 @@
     );
   const store: EpochReplica = { epoch: now.epoch, get: (k) => now.copy.get(k), keys: () => now.copy.keys() };
   const due = mergeReplicas(store, [s]).filter((r) => !isControlKey(r.key));
-  const missing = due.filter((r) => r.over === 0).map((r) => r.key);
-  const changed = due.filter((r) => r.over !== 0).map((r) => r.key);
+  const missing = due.filter((r) => r.replacedVersion === 0).map((r) => r.key);
+  const changed = due.filter((r) => r.replacedVersion !== 0).map((r) => r.key);
   return {
     now,
     difference: { addedKeys: missing, replacedKeys: changed, keptCount: now.copy.size - changed.length },
--- a/packages/testkit/test/stored-records.test.ts
+++ b/packages/testkit/test/stored-records.test.ts
@@ -29,10 +29,12 @@
   jobKey,
   restoreChunk,
 } from '@spurbridge/model';
+import type { ContributionMarker } from '@spurbridge/recovery';
 import {
   EPOCH_KEY,
   decodeEpoch,
   encodeEpoch,
+  encodeMarker,
   encodePages,
   fenceKey,
   markerKey,
@@ -136,7 +138,7 @@
     assert.fail(what);
   });
   assert.equal(contributions.length, 1);
-  assert.equal(JSON.stringify(contributions[0]?.marker), marker);
+  assert.equal(JSON.stringify(encodeMarker(contributions[0]?.marker as ContributionMarker)), marker);
   const { pages, digest } = encodePages(contributions[0]?.repairs ?? [], 16);
   assert.deepEqual([pages, digest], [[page], (JSON.parse(marker) as { digest: string }).digest]);
 });
