--- a/packages/model/src/admission.ts
+++ b/packages/model/src/admission.ts
@@ -1,16 +1,30 @@
+/**
+ * Admission: which jobs can never run and are therefore rejected.
+ *
+ * @module
+ */
+
 import type { JobSpec, MachineType } from '@spurbridge/wire';
 
+/** A team's quota. The names of its fields are those of the stored configuration. */
 export interface Team {
   readonly name: string;
+  /** The guaranteed CPUs. */
   readonly cpus: number;
+  /** The limit of CPUs; Infinity for none. */
   readonly cpusMax: number;
+  /** The guaranteed accelerators. */
   readonly gpus: number;
+  /** The limit of accelerators; Infinity for none. */
   readonly gpusMax: number;
 }
 
-/** Amounts are sums of decimals: they are the same within this. */
+/** Resource amounts are sums of decimals; they count as equal within this. */
 export const EPSILON = 1e-6;
 
+/** Fewest zones in which the tasks of a spread gang need to be able to run. */
+const MIN_SPREAD_ZONES = 2;
+
 /** Whether a machine of this type can ever hold one task of the job. */
 export function fitsMachineType(spec: JobSpec, type: MachineType): boolean {
   return (
@@ -22,27 +36,37 @@
   );
 }
 
-/** In how many zones tasks of the job may be at the same time; a type that names no zone may be in any. */
-function countAllowedZones(spec: JobSpec, fitting: readonly MachineType[]): number {
+/** The number of zones in which tasks of the job may be at the same time; a type that names no zone may be in any. */
+function countAllowedZones(spec: JobSpec, fittingTypes: readonly MachineType[]): number {
   if (spec.oneZone || spec.zone !== null) return 1;
-  if (fitting.some((t) => t.zones.length === 0)) return Infinity;
-  return new Set(fitting.flatMap((t) => t.zones)).size;
+  if (fittingTypes.some((type) => type.zones.length === 0)) return Infinity;
+  return new Set(fittingTypes.flatMap((type) => type.zones)).size;
 }
 
-/** Why a job can never run, or null: docs/design.md, "What can never run". */
+/**
+ * Why a job can never run, in words for its user; null if it can. See "What can never run" in docs/design.md.
+ */
 export function rejectionReason(
   spec: JobSpec,
   teams: readonly Team[],
   types: readonly MachineType[],
 ): string | null {
-  const team = teams.find((t) => t.name === spec.team);
+  const team = teams.find(({ name }) => name === spec.team);
   if (team === undefined) return 'unknown team';
-  const fitting = types.filter((t) => fitsMachineType(spec, t));
-  if (fitting.length === 0) return 'a task fits no allowed machine type';
-  const together = spec.kind === 'array' ? 1 : spec.tasks;
-  if (spec.cpus * together > team.cpusMax + EPSILON || spec.gpus * together > team.gpusMax + EPSILON)
-    return "the job needs more than the team's limit";
-  if (spec.kind === 'gang' && spec.spread && spec.tasks > 1 && countAllowedZones(spec, fitting) < 2)
+  const fittingTypes = types.filter((type) => fitsMachineType(spec, type));
+  if (fittingTypes.length === 0) return 'a task fits no allowed machine type';
+  if (exceedsLimit(spec, team)) return "the job needs more than the team's limit";
+  const isSpreadGang = spec.kind === 'gang' && spec.spread && spec.tasks > 1;
+  if (isSpreadGang && countAllowedZones(spec, fittingTypes) < MIN_SPREAD_ZONES)
     return 'scatter: a gang that may be in one zone alone has all its tasks there';
   return null;
 }
+
+/** Whether the tasks that the job needs at the same time are more than its team may ever use. */
+function exceedsLimit(spec: JobSpec, team: Team): boolean {
+  const concurrentTasks = spec.kind === 'array' ? 1 : spec.tasks;
+  return (
+    spec.cpus * concurrentTasks > team.cpusMax + EPSILON ||
+    spec.gpus * concurrentTasks > team.gpusMax + EPSILON
+  );
+}
--- a/packages/model/src/gang.ts
+++ b/packages/model/src/gang.ts
@@ -1,20 +1,30 @@
+/**
+ * Gang scheduling: the state of a job whose tasks run together under one shared attempt, or not at all.
+ *
+ * @module
+ */
+
 import type { Attempt } from '@spurbridge/wire';
 import type { Placement } from './placement.js';
 import { TransitionTable } from './transition-table.js';
 
 /**
- * The life of a gang's attempt, read off its placements.
- * `gone`: none of its tasks may be on a machine. `intended`: an intent is not durable yet. `fetching`:
- * starts are out, some task has no image yet. `waiting`: every task that is there waits for the others.
- * `running`, `saving`: a task was seen to. `breaking`: it lost a task or is being stopped, and the rest has
- * to go before it starts anew. `done`: complete.
+ * The state of a gang's attempt, derived from its placements.
+ *
+ * - `gone`: none of its tasks may be on a machine.
+ * - `intended`: the intent of some task is not durable yet.
+ * - `fetching`: starts are out; some task does not have its image yet.
+ * - `waiting`: every placed task waits for the others.
+ * - `running`, `saving`: at least one task was reported to do so.
+ * - `breaking`: a task was lost or is being stopped; the others have to go before the gang starts again.
+ * - `done`: all tasks are done.
  */
 export type GangState =
   'gone' | 'intended' | 'fetching' | 'waiting' | 'running' | 'saving' | 'breaking' | 'done';
 
 const gangTransitions = new TransitionTable<GangState>('gang', {
   gone: ['intended', 'fetching', 'waiting', 'running', 'saving', 'breaking', 'done'],
-  // Before it has started a lost task may be replaced under the same attempt: hence the ways back.
+  // Before the gang has started, a lost task may be replaced under the same attempt; hence the transitions back.
   intended: ['fetching', 'waiting', 'running', 'saving', 'breaking', 'gone', 'done'],
   fetching: ['intended', 'waiting', 'running', 'saving', 'breaking', 'gone', 'done'],
   waiting: ['intended', 'fetching', 'running', 'saving', 'breaking', 'gone', 'done'],
@@ -24,81 +34,92 @@
   done: [],
 });
 
-/** Tasks that run together under one attempt, or not at all. */
+/** The tasks of a job that run together under one attempt, or not at all. */
 export class Gang {
   private currentState: GangState = 'gone';
   private sharedAttempt: Attempt | null = null;
 
   constructor(private readonly taskCount: number) {}
 
+  /** The state that follows from the placements of the last `update`. */
   get state(): GangState {
     return this.currentState;
   }
 
-  /** The attempt that its tasks share, while any of them may be on a machine. */
+  /** The attempt that the placed tasks share; null while none of them may be on a machine. */
   get attempt(): Attempt | null {
     return this.sharedAttempt;
   }
 
-  /** The only function that changes the gang's state. */
-  private transitionTo(next: GangState): void {
-    if (next === this.currentState) return;
-    gangTransitions.assertAllowed(this.currentState, next);
-    this.currentState = next;
-  }
-
-  /** Follows what became of its tasks; called after every change to one of them. */
+  /**
+   * Derives the state from the placements; to be called after every change to one of them.
+   *
+   * @throws {InvalidTransitionError} when the placements contradict the state so far.
+   */
   update(placements: ReadonlyMap<number, Placement>, doneCount: number): void {
     if (this.currentState === 'done') return;
     this.sharedAttempt = null;
     let next: GangState = 'waiting';
-    for (const p of placements.values()) {
-      this.sharedAttempt = p.attempt;
-      next = furtherState(next, gangStateOf(p));
+    for (const placement of placements.values()) {
+      this.sharedAttempt = placement.attempt;
+      next = moreSignificantState(next, gangStateOf(placement));
     }
-    const lost = placements.size + doneCount < this.taskCount;
+    const hasLostTask = placements.size + doneCount < this.taskCount;
     if (doneCount === this.taskCount) next = 'done';
     else if (placements.size === 0) next = 'gone';
-    else if (this.currentState === 'breaking' || (this.hasStarted && lost)) next = 'breaking';
-    // What has started has started, whatever a late report says.
-    else if (this.hasStarted) next = furtherState(this.currentState, next);
+    else if (this.currentState === 'breaking' || (this.hasStarted && hasLostTask)) next = 'breaking';
+    // A gang that has started stays started, whatever a late heartbeat says.
+    else if (this.hasStarted) next = moreSignificantState(this.currentState, next);
     this.transitionTo(next);
   }
 
-  private get hasStarted(): boolean {
-    return this.currentState === 'running' || this.currentState === 'saving';
-  }
-
   /**
-   * Whether a lost task may be replaced under the same attempt. That takes every other task to have been
-   * seen to fetch or to wait: restored from a record alone, the gang may have been running, and a
-   * replacement would then wait for nobody.
+   * Whether a lost task may be replaced under the same attempt. Every other task must have been reported to fetch or to wait:
+   * restored from a record alone, the gang may have been running already, and the replacement would wait for nobody.
    */
   awaitsReplacement(placements: ReadonlyMap<number, Placement>, doneCount: number): boolean {
     if (this.currentState !== 'fetching' && this.currentState !== 'waiting') return false;
     if (doneCount > 0 || placements.size === 0 || placements.size >= this.taskCount) return false;
-    for (const p of placements.values())
-      if (p.stopRequest !== null || (p.state !== 'fetching' && p.state !== 'waiting')) return false;
+    for (const { stopRequest, state } of placements.values())
+      if (stopRequest !== null || (state !== 'fetching' && state !== 'waiting')) return false;
     return true;
   }
+
+  private get hasStarted(): boolean {
+    return this.currentState === 'running' || this.currentState === 'saving';
+  }
+
+  /** The only function that changes the gang's state. */
+  private transitionTo(next: GangState): void {
+    if (next === this.currentState) return;
+    gangTransitions.assertAllowed(this.currentState, next);
+    this.currentState = next;
+  }
 }
 
-const STAGES: readonly GangState[] = ['waiting', 'fetching', 'intended', 'running', 'saving', 'breaking'];
+/** States of single tasks by how much they determine the state of the whole gang, least first. */
+const STATES_BY_SIGNIFICANCE: readonly GangState[] = [
+  'waiting',
+  'fetching',
+  'intended',
+  'running',
+  'saving',
+  'breaking',
+];
 
-/** Of two stages, the one that says more of the gang as a whole. */
-function furtherState(a: GangState, b: GangState): GangState {
-  return STAGES.indexOf(b) > STAGES.indexOf(a) ? b : a;
+function moreSignificantState(first: GangState, second: GangState): GangState {
+  return STATES_BY_SIGNIFICANCE.indexOf(second) > STATES_BY_SIGNIFICANCE.indexOf(first) ? second : first;
 }
 
-function gangStateOf(p: Placement): GangState {
-  if (p.state === 'saving') return 'saving';
-  if (p.stopRequest !== null)
-    return p.stopRequest.graceS > 0 && p.state === 'running' ? 'saving' : 'breaking';
-  switch (p.state) {
+/** The state that the gang would have if all its tasks were like this one. */
+function gangStateOf({ state, stopRequest }: Placement): GangState {
+  if (state === 'saving') return 'saving';
+  if (stopRequest !== null) return stopRequest.graceS > 0 && state === 'running' ? 'saving' : 'breaking';
+  switch (state) {
     case 'intended':
     case 'waiting':
     case 'running':
-      return p.state;
+      return state;
     default:
       return 'fetching';
   }
--- a/packages/model/src/index.ts
+++ b/packages/model/src/index.ts
@@ -1,10 +1,18 @@
+/**
+ * The domain model: jobs, gangs, placements and machines as state machines, the stored records of jobs and tasks, admission
+ * and service levels.
+ *
+ * @module
+ */
+
+export * from './admission.js';
+export * from './errors.js';
 export * from './gang.js';
 export * from './job.js';
-export type { Placement, PlacementState, StopReason } from './placement.js';
-export { isUnsent } from './placement.js';
 export * from './machine.js';
+export type { Objective } from './objective.js';
+export type { Placement, PlacementState, StopReason, StopRequest } from './placement.js';
+export { isUnsent } from './placement.js';
 export * from './record.js';
-export * from './admission.js';
-export { TransitionTable } from './transition-table.js';
 export * from './service-levels.js';
-export type { Objective } from './objective.js';
+export { TransitionTable } from './transition-table.js';
--- a/packages/model/src/job.ts
+++ b/packages/model/src/job.ts
@@ -1,6 +1,13 @@
+/**
+ * Jobs: their state, their tasks' placements, and what of it is durable.
+ *
+ * @module
+ */
+
 import type { MonotonicMs } from '@spurbridge/net';
-import type { Attempt, JobSpec, MachineId, AgentEpoch, TaskPhase, Version } from '@spurbridge/wire';
+import type { AgentEpoch, Attempt, JobSpec, MachineId, TaskPhase, Version } from '@spurbridge/wire';
 import { KEY_ABSENT } from '@spurbridge/wire';
+import { TaskNotPlaceableError, TaskStillPlacedError, UnknownTaskError } from './errors.js';
 import { Gang } from './gang.js';
 import type { Placement, PlacementState, StopReason } from './placement.js';
 import { placementTransitions } from './placement.js';
@@ -8,18 +15,21 @@
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
-/** One record in the state service holds this many consecutive tasks. */
+/** Consecutive tasks of a job that share one record in the key-value store. */
 export interface TaskChunk {
+  /** The position among the job's chunks. */
   readonly index: number;
+  /** The version of the record in the store as last seen. */
   version: Version;
-  /** Increased by every change in memory; the record is durable when it equals `written`. */
+  /** Increased by every change in memory. */
   revision: number;
+  /** The newest revision that was committed; the record is durable when it equals `revision`. */
   durableRevision: number;
-  /** Attempts given so far. */
+  /** The highest attempt number given to any of its tasks so far. */
   attemptsIssued: number;
 }
 
-/** active -> done | cancelled. `closing`: all tasks are done, the job's record does not say so yet. */
+/** The state of a job. `closing`: all tasks are done, but the job's record does not say so yet. */
 export type JobState = 'active' | 'closing' | 'done' | 'cancelled';
 
 const jobTransitions = new TransitionTable<JobState>('job', {
@@ -29,6 +39,7 @@
   cancelled: [],
 });
 
+/** An accepted job and what the leader knows of its tasks. */
 export class Job {
   private currentState: JobState = 'active';
   private readonly doneTasks: Uint8Array;
@@ -36,28 +47,31 @@
   private doneTaskCount = 0;
   private readonly abandonedTasks = new Set<number>();
   readonly chunks: TaskChunk[];
-  /** What holds its tasks together, for a gang. */
+  /** The state of the gang; null for other kinds of jobs. */
   readonly gang: Gang | null;
-  /** Consecutive failures of this job's tasks on different machines, without a success between. */
+  /** Machines on which tasks of this job failed one after another, without a success in between. */
   readonly failedMachines = new Set<MachineId>();
   consecutiveFailures = 0;
+  /** No task is placed before this, after failures. */
   backoffUntil = 0 as MonotonicMs;
+  /** When a task was first reported to run; null before that. */
   firstStartedAt: MonotonicMs | null = null;
-  /** Its cancellation was confirmed no earlier than this, by whichever node; null: it is not cancelled, or nobody knows. */
+  /** No node confirmed its cancellation before this; null: it is not cancelled, or the time is unknown. */
   cancelledAt: MonotonicMs | null = null;
-  /** Its cancellation was confirmed to its user after this, if it is cancelled; null: it may have been at any time. */
+  /** If it is cancelled, this was confirmed to its user after this time; null: at any time. */
   cancelledAfter: MonotonicMs | null = null;
-  /** Lowest task that may be pending: a cursor for jobs with very many tasks. */
+  /** No lower task is pending: it saves walking over all tasks of a large job for every plan. */
   private firstPendingHint = 0;
-  /** Since when tasks of this job have waited. */
+  /** Since when the pending tasks of this job have waited. */
   waitingSince: MonotonicMs;
 
   constructor(
     readonly spec: JobSpec,
     readonly chunkSize: number,
+    /** The version of the job's record in the store as last seen. */
     public version: Version,
     readonly submittedAt: MonotonicMs,
-    /** The task graph that it is a part of, or null. */
+    /** The id of the task graph that it is a part of; null for a user's own job. */
     readonly graph: string | null = null,
   ) {
     this.doneTasks = new Uint8Array(spec.tasks);
@@ -72,91 +86,114 @@
     }));
   }
 
+  /** The state; `transitionTo` changes it. */
   get state(): JobState {
     return this.currentState;
   }
 
-  /** The only function that changes the job's state. */
+  /**
+   * The only function that changes the job's state; the present state is no change.
+   *
+   * @throws {InvalidTransitionError}
+   */
   transitionTo(next: JobState): void {
     if (next === this.currentState) return;
     jobTransitions.assertAllowed(this.currentState, next);
     this.currentState = next;
   }
 
+  /** Tasks that are done or abandoned. */
   get doneCount(): number {
     return this.doneTaskCount;
   }
 
+  /** Everything that may be on a machine, by task. */
   get placements(): ReadonlyMap<number, Placement> {
     return this.placementsByTask;
   }
 
-  /** Done, or given up: either way nothing is to be started for it any more. */
+  /** Whether the task is done or abandoned: either way it is not started any more. */
   isDone(task: number): boolean {
     return this.doneTasks[task] === 1;
   }
 
-  /** Tasks given up without being done: parts of a task graph that failed there or were cancelled. */
+  /** Tasks abandoned without being done: parts of a task graph that failed there or were cancelled. */
   get abandoned(): ReadonlySet<number> {
     return this.abandonedTasks;
   }
 
-  /** Gives a task up that is on no machine. */
+  /**
+   * Abandons a task that has no placement.
+   *
+   * @throws {TaskStillPlacedError} when it has one.
+   */
   abandon(task: number): void {
-    if (this.placementsByTask.has(task)) throw new Error(`${this.spec.id}/${task} may still be on a machine`);
+    if (this.placementsByTask.has(task)) throw new TaskStillPlacedError(this.spec.id, task);
     if (this.isDone(task)) return;
     this.abandonedTasks.add(task);
     this.chunkOf(task).revision += 1;
     this.markDone(task);
   }
 
+  /** Restores from the record that a task was abandoned; that it is done is restored by `markDone`. */
   restoreAbandoned(task: number): void {
     this.abandonedTasks.add(task);
   }
 
+  /**
+   * The chunk whose record the task belongs to.
+   *
+   * @throws {UnknownTaskError}
+   */
   chunkOf(task: number): TaskChunk {
     const chunk = this.chunks[Math.floor(task / this.chunkSize)];
-    if (chunk === undefined) throw new Error(`${this.spec.id} has no task ${task}`);
+    if (chunk === undefined) throw new UnknownTaskError(this.spec.id, task);
     return chunk;
   }
 
+  /** Whether all changes to the task's chunk are committed. */
   isDurable(task: number): boolean {
     const chunk = this.chunkOf(task);
     return chunk.revision === chunk.durableRevision;
   }
 
+  /** Tasks that are neither done nor may be on a machine. */
   get pendingCount(): number {
     return this.spec.tasks - this.doneTaskCount - this.placementsByTask.size;
   }
 
-  /** Up to `most` tasks that neither are done nor may be on a machine. */
-  pendingTasks(most: number): number[] {
+  /** At most `limit` of the pending tasks, the lowest first; none unless the job is active. */
+  pendingTasks(limit: number): number[] {
     const found: number[] = [];
     if (this.currentState !== 'active') return found;
-    const isPending = (t: number): boolean => this.doneTasks[t] === 0 && !this.placementsByTask.has(t);
-    // A task that is lost moves the cursor back (`gone`), so it may pass those on machines too: a plan
-    // must not walk over a huge job's thousands of tasks each time.
-    while (this.firstPendingHint < this.spec.tasks && !isPending(this.firstPendingHint))
+    // A task that is lost moves the hint back (`removePlacement`), so it may also pass tasks that are on machines.
+    while (this.firstPendingHint < this.spec.tasks && !this.isPending(this.firstPendingHint))
       this.firstPendingHint += 1;
-    let left = Math.min(most, this.pendingCount);
-    for (let t = this.firstPendingHint; t < this.spec.tasks && left > 0; t += 1)
-      if (isPending(t)) {
-        found.push(t);
-        left -= 1;
-      }
+    const wanted = Math.min(limit, this.pendingCount);
+    for (let task = this.firstPendingHint; task < this.spec.tasks && found.length < wanted; task += 1)
+      if (this.isPending(task)) found.push(task);
     return found;
   }
 
-  /** Records the intent to run a task; nothing may be sent before the chunk is durable. */
+  private isPending(task: number): boolean {
+    return this.doneTasks[task] === 0 && !this.placementsByTask.has(task);
+  }
+
+  /**
+   * Records the intent to run a task on a machine; nothing may be sent before the chunk is durable.
+   *
+   * @param sharedAttempt - the attempt that all tasks of a gang share; null gives the task an attempt of its own.
+   * @throws {TaskNotPlaceableError} when the job is not active, or the task is done or placed already.
+   */
   recordIntent(
     task: number,
     machine: MachineId,
-    session: AgentEpoch,
+    agentEpoch: AgentEpoch,
     now: MonotonicMs,
     sharedAttempt: Attempt | null,
   ): Placement {
     if (this.currentState !== 'active' || this.isDone(task) || this.placementsByTask.has(task))
-      throw new Error(`${this.spec.id}/${task} cannot be placed`);
+      throw new TaskNotPlaceableError(this.spec.id, task);
     const chunk = this.chunkOf(task);
     const attempt = sharedAttempt ?? ((chunk.attemptsIssued + 1) as Attempt);
     chunk.attemptsIssued = Math.max(chunk.attemptsIssued, attempt);
@@ -164,7 +201,7 @@
     const placement = {
       task,
       machine,
-      agentEpoch: session,
+      agentEpoch,
       attempt,
       state: 'intended' as const,
       isRestored: false,
@@ -182,25 +219,27 @@
     this.gang?.update(this.placementsByTask, this.doneTaskCount);
   }
 
-  /** Whether tasks that wait are to complete a gang whose others are there already. */
+  /** Whether the pending tasks of a gang are to replace lost ones while the others are still placed. */
   get awaitsReplacementTask(): boolean {
     return this.gang?.awaitsReplacement(this.placementsByTask, this.doneTaskCount) === true;
   }
 
-  /** The attempt that the tasks of a gang share: the present one while any of them is there. */
+  /** The attempt for the next tasks of a gang: the present one while any of its tasks is placed, otherwise a new one. */
   gangAttempt(): Attempt {
     const shared = this.gang?.attempt ?? null;
     if (shared !== null) return shared;
-    return (Math.max(...this.chunks.map((c) => c.attemptsIssued)) + 1) as Attempt;
+    return (Math.max(...this.chunks.map((chunk) => chunk.attemptsIssued)) + 1) as Attempt;
   }
 
-  restoreChunk(index: number, version: Version, attempts: number): void {
+  /** Restores the version and the attempts of a chunk from its record. */
+  restoreChunk(index: number, version: Version, attemptsIssued: number): void {
     const chunk = this.chunks[index];
     if (chunk === undefined) return;
     chunk.version = version;
-    chunk.attemptsIssued = attempts;
+    chunk.attemptsIssued = attemptsIssued;
   }
 
+  /** Counts a task as done; a task that the job does not have, or that is done already, changes nothing. */
   markDone(task: number): void {
     if (task < this.spec.tasks && this.doneTasks[task] === 0) {
       this.doneTasks[task] = 1;
@@ -209,19 +248,20 @@
     }
   }
 
+  /** Restores from a record that a task may be on a machine; an earlier leader may have sent its start. */
   restorePlacement(
     task: number,
     machine: MachineId,
-    session: AgentEpoch,
+    agentEpoch: AgentEpoch,
     attempt: Attempt,
     now: MonotonicMs,
   ): void {
     this.placementsByTask.set(task, {
       task,
       machine,
-      agentEpoch: session,
+      agentEpoch,
       attempt,
-      // A gang's tasks start together, whatever there is room for.
+      // The tasks of a gang start together, so they do not wait in their machines' queues.
       state: this.gang === null ? 'queued' : 'starting',
       isRestored: true,
       stateSince: now,
@@ -232,18 +272,18 @@
     this.updateGang();
   }
 
-  /** Takes over what its machine reports and no record placed. */
+  /** Takes over a task that its machine reports although no record places it there. */
   adoptPlacement(
     task: number,
     machine: MachineId,
-    session: AgentEpoch,
+    agentEpoch: AgentEpoch,
     attempt: Attempt,
     now: MonotonicMs,
   ): void {
     const chunk = this.chunkOf(task);
     chunk.attemptsIssued = Math.max(chunk.attemptsIssued, attempt);
     chunk.revision += 1;
-    this.restorePlacement(task, machine, session, attempt, now);
+    this.restorePlacement(task, machine, agentEpoch, attempt, now);
   }
 
   /** The only function that changes a placement's state. */
@@ -256,34 +296,35 @@
     if (next !== 'gone') this.updateGang();
   }
 
-  /** The intent is durable: it may start once its machine has room; a gang's tasks at once. */
+  /** The intent is durable: the task waits in its machine's queue; a task of a gang may start at once. */
   markDurable(task: number, attempt: Attempt, now: MonotonicMs): void {
-    const p = this.placementsByTask.get(task);
-    if (p !== undefined && p.attempt === attempt && p.state === 'intended')
-      this.transitionPlacement(p, this.gang === null ? 'queued' : 'starting', now);
+    const placement = this.placementsByTask.get(task);
+    if (placement !== undefined && placement.attempt === attempt && placement.state === 'intended')
+      this.transitionPlacement(placement, this.gang === null ? 'queued' : 'starting', now);
   }
 
-  /** Its machine has room: starts may go out from here on. */
+  /** Its machine has the resources free: starts may be sent from here on. */
   markStarting(task: number, now: MonotonicMs): void {
-    const p = this.placementsByTask.get(task);
-    if (p?.state === 'queued') this.transitionPlacement(p, 'starting', now);
+    const placement = this.placementsByTask.get(task);
+    if (placement?.state === 'queued') this.transitionPlacement(placement, 'starting', now);
   }
 
+  /** Applies what a heartbeat says of the task. */
   applyReportedPhase(task: number, phase: Exclude<TaskPhase, 'exited'>, now: MonotonicMs): void {
-    const p = this.placementsByTask.get(task);
-    if (p === undefined) return;
-    this.transitionPlacement(p, phase, now);
+    const placement = this.placementsByTask.get(task);
+    if (placement === undefined) return;
+    this.transitionPlacement(placement, phase, now);
     if (phase === 'running' && this.firstStartedAt === null) this.firstStartedAt = now;
   }
 
-  /** The task is not on the machine (any more): proven by the machine, its session or the cloud. */
-  removePlacement(task: number, done: boolean, now: MonotonicMs): void {
-    const p = this.placementsByTask.get(task);
-    if (p === undefined) return;
-    this.transitionPlacement(p, 'gone', now);
+  /** The task is proven not to be on the machine, by the machine, by its agent's epoch or by the cloud. */
+  removePlacement(task: number, isDone: boolean, now: MonotonicMs): void {
+    const placement = this.placementsByTask.get(task);
+    if (placement === undefined) return;
+    this.transitionPlacement(placement, 'gone', now);
     this.placementsByTask.delete(task);
     this.chunkOf(task).revision += 1;
-    if (done) this.markDone(task);
+    if (isDone) this.markDone(task);
     else {
       this.firstPendingHint = Math.min(this.firstPendingHint, task);
       this.waitingSince = now;
@@ -291,25 +332,16 @@
     this.updateGang();
   }
 
+  /** Decides to stop the task's placement; an earlier decision stands, unless the job is cancelled now. */
   requestStop(task: number, graceS: number, reason: StopReason, now: MonotonicMs): void {
-    const p = this.placementsByTask.get(task);
-    if (p === undefined) return;
-    // A cancellation overrides a stop with grace: nobody has any use for what would be saved.
-    if (p.stopRequest === null || (reason === 'cancelled' && p.stopRequest.reason !== 'cancelled'))
-      p.stopRequest = { at: now, graceS, reason };
+    const placement = this.placementsByTask.get(task);
+    if (placement === undefined) return;
+    // A cancellation overrides a stop with grace: what would be saved is of no use to anybody.
+    if (
+      placement.stopRequest === null ||
+      (reason === 'cancelled' && placement.stopRequest.reason !== 'cancelled')
+    )
+      placement.stopRequest = { at: now, graceS, reason };
     this.updateGang();
   }
-
-  formatDoneRanges(chunk: TaskChunk): string {
-    const parts: string[] = [];
-    const end = Math.min(this.spec.tasks, (chunk.index + 1) * this.chunkSize);
-    for (let t = chunk.index * this.chunkSize; t < end; t += 1) {
-      if (this.doneTasks[t] === 0) continue;
-      let last = t;
-      while (last + 1 < end && this.doneTasks[last + 1] === 1) last += 1;
-      parts.push(last === t ? `${t}` : `${t}-${last}`);
-      t = last;
-    }
-    return parts.join(',');
-  }
 }
--- a/packages/model/src/objective.ts
+++ b/packages/model/src/objective.ts
@@ -1,12 +1,19 @@
-/** An aim of the operators for a class of jobs, or for all. */
+/**
+ * Service-level objectives that the operators configure.
+ *
+ * @module
+ */
+
+/** A service-level objective for the jobs of one class, or for all jobs. The names of its fields are stored as they are. */
 export interface Objective {
-  /** `deadline`, `finished`, `wait` or `guarantee`; others are ignored. */
+  /** `deadline`, `finished`, `wait` or `guarantee`; other kinds are ignored. */
   readonly kind: string;
+  /** The class of jobs that it applies to; null applies to all. */
   readonly class: string | null;
-  /** Seconds. */
+  /** The time limit of the objective in seconds, for kinds that have one. */
   readonly withinS: number | null;
-  /** Share of the jobs or tasks that are to meet it. */
+  /** The share of jobs or tasks that should meet the objective. */
   readonly share: number | null;
-  /** Multiple of the job's own deadline. */
+  /** A multiple of the job's own deadline, for the kind `deadline`. */
   readonly times: number | null;
 }
--- a/packages/model/src/placement.ts
+++ b/packages/model/src/placement.ts
@@ -1,16 +1,28 @@
+/**
+ * Placements: one attempt of one task on one machine, from the intent to the proof that it is gone.
+ *
+ * @module
+ */
+
 import type { MonotonicMs } from '@spurbridge/net';
-import type { Attempt, MachineId, AgentEpoch } from '@spurbridge/wire';
+import type { AgentEpoch, Attempt, MachineId } from '@spurbridge/wire';
 import { TransitionTable } from './transition-table.js';
 
 /**
- * What may be on a machine on behalf of one task, from the intent to the proof that it is gone.
- * `intended`: not durable yet, no start may be sent. `queued`: durable, and waits for room on its machine; this leader has sent
- * no start. `starting`: a start may be in flight.
+ * The state of a placement.
+ *
+ * - `intended`: the intent is not durable yet, so no start may be sent.
+ * - `queued`: durable, waiting for free resources on its machine; this leader has sent no start.
+ * - `starting`: a start may be in flight.
+ * - `fetching`, `waiting`, `running`, `saving`: as the machine's agent reported it.
+ * - `gone`: proven not to be on the machine any more.
  */
 export type PlacementState =
   'intended' | 'queued' | 'starting' | 'fetching' | 'waiting' | 'running' | 'saving' | 'gone';
 
 const ON_MACHINE_STATES: readonly PlacementState[] = ['fetching', 'waiting', 'running', 'saving', 'gone'];
+
+/** The allowed transitions of a placement. */
 export const placementTransitions = new TransitionTable<PlacementState>('placement', {
   intended: ['queued', 'starting', ...ON_MACHINE_STATES],
   queued: ['starting', ...ON_MACHINE_STATES],
@@ -22,30 +34,40 @@
   gone: [],
 });
 
+/** Why a placement is being stopped. */
+export type StopReason = 'cancelled' | 'preempted' | 'drained' | 'gang';
+
+/** The decision to stop a placement. */
+export interface StopRequest {
+  readonly at: MonotonicMs;
+  /** Seconds that the task is given to save its progress; 0 stops it at once. */
+  readonly graceS: number;
+  readonly reason: StopReason;
+}
+
+/** One attempt of a task on a machine. */
 export interface Placement {
   readonly task: number;
   readonly machine: MachineId;
+  /** The epoch of the machine's agent for which the task was placed. */
   readonly agentEpoch: AgentEpoch;
   readonly attempt: Attempt;
   readonly state: PlacementState;
-  /** Read from a record: an earlier leader may have sent its start. */
+  /** Whether it was read from a record: an earlier leader may have sent its start. */
   readonly isRestored: boolean;
   /** When the present state began. */
   readonly stateSince: MonotonicMs;
   readonly placedAt: MonotonicMs;
-  /** Start of the run on this machine, once reported. */
+  /** When the task was first reported to run on this machine; null before that. */
   readonly runningSince: MonotonicMs | null;
-  /** Set once a stop was decided; the grace that it is given. */
-  readonly stopRequest: {
-    readonly at: MonotonicMs;
-    readonly graceS: number;
-    readonly reason: StopReason;
-  } | null;
+  /** The decision to stop it; null while there is none. */
+  readonly stopRequest: StopRequest | null;
 }
 
-export type StopReason = 'cancelled' | 'preempted' | 'drained' | 'gang';
-
-/** Whether nobody can have sent a start of it: it may be given up at once, without any proof from its machine. */
-export function isUnsent(p: Placement): boolean {
-  return !p.isRestored && (p.state === 'intended' || p.state === 'queued');
+/**
+ * Whether no leader can have sent a start for the placement. Such a placement can be given up at once, without any proof from
+ * its machine.
+ */
+export function isUnsent(placement: Placement): boolean {
+  return !placement.isRestored && (placement.state === 'intended' || placement.state === 'queued');
 }
--- a/packages/model/src/record.ts
+++ b/packages/model/src/record.ts
@@ -1,67 +1,79 @@
+/**
+ * The stored records of jobs and of their tasks. The JSON names of the fields are fixed: records of earlier versions must stay
+ * readable, and nodes of different versions read one another's records.
+ *
+ * @module
+ */
+
 import type { MonotonicMs } from '@spurbridge/net';
 import type {
+  AgentEpoch,
   Attempt,
   Brand,
   JobId,
   JobPhase,
   JobSpec,
   MachineId,
-  AgentEpoch,
   Version,
 } from '@spurbridge/wire';
 import { ValidationError, formatSubmission, isJobId, parseSubmission, read } from '@spurbridge/wire';
-import type { TaskChunk } from './job.js';
-import { Job } from './job.js';
+import type { Job, TaskChunk } from './job.js';
 
 /** Time of day in milliseconds, true only within the platform's clock error. */
 export type WallClockMs = Brand<number, 'WallMs'>;
 
+/** Prefix of the keys of job records. */
 export const JOB_KEY_PREFIX = 'j/';
+/** Prefix of the keys of task records. */
 export const TASK_KEY_PREFIX = 't/';
 
+/** The key of a job's record. */
 export function jobKey(id: JobId): string {
   return JOB_KEY_PREFIX + id;
 }
 
+/** The key of the record of a job's tasks with this chunk index. */
 export function chunkKey(id: JobId, index: number): string {
   return `${TASK_KEY_PREFIX}${id}/${index}`;
 }
 
-/** What the state service knows of a job as a whole. Any node writes it; tasks have their own records. */
+/** The record of a job as a whole. Any node writes it; tasks have their own records, which only the leader writes. */
 export interface JobRecord {
   readonly spec: JobSpec;
   readonly phase: 'active' | 'done' | 'cancelled';
   readonly submittedAt: WallClockMs;
+  /** Tasks per task record. */
   readonly chunkSize: number;
   /** The task graph that the job is a part of; absent for a user's own job. */
   readonly graph?: string;
-  /** When its cancellation was asked for: it was confirmed no earlier. Absent in records of earlier versions. */
+  /** When its cancellation was requested: it was confirmed no earlier. Absent in records of earlier versions. */
   readonly cancelledAt?: WallClockMs;
 }
 
-export function encodeJob(r: JobRecord): Record<string, unknown> {
+/** The JSON value of a job's record. */
+export function encodeJob(job: JobRecord): Record<string, unknown> {
   const record: Record<string, unknown> = {
-    spec: formatSubmission(r.spec),
-    phase: r.phase,
-    at: r.submittedAt,
-    chunk: r.chunkSize,
+    spec: formatSubmission(job.spec),
+    phase: job.phase,
+    at: job.submittedAt,
+    chunk: job.chunkSize,
   };
-  if (r.graph !== undefined) record['graph'] = r.graph;
-  if (r.cancelledAt !== undefined) record['cancelledAt'] = r.cancelledAt;
+  if (job.graph !== undefined) record['graph'] = job.graph;
+  if (job.cancelledAt !== undefined) record['cancelledAt'] = job.cancelledAt;
   return record;
 }
 
 /**
- * The record of a job that is over, without what only running it needed: what its users may still ask is answered from
- * it (`decodeJob` reads it, too).
+ * The JSON value of the compacted record of a job that has ended: without what was needed only to run it, but enough to answer
+ * its users. `decodeJob` reads it, too.
  */
 export function encodeCompactedJob(id: string, tasks: number, phase: string): Record<string, unknown> {
   return { over: [id, tasks], phase, at: 0, chunk: 1 };
 }
 
-/** Of a folded record only id and number of tasks are known: it takes nothing, and fits no team. */
-function compactedJobSpec(over: readonly unknown[]): JobSpec {
-  const [id, tasks] = over;
+/** A compacted record holds only the id and the number of tasks: the job needs no resources and belongs to no team. */
+function compactedJobSpec(fields: readonly unknown[]): JobSpec {
+  const [id, tasks] = fields;
   if (typeof id !== 'string' || !isJobId(id)) throw new ValidationError('over', 'a job id');
   if (typeof tasks !== 'number' || !Number.isInteger(tasks) || tasks < 1)
     throw new ValidationError('over', 'a number of tasks');
@@ -89,50 +101,91 @@
   };
 }
 
+/**
+ * Reads a job's record, compacted or not.
+ *
+ * @throws {ValidationError} when a field is missing or malformed.
+ */
 export function decodeJob(value: unknown): JobRecord {
-  const o = read.asObject(value, 'job record');
-  const graph = read.optionalString(o, 'graph');
-  const over = o['over'];
-  const cancelledAt = read.optionalAmount(o, 'cancelledAt');
+  const fields = read.asObject(value, 'job record');
+  const graph = read.optionalString(fields, 'graph');
+  const compacted = fields['over'];
+  const cancelledAt = read.optionalAmount(fields, 'cancelledAt');
   return {
-    spec: over === undefined ? parseSubmission(o['spec']) : compactedJobSpec(read.asArray(over, 'over')),
-    phase: read.oneOf(o, 'phase', ['active', 'done', 'cancelled']),
-    submittedAt: read.amount(o, 'at') as WallClockMs,
-    chunkSize: read.count(o, 'chunk', 1),
+    spec:
+      compacted === undefined
+        ? parseSubmission(fields['spec'])
+        : compactedJobSpec(read.asArray(compacted, 'over')),
+    phase: read.oneOf(fields, 'phase', ['active', 'done', 'cancelled']),
+    submittedAt: read.amount(fields, 'at') as WallClockMs,
+    chunkSize: read.count(fields, 'chunk', 1),
     ...(graph === null ? {} : { graph }),
     ...(cancelledAt === null ? {} : { cancelledAt: cancelledAt as WallClockMs }),
   };
 }
 
-export function jobPhaseForUser(record: JobRecord, running: number): JobPhase {
+/** The phase that a job's user is told. */
+export function jobPhaseForUser(record: JobRecord, runningTasks: number): JobPhase {
   if (record.phase !== 'active') return record.phase;
-  return running > 0 ? 'running' : 'queued';
+  return runningTasks > 0 ? 'running' : 'queued';
 }
 
+/** More bytes than one placed task takes in a task record. */
 const MAX_ENCODED_TASK_BYTES = 48;
+/** Bytes of a task record beside its tasks. */
+const CHUNK_OVERHEAD_BYTES = 256;
 const MAX_TASKS_PER_CHUNK = 256;
+const BYTES_PER_KB = 1024;
 
-/** Tasks per record, so that even with every task placed it fits one value. */
+/** The number of tasks per record with which, even with every task placed, the record fits one value of the store. */
 export function tasksPerChunk(valueKb: number): number {
-  return Math.max(
-    1,
-    Math.min(MAX_TASKS_PER_CHUNK, Math.floor((valueKb * 1024 - 256) / MAX_ENCODED_TASK_BYTES)),
-  );
+  const fitting = Math.floor((valueKb * BYTES_PER_KB - CHUNK_OVERHEAD_BYTES) / MAX_ENCODED_TASK_BYTES);
+  return Math.max(1, Math.min(MAX_TASKS_PER_CHUNK, fitting));
 }
 
+/** The JSON value of the record of some of a job's tasks. */
 export function encodeChunk(job: Job, chunk: TaskChunk): Record<string, unknown> {
   const first = chunk.index * job.chunkSize;
+  const end = Math.min(first + job.chunkSize, job.spec.tasks);
   const placed: unknown[] = [];
-  for (let t = first; t < Math.min(first + job.chunkSize, job.spec.tasks); t += 1) {
-    const p = job.placements.get(t);
-    if (p !== undefined) placed.push([t, p.machine, p.agentEpoch, p.attempt]);
+  for (let task = first; task < end; task += 1) {
+    const placement = job.placements.get(task);
+    if (placement === undefined) continue;
+    placed.push([task, placement.machine, placement.agentEpoch, placement.attempt]);
   }
-  const record = { tries: chunk.attemptsIssued, done: job.formatDoneRanges(chunk), placed };
+  const record = { tries: chunk.attemptsIssued, done: formatDoneRanges(job, first, end), placed };
   if (job.abandoned.size === 0) return record;
-  return { ...record, abandoned: [...job.abandoned].filter((t) => t >= first && t < first + job.chunkSize) };
+  const isInChunk = (task: number): boolean => task >= first && task < first + job.chunkSize;
+  return { ...record, abandoned: [...job.abandoned].filter(isInChunk) };
+}
+
+/** The tasks from `first` to before `end` that are done, as ranges: `0-3,7`. */
+function formatDoneRanges(job: Job, first: number, end: number): string {
+  const ranges: string[] = [];
+  for (let task = first; task < end; task += 1) {
+    if (!job.isDone(task)) continue;
+    let last = task;
+    while (last + 1 < end && job.isDone(last + 1)) last += 1;
+    ranges.push(last === task ? `${task}` : `${task}-${last}`);
+    task = last;
+  }
+  return ranges.join(',');
+}
+
+/** Marks the tasks of ranges such as `0-3,7` as done. */
+function restoreDoneRanges(job: Job, ranges: string): void {
+  for (const range of ranges.split(',')) {
+    if (range === '') continue;
+    const [first, last] = range.split('-').map(Number);
+    for (let task = first as number; task <= (last ?? (first as number)); task += 1) job.markDone(task);
+  }
 }
 
-/** Puts a task record's content back into the job that it belongs to. */
+/**
+ * Restores the tasks of one task record into the job that they belong to.
+ *
+ * @throws {ValidationError} when a field is missing or malformed.
+ */
 export function restoreChunk(
   job: Job,
   index: number,
@@ -140,20 +193,17 @@
   version: Version,
   now: MonotonicMs,
 ): void {
-  const o = read.asObject(value, 'task record');
-  job.restoreChunk(index, version, read.count(o, 'tries'));
-  for (const part of read.string(o, 'done').split(',')) {
-    if (part === '') continue;
-    const [first, last] = part.split('-').map(Number);
-    for (let t = first as number; t <= (last ?? (first as number)); t += 1) job.markDone(t);
-  }
-  for (const t of read.asArray(o['abandoned'] ?? [], 'abandoned')) job.restoreAbandoned(t as number);
-  for (const entry of read.asArray(o['placed'], 'placed')) {
-    const [task, machine, session, attempt] = read.asArray(entry, 'placed');
+  const fields = read.asObject(value, 'task record');
+  job.restoreChunk(index, version, read.count(fields, 'tries'));
+  restoreDoneRanges(job, read.string(fields, 'done'));
+  for (const task of read.asArray(fields['abandoned'] ?? [], 'abandoned'))
+    job.restoreAbandoned(task as number);
+  for (const entry of read.asArray(fields['placed'], 'placed')) {
+    const [task, machine, agentEpoch, attempt] = read.asArray(entry, 'placed');
     job.restorePlacement(
       task as number,
       machine as MachineId,
-      session as AgentEpoch,
+      agentEpoch as AgentEpoch,
       attempt as Attempt,
       now,
     );
--- a/packages/model/src/service-levels.ts
+++ b/packages/model/src/service-levels.ts
@@ -1,129 +1,152 @@
+/**
+ * Service levels: which share of what was requested a class of jobs or a team was given. The log, the checker of the simulated
+ * world and the regression measurements share this definition.
+ *
+ * @module
+ */
+
 import type { JobSpec } from '@spurbridge/wire';
 
-/** Under this share of what was asked and could be served, a class or a team counts as not served. */
+/** Below this share of what was requested and could have been served, a class or a team counts as not served. */
 export const MIN_SERVED_SHARE = 0.5;
-/** Replicas are asked for from so many seconds after their submission on. */
+/** The replicas of a service count as requested from so many seconds after its submission on. */
 export const REPLICA_GRACE_S = 20;
-/** A job may wait this long for its first task before it counts as not started, in seconds. */
+/** A job may wait so many seconds for its first task before it counts as not started. */
 export const START_GRACE_S = 60;
 
-/** The largest jobs of a class have to begin within this, in seconds. */
+/** The largest jobs of a class have to start within so many seconds. */
 export const LARGEST_JOB_START_S = 240;
-/** The largest are this share of a class's jobs; of fewer jobs than this there are none. */
+/** The largest jobs are this share of the jobs of a class. */
 const LARGEST_JOB_SHARE = 0.25;
+/** Among fewer jobs than this, none counts as one of the largest. */
 const LARGEST_JOB_MIN_COUNT = 8;
+/** A job without a deadline could have ended after this multiple of its estimate, and the time to start. */
+const EXPECTED_END_ESTIMATES = 4;
+/** A job with a deadline could have ended after this multiple of it. */
+const EXPECTED_END_DEADLINES = 1.5;
 
-/** What a job asks for at once, by which the largest of its class are told: CPUs, or accelerators where it has any. */
+/** The size by which the largest jobs of a class are found: all its accelerators, or its CPUs where it needs none. */
 export function jobSize(spec: JobSpec): number {
   return spec.tasks * (spec.gpus > 0 ? spec.gpus : spec.cpus);
 }
 
-/** The size from which a job is among the largest quarter of a class; Infinity where it has too few jobs to tell. */
+/** The size from which on a job is one of the largest of its class; Infinity where there are too few jobs to tell. */
 export function largestJobThreshold(sizes: readonly number[]): number {
   if (sizes.length < LARGEST_JOB_MIN_COUNT) return Infinity;
-  const sorted = [...sizes].sort((a, b) => b - a);
+  const sorted = [...sizes].sort((first, second) => second - first);
   return sorted[Math.floor(sorted.length * LARGEST_JOB_SHARE) - 1] ?? Infinity;
 }
 
-/** Age in seconds at which a job that ends by itself could have ended: what is younger counts neither way. */
+/** The age in seconds at which a job that ends by itself could have ended; a younger job counts neither way. */
 export function expectedEndAgeS(spec: JobSpec): number {
-  return spec.deadlineS === null ? START_GRACE_S + 4 * spec.estimateS : 1.5 * spec.deadlineS;
+  return spec.deadlineS === null
+    ? START_GRACE_S + EXPECTED_END_ESTIMATES * spec.estimateS
+    : EXPECTED_END_DEADLINES * spec.deadlineS;
 }
 
-/** Replicas that can run at the same time: bound to one zone and spread over zones, only half of them. */
+/** The replicas that can run at the same time: only half of them where they are spread but bound to one zone. */
 export function maxRunnableReplicas(spec: JobSpec): number {
   return spec.zone !== null && spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks;
 }
 
-/** What was asked of the service by a class or a team, and what was done of it. */
+/** What a class or a team requested, and what it was given. */
 export interface ServiceLevelCounts {
-  /** Jobs that end by themselves and ended or could have; jobs that started or could have. */
+  /** Jobs that end by themselves and have ended or could have. */
   couldEnd: number;
+  /** How many of these have ended. */
   ended: number;
-  /** Of those that ended or could have and have a deadline: how many kept it. */
+  /** How many of these have a deadline. */
   timed: number;
+  /** How many of those have met it. */
   inTime: number;
+  /** Jobs that have started or could have. */
   couldStart: number;
+  /** How many of these have started. */
   started: number;
-  /** Replica seconds asked for and run. */
+  /** Replica seconds that were requested. */
   wantedS: number;
+  /** Replica seconds that were run. */
   ranS: number;
 }
 
+/** Counts with nothing requested. */
 export function emptyServiceLevelCounts(): ServiceLevelCounts {
   return { couldEnd: 0, ended: 0, timed: 0, inTime: 0, couldStart: 0, started: 0, wantedS: 0, ranS: 0 };
 }
 
+/** What a service level measures. */
 export type ServiceLevelIndicator = 'ended' | 'started' | 'replicas' | 'in time';
 
+/** One service level of a class or a team. */
 export interface ServiceLevel {
   readonly indicator: ServiceLevelIndicator;
+  /** The share of what was requested that was given. */
   readonly share: number;
-  /** Share over half; below zero the day has failed. */
+  /** The share less `MIN_SERVED_SHARE`; below zero the level is missed. */
   readonly margin: number;
-  /** Whether it is only said: operators may mean it, the definition does not. */
+  /** Whether a missed level is only a warning: operators may care for it, the definition of being served does not. */
   readonly isWarning: boolean;
 }
 
-/** The readings of one class or team: one definition for the log, the checker and the regression. */
-export function serviceLevels(a: ServiceLevelCounts): ServiceLevel[] {
-  const rows: readonly (readonly [ServiceLevelIndicator, number, number])[] = [
-    ['ended', a.ended, a.couldEnd],
-    ['started', a.started, a.couldStart],
-    ['replicas', a.ranS, a.wantedS],
-    ['in time', a.inTime, a.timed],
-  ];
-  return rows
-    .filter(([, , of]) => of > 0)
-    .map(([indicator, did, of]) => {
-      const share = did / of;
-      return { indicator, share, margin: share - MIN_SERVED_SHARE, isWarning: indicator === 'in time' };
-    });
+function serviceLevel(indicator: ServiceLevelIndicator, given: number, requested: number): ServiceLevel {
+  const share = given / requested;
+  return { indicator, share, margin: share - MIN_SERVED_SHARE, isWarning: indicator === 'in time' };
+}
+
+/** The service levels of one class or team, as far as anything was requested. */
+export function serviceLevels(counts: ServiceLevelCounts): ServiceLevel[] {
+  const levels: ServiceLevel[] = [];
+  if (counts.couldEnd > 0) levels.push(serviceLevel('ended', counts.ended, counts.couldEnd));
+  if (counts.couldStart > 0) levels.push(serviceLevel('started', counts.started, counts.couldStart));
+  if (counts.wantedS > 0) levels.push(serviceLevel('replicas', counts.ranS, counts.wantedS));
+  if (counts.timed > 0) levels.push(serviceLevel('in time', counts.inTime, counts.timed));
+  return levels;
 }
 
-/** The readings under half that fail a day. */
-export function missedServiceLevels(a: ServiceLevelCounts): ServiceLevel[] {
-  return serviceLevels(a).filter((s) => s.margin < 0 && !s.isWarning);
+/** The service levels that are missed, without those that are only a warning. */
+export function missedServiceLevels(counts: ServiceLevelCounts): ServiceLevel[] {
+  return serviceLevels(counts).filter((level) => level.margin < 0 && !level.isWarning);
 }
 
-/** One job's part in what was asked, at an age; `ageS` is its age at its end, or now. */
+/** What became of a job so far. */
 export interface JobOutcome {
   readonly spec: JobSpec;
+  /** Its age in seconds at its end, or now. */
   readonly ageS: number;
-  /** Its age at its first start, as far as it is known; null: it has not begun. */
+  /** Its age in seconds at its first start, as far as it is known; null: it has not started. */
   readonly startedS: number | null;
   readonly isEnded: boolean;
-  /** Cancelled by its user: what it had not reached counts neither way. */
+  /** Cancelled by its user: what it had not reached by then counts neither way. */
   readonly isCancelled: boolean;
 }
 
-/** Adds a job that ends by itself; replicas are added as they run. */
-export function countJob(a: ServiceLevelCounts, j: JobOutcome): void {
-  countStarted(a, j, START_GRACE_S, Infinity);
-  countEnded(a, j);
+/** Counts a job; the replica seconds of services are counted as they run. */
+export function countJob(counts: ServiceLevelCounts, job: JobOutcome): void {
+  countStarted(counts, job, START_GRACE_S, Infinity);
+  countEnded(counts, job);
 }
 
-/** Adds one of the largest jobs of its class: it has to begin in time, not only at all. */
-export function countLargestJob(a: ServiceLevelCounts, j: JobOutcome): void {
-  countStarted(a, j, LARGEST_JOB_START_S, LARGEST_JOB_START_S);
-  countEnded(a, j);
+/** Counts one of the largest jobs of its class: it has to start in time, not only at all. */
+export function countLargestJob(counts: ServiceLevelCounts, job: JobOutcome): void {
+  countStarted(counts, job, LARGEST_JOB_START_S, LARGEST_JOB_START_S);
+  countEnded(counts, job);
 }
 
-/** Not begun, it counts from the age of `fromS` on; begun after `withinS` it counts as not started. */
-function countStarted(a: ServiceLevelCounts, j: JobOutcome, fromS: number, withinS: number): void {
-  const isStarted = j.startedS !== null;
-  if (!isStarted && (j.isCancelled || j.ageS < fromS)) return;
-  a.couldStart += 1;
-  if (isStarted && (j.startedS ?? 0) <= withinS) a.started += 1;
+/** A job that has not started counts from the age of `graceS` on; started after `withinS`, it counts as not started. */
+function countStarted(counts: ServiceLevelCounts, job: JobOutcome, graceS: number, withinS: number): void {
+  const isStarted = job.startedS !== null;
+  if (!isStarted && (job.isCancelled || job.ageS < graceS)) return;
+  counts.couldStart += 1;
+  if (isStarted && (job.startedS ?? 0) <= withinS) counts.started += 1;
 }
 
-function countEnded(a: ServiceLevelCounts, j: JobOutcome): void {
-  if (j.spec.kind === 'service' || (j.isCancelled && !j.isEnded)) return;
-  if (!j.isEnded && j.ageS < expectedEndAgeS(j.spec)) return;
-  a.couldEnd += 1;
-  if (j.isEnded) a.ended += 1;
-  const { deadlineS } = j.spec;
+function countEnded(counts: ServiceLevelCounts, job: JobOutcome): void {
+  if (job.spec.kind === 'service' || (job.isCancelled && !job.isEnded)) return;
+  if (!job.isEnded && job.ageS < expectedEndAgeS(job.spec)) return;
+  counts.couldEnd += 1;
+  if (job.isEnded) counts.ended += 1;
+  const { deadlineS } = job.spec;
   if (deadlineS === null) return;
-  a.timed += 1;
-  if (j.isEnded && j.ageS <= deadlineS) a.inTime += 1;
+  counts.timed += 1;
+  if (job.isEnded && job.ageS <= deadlineS) counts.inTime += 1;
 }
--- a/packages/model/src/transition-table.ts
+++ b/packages/model/src/transition-table.ts
@@ -1,12 +1,21 @@
-/** A table of named states; `check` is what every change of state goes through. */
-export class TransitionTable<S extends string> {
+/**
+ * Tables of allowed state transitions, which every state machine of spurbridge is checked against.
+ *
+ * @module
+ */
+
+import { InvalidTransitionError } from './errors.js';
+
+/** The allowed transitions between the named states of one kind of subject. */
+export class TransitionTable<State extends string> {
   constructor(
+    /** What the states belong to; it is named in errors. */
     private readonly subject: string,
-    private readonly allowed: Readonly<Record<S, readonly S[]>>,
+    private readonly allowed: Readonly<Record<State, readonly State[]>>,
   ) {}
 
-  assertAllowed(from: S, to: S): void {
-    if (!this.allowed[from].includes(to))
-      throw new Error(`${this.subject}: ${from} -> ${to} is no transition`);
+  /** @throws {InvalidTransitionError} when the table does not list the transition. */
+  assertAllowed(from: State, to: State): void {
+    if (!this.allowed[from].includes(to)) throw new InvalidTransitionError(this.subject, from, to);
   }
 }
