--- a/packages/planner/src/fleet/burst-rate.ts
+++ b/packages/planner/src/fleet/burst-rate.ts
@@ -1,56 +1,82 @@
+/**
+ * Scales out for the rate at which work arrives in a burst.
+ *
+ * @module
+ */
+
 import { fitsMachineType } from '@spurbridge/model';
-import type { MachineType } from '@spurbridge/wire';
-import type { FleetInput } from './plan-fleet.js';
+import type { JobSpec, MachineType } from '@spurbridge/wire';
 import type { UnplacedDemand } from '../scheduling/index.js';
+import { purchaseOptions } from './scale-out.js';
 import type { ScaleOutRequests } from './scale-out-requests.js';
+import type { FleetInput } from './types.js';
 
-/** Arrivals are uneven: so much more than the fleet must come before it is a burst. */
+/** Arrivals are uneven: only a rate that needs this many times the fleet is a burst. */
 const BURST_FACTOR = 1.2;
+/** Stands for the CPUs of a task that requests none. */
+const MIN_TASK_CPUS = 0.01;
+
+/** A kind of machine that could be requested, and its price per slot. */
+interface Candidate {
+  readonly type: MachineType;
+  readonly zone: string;
+  readonly spot: boolean;
+  readonly score: number;
+}
 
 /**
- * Rents for the work that arrives while machines boot. Met only once each job was predicted to be late, a burst of a minute
- * had its machines half a minute after its end, and they worked off what was late already.
+ * Scales out for the work that arrives while machines boot. Scaled out for only once each job was predicted to be late, a burst of
+ * a minute had its machines half a minute after its end, and they worked off what was late already.
+ *
+ * @param managementSurcharge - what managing one more machine is taken to cost.
  */
 export function scaleOutForBurst(
   input: FleetInput,
-  rents: ScaleOutRequests,
-  /** What looking after one more machine is taken to cost. */
-  attention: number,
+  requests: ScaleOutRequests,
+  managementSurcharge: number,
 ): void {
-  const { policy, types, machines, hasCapacity: available } = input;
-  const waiting = input.unplacedDemand.find(isWaiting);
+  const { policy } = input;
+  const waiting = input.unplacedDemand.find(isWaitingArray);
   if (!policy.isCostAware || waiting === undefined) return;
-  let capacity = 0;
-  for (const m of machines)
-    if (m.isSchedulable || m.isBooting) capacity += m.type.cpus - m.nonPreemptibleCpus;
-  for (const r of rents.list()) capacity += r.count * (types.find((t) => t.name === r.type)?.cpus ?? 0);
+  const capacity = arrayCapacityCpus(input, requests);
   if (policy.burstCpus < capacity * BURST_FACTOR) return;
-  const { spec } = waiting.job;
-  const options: { type: MachineType; zone: string; spot: boolean; score: number }[] = [];
-  for (const type of types)
-    for (const zone of type.zones)
-      for (const spot of spec.spot ? [true, false] : [false]) {
-        if (!fitsMachineType(spec, type) || (spec.zone !== null && spec.zone !== zone)) continue;
-        if (!available(type.name, zone, spot)) continue;
-        const places = Math.max(1, Math.floor(type.cpus / Math.max(spec.cpus, 0.01)));
-        options.push({
-          type,
-          zone,
-          spot,
-          score: ((spot ? type.spotPrice : type.price) + attention) / places,
-        });
-      }
-  // Ordinary ones only where no spot machine is to be had.
-  options.sort((a, b) => Number(b.spot) - Number(a.spot) || a.score - b.score);
-  // The cheapest kind that there may be; what it cannot give is asked of the next one after its refusal.
-  const [best] = options;
+  const candidates = listCandidates(input, waiting.job.spec, managementSurcharge);
+  // Only the cheapest kind is requested; what the cloud cannot give of it is requested of the next kind after the refusal.
+  const [best] = candidates;
   if (best === undefined) return;
   const count = Math.ceil((policy.burstCpus - capacity) / best.type.cpus);
-  const alike = options.filter((o) => o.type === best.type && o.spot === best.spot);
-  for (const [i, o] of alike.entries())
-    rents.add(o.type, o.zone, o.spot, Math.floor((count + i) / alike.length));
+  const sameKind = candidates.filter(({ type, spot }) => type === best.type && spot === best.spot);
+  for (const [index, { type, zone, spot }] of sameKind.entries())
+    requests.add(type, zone, spot, Math.floor((count + index) / sameKind.length));
 }
 
-function isWaiting(u: UnplacedDemand): boolean {
-  return u.job.spec.kind === 'array' && u.isWithinLimit && u.startsInS > 0;
+function isWaitingArray(demand: UnplacedDemand): boolean {
+  return demand.job.spec.kind === 'array' && demand.isWithinLimit && demand.startsInS > 0;
+}
+
+/** The CPUs that arrays can use, on the machines that there are and on those that are requested. */
+function arrayCapacityCpus({ machines, types }: FleetInput, requests: ScaleOutRequests): number {
+  let cpus = 0;
+  for (const machine of machines)
+    if (machine.isSchedulable || machine.isBooting) cpus += machine.type.cpus - machine.nonPreemptibleCpus;
+  for (const request of requests.list())
+    cpus += request.count * (types.find(({ name }) => name === request.type)?.cpus ?? 0);
+  return cpus;
+}
+
+/** Kinds of machines for the job: on-demand ones only after all spot ones, then by the price per slot. */
+function listCandidates(input: FleetInput, spec: JobSpec, surcharge: number): Candidate[] {
+  const candidates: Candidate[] = [];
+  for (const type of input.types)
+    for (const zone of type.zones)
+      for (const spot of purchaseOptions(spec)) {
+        if (!fitsMachineType(spec, type) || (spec.zone !== null && spec.zone !== zone)) continue;
+        if (!input.hasCapacity(type.name, zone, spot)) continue;
+        const slots = Math.max(1, Math.floor(type.cpus / Math.max(spec.cpus, MIN_TASK_CPUS)));
+        const price = spot ? type.spotPrice : type.price;
+        candidates.push({ type, zone, spot, score: (price + surcharge) / slots });
+      }
+  return candidates.sort(
+    (first, second) => Number(second.spot) - Number(first.spot) || first.score - second.score,
+  );
 }
--- /dev/null
+++ b/packages/planner/src/fleet/incoming-machine.ts
@@ -0,0 +1,75 @@
+/**
+ * Machines that are booting or about to be requested: the demand they will take is not scaled out for again.
+ *
+ * @module
+ */
+
+import { fitsMachineType } from '@spurbridge/model';
+import type { MachineType } from '@spurbridge/wire';
+import type { UnplacedDemand } from '../scheduling/index.js';
+import { countFittingTasks } from './machine-fit.js';
+import type { FleetMachine } from './types.js';
+
+/** A machine that should be up soon, with the resources that are not yet assigned to any demand. */
+export interface IncomingMachine {
+  readonly type: MachineType;
+  readonly zone: string;
+  readonly spot: boolean;
+  /** Seconds until it should be up. */
+  readonly readyInS: number;
+  cpus: number;
+  gpus: number;
+  memoryGb: number;
+}
+
+/** A machine that should be up already is expected within this share of its boot time. */
+const MIN_BOOT_SHARE = 0.1;
+
+/** The machines of the fleet that are booting. */
+export function bootingMachines(machines: readonly FleetMachine[]): IncomingMachine[] {
+  return machines
+    .filter((machine) => machine.isBooting)
+    .map((machine) => ({
+      type: machine.type,
+      zone: machine.zone,
+      spot: machine.spot,
+      readyInS: Math.max(machine.type.bootS * MIN_BOOT_SHARE, machine.type.bootS - machine.idleS),
+      // After a failover, machines without a heartbeat so far are full of what the records place there: when they were taken for
+      // empty ones that boot, hundreds of them kept a burst from being scaled out for, for half a minute.
+      cpus: machine.type.cpus - machine.usedCpus,
+      gpus: machine.type.gpus - machine.usedGpus,
+      memoryGb: machine.type.memoryGb - machine.usedMemoryGb,
+    }));
+}
+
+/** A machine that is going to be requested now. */
+export function requestedMachine(type: MachineType, zone: string, spot: boolean): IncomingMachine {
+  const { bootS, cpus, gpus, memoryGb } = type;
+  return { type, zone, spot, readyInS: bootS, cpus, gpus, memoryGb };
+}
+
+/**
+ * The zone in which most tasks of a job bound to one zone fit the incoming machines; null where none fits. Counted over all
+ * zones, half a gang fitted each of two zones, and nothing was scaled out to.
+ */
+export function zoneWithMostRoom(
+  demand: UnplacedDemand,
+  incoming: readonly IncomingMachine[],
+): string | null {
+  const { spec } = demand.job;
+  const fittingByZone = new Map<string, number>();
+  for (const machine of incoming) {
+    if ((machine.spot && !spec.spot) || !fitsMachineType(spec, machine.type)) continue;
+    const fitting = countFittingTasks(spec, machine);
+    if (fitting > 0) fittingByZone.set(machine.zone, (fittingByZone.get(machine.zone) ?? 0) + fitting);
+  }
+  let bestZone: string | null = null;
+  let mostTasks = 0;
+  for (const [zone, fitting] of fittingByZone) {
+    const tasks = Math.min(fitting, demand.taskCount);
+    if (bestZone !== null && tasks <= mostTasks) continue;
+    bestZone = zone;
+    mostTasks = tasks;
+  }
+  return bestZone;
+}
--- /dev/null
+++ b/packages/planner/src/fleet/index.ts
@@ -0,0 +1,17 @@
+/**
+ * The planning of the fleet: scaling out and in, spare capacity and consolidation.
+ *
+ * @module
+ */
+
+export { effectiveCpus } from './machine-fit.js';
+export { planFleet } from './plan-fleet.js';
+export type {
+  FleetInput,
+  FleetMachine,
+  FleetPlan,
+  FleetPolicy,
+  Replica,
+  ScaleOutRequest,
+  ZoneSpread,
+} from './types.js';
--- a/packages/planner/src/fleet/scale-out-requests.ts
+++ b/packages/planner/src/fleet/scale-out-requests.ts
@@ -1,19 +1,36 @@
+/**
+ * Collects what one plan of the fleet scales out to.
+ *
+ * @module
+ */
+
 import type { MachineType } from '@spurbridge/wire';
-import type { ScaleOutRequest } from './plan-fleet.js';
+import type { ScaleOutRequest } from './types.js';
+
+type MutableRequest = { -readonly [Field in keyof ScaleOutRequest]: ScaleOutRequest[Field] };
 
-/** What one plan of the fleet rents, by type, zone and kind. */
+/** Requests of one plan, added up by machine type, zone and whether they are spot machines. */
 export class ScaleOutRequests {
-  private readonly all = new Map<string, { -readonly [K in keyof ScaleOutRequest]: ScaleOutRequest[K] }>();
+  private readonly requestsByKind = new Map<string, MutableRequest>();
 
+  /** Adds machines to the request of their kind; a count of 0 or less adds nothing. */
   add(type: MachineType, zone: string, spot: boolean, count: number): void {
     if (count <= 0) return;
-    const key = `${type.name}/${zone}/${spot}`;
-    const rent = this.all.get(key) ?? { type: type.name, zone, spot, count: 0 };
-    rent.count += count;
-    this.all.set(key, rent);
+    const kind = `${type.name}/${zone}/${spot}`;
+    const request = this.requestsByKind.get(kind) ?? { type: type.name, zone, spot, count: 0 };
+    request.count += count;
+    this.requestsByKind.set(kind, request);
   }
 
+  /** The requests in the order in which their kinds were first added. */
   list(): ScaleOutRequest[] {
-    return [...this.all.values()];
+    return [...this.requestsByKind.values()];
+  }
+
+  /** The number of machines over all requests. */
+  get machineCount(): number {
+    let count = 0;
+    for (const request of this.requestsByKind.values()) count += request.count;
+    return count;
   }
 }
--- /dev/null
+++ b/packages/planner/src/fleet/scale-out.ts
@@ -0,0 +1,203 @@
+/**
+ * Scales out for demand that no machine can take soon.
+ *
+ * @module
+ */
+
+import { fitsMachineType } from '@spurbridge/model';
+import type { JobSpec, MachineType } from '@spurbridge/wire';
+import type { UnplacedDemand } from '../scheduling/index.js';
+import { deadlineSlackS, needsOnDemand, tasksInSuccession } from './demand-outlook.js';
+import type { IncomingMachine } from './incoming-machine.js';
+import { bootingMachines, requestedMachine, zoneWithMostRoom } from './incoming-machine.js';
+import { countFittingTasks } from './machine-fit.js';
+import type { ManagementCost } from './management-cost.js';
+import type { ScaleOutRequests } from './scale-out-requests.js';
+import type { FleetInput } from './types.js';
+
+/** The surcharge on a machine's score for each CPU that its zone has already, which balances the zones. */
+const ZONE_CROWDING_PER_CPU = 1e-5;
+/** A machine's score doubles for each so many seconds that it takes to boot. */
+const BOOT_TIME_SCALE_S = 400;
+
+const SPOT_AND_ON_DEMAND: readonly boolean[] = [true, false];
+const ON_DEMAND_ONLY: readonly boolean[] = [false];
+
+/** Whether spot machines, on-demand machines or both may be used for the job, in the order of preference. */
+export function purchaseOptions(spec: JobSpec): readonly boolean[] {
+  return spec.spot ? SPOT_AND_ON_DEMAND : ON_DEMAND_ONLY;
+}
+
+/** A machine that could be requested, and its price per task; the lowest score wins. */
+interface Candidate {
+  readonly type: MachineType;
+  readonly zone: string;
+  readonly spot: boolean;
+  readonly score: number;
+}
+
+/** The demand of one job while it is being scaled out for. */
+interface OpenDemand {
+  readonly demand: UnplacedDemand;
+  /** Tasks that no incoming machine takes so far. */
+  tasksLeft: number;
+  /** The zone that the job is bound to; null while it is free to choose. */
+  zone: string | null;
+  readonly tasksByZone: Map<string, number>;
+  readonly maxPerZone: number;
+}
+
+/** Scales out for unplaced demand, one job after another. */
+export class DemandScaleOut {
+  private readonly incoming: IncomingMachine[];
+  private readonly cpusByZone = new Map<string, number>();
+
+  constructor(
+    private readonly input: FleetInput,
+    private readonly requests: ScaleOutRequests,
+    private readonly managementCost: ManagementCost,
+  ) {
+    this.incoming = bootingMachines(input.machines);
+    for (const { zone, type } of input.machines) this.addCpus(zone, type.cpus);
+  }
+
+  /** Assigns the demand to incoming machines, and requests further machines for the rest as long as that is worth their price. */
+  scaleOutFor(demand: UnplacedDemand): void {
+    const open = this.openDemand(demand);
+    for (const machine of this.incoming) {
+      if (open.tasksLeft === 0) return;
+      if (isAllowed(open, machine.type, machine.zone, machine.spot)) assignTasks(open, machine);
+    }
+    const slackS = deadlineSlackS(demand);
+    while (open.tasksLeft > 0) {
+      const candidate = this.cheapestCandidate(open, slackS);
+      if (candidate === null) return;
+      const tasksBefore = open.tasksLeft;
+      this.request(open, candidate);
+      if (open.tasksLeft === tasksBefore) return;
+    }
+  }
+
+  private openDemand(demand: UnplacedDemand): OpenDemand {
+    const { spec, placedZones, pendingTasks } = demand.job;
+    let zone = spec.zone;
+    if (zone === null && spec.oneZone)
+      zone = placedZones[0] ?? demand.zone ?? zoneWithMostRoom(demand, this.incoming);
+    let tasksLeft = demand.taskCount;
+    const isZoneOpen = spec.zone === null && zone !== null && placedZones.length === 0;
+    if (isZoneOpen && zone !== null && !this.canScaleOut(spec, zone)) {
+      // The zone where a part of the job fits has no more capacity: all of the job goes to another one.
+      zone = null;
+      tasksLeft = Math.max(tasksLeft, pendingTasks.length);
+    }
+    const tasksByZone = new Map<string, number>();
+    for (const placed of placedZones) tasksByZone.set(placed, (tasksByZone.get(placed) ?? 0) + 1);
+    const maxPerZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
+    return { demand, tasksLeft, zone, tasksByZone, maxPerZone };
+  }
+
+  /** Whether some machine for the job may be had in the zone. */
+  private canScaleOut(spec: JobSpec, zone: string): boolean {
+    const { types, hasCapacity } = this.input;
+    return types.some(
+      (type) =>
+        fitsMachineType(spec, type) &&
+        (type.zones.length === 0 || type.zones.includes(zone)) &&
+        (hasCapacity(type.name, zone, false) || (spec.spot && hasCapacity(type.name, zone, true))),
+    );
+  }
+
+  private cheapestCandidate(open: OpenDemand, slackS: number): Candidate | null {
+    const { spec } = open.demand.job;
+    const surcharge = this.managementCost.perMachine(this.input.machines.length + this.requests.machineCount);
+    let best: Candidate | null = null;
+    for (const type of this.input.types) {
+      if (!this.isWorthBooting(open.demand, type, slackS)) continue;
+      const zones = type.zones.length > 0 ? type.zones : [...this.cpusByZone.keys()];
+      for (const zone of zones)
+        for (const spot of purchaseOptions(spec)) {
+          if (!this.isCandidate(open, type, zone, spot)) continue;
+          const score = this.score(open, type, zone, spot, surcharge);
+          if (score !== null && (best === null || score < best.score)) best = { type, zone, spot, score };
+        }
+    }
+    return best;
+  }
+
+  /** A machine that would be ready no sooner than the queues get to the work, or that the job can wait for, is not worth its price. */
+  private isWorthBooting(demand: UnplacedDemand, type: MachineType, slackS: number): boolean {
+    if (demand.startsInS < type.bootS * this.input.policy.minQueueBootShare) return false;
+    return slackS <= type.bootS;
+  }
+
+  private isCandidate(open: OpenDemand, type: MachineType, zone: string, spot: boolean): boolean {
+    const { policy, hasCapacity } = this.input;
+    if (!isAllowed(open, type, zone, spot) || !hasCapacity(type.name, zone, spot)) return false;
+    const isLastChoice = policy.isCostAware && open.demand.job.spec.spot && !spot;
+    return !isLastChoice || needsOnDemand(open.demand, type, policy.burstCpus > 0);
+  }
+
+  /** The price per task that the machine can run, adjusted for its boot time and its zone; null where it can run none. */
+  private score(
+    open: OpenDemand,
+    type: MachineType,
+    zone: string,
+    spot: boolean,
+    surcharge: number,
+  ): number | null {
+    const slots = countFittingTasks(open.demand.job.spec, type);
+    const tasks = Math.min(open.tasksLeft, slots * tasksInSuccession(open.demand, type.bootS));
+    if (tasks < 1) return null;
+    const price = spot ? type.spotPrice : type.price;
+    const crowding = (this.cpusByZone.get(zone) ?? 0) * ZONE_CROWDING_PER_CPU;
+    return ((price + surcharge) / tasks) * (1 + type.bootS / BOOT_TIME_SCALE_S) + crowding;
+  }
+
+  private request(open: OpenDemand, { type, zone, spot }: Candidate): void {
+    if (open.demand.job.spec.oneZone) open.zone = zone;
+    this.requests.add(type, zone, spot, 1);
+    this.addCpus(zone, type.cpus);
+    const machine = requestedMachine(type, zone, spot);
+    this.incoming.push(machine);
+    assignTasks(open, machine);
+  }
+
+  private addCpus(zone: string, cpus: number): void {
+    this.cpusByZone.set(zone, (this.cpusByZone.get(zone) ?? 0) + cpus);
+  }
+}
+
+/** Whether one more of the tasks may be on a machine of this kind. */
+function isAllowed(open: OpenDemand, type: MachineType, zone: string, spot: boolean): boolean {
+  const { spec } = open.demand.job;
+  return (
+    fitsMachineType(spec, type) &&
+    (open.zone === null || zone === open.zone) &&
+    (!spot || spec.spot) &&
+    !isZoneFull(open, zone)
+  );
+}
+
+function isZoneFull(open: OpenDemand, zone: string): boolean {
+  return (open.tasksByZone.get(zone) ?? 0) >= open.maxPerZone;
+}
+
+/** Assigns as many of the tasks to an incoming machine as it can run in time. */
+function assignTasks(open: OpenDemand, machine: IncomingMachine): void {
+  const { cpus, gpus, memoryGb } = open.demand.job.spec;
+  const { zone } = machine;
+  const share = 1 / tasksInSuccession(open.demand, machine.readyInS);
+  while (
+    open.tasksLeft > 0 &&
+    machine.cpus >= cpus &&
+    machine.gpus >= gpus &&
+    machine.memoryGb >= memoryGb &&
+    !isZoneFull(open, zone)
+  ) {
+    machine.cpus -= cpus * share;
+    machine.gpus -= gpus * share;
+    machine.memoryGb -= memoryGb * share;
+    open.tasksByZone.set(zone, (open.tasksByZone.get(zone) ?? 0) + 1);
+    open.tasksLeft -= 1;
+  }
+}
--- a/packages/planner/src/fleet/spare-capacity.ts
+++ b/packages/planner/src/fleet/spare-capacity.ts
@@ -1,107 +1,138 @@
+/**
+ * Spare on-demand capacity, which services can take at once.
+ *
+ * @module
+ */
+
 import type { MachineType } from '@spurbridge/wire';
-import type { FleetInput, FleetMachine } from './plan-fleet.js';
 import type { ScaleOutRequests } from './scale-out-requests.js';
+import type { FleetInput, FleetMachine } from './types.js';
 
-/** Machines rented for the reserve by one plan of the fleet. */
+/** The most machines that one plan requests for spare capacity. */
 const MAX_MACHINES_PER_PLAN = 4;
 
+/** A kind of machine that could be requested for spare capacity. */
+interface Candidate {
+  readonly type: MachineType;
+  readonly zone: string;
+  readonly score: number;
+  /** The spare CPUs that the zone has already; 0 while the zones are even. */
+  readonly spareCpus: number;
+}
+
 /**
- * Ordinary room that services may take at once: free, or held by work that can be stopped for them. Where services spread
- * over zones, a zone's room serves only as far as the others have as much: all of the reserve once lay in one zone, and half
+ * On-demand CPUs that services can take at once: free, or used by work that can be preempted for them. Where services spread over
+ * zones, the spare CPUs of a zone count only as far as the other zones have as many: all of them once were in one zone, and half
  * of every new service waited for a machine to boot in another.
  */
 export class SpareCapacity {
-  private readonly zones = new Map<string, number>();
-  private cpus = 0;
-  private steady = 0;
+  private readonly spareCpusByZone = new Map<string, number>();
+  /** All on-demand CPUs. */
+  private onDemandCpus = 0;
+  /** The part of them that cannot be preempted for services. */
+  private nonPreemptibleCpus = 0;
 
   constructor(private readonly input: FleetInput) {
-    for (const m of input.machines) {
-      if (m.spot || !(m.isSchedulable || m.isBooting)) continue;
-      this.cpus += m.type.cpus;
-      this.steady += m.type.cpus - preemptibleCpus(m);
-      this.add(m.zone, preemptibleCpus(m));
+    for (const machine of input.machines) {
+      if (machine.spot || !(machine.isSchedulable || machine.isBooting)) continue;
+      const spareCpus = preemptibleCpus(machine);
+      this.onDemandCpus += machine.type.cpus;
+      this.nonPreemptibleCpus += machine.type.cpus - spareCpus;
+      this.addSpare(machine.zone, spareCpus);
     }
   }
 
-  private add(zone: string, cpus: number): void {
-    this.zones.set(zone, (this.zones.get(zone) ?? 0) + cpus);
+  /** Whether an on-demand machine can be removed without falling short of the target. */
+  canRemove({ zone, type }: FleetMachine): boolean {
+    return this.missingCpus(zone, type.cpus) <= 0;
+  }
+
+  /** Counts an on-demand machine as removed. */
+  remove(machine: FleetMachine): void {
+    this.onDemandCpus -= machine.type.cpus;
+    this.addSpare(machine.zone, -preemptibleCpus(machine));
+  }
+
+  /** Scales out for what is missing of the target, in the zone where most is missing. */
+  scaleOut(requests: ScaleOutRequests): void {
+    this.addRequested(requests);
+    const missing = this.missingCpus();
+    if (missing <= 0) return;
+    const best = this.bestCandidate(missing);
+    if (best === null) return;
+    // Several at once where much is missing, as after the loss of a zone; the zone that is short of most may change with each.
+    const count = Math.min(MAX_MACHINES_PER_PLAN, Math.ceil(missing / best.type.cpus));
+    requests.add(best.type, best.zone, false, count);
+  }
+
+  private addSpare(zone: string, cpus: number): void {
+    this.spareCpusByZone.set(zone, (this.spareCpusByZone.get(zone) ?? 0) + cpus);
   }
 
-  /** Room that the next services can use, in CPUs, with so much less of it in a zone. */
-  private usable(lessIn: string | null, less: number): number {
+  /** Counts the on-demand machines that are requested already. */
+  private addRequested(requests: ScaleOutRequests): void {
+    for (const request of requests.list()) {
+      const type = this.input.types.find(({ name }) => name === request.type);
+      if (request.spot || type === undefined) continue;
+      this.onDemandCpus += request.count * type.cpus;
+      this.addSpare(request.zone, request.count * type.cpus);
+    }
+  }
+
+  /** The spare CPUs that the next services can use, with so many less of them in a zone. */
+  private usableCpus(reducedZone: string | null, reduction: number): number {
     let sum = 0;
     let most = 0;
-    for (const [zone, cpus] of this.zones) {
-      const left = zone === lessIn ? cpus - less : cpus;
-      sum += left;
-      most = Math.max(most, left);
+    for (const [zone, cpus] of this.spareCpusByZone) {
+      const spareCpus = zone === reducedZone ? cpus - reduction : cpus;
+      sum += spareCpus;
+      most = Math.max(most, spareCpus);
     }
     return this.input.policy.spreadsServices ? Math.min(sum, 2 * (sum - most)) : sum;
   }
 
-  /** How much is missing of what the recent past says will be needed. */
-  private missing(lessIn: string | null = null, less = 0): number {
-    const { targetOnDemandCpus: targetOrdinaryCpus } = this.input.policy;
+  /** How many CPUs are missing of the target, with so many less in a zone; negative where there are more. */
+  private missingCpus(reducedZone: string | null = null, reduction = 0): number {
+    const { targetOnDemandCpus } = this.input.policy;
     return Math.max(
-      targetOrdinaryCpus - (this.cpus - less),
-      targetOrdinaryCpus - this.steady - this.usable(lessIn, less),
+      targetOnDemandCpus - (this.onDemandCpus - reduction),
+      targetOnDemandCpus - this.nonPreemptibleCpus - this.usableCpus(reducedZone, reduction),
     );
   }
 
-  /** Whether an ordinary machine may be given back or emptied without falling short. */
-  canRemove(m: FleetMachine): boolean {
-    return this.missing(m.zone, m.type.cpus) <= 0;
-  }
-
-  /** A machine is given back. */
-  remove(m: FleetMachine): void {
-    this.cpus -= m.type.cpus;
-    this.add(m.zone, -preemptibleCpus(m));
-  }
-
-  /** Rents a machine for what is missing, where it is missing most. */
-  scaleOut(rents: ScaleOutRequests): void {
-    const { types, hasCapacity: available } = this.input;
-    for (const r of rents.list()) {
-      const type = types.find((t) => t.name === r.type);
-      if (r.spot || type === undefined) continue;
-      this.cpus += r.count * type.cpus;
-      this.add(r.zone, r.count * type.cpus);
-    }
-    const missing = this.missing();
-    if (missing <= 0) return;
-    const isShort = this.input.policy.spreadsServices && this.usable(null, 0) < this.sum();
-    let best: { type: MachineType; zone: string; score: number; room: number } | null = null;
+  private bestCandidate(missing: number): Candidate | null {
+    const { types, policy, hasCapacity } = this.input;
+    const areZonesUneven = policy.spreadsServices && this.usableCpus(null, 0) < this.totalSpareCpus();
+    let best: Candidate | null = null;
     for (const type of types)
       for (const zone of type.zones) {
-        // More of what the roomiest zone has already would help nobody.
-        if (!available(type.name, zone, false) || this.missing(zone, -type.cpus) >= missing) continue;
+        // More in the zone that has most already helps nobody.
+        if (!hasCapacity(type.name, zone, false) || this.missingCpus(zone, -type.cpus) >= missing) continue;
         const score = type.price / Math.min(type.cpus, missing);
-        // Where the zones are uneven, the one with least room goes before the price.
-        const room = isShort ? (this.zones.get(zone) ?? 0) : 0;
-        if (best === null || room < best.room || (room === best.room && score < best.score))
-          best = { type, zone, score, room };
+        const spareCpus = areZonesUneven ? (this.spareCpusByZone.get(zone) ?? 0) : 0;
+        const candidate = { type, zone, score, spareCpus };
+        if (best === null || isBetter(candidate, best)) best = candidate;
       }
-    if (best === null) return;
-    // Several at once where much is missing, as after the loss of a zone; which zone is short of most may change with each.
-    rents.add(
-      best.type,
-      best.zone,
-      false,
-      Math.min(MAX_MACHINES_PER_PLAN, Math.ceil(missing / best.type.cpus)),
-    );
+    return best;
   }
 
-  private sum(): number {
+  private totalSpareCpus(): number {
     let sum = 0;
-    for (const cpus of this.zones.values()) sum += cpus;
+    for (const cpus of this.spareCpusByZone.values()) sum += cpus;
     return sum;
   }
 }
 
-/** CPUs of a machine that services may have, by what runs out first. */
-function preemptibleCpus(m: FleetMachine): number {
-  const share = Math.max(m.nonPreemptibleCpus / m.type.cpus, m.nonPreemptibleMemoryGb / m.type.memoryGb);
-  return m.type.cpus * Math.max(0, 1 - share);
+/** The zone with less spare capacity goes first, then the lower price. */
+function isBetter(candidate: Candidate, best: Candidate): boolean {
+  return (
+    candidate.spareCpus < best.spareCpus ||
+    (candidate.spareCpus === best.spareCpus && candidate.score < best.score)
+  );
+}
+
+/** The CPUs of a machine that services can have, by the resource that runs out first. */
+function preemptibleCpus({ type, nonPreemptibleCpus, nonPreemptibleMemoryGb }: FleetMachine): number {
+  const share = Math.max(nonPreemptibleCpus / type.cpus, nonPreemptibleMemoryGb / type.memoryGb);
+  return type.cpus * Math.max(0, 1 - share);
 }
