--- a/packages/configuration/src/records.ts
+++ b/packages/configuration/src/records.ts
@@ -1,90 +1,118 @@
+/**
+ * The records of the configuration in the key-value store: their keys, their contents and their encoding. The keys and
+ * the names of the encoded fields are the stored format; they must not change.
+ *
+ * @module
+ */
 import type { Objective } from '@spurbridge/model';
-import type { KeyValue, Version } from '@spurbridge/wire';
-import { ValidationError, read } from '@spurbridge/wire';
-import type { FieldChange } from './change.js';
-import type { Configuration, ConfigurationVersion, ConfiguredTeam } from './types.js';
+import { read } from '@spurbridge/wire';
+import type { FieldChange } from './differences.js';
+import type { ConfigurationVersion, ConfiguredTeam } from './types.js';
 
+/** Prefix of the keys of all configuration records. */
 export const CONFIGURATION_PREFIX = 'configuration/';
+/** Key of the head record. */
 export const HEAD_KEY = `${CONFIGURATION_PREFIX}head`;
+/** Key of the record of all objectives. */
 export const OBJECTIVES_KEY = `${CONFIGURATION_PREFIX}objectives`;
 
-export function pageKey(page: number): string {
-  return `${CONFIGURATION_PREFIX}teams/${page}`;
+/** Key of one page of teams. */
+export function pageKey(pageIndex: number): string {
+  return `${CONFIGURATION_PREFIX}teams/${pageIndex}`;
 }
 
-export function historyKey(segment: number): string {
-  return `${CONFIGURATION_PREFIX}history/${segment}`;
+/** Key of one segment of the history. */
+export function historyKey(segmentIndex: number): string {
+  return `${CONFIGURATION_PREFIX}history/${segmentIndex}`;
 }
 
-/** The record that every change writes: it says which page is of which version, so that no mixture is taken for a whole. */
+/**
+ * The record that every change writes. It names the version of each other record, so that records of different versions
+ * are never combined.
+ */
 export interface ConfigurationHead {
   readonly version: ConfigurationVersion;
   /** Version of each page of teams. */
   readonly pages: readonly ConfigurationVersion[];
+  /** Version of the record of objectives. */
   readonly objectives: ConfigurationVersion;
-  /** Id that the author gave to the change: a repeated request is told from another one. */
+  /** Id of the change that wrote this version, as its author chose it. */
   readonly changeId: string;
-  /** Segment of the history that is written now; earlier ones are written over in turn. */
+  /** Index of the history segment that is appended to; older segments are overwritten in turn. */
   readonly segment: number;
 }
 
-/** One change, as it is kept for people. */
+/** One committed change in the history. */
 export interface HistoryEntry {
   readonly version: ConfigurationVersion;
   readonly changeId: string;
   readonly author: string;
-  /** Time of day in milliseconds, within the platform's clock error. */
+  /** Wall-clock time of the change, in milliseconds since 1970. */
   readonly at: number;
   readonly differences: readonly FieldChange[];
-  /** Differences of a large change that are not kept one by one. */
+  /** Number of further differences, which a large change does not list. */
   readonly more: number;
 }
 
-/** A page of teams is one value of the state service. */
+/** One page of teams: a single value of the key-value store. */
 export interface TeamPage {
+  /** The version that wrote this page. */
   readonly version: ConfigurationVersion;
   readonly teams: readonly ConfiguredTeam[];
 }
 
-function versionIn(o: read.JsonObject, field: string): ConfigurationVersion {
-  return read.count(o, field) as ConfigurationVersion;
+/** The record of all objectives. */
+export interface ObjectivesRecord {
+  /** The version that wrote this record. */
+  readonly version: ConfigurationVersion;
+  readonly objectives: readonly Objective[];
+}
+
+function decodeVersion(fields: read.JsonObject, field: string): ConfigurationVersion {
+  return read.count(fields, field) as ConfigurationVersion;
 }
 
-export function encodeHead(h: ConfigurationHead): Record<string, unknown> {
-  return { ...h };
+/** Encodes the head record. */
+export function encodeHead(head: ConfigurationHead): Record<string, unknown> {
+  return { ...head };
 }
 
+/**
+ * Decodes the head record.
+ *
+ * @throws `ValidationError` for a malformed record
+ */
 export function decodeHead(value: unknown): ConfigurationHead {
-  const o = read.asObject(value, 'head');
-  const pages = read.asArray(o['pages'], 'pages').map((v) => versionIn({ v }, 'v'));
+  const fields = read.asObject(value, 'head');
+  const pages = read.asArray(fields['pages'], 'pages').map((v) => decodeVersion({ v }, 'v'));
   return {
-    version: versionIn(o, 'version'),
+    version: decodeVersion(fields, 'version'),
     pages,
-    objectives: versionIn(o, 'objectives'),
-    changeId: read.string(o, 'changeId'),
-    segment: read.count(o, 'segment'),
+    objectives: decodeVersion(fields, 'objectives'),
+    changeId: read.string(fields, 'changeId'),
+    segment: read.count(fields, 'segment'),
   };
 }
 
 /** JSON has no infinity: null stands for no limit. */
-function limitOut(amount: number): number | null {
-  return amount === Infinity ? null : amount;
+function encodeLimit(limit: number): number | null {
+  return limit === Infinity ? null : limit;
 }
 
-function limitIn(value: unknown, field: string): number {
+function decodeLimit(value: unknown, field: string): number {
   return value === null ? Infinity : read.amount({ [field]: value }, field);
 }
 
-export function encodePage(p: TeamPage): Record<string, unknown> {
-  const teams = p.teams.map((t) => [
-    t.name,
-    t.cpus,
-    limitOut(t.cpusMax),
-    t.gpus,
-    limitOut(t.gpusMax),
-    t.isRetired ? 1 : 0,
-  ]);
-  return { version: p.version, teams };
+/** A team is encoded as an array, since field names would take most of a page. */
+function encodeTeam(team: ConfiguredTeam): unknown[] {
+  return [
+    team.name,
+    team.cpus,
+    encodeLimit(team.cpusMax),
+    team.gpus,
+    encodeLimit(team.gpusMax),
+    team.isRetired ? 1 : 0,
+  ];
 }
 
 function decodeTeam(value: unknown): ConfiguredTeam {
@@ -92,106 +120,97 @@
   return {
     name: read.name({ name }, 'name'),
     cpus: read.amount({ cpus }, 'cpus'),
-    cpusMax: limitIn(cpusMax, 'cpusMax'),
+    cpusMax: decodeLimit(cpusMax, 'cpusMax'),
     gpus: read.amount({ gpus }, 'gpus'),
-    gpusMax: limitIn(gpusMax, 'gpusMax'),
+    gpusMax: decodeLimit(gpusMax, 'gpusMax'),
     isRetired: isRetired === 1,
   };
 }
 
-export function decodePage(value: unknown): TeamPage {
-  const o = read.asObject(value, 'page');
-  return { version: versionIn(o, 'version'), teams: read.asArray(o['teams'], 'teams').map(decodeTeam) };
+/** Encodes a page of teams. */
+export function encodePage(page: TeamPage): Record<string, unknown> {
+  return { version: page.version, teams: page.teams.map(encodeTeam) };
 }
 
-export interface ObjectivesRecord {
-  readonly version: ConfigurationVersion;
-  readonly objectives: readonly Objective[];
+/**
+ * Decodes a page of teams.
+ *
+ * @throws `ValidationError` for a malformed record
+ */
+export function decodePage(value: unknown): TeamPage {
+  const fields = read.asObject(value, 'page');
+  return {
+    version: decodeVersion(fields, 'version'),
+    teams: read.asArray(fields['teams'], 'teams').map(decodeTeam),
+  };
 }
 
-export function encodeObjectives(r: ObjectivesRecord): Record<string, unknown> {
-  return { ...r };
+/** Encodes the record of all objectives. */
+export function encodeObjectives(record: ObjectivesRecord): Record<string, unknown> {
+  return { ...record };
 }
 
+/**
+ * Parses one objective, as records and operators' requests state it.
+ *
+ * @throws `ValidationError` for a malformed objective
+ */
 export function parseObjective(value: unknown): Objective {
-  const o = read.asObject(value, 'objectives');
+  const fields = read.asObject(value, 'objectives');
   return {
-    kind: read.name(o, 'kind'),
-    class: read.optionalString(o, 'class'),
-    withinS: read.optionalAmount(o, 'withinS'),
-    share: read.optionalAmount(o, 'share'),
-    times: read.optionalAmount(o, 'times'),
+    kind: read.name(fields, 'kind'),
+    class: read.optionalString(fields, 'class'),
+    withinS: read.optionalAmount(fields, 'withinS'),
+    share: read.optionalAmount(fields, 'share'),
+    times: read.optionalAmount(fields, 'times'),
   };
 }
 
+/**
+ * Decodes the record of all objectives.
+ *
+ * @throws `ValidationError` for a malformed record
+ */
 export function decodeObjectives(value: unknown): ObjectivesRecord {
-  const o = read.asObject(value, 'objectives record');
+  const fields = read.asObject(value, 'objectives record');
   return {
-    version: versionIn(o, 'version'),
-    objectives: read.asArray(o['objectives'], 'objectives').map(parseObjective),
+    version: decodeVersion(fields, 'version'),
+    objectives: read.asArray(fields['objectives'], 'objectives').map(parseObjective),
   };
 }
 
+/** Encodes one segment of the history. */
 export function encodeHistory(entries: readonly HistoryEntry[]): Record<string, unknown> {
   return { entries };
 }
 
-export function decodeHistory(value: unknown): HistoryEntry[] {
-  const o = read.asObject(value, 'history');
-  return read.asArray(o['entries'], 'entries').map((v) => {
-    const e = read.asObject(v, 'entries');
-    return {
-      version: versionIn(e, 'version'),
-      changeId: read.string(e, 'changeId'),
-      author: read.string(e, 'author'),
-      at: read.amount(e, 'at'),
-      differences: read.asArray(e['differences'], 'differences').map((d) => {
-        const difference = read.asObject(d, 'differences');
-        return {
-          path: read.string(difference, 'path'),
-          from: read.string(difference, 'from'),
-          to: read.string(difference, 'to'),
-        };
-      }),
-      more: read.count(e, 'more'),
-    };
-  });
-}
-
-/** A whole configuration as it stands in the state service, with what a commit has to be conditioned on. */
-export interface StoredConfiguration {
-  readonly head: ConfigurationHead;
-  readonly configuration: Configuration;
-  /** Versions of the records, by key; a key that is missing does not exist. */
-  readonly recordVersions: ReadonlyMap<string, Version>;
-  readonly pages: readonly TeamPage[];
-}
-
-/** The records are not of one version: they were read while a change was written. */
-export class InconsistentRecordsError extends Error {}
+function decodeFieldChange(value: unknown): FieldChange {
+  const fields = read.asObject(value, 'differences');
+  return {
+    path: read.string(fields, 'path'),
+    from: read.string(fields, 'from'),
+    to: read.string(fields, 'to'),
+  };
+}
+
+function decodeHistoryEntry(value: unknown): HistoryEntry {
+  const fields = read.asObject(value, 'entries');
+  return {
+    version: decodeVersion(fields, 'version'),
+    changeId: read.string(fields, 'changeId'),
+    author: read.string(fields, 'author'),
+    at: read.amount(fields, 'at'),
+    differences: read.asArray(fields['differences'], 'differences').map(decodeFieldChange),
+    more: read.count(fields, 'more'),
+  };
+}
 
 /**
- * Puts the records together. Null: there is none. Throws a `MixedVersionsError` where they are not of one version, and a
- * `MalformedError` where one cannot be read.
+ * Decodes one segment of the history, oldest entry first.
+ *
+ * @throws `ValidationError` for a malformed record
  */
-export function readConfiguration(get: (key: string) => KeyValue | undefined): StoredConfiguration | null {
-  const headItem = get(HEAD_KEY);
-  if (headItem === undefined) return null;
-  const head = decodeHead(headItem.value);
-  const stamps = new Map<string, Version>([[HEAD_KEY, headItem.version]]);
-  const found = (key: string): KeyValue => {
-    const item = get(key);
-    if (item === undefined) throw new ValidationError(key, 'a record');
-    stamps.set(key, item.version);
-    return item;
-  };
-  const pages = head.pages.map((version, n) => {
-    const page = decodePage(found(pageKey(n)).value);
-    if (page.version !== version) throw new InconsistentRecordsError(pageKey(n));
-    return page;
-  });
-  const { version, objectives } = decodeObjectives(found(OBJECTIVES_KEY).value);
-  if (version !== head.objectives) throw new InconsistentRecordsError(OBJECTIVES_KEY);
-  const teams = pages.flatMap((p) => p.teams);
-  return { head, configuration: { version: head.version, teams, objectives }, recordVersions: stamps, pages };
+export function decodeHistory(value: unknown): HistoryEntry[] {
+  const fields = read.asObject(value, 'history');
+  return read.asArray(fields['entries'], 'entries').map(decodeHistoryEntry);
 }
--- a/packages/configuration/src/replica.ts
+++ b/packages/configuration/src/replica.ts
@@ -1,92 +1,116 @@
-import type { KeyValue, Version } from '@spurbridge/wire';
+/**
+ * A node's own copy of the configuration, which follows the records in the key-value store.
+ *
+ * @module
+ */
+import type { Version } from '@spurbridge/wire';
 import { ValidationError } from '@spurbridge/wire';
-import { HEAD_KEY, InconsistentRecordsError, readConfiguration } from './records.js';
+import { InconsistentRecordsError } from './errors.js';
+import { HEAD_KEY } from './records.js';
+import type { RecordLookup } from './stored-configuration.js';
+import { readConfiguration } from './stored-configuration.js';
 import type { Configuration, ConfigurationVersion } from './types.js';
 
 /**
- * file -> following <-> mixed, unreadable.
- * `file`: no change was ever made, the settings file holds. `mixed`: the records that were seen are not yet of one
- * version; `unreadable`: one of them cannot be read. In both the version before goes on holding.
+ * State of a replica:
+ *
+ * - `file`: no change was ever committed; the settings file applies.
+ * - `following`: the newest version that the node has seen applies.
+ * - `mixed`: the records that the node has seen belong to different versions.
+ * - `unreadable`: a record is malformed or missing.
+ *
+ * Transitions lead from `file` to the others, and between the other three. In `mixed` and `unreadable` the previous
+ * version still applies.
  */
 export type ConfigurationReplicaState = 'file' | 'following' | 'mixed' | 'unreadable';
 
+/** The part of a logger that a replica uses. */
+export interface ConfigurationLogger {
+  info(fields: object, message: string): void;
+  error(fields: object, message: string): void;
+}
+
+/** What a {@link ConfigurationReplica} reports to. */
 export interface ConfigurationReplicaOptions {
-  readonly log: {
-    info(fields: object, message: string): void;
-    error(fields: object, message: string): void;
-  };
-  /** Another version holds from now on. */
+  readonly log: ConfigurationLogger;
+  /** Called after another version has become the current one. */
   readonly onChange: (configuration: Configuration) => void;
 }
 
-/** The configuration that this node goes by: always one whole version, the newest that it has seen. */
+/** The configuration that applies on this node: always one whole version, the newest that the node has seen. */
 export class ConfigurationReplica {
-  private held: Configuration;
-  private stamp: Version | null = null;
+  private configuration: Configuration;
+  /** Store version of the head record at the last successful read. */
+  private headRecordVersion: Version | null = null;
   private currentState: ConfigurationReplicaState = 'file';
 
+  /** @param settingsFile - the configuration that applies until the first change is seen */
   constructor(
-    file: Configuration,
-    private readonly events: ConfigurationReplicaOptions,
+    settingsFile: Configuration,
+    private readonly options: ConfigurationReplicaOptions,
   ) {
-    this.held = file;
+    this.configuration = settingsFile;
   }
 
+  /** The configuration that applies now. */
   get current(): Configuration {
-    return this.held;
+    return this.configuration;
   }
 
+  /** Version of the configuration that applies now. */
   get version(): ConfigurationVersion {
-    return this.held.version;
+    return this.configuration.version;
   }
 
+  /** State of the replica. */
   get state(): ConfigurationReplicaState {
     return this.currentState;
   }
 
   /** The only function that changes the state. */
-  private enter(next: ConfigurationReplicaState, why: string): void {
+  private transitionTo(next: ConfigurationReplicaState, reason: string): void {
     if (next === this.currentState) return;
-    const from = this.currentState;
+    const previous = this.currentState;
     this.currentState = next;
-    this.events.log.info({ from, to: next, why, version: this.version }, 'configuration');
+    this.options.log.info({ from: previous, to: next, why: reason, version: this.version }, 'configuration');
   }
 
-  /** Looks at what this node knows of the state service; called whenever that may have changed. */
-  refresh(get: (key: string) => KeyValue | undefined): void {
-    const stamp = get(HEAD_KEY)?.version ?? null;
-    if (stamp === this.stamp && this.currentState !== 'mixed') return;
+  /** Reads the records again. To be called whenever this node's copy of the key-value store may have changed. */
+  refresh(lookup: RecordLookup): void {
+    const headRecordVersion = lookup(HEAD_KEY)?.version ?? null;
+    // Every change writes the head record, but in `mixed` the other records may arrive after it.
+    if (headRecordVersion === this.headRecordVersion && this.currentState !== 'mixed') return;
     try {
-      const stored = readConfiguration(get);
-      if (stored === null) this.vanished();
-      else this.take(stored.configuration);
-      this.stamp = stamp;
-    } catch (e) {
-      if (e instanceof InconsistentRecordsError) this.enter('mixed', e.message);
-      else if (e instanceof ValidationError) this.enter('unreadable', e.message);
-      else throw e;
+      const stored = readConfiguration(lookup);
+      if (stored === null) this.handleMissingRecords();
+      else this.adopt(stored.configuration);
+      this.headRecordVersion = headRecordVersion;
+    } catch (error) {
+      if (error instanceof InconsistentRecordsError) this.transitionTo('mixed', error.message);
+      else if (error instanceof ValidationError) this.transitionTo('unreadable', error.message);
+      else throw error;
     }
   }
 
-  /** No record, though one was seen: what is held goes on holding until another version is made. */
-  private vanished(): void {
+  /** The records are gone although a version was seen: that version applies until another one is committed. */
+  private handleMissingRecords(): void {
     if (this.currentState === 'file') return;
-    this.events.log.error({ version: this.version }, 'configuration is gone from the state service');
-    this.enter('unreadable', 'no record');
+    this.options.log.error({ version: this.version }, 'configuration is gone from the state service');
+    this.transitionTo('unreadable', 'no record');
   }
 
-  private take(next: Configuration): void {
-    const before = this.held.version;
-    if (next.version < before)
-      // What the state service holds after a loss is right (docs/state-loss.md); nobody is to miss it.
-      this.events.log.error({ from: before, to: next.version }, 'configuration went back');
-    this.held = next;
-    this.enter('following', `version ${next.version}`);
-    if (next.version === before) return;
-    this.events.log.info(
-      { from: before, to: next.version, teams: next.teams.length },
+  private adopt(next: Configuration): void {
+    const previousVersion = this.configuration.version;
+    if (next.version < previousVersion)
+      // After a data loss the store's contents are authoritative (docs/state-loss.md); operators must notice the loss.
+      this.options.log.error({ from: previousVersion, to: next.version }, 'configuration went back');
+    this.configuration = next;
+    this.transitionTo('following', `version ${next.version}`);
+    if (next.version === previousVersion) return;
+    this.options.log.info(
+      { from: previousVersion, to: next.version, teams: next.teams.length },
       'configuration changed',
     );
-    this.events.onChange(next);
+    this.options.onChange(next);
   }
 }
--- a/packages/configuration/src/requests.ts
+++ b/packages/configuration/src/requests.ts
@@ -1,77 +1,97 @@
+/**
+ * Parses and formats the bodies of operators' requests. Parsing is strict: a misspelt field must not pass for a change
+ * that was made.
+ *
+ * @module
+ */
 import { ValidationError, read } from '@spurbridge/wire';
-import type { Proposal } from './editor.js';
+import type { Proposal } from './proposal.js';
 import { parseObjective } from './records.js';
-import type { ConfigurationChange, ConfigurationVersion, TeamChange } from './types.js';
+import type { ConfigurationChange, ConfigurationVersion, ObjectivesChange, TeamChange } from './types.js';
 
 const TEAM_FIELDS: ReadonlySet<string> = new Set(['team', 'cpus', 'cpusMax', 'gpus', 'gpusMax', 'retired']);
+const OBJECTIVES_CHANGE_FIELDS: ReadonlySet<string> = new Set(['objectives']);
 const OBJECTIVE_FIELDS: ReadonlySet<string> = new Set(['kind', 'class', 'withinS', 'share', 'times']);
 const PROPOSAL_FIELDS: ReadonlySet<string> = new Set(['base', 'changeId', 'author', 'changes', 'dryRun']);
-const MOST_CHANGES = 5000;
+const MAX_CHANGES_PER_PROPOSAL = 5000;
 
-/** An operator's mistake in a field's name must not pass for a change that was made. */
-function refuseUnknown(o: read.JsonObject, known: ReadonlySet<string>, path: string): void {
-  for (const field of Object.keys(o))
+function rejectUnknownFields(fields: read.JsonObject, known: ReadonlySet<string>, path: string): void {
+  for (const field of Object.keys(fields))
     if (!known.has(field))
       throw new ValidationError(path === '' ? field : `${path}.${field}`, 'no such field');
 }
 
-/** A limit: an amount, or null for none. */
-function limit(o: read.JsonObject, field: string): number {
-  return o[field] === null ? Infinity : read.amount(o, field);
+/** Parses a limit: an amount, or null for none. */
+function parseLimit(fields: read.JsonObject, field: string): number {
+  return fields[field] === null ? Infinity : read.amount(fields, field);
 }
 
-function parseTeamChange(o: read.JsonObject, path: string): TeamChange {
-  refuseUnknown(o, TEAM_FIELDS, path);
+function parseTeamChange(fields: read.JsonObject): TeamChange {
+  rejectUnknownFields(fields, TEAM_FIELDS, '');
   return {
-    team: read.name(o, 'team'),
-    ...(o['cpus'] === undefined ? {} : { cpus: read.amount(o, 'cpus') }),
-    ...(o['cpusMax'] === undefined ? {} : { cpusMax: limit(o, 'cpusMax') }),
-    ...(o['gpus'] === undefined ? {} : { gpus: read.amount(o, 'gpus') }),
-    ...(o['gpusMax'] === undefined ? {} : { gpusMax: limit(o, 'gpusMax') }),
-    ...(o['retired'] === undefined ? {} : { isRetired: read.boolean(o, 'retired') }),
+    team: read.name(fields, 'team'),
+    ...(fields['cpus'] === undefined ? {} : { cpus: read.amount(fields, 'cpus') }),
+    ...(fields['cpusMax'] === undefined ? {} : { cpusMax: parseLimit(fields, 'cpusMax') }),
+    ...(fields['gpus'] === undefined ? {} : { gpus: read.amount(fields, 'gpus') }),
+    ...(fields['gpusMax'] === undefined ? {} : { gpusMax: parseLimit(fields, 'gpusMax') }),
+    ...(fields['retired'] === undefined ? {} : { isRetired: read.boolean(fields, 'retired') }),
   };
 }
 
-/** Reads one change, strictly: throws a `MalformedError` that names the field. */
+function parseObjectivesChange(fields: read.JsonObject): ObjectivesChange {
+  rejectUnknownFields(fields, OBJECTIVES_CHANGE_FIELDS, '');
+  const objectives = read.asArray(fields['objectives'], 'objectives').map((entry, index) => {
+    const path = `objectives[${index}]`;
+    rejectUnknownFields(read.asObject(entry, path), OBJECTIVE_FIELDS, path);
+    return parseObjective(entry);
+  });
+  return { objectives };
+}
+
+/**
+ * Parses one change.
+ *
+ * @param path - path of the change in what was sent, for error messages
+ * @throws `ValidationError` which names the malformed or unknown field
+ */
 export function parseChange(value: unknown, path: string): ConfigurationChange {
   return read.withFieldPath(path, () => {
-    const o = read.asObject(value, 'entry');
-    if (o['objectives'] === undefined) return parseTeamChange(o, '');
-    refuseUnknown(o, new Set(['objectives']), '');
-    const objectives = read.asArray(o['objectives'], 'objectives').map((entry, n) => {
-      refuseUnknown(read.asObject(entry, `objectives[${n}]`), OBJECTIVE_FIELDS, `objectives[${n}]`);
-      return parseObjective(entry);
-    });
-    return { objectives };
+    const fields = read.asObject(value, 'entry');
+    return fields['objectives'] === undefined ? parseTeamChange(fields) : parseObjectivesChange(fields);
   });
 }
 
+/** Formats one change as JSON, in which null stands for no limit. */
 export function formatChange(change: ConfigurationChange): Record<string, unknown> {
   if ('objectives' in change) return { objectives: change.objectives };
-  const { isRetired, ...rest } = change;
-  const limits = { cpusMax: rest.cpusMax, gpusMax: rest.gpusMax };
+  const { isRetired, ...amounts } = change;
+  const limits = { cpusMax: amounts.cpusMax, gpusMax: amounts.gpusMax };
+  const formattedLimits = Object.entries(limits)
+    .filter(([, limit]) => limit !== undefined)
+    .map(([field, limit]) => [field, limit === Infinity ? null : limit] as const);
   return {
-    ...rest,
-    ...Object.fromEntries(
-      Object.entries(limits)
-        .filter(([, amount]) => amount !== undefined)
-        .map(([field, amount]) => [field, amount === Infinity ? null : amount]),
-    ),
+    ...amounts,
+    ...Object.fromEntries(formattedLimits),
     ...(isRetired === undefined ? {} : { retired: isRetired }),
   };
 }
 
+/**
+ * Parses the body of a request for changes.
+ *
+ * @throws `ValidationError` which names the malformed or unknown field
+ */
 export function parseProposal(body: unknown): Proposal {
-  const o = read.asObject(body, 'body');
-  refuseUnknown(o, PROPOSAL_FIELDS, '');
-  const changes = read.asArray(o['changes'], 'changes');
-  if (changes.length === 0 || changes.length > MOST_CHANGES)
-    throw new ValidationError('changes', `1 to ${MOST_CHANGES} of them`);
+  const fields = read.asObject(body, 'body');
+  rejectUnknownFields(fields, PROPOSAL_FIELDS, '');
+  const changes = read.asArray(fields['changes'], 'changes');
+  if (changes.length === 0 || changes.length > MAX_CHANGES_PER_PROPOSAL)
+    throw new ValidationError('changes', `1 to ${MAX_CHANGES_PER_PROPOSAL} of them`);
   return {
-    baseVersion: read.count(o, 'base') as ConfigurationVersion,
-    changeId: read.name(o, 'changeId'),
-    author: read.name(o, 'author'),
-    changes: changes.map((change, n) => parseChange(change, `changes[${n}]`)),
-    isDryRun: read.booleanOrFalse(o, 'dryRun'),
+    baseVersion: read.count(fields, 'base') as ConfigurationVersion,
+    changeId: read.name(fields, 'changeId'),
+    author: read.name(fields, 'author'),
+    changes: changes.map((change, index) => parseChange(change, `changes[${index}]`)),
+    isDryRun: read.booleanOrFalse(fields, 'dryRun'),
   };
 }
--- a/packages/configuration/src/types.ts
+++ b/packages/configuration/src/types.ts
@@ -1,59 +1,61 @@
+/**
+ * The configuration that operators may change while jobs run, and the changes that they request.
+ *
+ * @module
+ */
 import type { Objective, Team } from '@spurbridge/model';
 import type { Brand } from '@spurbridge/wire';
 
-/** Number of a configuration: 0 is the settings file, every change adds one. */
+/** Number of a configuration: 0 is the settings file, and every committed change adds one. */
 export type ConfigurationVersion = Brand<number, 'ConfigurationVersion'>;
 
+/** Version of the configuration in the settings file, which applies until the first change is committed. */
 export const SETTINGS_FILE_VERSION = 0 as ConfigurationVersion;
 
-/** A team with its quota; one that is retired takes no new job, what was accepted runs on. */
+/** A team with its quota. A retired team may submit no new jobs; accepted ones run on. */
 export interface ConfiguredTeam extends Team {
   readonly isRetired: boolean;
 }
 
-/** Everything that operators may change while jobs run. Never changed in place: each version is an object of its own. */
+/** One version of everything that operators may change while jobs run. Immutable: each version is a new object. */
 export interface Configuration {
   readonly version: ConfigurationVersion;
   readonly teams: readonly ConfiguredTeam[];
   readonly objectives: readonly Objective[];
 }
 
-/** One team's new amounts; what is left out stays, and is nothing (no limit) for a team that is new. */
+/**
+ * New quotas of one team. Omitted amounts keep their values; for a new team they default to a guarantee of 0 and to no
+ * limit.
+ */
 export interface TeamChange {
   readonly team: string;
   readonly cpus?: number;
   /** Infinity: no limit. */
   readonly cpusMax?: number;
   readonly gpus?: number;
+  /** Infinity: no limit. */
   readonly gpusMax?: number;
   readonly isRetired?: boolean;
 }
 
-/** All objectives anew. */
+/** Replaces all service-level objectives. */
 export interface ObjectivesChange {
   readonly objectives: readonly Objective[];
 }
 
+/** One change that an operator requests; several of them are committed together. */
 export type ConfigurationChange = TeamChange | ObjectivesChange;
 
-/** Amounts that the guarantees of all teams together may not exceed; Infinity: no bound. */
+/** Upper bounds of the sums of all teams' guarantees; Infinity: no bound. */
 export interface GuaranteeBound {
   readonly cpus: number;
   readonly gpus: number;
 }
 
+/** The bound of a deployment that sets none. */
 export const UNBOUNDED_GUARANTEES: GuaranteeBound = { cpus: Infinity, gpus: Infinity };
 
-/** A change that is not made, with the field that is wrong. */
-export class InvalidChangeError extends Error {
-  constructor(
-    readonly field: string,
-    reason: string,
-  ) {
-    super(`${field}: ${reason}`);
-  }
-}
-
 /** The configuration that the settings file states. */
 export function configurationFromSettings(
   teams: readonly Team[],
@@ -61,7 +63,7 @@
 ): Configuration {
   return {
     version: SETTINGS_FILE_VERSION,
-    teams: teams.map((t) => ({ ...t, isRetired: false })),
+    teams: teams.map((team) => ({ ...team, isRetired: false })),
     objectives,
   };
 }
