--- a/packages/snapshot/src/format.ts
+++ b/packages/snapshot/src/format.ts
@@ -1,103 +1,136 @@
+/**
+ * The file format of snapshots: one line of JSON as a header, then the records as JSON, compressed.
+ *
+ * @module
+ */
 import { brotliDecompressSync } from 'node:zlib';
 import type { ReplicaEntry } from '@spurbridge/recovery';
 import { compress, sha256Hex } from '@spurbridge/recovery';
 import type { Revision, Version } from '@spurbridge/wire';
 import { ValidationError, read } from '@spurbridge/wire';
+import { SnapshotFormatError } from './errors.js';
 
-const FORMAT = 'spurbridge-snapshot';
-/** Raised by every change that older programs could not read. */
+const FORMAT_NAME = 'spurbridge-snapshot';
+/** Version of the file format, raised by every change that older programs could not read. */
 export const SNAPSHOT_FORMAT_VERSION = 1;
-const MOST_HEADER = 4096;
+const MAX_HEADER_BYTES = 4096;
+const HEADER_END = '\n';
 
-/** What a snapshot says of itself, before anything is unpacked. */
-export interface SnapshotHeader {
+/** The state of the key-value store that a snapshot holds. */
+export interface SnapshotOrigin {
+  /** Id of the deployment, which it got at its first start. */
   readonly deployment: string;
-  /** Number of the state service's epoch, and all of its changes up to this revision. */
+  /** Number of the epoch in which the snapshot was taken. */
   readonly epoch: number;
+  /** The snapshot holds the effect of all changes up to this revision. */
   readonly revision: Revision;
-  /** Time of day in milliseconds since 1970. */
+  /** Wall-clock time in milliseconds since 1970. */
   readonly takenAt: number;
+}
+
+/** The header of a snapshot file, which is readable without unpacking the records. */
+export interface SnapshotHeader extends SnapshotOrigin {
+  /** Number of records. */
   readonly records: number;
-  /** Bytes of the records before compression. */
+  /** Size of the records before compression, in bytes. */
   readonly plainBytes: number;
-  /** SHA-256 of the compressed bytes. */
+  /** SHA-256 of the compressed records, in hexadecimal. */
   readonly digest: string;
 }
 
-/** A state service's records up to one revision; a memory to be merged (docs/state-loss.md). */
+/** All records of the key-value store as of one revision: a replica that recovery can merge (docs/state-loss.md). */
 export interface Snapshot extends SnapshotHeader {
   get(key: string): ReplicaEntry | undefined;
   keys(): IterableIterator<string>;
 }
 
-/** Why a file is no snapshot that may be used. */
-export class SnapshotFormatError extends Error {}
+/** A decoded header, with the position at which the compressed records begin. */
+export interface DecodedHeader {
+  readonly header: SnapshotHeader;
+  readonly bodyOffset: number;
+}
 
-/** One line of JSON, then the records, compressed. */
+/** Encodes a snapshot file. */
 export function encodeSnapshot(
-  h: Pick<SnapshotHeader, 'deployment' | 'epoch' | 'revision' | 'takenAt'>,
+  origin: SnapshotOrigin,
   entries: Iterable<readonly [string, ReplicaEntry]>,
 ): Buffer {
-  const records = [...entries].map(([key, s]) => [key, s.version, s.text]);
-  const plain = JSON.stringify(records);
-  const body = compress(plain);
+  const records = [...entries].map(([key, entry]) => [key, entry.version, entry.text]);
+  const plainText = JSON.stringify(records);
+  const body = compress(plainText);
   const header = {
-    format: FORMAT,
+    format: FORMAT_NAME,
     version: SNAPSHOT_FORMAT_VERSION,
-    ...h,
-    takenAt: Math.round(h.takenAt),
+    ...origin,
+    takenAt: Math.round(origin.takenAt),
     records: records.length,
-    plainBytes: Buffer.byteLength(plain),
+    plainBytes: Buffer.byteLength(plainText),
     digest: sha256Hex(body),
   };
-  return Buffer.concat([Buffer.from(`${JSON.stringify(header)}\n`), body]);
+  return Buffer.concat([Buffer.from(`${JSON.stringify(header)}${HEADER_END}`), body]);
 }
 
-/** The header alone. Throws `BadSnapshotError`, which says what is wrong. */
-export function decodeSnapshotHeader(bytes: Buffer): {
-  readonly header: SnapshotHeader;
-  readonly bodyAt: number;
-} {
-  const end = bytes.subarray(0, MOST_HEADER).indexOf('\n');
-  if (end < 0) throw new SnapshotFormatError('no header: this is no snapshot, or it was cut short');
+function parseHeader(text: string): SnapshotHeader {
+  const fields = read.asObject(JSON.parse(text), 'header');
+  if (fields['format'] !== FORMAT_NAME) throw new ValidationError('format', FORMAT_NAME);
+  if (fields['version'] !== SNAPSHOT_FORMAT_VERSION)
+    throw new ValidationError('version', String(SNAPSHOT_FORMAT_VERSION));
+  return {
+    deployment: read.name(fields, 'deployment'),
+    epoch: read.count(fields, 'epoch', 1),
+    revision: read.count(fields, 'revision') as Revision,
+    takenAt: read.count(fields, 'takenAt'),
+    records: read.count(fields, 'records'),
+    plainBytes: read.count(fields, 'plainBytes'),
+    digest: read.string(fields, 'digest'),
+  };
+}
+
+/** Runs a step of decoding, whose errors of any kind mean that the file is not a valid snapshot. */
+function asFormatError<Result>(decode: () => Result): Result {
   try {
-    const o = read.asObject(JSON.parse(bytes.subarray(0, end).toString()), 'header');
-    if (o['format'] !== FORMAT) throw new ValidationError('format', FORMAT);
-    if (o['version'] !== SNAPSHOT_FORMAT_VERSION)
-      throw new ValidationError('version', String(SNAPSHOT_FORMAT_VERSION));
-    const header: SnapshotHeader = {
-      deployment: read.name(o, 'deployment'),
-      epoch: read.count(o, 'epoch', 1),
-      revision: read.count(o, 'revision') as Revision,
-      takenAt: read.count(o, 'takenAt'),
-      records: read.count(o, 'records'),
-      plainBytes: read.count(o, 'plainBytes'),
-      digest: read.string(o, 'digest'),
-    };
-    return { header, bodyAt: end + 1 };
-  } catch (e) {
-    throw new SnapshotFormatError(e instanceof Error ? e.message : String(e));
+    return decode();
+  } catch (error) {
+    throw new SnapshotFormatError(error instanceof Error ? error.message : String(error), { cause: error });
   }
 }
 
-/** Reads and checks a whole snapshot. Throws `BadSnapshotError`. */
+/**
+ * Decodes the header alone.
+ *
+ * @throws {@link SnapshotFormatError} which names what is wrong
+ */
+export function decodeSnapshotHeader(bytes: Buffer): DecodedHeader {
+  const headerEnd = bytes.subarray(0, MAX_HEADER_BYTES).indexOf(HEADER_END);
+  if (headerEnd < 0) throw new SnapshotFormatError('no header: this is no snapshot, or it was cut short');
+  const header = asFormatError(() => parseHeader(bytes.subarray(0, headerEnd).toString()));
+  return { header, bodyOffset: headerEnd + HEADER_END.length };
+}
+
+function decodeRecords(body: Buffer): Map<string, ReplicaEntry> {
+  const entries = new Map<string, ReplicaEntry>();
+  const plainText = brotliDecompressSync(body).toString();
+  for (const record of read.asArray(JSON.parse(plainText), 'records')) {
+    const [key, version, text] = read.asArray(record, 'record');
+    if (typeof key !== 'string' || typeof version !== 'number' || typeof text !== 'string')
+      throw new ValidationError('record', 'a key, a version and a value');
+    entries.set(key, { version: version as Version, text });
+  }
+  return entries;
+}
+
+/**
+ * Decodes a whole snapshot and verifies its checksum and its number of records.
+ *
+ * @throws {@link SnapshotFormatError} which names what is wrong
+ */
 export function decodeSnapshot(bytes: Buffer): Snapshot {
-  const { header, bodyAt } = decodeSnapshotHeader(bytes);
-  const body = bytes.subarray(bodyAt);
+  const { header, bodyOffset } = decodeSnapshotHeader(bytes);
+  const body = bytes.subarray(bodyOffset);
   if (sha256Hex(body) !== header.digest)
     throw new SnapshotFormatError('the checksum does not match: it is damaged');
-  const seen = new Map<string, ReplicaEntry>();
-  try {
-    for (const entry of read.asArray(JSON.parse(brotliDecompressSync(body).toString()), 'records')) {
-      const [key, version, text] = read.asArray(entry, 'record');
-      if (typeof key !== 'string' || typeof version !== 'number' || typeof text !== 'string')
-        throw new ValidationError('record', 'a key, a version and a value');
-      seen.set(key, { version: version as Version, text });
-    }
-  } catch (e) {
-    throw new SnapshotFormatError(e instanceof Error ? e.message : String(e));
-  }
-  if (seen.size !== header.records)
-    throw new SnapshotFormatError(`records: expected ${header.records}, found ${seen.size}`);
-  return { ...header, get: (key) => seen.get(key), keys: () => seen.keys() };
+  const entries = asFormatError(() => decodeRecords(body));
+  if (entries.size !== header.records)
+    throw new SnapshotFormatError(`records: expected ${header.records}, found ${entries.size}`);
+  return { ...header, get: (key) => entries.get(key), keys: () => entries.keys() };
 }
--- a/packages/snapshot/src/restore.ts
+++ b/packages/snapshot/src/restore.ts
@@ -1,151 +1,155 @@
-import type { WallClockMs } from '@spurbridge/model';
-import type { Clock } from '@spurbridge/net';
+/**
+ * Takes snapshots of the key-value store on an operator's command, and restores them.
+ *
+ * @module
+ */
 import type { EpochNumber, EpochReplica } from '@spurbridge/recovery';
-import {
-  Replica,
-  StoreRecovery,
-  decodeEpoch,
-  isControlKey,
-  isTombstone,
-  mergeReplicas,
-} from '@spurbridge/recovery';
-import type { KeyValueStore } from '@spurbridge/store';
-import type { NodeId, Revision, FencingToken } from '@spurbridge/wire';
+import { StoreRecovery, isControlKey, mergeReplicas } from '@spurbridge/recovery';
+import type { FencingToken, NodeId, Revision } from '@spurbridge/wire';
+import { KEY_ABSENT } from '@spurbridge/wire';
+import { SnapshotToolError } from './errors.js';
 import type { Snapshot } from './format.js';
 import { encodeSnapshot } from './format.js';
+import type { SnapshotToolOptions, StoreContents } from './store-reader.js';
+import { readStoreContents } from './store-reader.js';
 
-/** Watching on after a list of many pages ends once nothing more is shown for this long. */
-const SETTLE_MS = 200;
-const ROUNDS = 20;
-
-export interface SnapshotToolOptions {
-  readonly raw: KeyValueStore;
-  readonly clock: Clock;
-  readonly wallNow: () => WallClockMs;
-  readonly valueKb: number;
-  /** Number of controllers, which take part when the fence moves. */
-  readonly controllerCount: number;
-  readonly log: { info(fields: object, message: string): void };
-}
-
-export class SnapshotToolError extends Error {}
+const RESTORE_NODE = 'restore' as NodeId;
+const NO_TOKEN = 0 as FencingToken;
 
-interface StoreNow {
-  readonly copy: Replica;
+/** A snapshot that was taken from the key-value store. */
+export interface TakenSnapshot {
+  /** The snapshot file. */
+  readonly bytes: Buffer;
   readonly epoch: number;
-  readonly deployment: string | null;
-  readonly floor: number;
+  readonly revision: Revision;
 }
 
-/** Reads a whole state service that is being written to, consistently as of one revision. */
-async function readNow(t: SnapshotToolOptions): Promise<StoreNow> {
-  const listed = await t.raw.list('', 1);
-  if (listed.outcome !== 'listed') throw new SnapshotToolError('the state service does not answer');
-  const copy = new Replica();
-  copy.replaceAll(
-    listed.items.filter((i) => !isTombstone(i.value)),
-    listed.revision,
-  );
-  // Pages were read one after the other: what changed meanwhile makes them one state.
-  for (let n = 0; copy.revision < listed.latest && n < ROUNDS; n += 1) {
-    const seen = await t.raw.watch('', copy.revision, SETTLE_MS);
-    if (seen.outcome === 'events') copy.applyWatchEvents(seen.events, seen.revision);
-    else await t.clock.sleep(SETTLE_MS);
-  }
-  if (copy.revision < listed.latest)
-    throw new SnapshotToolError('the state service does not answer its watch');
-  const epoch = decodeEpoch(listed.items.find((i) => i.key === 'epoch')?.value);
-  return {
-    copy,
-    epoch: epoch?.number ?? 0,
-    deployment: epoch?.deployment ?? null,
-    floor: epoch?.floor ?? 0,
-  };
+/** What restoring a snapshot changes. */
+export interface RestoreDifference {
+  /** Keys that the key-value store lacks. */
+  readonly addedKeys: readonly string[];
+  /** Keys whose records in the key-value store are older than those of the snapshot. */
+  readonly replacedKeys: readonly string[];
+  /** Number of records in the key-value store that stay as they are. */
+  readonly keptCount: number;
 }
 
-/** Takes a snapshot of the state service as it is now. */
-export async function takeSnapshot(
-  t: SnapshotToolOptions,
-): Promise<{ readonly bytes: Buffer; readonly epoch: number; readonly revision: Revision }> {
-  const { copy, epoch, deployment } = await readNow(t);
+/**
+ * Takes a snapshot of the key-value store as it is now.
+ *
+ * @throws {@link SnapshotToolError} where the store does not respond or has no epoch
+ */
+export async function takeSnapshot(options: SnapshotToolOptions): Promise<TakenSnapshot> {
+  const { replica, epoch, deployment } = await readStoreContents(options);
   if (deployment === null)
     throw new SnapshotToolError('the state service has no epoch: no controller has run on it');
-  const head = { deployment, epoch, revision: copy.revision, takenAt: t.wallNow() };
-  return { bytes: encodeSnapshot(head, copy.entries()), epoch, revision: copy.revision };
+  const origin = { deployment, epoch, revision: replica.revision, takenAt: options.wallNow() };
+  return { bytes: encodeSnapshot(origin, replica.entries()), epoch, revision: replica.revision };
 }
 
-/** What putting a snapshot back would change. */
-export interface RestoreDifference {
-  readonly addedKeys: readonly string[];
-  readonly replacedKeys: readonly string[];
-  /** Records of the state service that the snapshot does not have, or older: they stay. */
-  readonly keptCount: number;
+/**
+ * A store that was emptied while no controller kept a replica began as a new deployment. Only a person can know that a
+ * snapshot is of the deployment before it.
+ */
+function checkDeployment(
+  contents: StoreContents,
+  snapshot: Snapshot,
+  acceptedDeployment: string | null,
+): void {
+  const { deployment } = snapshot;
+  const isSame = contents.deployment === null || contents.deployment === deployment;
+  if (isSame || acceptedDeployment === deployment) return;
+  throw new SnapshotToolError(
+    `the snapshot is of deployment ${deployment}, the state service of ${contents.deployment}: refused ` +
+      `(--deployment ${deployment} if it is the same one before all was lost)`,
+  );
 }
 
-async function differences(
-  t: SnapshotToolOptions,
-  s: Snapshot,
-  accepted: string | null,
-): Promise<{ now: StoreNow; difference: RestoreDifference }> {
-  const now = await readNow(t);
-  // A state service that was emptied, with nobody left to remember, began as a deployment of its own: only a person
-  // can tell that the snapshot is of the one before.
-  if (now.deployment !== null && now.deployment !== s.deployment && accepted !== s.deployment)
-    throw new SnapshotToolError(
-      `the snapshot is of deployment ${s.deployment}, the state service of ${now.deployment}: refused ` +
-        `(--deployment ${s.deployment} if it is the same one before all was lost)`,
-    );
-  const store: EpochReplica = { epoch: now.epoch, get: (k) => now.copy.get(k), keys: () => now.copy.keys() };
-  const due = mergeReplicas(store, [s]).filter((r) => !isControlKey(r.key));
-  const missing = due.filter((r) => r.over === 0).map((r) => r.key);
-  const changed = due.filter((r) => r.over !== 0).map((r) => r.key);
+function compareWithSnapshot({ replica, epoch }: StoreContents, snapshot: Snapshot): RestoreDifference {
+  const current: EpochReplica = { epoch, get: (key) => replica.get(key), keys: () => replica.keys() };
+  const repairs = mergeReplicas(current, [snapshot]).filter((repair) => !isControlKey(repair.key));
+  const added = repairs.filter((repair) => repair.over === KEY_ABSENT);
+  const replaced = repairs.filter((repair) => repair.over !== KEY_ABSENT);
   return {
-    now,
-    difference: { addedKeys: missing, replacedKeys: changed, keptCount: now.copy.size - changed.length },
+    addedKeys: added.map((repair) => repair.key),
+    replacedKeys: replaced.map((repair) => repair.key),
+    keptCount: replica.size - replaced.length,
   };
 }
 
-/** What `restore` would do; nothing is written. */
+/**
+ * Reports what {@link restoreSnapshot} would change; nothing is written.
+ *
+ * @param acceptedDeployment - id of another deployment whose snapshots are accepted, or null
+ * @throws {@link SnapshotToolError} where the store does not respond or the snapshot is of another deployment
+ */
 export async function previewRestore(
-  t: SnapshotToolOptions,
-  s: Snapshot,
-  accepted: string | null = null,
+  options: SnapshotToolOptions,
+  snapshot: Snapshot,
+  acceptedDeployment: string | null = null,
 ): Promise<RestoreDifference> {
-  return (await differences(t, s, accepted)).difference;
+  const contents = await readStoreContents(options);
+  checkDeployment(contents, snapshot, acceptedDeployment);
+  return compareWithSnapshot(contents, snapshot);
 }
 
 /**
- * Puts a snapshot back by moving the fence, as after a loss: controllers that run take part with what they remember, and
- * whatever is newer than the snapshot stays. It opens as an epoch in which machines are asked first.
+ * Restores a snapshot by beginning a new epoch, as after a data loss: running controllers contribute their replicas, and
+ * whatever is newer than the snapshot stays. The new epoch opens as a discontinuous one, so that the next leader asks
+ * all machines what they run before it relies on the records.
+ *
+ * @param timeoutMs - how long the new epoch may take to open
+ * @param acceptedDeployment - id of another deployment whose snapshots are accepted, or null
+ * @throws {@link SnapshotToolError} where the store does not respond, the snapshot is of another deployment, or no epoch
+ *   opened in time
  */
 export async function restoreSnapshot(
-  t: SnapshotToolOptions,
-  s: Snapshot,
-  patienceMs: number,
-  accepted: string | null = null,
+  options: SnapshotToolOptions,
+  snapshot: Snapshot,
+  timeoutMs: number,
+  acceptedDeployment: string | null = null,
 ): Promise<RestoreDifference> {
-  const { now, difference } = await differences(t, s, accepted);
-  const gathering = new StoreRecovery({
-    ...t,
-    node: 'restore' as NodeId,
-    // It gives no orders itself: with all controllers it is one more.
-    nodes: t.controllerCount + 1,
+  const contents = await readStoreContents(options);
+  checkDeployment(contents, snapshot, acceptedDeployment);
+  const difference = compareWithSnapshot(contents, snapshot);
+  const recovery = createRecovery(options, contents, snapshot);
+  const deadline = options.clock.now() + timeoutMs;
+  while (options.clock.now() < deadline) {
+    const openEpoch = await recovery.attempt();
+    if (openEpoch !== null) return difference;
+  }
+  throw new SnapshotToolError('no epoch opened in time: look at the controllers, then try again');
+}
+
+/** A recovery in which this command takes part with the snapshot as its replica. */
+function createRecovery(
+  options: SnapshotToolOptions,
+  contents: StoreContents,
+  snapshot: Snapshot,
+): StoreRecovery {
+  const { raw, clock, wallNow, valueKb, log } = options;
+  return new StoreRecovery({
+    raw,
+    clock,
+    wallNow,
+    valueKb,
+    log,
+    node: RESTORE_NODE,
+    // This command takes part besides all controllers.
+    nodes: options.controllerCount + 1,
     localState: () => ({
-      replicaEpoch: now.epoch as EpochNumber,
-      highestKnownEpoch: now.epoch,
-      deployment: now.deployment ?? s.deployment,
-      tokenFloor: now.floor,
-      lastLedToken: 0 as FencingToken,
-      highestSeenToken: 0 as FencingToken,
+      replicaEpoch: contents.epoch as EpochNumber,
+      highestKnownEpoch: contents.epoch,
+      deployment: contents.deployment ?? snapshot.deployment,
+      tokenFloor: contents.tokenFloor,
+      lastLedToken: NO_TOKEN,
+      highestSeenToken: NO_TOKEN,
       continuous: false,
       highestLeaseId: 0,
-      replicas: [s],
+      replicas: [snapshot],
     }),
     reachablePeers: () => ({ peers: [], ahead: 0 }),
     onEpochObserved: () => undefined,
     onEpochJoined: () => undefined,
   });
-  const until = t.clock.now() + patienceMs;
-  while (t.clock.now() < until) if ((await gathering.attempt()) !== null) return difference;
-  throw new SnapshotToolError('no epoch opened in time: look at the controllers, then try again');
 }
--- a/packages/snapshot/src/snapshotter.ts
+++ b/packages/snapshot/src/snapshotter.ts
@@ -1,51 +1,64 @@
+/**
+ * Takes snapshots of a node's replica at an interval.
+ *
+ * @module
+ */
 import type { WallClockMs } from '@spurbridge/model';
 import type { Clock } from '@spurbridge/net';
 import type { RecoverableStore } from '@spurbridge/recovery';
+import { snapshotName } from './directory.js';
 import { encodeSnapshot } from './format.js';
 import type { SnapshotRepository } from './repository.js';
-import { snapshotName } from './repository.js';
 
+/** The part of a logger that the snapshotter uses. */
+export interface SnapshotLogger {
+  info(fields: object, message: string): void;
+  error(fields: object, message: string): void;
+}
+
+/** What the snapshotter works with. */
 export interface SnapshotterOptions {
   readonly store: RecoverableStore;
   readonly repository: SnapshotRepository;
+  /** Name of this node, which becomes part of the file names. */
   readonly node: string;
+  /** Time between two snapshots, in milliseconds. */
   readonly intervalMs: number;
-  /** Snapshots of all nodes kept in the directory. */
+  /** Number of snapshots of all nodes that the repository keeps. */
   readonly maxSnapshots: number;
   readonly clock: Clock;
   readonly wallNow: () => WallClockMs;
-  readonly log: { info(fields: object, message: string): void; error(fields: object, message: string): void };
+  readonly log: SnapshotLogger;
 }
 
 /**
- * Takes a snapshot of the node's copy once in a while: consistent at its revision, and without a request to the state
- * service, since the copy is there already.
+ * Saves a snapshot at each interval for as long as the process runs. The replica is consistent as of its revision, so a
+ * snapshot needs no request to the key-value store.
  */
-export async function runSnapshotter(p: SnapshotterOptions): Promise<never> {
+export async function runSnapshotter(options: SnapshotterOptions): Promise<never> {
   for (;;) {
-    await p.clock.sleep(p.intervalMs);
+    await options.clock.sleep(options.intervalMs);
     try {
-      await saveSnapshot(p);
-    } catch (e) {
-      // A full or missing disk must not end the node: the next try may do better.
-      p.log.error({ error: String(e) }, 'snapshot could not be kept');
+      await saveSnapshot(options);
+    } catch (error) {
+      // A full or missing disk must not end the node: the next attempt may succeed.
+      options.log.error({ error: String(error) }, 'snapshot could not be kept');
     }
   }
 }
 
-/** Takes one now; null while the state service is not trusted. Returns its name. */
-export async function saveSnapshot(p: SnapshotterOptions): Promise<string | null> {
-  const remembered = p.store.replicaSnapshot();
-  if (remembered === null) return null;
-  const { epoch, revision, copy } = remembered;
-  const began = p.clock.now();
-  const head = { deployment: epoch.deployment, epoch: epoch.number, revision, takenAt: p.wallNow() };
-  const bytes = encodeSnapshot(head, copy.entries());
-  const name = snapshotName(head, p.node);
-  await p.repository.save(name, bytes, p.maxSnapshots);
-  p.log.info(
-    { name, records: copy.size, bytes: bytes.length, ms: Math.round(p.clock.now() - began) },
-    'snapshot kept',
-  );
+/** Saves one snapshot and returns its name; null while the integrity of the key-value store is in doubt. */
+export async function saveSnapshot(options: SnapshotterOptions): Promise<string | null> {
+  const { clock, log, node, repository, store, wallNow } = options;
+  const replicaSnapshot = store.replicaSnapshot();
+  if (replicaSnapshot === null) return null;
+  const { epoch, revision, copy: replica } = replicaSnapshot;
+  const startedAt = clock.now();
+  const origin = { deployment: epoch.deployment, epoch: epoch.number, revision, takenAt: wallNow() };
+  const bytes = encodeSnapshot(origin, replica.entries());
+  const name = snapshotName(origin, node);
+  await repository.save(name, bytes, options.maxSnapshots);
+  const durationMs = Math.round(clock.now() - startedAt);
+  log.info({ name, records: replica.size, bytes: bytes.length, ms: durationMs }, 'snapshot kept');
   return name;
 }
