--- a/packages/graph-service/src/graph-controller.ts
+++ b/packages/graph-service/src/graph-controller.ts
@@ -255,8 +255,8 @@
         continue;
       }
       o.parts.delete(id);
-      if (job === undefined || job.abandoned.has(piece)) o.graph.gone(id);
-      else o.graph.done(id);
+      if (job === undefined || job.abandoned.has(piece)) o.graph.markStopped(id);
+      else o.graph.markDone(id);
     }
     for (const job of [...this.cluster.jobs.values()])
       if (job.graph === o.head.head.id) this.tidyPieces(o, job);
@@ -344,12 +344,12 @@
     const job =
       part === undefined ? undefined : this.cluster.jobs.get(cotaskJobId(o.head.head.id, part.cotask));
     if (part === undefined || job === undefined) {
-      o.graph.gone(id);
+      o.graph.markStopped(id);
       return;
     }
     if (!job.placements.has(part.piece)) {
       o.parts.delete(id);
-      o.graph.gone(id);
+      o.graph.markStopped(id);
     }
     this.cluster.abandonTask(job, part.piece);
   }
@@ -367,13 +367,13 @@
     }
     if (done) {
       o.parts.delete(id);
-      o.graph.done(id);
+      o.graph.markDone(id);
     } else if (o.graph.state(id) === 'cancelling') {
       o.parts.delete(id);
-      o.graph.gone(id);
+      o.graph.markStopped(id);
       this.cluster.abandonTask(job, piece);
     } else if (why === 'error') {
-      o.graph.failed(id);
+      o.graph.markFailed(id);
       // Another try stays where it is; one that must wait again, or is over, leaves its cotask.
       if (o.graph.state(id) === 'ready') o.graph.markSubmitted(id);
       else {
@@ -651,7 +651,7 @@
   private withdraw(o: Open, tasks: readonly GraphTaskId[]): void {
     for (const id of tasks) {
       o.parts.delete(id);
-      o.graph.gone(id);
+      o.graph.markStopped(id);
     }
     this.note(o);
   }
--- /dev/null
+++ b/packages/graph/src/task-lifecycle.ts
@@ -0,0 +1,222 @@
+/**
+ * What follows for a graph when a task or a result changes: tasks become ready, end with others, or run
+ * again.
+ *
+ * @module
+ */
+import type { TaskEntry } from './task-entry.js';
+import { NO_TASK } from './task-entry.js';
+import type { FailureKind, TaskState } from './task-state.js';
+import { isCancelled, isPending, isTerminal } from './task-state.js';
+import type { TaskTable } from './task-table.js';
+
+/** A task that is to end without a result. */
+interface PendingEnd {
+  readonly index: number;
+  readonly endedBy: number;
+  readonly failure: FailureKind | null;
+}
+
+/** Applies changes to the tasks of a table, with all that follows from them. */
+export class TaskLifecycle {
+  /** Results that nothing refers to any more, since they were last taken. */
+  private dropped: number[] = [];
+
+  constructor(private readonly table: TaskTable) {}
+
+  /** The only function that changes a task's state. */
+  transition(index: number, next: TaskState): void {
+    const entry = this.table.at(index);
+    const previous = entry.state;
+    if (previous === next) return;
+    this.table.setState(index, next);
+    if (isTerminal(previous) === isTerminal(next)) return;
+    for (const dependency of entry.dependencies) {
+      this.table.at(dependency).pendingDependents += isTerminal(next) ? -1 : 1;
+      if (isTerminal(next)) this.dropIfUnneeded(dependency);
+    }
+  }
+
+  /** Whether a task that is not submitted is waiting or ready follows from what it takes. */
+  private updateReadiness(index: number): void {
+    const { state, missingInputs } = this.table.at(index);
+    if (state === 'waiting' && missingInputs === 0) this.transition(index, 'ready');
+    else if (state === 'ready' && missingInputs > 0) this.transition(index, 'waiting');
+  }
+
+  /**
+   * A submitted task is in no cotask any more: it becomes ready, or waits for results that were lost
+   * meanwhile.
+   */
+  returnToPending(index: number): void {
+    this.transition(index, this.table.at(index).missingInputs > 0 ? 'waiting' : 'ready');
+  }
+
+  // --- new tasks -------------------------------------------------------------------------------
+
+  /** Ends those of some new tasks that can never run; makes the others ready as far as they can be. */
+  activate(indices: readonly number[]): void {
+    // Those that can never run end first, so that nothing runs again for their sake.
+    for (const index of indices) this.endIfUnrunnable(index);
+    for (const index of indices) {
+      if (this.table.at(index).state !== 'waiting') continue;
+      for (const dependency of this.table.at(index).dependencies) this.recompute(dependency);
+      this.updateReadiness(index);
+    }
+  }
+
+  private endIfUnrunnable(index: number): void {
+    const { state, parent, dependencies } = this.table.at(index);
+    if (state !== 'waiting') return;
+    if (parent !== NO_TASK && isCancelled(this.table.at(parent).state)) {
+      this.end(index, 'cancelled', parent, null);
+      return;
+    }
+    for (const dependency of dependencies) {
+      const input = this.table.at(dependency);
+      if (input.state === 'failed') return this.end(index, 'failed', dependency, 'upstream');
+      if (isCancelled(input.state)) return this.end(index, 'cancelled', dependency, null);
+    }
+  }
+
+  // --- ends ------------------------------------------------------------------------------------
+
+  /** Ends a task without a result, and with it everything that waits for that result. */
+  end(
+    first: number,
+    state: 'failed' | 'cancelled',
+    endedBy: number = NO_TASK,
+    failure: FailureKind | null = null,
+  ): void {
+    const work: PendingEnd[] = [{ index: first, endedBy, failure }];
+    for (let next = work.pop(); next !== undefined; next = work.pop()) {
+      const { index } = next;
+      const entry = this.table.at(index);
+      // A dependent that is submitted has what it takes, and one that has ended stays as it is.
+      if (index !== first && !isPending(entry.state)) continue;
+      entry.endedBy = next.endedBy;
+      entry.failure = next.failure;
+      this.transition(index, state);
+      const reason = state === 'failed' ? 'upstream' : null;
+      for (const dependent of entry.dependents)
+        work.push({ index: dependent, endedBy: index, failure: reason });
+    }
+  }
+
+  /**
+   * Cancels tasks, what waits for them and, if `recursive`, what they spawned.
+   *
+   * @returns those that may be on machines: they are cancelling until they are proven to be on none
+   */
+  cancel(indices: readonly number[], recursive: boolean): number[] {
+    const work = [...indices];
+    const seen = new Set(indices);
+    const submitted: number[] = [];
+    for (let index = work.pop(); index !== undefined; index = work.pop()) {
+      const { state, children } = this.table.at(index);
+      if (state === 'submitted') {
+        this.cancelSubmitted(index);
+        submitted.push(index);
+      } else if (isPending(state)) this.end(index, 'cancelled');
+      if (!recursive) continue;
+      for (const child of children) {
+        if (!seen.has(child)) work.push(child);
+        seen.add(child);
+      }
+    }
+    return submitted;
+  }
+
+  private cancelSubmitted(index: number): void {
+    this.transition(index, 'cancelling');
+    for (const dependent of this.table.at(index).dependents)
+      if (isPending(this.table.at(dependent).state)) this.end(dependent, 'cancelled', index);
+  }
+
+  // --- results ---------------------------------------------------------------------------------
+
+  private isNeeded({ isHeld, pendingDependents }: TaskEntry): boolean {
+    return isHeld || pendingDependents > 0;
+  }
+
+  /** The task is done, and its result can be taken. */
+  storeResult(index: number): void {
+    const entry = this.table.at(index);
+    entry.result = 'kept';
+    for (const dependent of entry.dependents) {
+      this.table.at(dependent).missingInputs -= 1;
+      this.updateReadiness(dependent);
+    }
+    this.dropIfUnneeded(index);
+  }
+
+  private dropIfUnneeded(index: number): void {
+    const entry = this.table.at(index);
+    if (entry.result !== 'kept' || this.isNeeded(entry)) return;
+    this.discardResult(index, 'dropped');
+    this.dropped.push(index);
+  }
+
+  private discardResult(index: number, next: 'dropped' | 'lost'): void {
+    const entry = this.table.at(index);
+    entry.result = next;
+    this.table.markChanged(index);
+    for (const dependent of entry.dependents) {
+      this.table.at(dependent).missingInputs += 1;
+      this.updateReadiness(dependent);
+    }
+  }
+
+  /** A client refers to the result from now on, or does so no more. */
+  setHeld(index: number, isHeld: boolean): void {
+    const entry = this.table.at(index);
+    if (entry.isHeld === isHeld) return;
+    entry.isHeld = isHeld;
+    this.table.markChanged(index);
+    if (isHeld) this.recompute(index);
+    else this.dropIfUnneeded(index);
+  }
+
+  /** A kept result is gone. Its task runs again, once, if anything still needs it. */
+  loseResult(index: number): void {
+    const entry = this.table.at(index);
+    if (entry.result !== 'kept') return;
+    this.discardResult(index, 'lost');
+    if (this.isNeeded(entry)) this.recompute(index);
+  }
+
+  /** Runs a done task again whose result is not there, and before it those whose results it takes itself. */
+  private recompute(first: number): void {
+    const work = [first];
+    const restarted: number[] = [];
+    for (let index = work.pop(); index !== undefined; index = work.pop()) {
+      const entry = this.table.at(index);
+      if (entry.state !== 'done' || entry.result === 'kept') continue;
+      entry.result = 'none';
+      this.transition(index, 'waiting');
+      restarted.push(index);
+      work.push(...entry.dependencies);
+    }
+    // Furthest upstream first: whether a task can run again depends on whether those that it depends on can.
+    for (const index of restarted.reverse()) this.resume(index);
+  }
+
+  /** Makes a task that is to run again ready, or ends it where it depends on one that cannot run any more. */
+  private resume(index: number): void {
+    const { state, dependencies } = this.table.at(index);
+    if (state !== 'waiting') return;
+    const unavailable = dependencies.find((dependency) => {
+      const input = this.table.at(dependency);
+      return input.state === 'failed' || isCancelled(input.state);
+    });
+    if (unavailable !== undefined) this.end(index, 'failed', unavailable, 'lineage');
+    else this.updateReadiness(index);
+  }
+
+  /** Results that nothing refers to any more, since this was last called. */
+  takeDropped(): number[] {
+    const { dropped } = this;
+    this.dropped = [];
+    return dropped;
+  }
+}
--- a/packages/graph/test/graph.test.ts
+++ b/packages/graph/test/task-graph.test.ts
@@ -39,129 +39,133 @@
   };
 }
 
-const t = (name: string): GraphTaskId => name as GraphTaskId;
+const taskId = (name: string): GraphTaskId => name as GraphTaskId;
 
-function run(g: TaskGraph, name: string): void {
-  g.markSubmitted(t(name));
-  g.done(t(name));
+function run(graph: TaskGraph, name: string): void {
+  graph.markSubmitted(taskId(name));
+  graph.markDone(taskId(name));
 }
 
 function grown(...batches: Batch[]): TaskGraph {
-  const g = new TaskGraph(ID);
-  for (const b of batches) g.addBatch(b);
-  return g;
+  const graph = new TaskGraph(ID);
+  for (const b of batches) graph.addBatch(b);
+  return graph;
 }
 
-test('a diamond runs from its top to its bottom, the longest chain first', () => {
-  const g = grown(
+test('a diamond of tasks runs in dependency order, the longest chain first', () => {
+  const graph = grown(
     batch('a', [{}, { after: [0], estimateS: 5 }, { after: [0], estimateS: 50 }, { after: [1, 2] }]),
   );
-  assert.deepEqual(g.readyTasks(), ['a:0']);
-  assert.equal(g.criticalPathS(t('a:0')), 70);
-  run(g, 'a:0');
-  assert.deepEqual(g.readyTasks(), ['a:2', 'a:1']);
-  run(g, 'a:1');
-  run(g, 'a:2');
-  assert.deepEqual(g.readyTasks(), ['a:3']);
-  assert.deepEqual(g.takeDroppedResults(), ['a:0']);
-  run(g, 'a:3');
-  assert.ok(g.isComplete);
-  assert.deepEqual(g.takeDroppedResults().sort(), ['a:1', 'a:2', 'a:3']);
+  assert.deepEqual(graph.readyTasks(), ['a:0']);
+  assert.equal(graph.criticalPathS(taskId('a:0')), 70);
+  run(graph, 'a:0');
+  assert.deepEqual(graph.readyTasks(), ['a:2', 'a:1']);
+  run(graph, 'a:1');
+  run(graph, 'a:2');
+  assert.deepEqual(graph.readyTasks(), ['a:3']);
+  assert.deepEqual(graph.takeDroppedResults(), ['a:0']);
+  run(graph, 'a:3');
+  assert.ok(graph.isComplete);
+  assert.deepEqual(graph.takeDroppedResults().sort(), ['a:1', 'a:2', 'a:3']);
 });
 
-test('a lost result of a shared parent makes it run again once, for all who need it', () => {
-  const g = grown(batch('a', [{}, { after: [0] }, { after: [1] }, { after: [1] }, { after: [1] }]));
-  run(g, 'a:0');
-  run(g, 'a:1');
-  assert.equal(g.resultState(t('a:0')), 'dropped');
-  g.markSubmitted(t('a:4'));
-  g.markResultLost(t('a:1'));
+test('a lost result makes its task run again once, for all tasks that need it', () => {
+  const graph = grown(batch('a', [{}, { after: [0] }, { after: [1] }, { after: [1] }, { after: [1] }]));
+  run(graph, 'a:0');
+  run(graph, 'a:1');
+  assert.equal(graph.resultState(taskId('a:0')), 'dropped');
+  graph.markSubmitted(taskId('a:4'));
+  graph.markResultLost(taskId('a:1'));
   // What the lost one takes is gone, too: it runs first.
-  assert.deepEqual(g.readyTasks(), ['a:0']);
-  assert.deepEqual([g.state(t('a:2')), g.state(t('a:4'))], ['waiting', 'submitted']);
-  run(g, 'a:0');
-  assert.deepEqual(g.readyTasks(), ['a:1']);
-  run(g, 'a:1');
-  assert.deepEqual(g.readyTasks(), ['a:2', 'a:3']);
-  g.done(t('a:4'));
-  run(g, 'a:2');
-  run(g, 'a:3');
-  assert.ok(g.isComplete && g.counts.done === 5);
+  assert.deepEqual(graph.readyTasks(), ['a:0']);
+  assert.deepEqual([graph.state(taskId('a:2')), graph.state(taskId('a:4'))], ['waiting', 'submitted']);
+  run(graph, 'a:0');
+  assert.deepEqual(graph.readyTasks(), ['a:1']);
+  run(graph, 'a:1');
+  assert.deepEqual(graph.readyTasks(), ['a:2', 'a:3']);
+  graph.markDone(taskId('a:4'));
+  run(graph, 'a:2');
+  run(graph, 'a:3');
+  assert.ok(graph.isComplete && graph.counts.done === 5);
 });
 
-test('a task that fails for good ends what waits for it, and each says which one was the first', () => {
-  const g = grown(batch('a', [{ retries: 2 }, { after: [0] }, { after: [1] }, {}]));
+test('a task that exhausts its retries fails its dependents, and each names the task that failed first', () => {
+  const graph = grown(batch('a', [{ retries: 2 }, { after: [0] }, { after: [1] }, {}]));
   for (let n = 0; n < 3; n += 1) {
-    assert.equal(g.state(t('a:0')), 'ready');
-    g.markSubmitted(t('a:0'));
-    g.failed(t('a:0'));
+    assert.equal(graph.state(taskId('a:0')), 'ready');
+    graph.markSubmitted(taskId('a:0'));
+    graph.markFailed(taskId('a:0'));
   }
-  assert.equal(g.state(t('a:0')), 'failed');
-  assert.deepEqual(g.failure(t('a:2')), { kind: 'upstream', first: 'a:0', chain: ['a:0', 'a:1', 'a:2'] });
-  assert.deepEqual(g.failure(t('a:0')), { kind: 'error', first: 'a:0', chain: ['a:0'] });
-  assert.equal(g.state(t('a:3')), 'ready');
+  assert.equal(graph.state(taskId('a:0')), 'failed');
+  assert.deepEqual(graph.failure(taskId('a:2')), {
+    kind: 'upstream',
+    first: 'a:0',
+    chain: ['a:0', 'a:1', 'a:2'],
+  });
+  assert.deepEqual(graph.failure(taskId('a:0')), { kind: 'error', first: 'a:0', chain: ['a:0'] });
+  assert.equal(graph.state(taskId('a:3')), 'ready');
 });
 
-test('cancelled with its children: those on machines count until they are gone, and none starts after', () => {
-  const g = grown(batch('a', [{}, {}]));
-  g.markSubmitted(t('a:0'));
-  g.addBatch(batch('s', [{}, { after: [0] }], 'a:0'));
-  g.markSubmitted(t('s:0'));
-  g.addBatch(batch('ss', [{}], 's:0'));
-  assert.deepEqual(g.cancel([t('a:0')], true).sort(), ['a:0', 's:0']);
-  assert.deepEqual(g.readyTasks(), ['a:1']);
-  assert.deepEqual([g.state(t('s:1')), g.state(t('ss:0'))], ['cancelled', 'cancelled']);
+test('a recursive cancellation reaches spawned tasks: submitted ones are cancelling until stopped, and none becomes ready', () => {
+  const graph = grown(batch('a', [{}, {}]));
+  graph.markSubmitted(taskId('a:0'));
+  graph.addBatch(batch('s', [{}, { after: [0] }], 'a:0'));
+  graph.markSubmitted(taskId('s:0'));
+  graph.addBatch(batch('ss', [{}], 's:0'));
+  assert.deepEqual(graph.cancel([taskId('a:0')], true).sort(), ['a:0', 's:0']);
+  assert.deepEqual(graph.readyTasks(), ['a:1']);
+  assert.deepEqual([graph.state(taskId('s:1')), graph.state(taskId('ss:0'))], ['cancelled', 'cancelled']);
   // A spawn that comes after the cancellation is born cancelled.
-  g.addBatch(batch('late', [{}], 's:0'));
-  assert.equal(g.state(t('late:0')), 'cancelled');
-  g.done(t('s:0'));
-  g.gone(t('a:0'));
+  graph.addBatch(batch('late', [{}], 's:0'));
+  assert.equal(graph.state(taskId('late:0')), 'cancelled');
+  graph.markDone(taskId('s:0'));
+  graph.markStopped(taskId('a:0'));
   assert.deepEqual(
-    [g.state(t('s:0')), g.state(t('a:0')), g.counts.cancelling],
+    [graph.state(taskId('s:0')), graph.state(taskId('a:0')), graph.counts.cancelling],
     ['cancelled', 'cancelled', 0],
   );
 });
 
-test('a task that runs again and spawns the same children makes none twice', () => {
-  const g = grown(batch('a', [{}]));
+test('a task that runs again and spawns the same batch adds no task twice', () => {
+  const graph = grown(batch('a', [{}]));
   for (let n = 0; n < 2; n += 1) {
-    g.markSubmitted(t('a:0'));
-    g.addBatch(batch('a:0~0'.replace(':', '.'), [{}, {}], 'a:0'));
-    g.gone(t('a:0'));
+    graph.markSubmitted(taskId('a:0'));
+    graph.addBatch(batch('a:0~0'.replace(':', '.'), [{}, {}], 'a:0'));
+    graph.markStopped(taskId('a:0'));
   }
-  assert.equal(g.size, 3);
+  assert.equal(graph.size, 3);
 });
 
-test('ten deep, each task spawns the next, and the chain ends with all of them', () => {
-  const g = grown(batch('d0', [{}]));
+test('a chain of ten spawned tasks completes', () => {
+  const graph = grown(batch('d0', [{}]));
   for (let depth = 0; depth < 10; depth += 1) {
-    g.markSubmitted(t(`d${depth}:0`));
-    g.addBatch(batch(`d${depth + 1}`, [{}], `d${depth}:0`));
-    g.done(t(`d${depth}:0`));
+    graph.markSubmitted(taskId(`d${depth}:0`));
+    graph.addBatch(batch(`d${depth + 1}`, [{}], `d${depth}:0`));
+    graph.markDone(taskId(`d${depth}:0`));
   }
-  run(g, 'd10:0');
-  assert.ok(g.isComplete && g.counts.done === 11);
+  run(graph, 'd10:0');
+  assert.ok(graph.isComplete && graph.counts.done === 11);
 });
 
-test('a batch that names a task nobody knows changes nothing', () => {
-  const g = grown(batch('a', [{}]));
+test('a batch that refers to an unknown task is rejected and changes nothing', () => {
+  const graph = grown(batch('a', [{}]));
   assert.throws(() => {
-    g.addBatch(batch('b', [{}, { after: ['x:0'] }]));
+    graph.addBatch(batch('b', [{}, { after: ['x:0'] }]));
   }, GraphError);
   assert.throws(() => {
-    g.addBatch(batch('b', [{ after: ['a:1'] }]));
+    graph.addBatch(batch('b', [{ after: ['a:1'] }]));
   }, /a:1: no such task/);
   assert.throws(() => {
-    g.addBatch(batch('b', [{}], 'a:9'));
+    graph.addBatch(batch('b', [{}], 'a:9'));
   }, GraphError);
-  assert.equal(g.size, 1);
+  assert.equal(graph.size, 1);
 });
 
-test('a hundred thousand tasks are added, run and ended within seconds', () => {
-  const g = new TaskGraph(ID);
+test('a graph of a hundred thousand tasks completes within seconds', () => {
+  const graph = new TaskGraph(ID);
   const began = performance.now();
   for (let b = 0; b < 250; b += 1)
-    g.addBatch(
+    graph.addBatch(
       batch(
         `b${b}`,
         Array.from({ length: 400 }, (_, i) =>
@@ -175,13 +179,13 @@
         ),
       ),
     );
-  for (let ready = g.readyTasks(); ready.length > 0; ready = g.readyTasks())
-    for (const id of ready) run(g, id);
-  assert.equal(g.counts.done, 100_000);
+  for (let ready = graph.readyTasks(); ready.length > 0; ready = graph.readyTasks())
+    for (const id of ready) run(graph, id);
+  assert.equal(graph.counts.done, 100_000);
   assert.ok(performance.now() - began < 15_000);
 });
 
-// --- against a plain reference -------------------------------------------------------------------
+// --- against a reference model -------------------------------------------------------------------
 
 interface Plain {
   readonly name: string;
@@ -256,12 +260,15 @@
 let played = 0;
 
 interface Real {
-  g: TaskGraph;
+  graph: TaskGraph;
   batches: Batch[];
   records: Map<string, TaskStatesRecord>;
 }
 
-type Op = 'add' | 'submit' | 'done' | 'failed' | 'gone' | 'hold' | 'release' | 'lost' | 'cancel' | 'takeover';
+type Op = 'add' | 'submit' | 'done' | 'failed' | 'gone' | 'hold' | 'release' | 'lost' | 'cancel' | 'failover';
+
+/** How the graph is told that a run of a task is over. */
+const ENDINGS = { done: 'markDone', failed: 'markFailed', gone: 'markStopped' } as const;
 
 class Act implements fc.Command<Reference, Real> {
   constructor(
@@ -281,50 +288,50 @@
       return found[this.pick % Math.max(1, found.length)];
     };
     const any = tasks.length === 0 ? undefined : this.pick % tasks.length;
-    const named = (i: number): GraphTaskId => t((tasks[i] as Plain).name);
+    const named = (i: number): GraphTaskId => taskId((tasks[i] as Plain).name);
     if (this.op === 'add') this.add(model, real);
     else if (this.op === 'submit') {
       const i = among('ready');
       if (i !== undefined) {
         // Never before all that it takes is there.
-        for (const d of (tasks[i] as Plain).deps) assert.equal(real.g.resultState(named(d)), 'kept');
-        real.g.markSubmitted(named(i));
+        for (const d of (tasks[i] as Plain).deps) assert.equal(real.graph.resultState(named(d)), 'kept');
+        real.graph.markSubmitted(named(i));
         (tasks[i] as Plain).state = 'submitted';
       }
     } else if (this.op === 'done' || this.op === 'failed' || this.op === 'gone') {
       const i = among(this.flag ? 'cancelling' : 'submitted');
       if (i !== undefined) {
-        real.g[this.op](named(i));
+        real.graph[ENDINGS[this.op]](named(i));
         const p = tasks[i] as Plain;
         if (p.state === 'cancelling') p.state = 'dead';
         else if (this.op === 'done') Object.assign(p, { state: 'done', kept: true });
         else if (this.op === 'failed' && ++p.errors > p.retries) p.state = 'dead';
         else p.state = 'waiting';
       }
-    } else if (this.op === 'takeover') {
-      real.g = TaskGraph.restore(
+    } else if (this.op === 'failover') {
+      real.graph = TaskGraph.restore(
         ID,
         real.batches.map((b) => ({
           batch: b,
-          record: JSON.parse(JSON.stringify(real.g.encodeBatch(b.id))) as TaskStatesRecord,
+          record: JSON.parse(JSON.stringify(real.graph.encodeBatch(b.id))) as TaskStatesRecord,
         })),
       );
     } else if (any !== undefined) {
       const p = tasks[any] as Plain;
       if (this.op === 'hold' || this.op === 'release') {
-        real.g.setHeld(named(any), this.op === 'hold');
+        real.graph.setHeld(named(any), this.op === 'hold');
         p.held = this.op === 'hold';
       } else if (this.op === 'lost') {
-        real.g.markResultLost(named(any));
+        real.graph.markResultLost(named(any));
         p.kept = false;
       } else if (this.op === 'cancel') {
-        const running = real.g.cancel([named(any)], this.flag);
+        const running = real.graph.cancel([named(any)], this.flag);
         model.cancel([any], this.flag);
-        for (const r of running) assert.equal(real.g.state(r), 'cancelling');
+        for (const r of running) assert.equal(real.graph.state(r), 'cancelling');
       }
     }
     model.fix();
-    this.compare(model, real.g);
+    this.compare(model, real.graph);
   }
 
   private add(model: Reference, real: Real): void {
@@ -341,12 +348,12 @@
       wishes.map((w) => ({ ...w, after: w.deps.map(name) })),
       parent < 0 ? null : name(parent),
     );
-    real.g.addBatch(b);
-    real.g.addBatch(b);
+    real.graph.addBatch(b);
+    real.graph.addBatch(b);
     real.batches.push(b);
     wishes.forEach((w, i) => {
       const born = parent >= 0 && ['cancelling'].includes((model.tasks[parent] as Plain).state);
-      const dead = parent >= 0 && real.g.state(t(name(parent))) === 'cancelled';
+      const dead = parent >= 0 && real.graph.state(taskId(name(parent))) === 'cancelled';
       model.tasks.push({
         name: `${id}:${i}`,
         deps: w.deps,
@@ -360,30 +367,34 @@
     });
   }
 
-  private compare(model: Reference, g: TaskGraph): void {
+  private compare(model: Reference, graph: TaskGraph): void {
     const seen = model.tasks.map((p) => {
-      const s = g.state(t(p.name));
-      return [p.name, s === 'failed' || s === 'cancelled' ? 'dead' : s, g.resultState(t(p.name)) === 'kept'];
+      const s = graph.state(taskId(p.name));
+      return [
+        p.name,
+        s === 'failed' || s === 'cancelled' ? 'dead' : s,
+        graph.resultState(taskId(p.name)) === 'kept',
+      ];
     });
     assert.deepEqual(
       seen,
       model.tasks.map((p) => [p.name, p.state, p.kept]),
     );
     const ready = model.tasks.filter((p) => p.state === 'ready').map((p) => p.name);
-    assert.deepEqual([...g.readyTasks()].sort(), ready.sort());
+    assert.deepEqual([...graph.readyTasks()].sort(), ready.sort());
     assert.equal(
-      Object.values(g.counts).reduce((a, b) => a + b, 0),
+      Object.values(graph.counts).reduce((a, b) => a + b, 0),
       model.tasks.length,
     );
     for (const p of model.tasks) {
-      const why = g.failure(t(p.name));
+      const why = graph.failure(taskId(p.name));
       if (why !== null) assert.equal(why.chain.at(-1), p.name);
-      assert.equal(why !== null, g.state(t(p.name)) === 'failed');
+      assert.equal(why !== null, graph.state(taskId(p.name)) === 'failed');
     }
   }
 }
 
-test('the graph is what a plain reference says, over generated lives with takeovers between', () => {
+test('the graph agrees with a plain reference model over generated commands and failovers', () => {
   const ops: Op[] = [
     'add',
     'add',
@@ -400,7 +411,7 @@
     'lost',
     'lost',
     'cancel',
-    'takeover',
+    'failover',
   ];
   const wish = fc.record({
     deps: fc.array(fc.nat({ max: 30 }), { maxLength: 3 }),
@@ -418,7 +429,10 @@
   fc.assert(
     fc.property(fc.commands([act], { maxCommands: 60, size: 'max' }), (commands) => {
       fc.modelRun(
-        () => ({ model: new Reference(), real: { g: new TaskGraph(ID), batches: [], records: new Map() } }),
+        () => ({
+          model: new Reference(),
+          real: { graph: new TaskGraph(ID), batches: [], records: new Map() },
+        }),
         commands,
       );
     }),
--- a/packages/measure/src/graphs.ts
+++ b/packages/measure/src/graphs.ts
@@ -233,7 +233,7 @@
   for (let ready = g.readyTasks(); ready.length > 0; ready = g.readyTasks())
     for (const t of ready) {
       g.markSubmitted(t);
-      g.done(t);
+      g.markDone(t);
     }
   return { tasks, bytesPerTask: held / tasks, msPerTask: (performance.now() - began) / tasks };
 }
