--- /dev/null
+++ b/packages/graph-service/src/batch-admission.ts
@@ -0,0 +1,145 @@
+/**
+ * Decides whether a batch may be added to a graph.
+ *
+ * @module
+ */
+import { fitsMachineType } from '@spurbridge/model';
+import type { KeyValueStore } from '@spurbridge/store';
+import type { Batch, BatchId, GraphId, GraphTaskId, MachineType } from '@spurbridge/wire';
+import { parseGraphTaskId } from '@spurbridge/wire';
+import type { GraphReader } from './graph-reader.js';
+import { unknownTask } from './graph-reader.js';
+import type { GraphFailure, GraphResult } from './graph-result.js';
+import { storeDoesNotRespond, unavailable } from './graph-result.js';
+import { jobSpecForShape } from './job-spec.js';
+import { batchKey } from './keys.js';
+import { NORMAL_PRIORITY } from './priorities.js';
+import type { GraphRecord, StoredBatch } from './records.js';
+import { decodeBatch, encodeBatch } from './records.js';
+
+/** What one team may have open at a time, and how large one graph may be. */
+export interface GraphLimits {
+  readonly openPerTeam: number;
+  /** Tasks of one graph. */
+  readonly tasks: number;
+  /** Length of a chain of tasks that spawn each other. */
+  readonly depth: number;
+  /** Other batches that one batch refers to. */
+  readonly references: number;
+}
+
+/** Limits where operators state no others. */
+export const DEFAULT_GRAPH_LIMITS: GraphLimits = {
+  openPerTeam: 200,
+  tasks: 100_000,
+  depth: 64,
+  references: 32,
+};
+
+/** Left free in a value of the key-value store beside the batch itself. */
+const VALUE_RESERVE_BYTES = 256;
+
+/** A batch that may be added, in its stored form. */
+export interface AdmittedBatch {
+  readonly kind: 'admitted';
+  readonly value: Record<string, unknown>;
+}
+
+interface ReferencesChecked {
+  readonly kind: 'checked';
+  /** How deep the batch was spawned. */
+  readonly depth: number;
+}
+
+/** A task of another batch that a batch refers to. */
+interface TaskReference {
+  readonly task: GraphTaskId;
+  /** The field of the request that names it. */
+  readonly field: string;
+}
+
+/** Checks batches against what machines there are, against the limits and against what they refer to. */
+export class BatchAdmission {
+  constructor(
+    private readonly store: KeyValueStore,
+    private readonly reader: GraphReader,
+    private readonly machineTypes: () => readonly MachineType[],
+    private readonly limits: GraphLimits,
+    /** Size of the largest value that the key-value store takes, in KiB. */
+    private readonly maxValueKb: number,
+  ) {}
+
+  /** Refuses a batch with a task that no machine type could ever run; null where there is none. */
+  checkShapes(batch: Batch): GraphFailure | null {
+    const types = this.machineTypes();
+    if (types.length === 0) return unavailable('machine types are not known yet');
+    const index = batch.shapes.findIndex(
+      (shape) => !types.some((type) => fitsMachineType(jobSpecForShape(shape), type)),
+    );
+    if (index < 0) return null;
+    return { kind: 'unprocessable', error: `shapes[${index}]: a task fits no machine type` };
+  }
+
+  /** The result for a batch that was added before; null for one that was not. */
+  async findEarlier(graph: GraphId, batch: Batch): Promise<GraphResult | null> {
+    const found = await this.store.read(batchKey(graph, batch.id), NORMAL_PRIORITY);
+    if (found.outcome === 'absent') return null;
+    if (found.outcome !== 'found') return storeDoesNotRespond();
+    const earlier = decodeBatch(found.item.value).batch;
+    return JSON.stringify(earlier) === JSON.stringify(batch)
+      ? { kind: 'ok', body: { batch: batch.id, tasks: batch.tasks.length } }
+      : { kind: 'conflict', error: `batch: ${batch.id} is there already, with other content` };
+  }
+
+  /** Admits a batch to a graph as it is now, unless it goes beyond a limit or refers to unknown tasks. */
+  async admit(graph: GraphRecord, batch: Batch): Promise<AdmittedBatch | GraphFailure> {
+    const { id } = graph.spec;
+    if (graph.tasks + batch.tasks.length > this.limits.tasks)
+      return unprocessable(`tasks: a graph has at most ${this.limits.tasks}, and ${id} ${graph.tasks}`);
+    const checked = await this.checkReferences(id, batch);
+    if (checked.kind !== 'checked') return checked;
+    const stored: StoredBatch = { batch, order: graph.batches, depth: checked.depth };
+    const value = encodeBatch(stored);
+    if (JSON.stringify(value).length > this.maxValueKb * 1024 - VALUE_RESERVE_BYTES)
+      return unprocessable(`tasks: a batch takes at most ${this.maxValueKb} KiB; send fewer`);
+    return { kind: 'admitted', value };
+  }
+
+  private async checkReferences(graph: GraphId, batch: Batch): Promise<ReferencesChecked | GraphFailure> {
+    const references = referencesByBatch(batch);
+    if (references.size > this.limits.references)
+      return unprocessable(`tasks: a batch refers to at most ${this.limits.references} others`);
+    let depth = 0;
+    for (const [other, tasks] of references) {
+      const found = await this.reader.findBatch(graph, other);
+      if (found.kind !== 'found' && found.kind !== 'absent') return found;
+      const unknown = tasks.find(
+        ({ task }) => found.kind === 'absent' || parseGraphTaskId(task).task >= found.size,
+      );
+      if (unknown !== undefined) return unknownTask(graph, unknown.task, unknown.field);
+      const isParent = batch.parent !== null && parseGraphTaskId(batch.parent).batch === other;
+      if (isParent && found.kind === 'found') depth = found.depth + 1;
+    }
+    if (depth <= this.limits.depth) return { kind: 'checked', depth };
+    return unprocessable(`parent: tasks are spawned at most ${this.limits.depth} deep`);
+  }
+}
+
+function unprocessable(error: string): GraphFailure {
+  return { kind: 'unprocessable', error };
+}
+
+/** The tasks of other batches that a batch refers to, by their batch. */
+function referencesByBatch(batch: Batch): Map<BatchId, TaskReference[]> {
+  const references = new Map<BatchId, TaskReference[]>();
+  const refer = (task: GraphTaskId, field: string): void => {
+    const other = parseGraphTaskId(task).batch;
+    if (other === batch.id) return;
+    references.set(other, [...(references.get(other) ?? []), { task, field }]);
+  };
+  batch.tasks.forEach((task, index) => {
+    for (const dependency of task.after) refer(dependency, `tasks[${index}][1]`);
+  });
+  if (batch.parent !== null) refer(batch.parent, 'parent');
+  return references;
+}
--- /dev/null
+++ b/packages/graph-service/src/cancellation.ts
@@ -0,0 +1,51 @@
+/**
+ * Cancels tasks of graphs, and stops those that are with the scheduler.
+ *
+ * @module
+ */
+import type { ClusterState } from '@spurbridge/controller';
+import type { GraphTaskId } from '@spurbridge/wire';
+import { parseGraphTaskId } from '@spurbridge/wire';
+import { cotaskJobId } from './cotask.js';
+import type { OpenGraph } from './open-graph.js';
+
+/** Carries out the cancellations that graph records state. */
+export class GraphCancellation {
+  constructor(private readonly cluster: ClusterState) {}
+
+  /**
+   * Cancels what the graph's record says, as far as the batches are known. Applied again, it changes nothing.
+   */
+  apply(graph: OpenGraph): void {
+    const { record, tasks } = graph;
+    if (record.summary !== null) return;
+    const known = record.cancelledSubtrees.filter((subtree) =>
+      tasks.hasBatch(parseGraphTaskId(subtree.task).batch),
+    );
+    const submitted =
+      record.phase === 'cancelled'
+        ? tasks.cancelAll()
+        : known.flatMap((subtree) => tasks.cancel([subtree.task], subtree.recursive));
+    for (const task of submitted) this.stop(graph, task);
+    graph.collectChanges();
+  }
+
+  /**
+   * Stops a cancelled task. It counts until it is proven to be gone; one that is on no machine is gone at
+   * once.
+   */
+  stop(graph: OpenGraph, task: GraphTaskId): void {
+    const assignment = graph.assignments.get(task);
+    const job =
+      assignment === undefined ? undefined : this.cluster.jobs.get(cotaskJobId(graph.id, assignment.cotask));
+    if (assignment === undefined || job === undefined) {
+      graph.tasks.markStopped(task);
+      return;
+    }
+    if (!job.placements.has(assignment.taskIndex)) {
+      graph.assignments.delete(task);
+      graph.tasks.markStopped(task);
+    }
+    this.cluster.abandonTask(job, assignment.taskIndex);
+  }
+}
--- a/packages/graph-service/src/records.ts
+++ b/packages/graph-service/src/records.ts
@@ -1,121 +1,131 @@
+/**
+ * Records that task graphs keep in the key-value store, and how they are encoded.
+ *
+ * @module
+ */
 import type { TaskStatesRecord } from '@spurbridge/graph';
-import type { Batch, BatchId, GraphSpec, GraphId, GraphTaskId } from '@spurbridge/wire';
+import type { Batch, GraphSpec, GraphTaskId } from '@spurbridge/wire';
 import { formatBatch, parseBatch, parseGraphSpec, read } from '@spurbridge/wire';
 
-/** Heads and batches: written by any node, watched by the leader. */
-export const GRAPH_PREFIX = 'g/';
-/** Which graphs of which team are open: what a new leader and admission read. */
-export const OPEN_GRAPH_PREFIX = 'go/';
-/** What became of a batch's tasks: written by the leader. */
-export const BATCH_STATE_PREFIX = 'gs/';
-
-export function graphKey(id: GraphId): string {
-  return GRAPH_PREFIX + id;
-}
-
-export function batchPrefix(id: GraphId): string {
-  return `${GRAPH_PREFIX}${id}/b/`;
-}
-
-export function batchKey(id: GraphId, batch: BatchId): string {
-  return batchPrefix(id) + batch;
-}
-
-export function resultNotePrefix(id: GraphId): string {
-  return `${GRAPH_PREFIX}${id}/n/`;
-}
-
-export function resultNoteKey(id: GraphId, note: string): string {
-  return resultNotePrefix(id) + note;
-}
-
-export function openGraphKey(team: string, id: GraphId): string {
-  return `${OPEN_GRAPH_PREFIX}${encodeURIComponent(team)}/${id}`;
-}
-
-export function batchStatePrefix(id: GraphId): string {
-  return `${BATCH_STATE_PREFIX}${id}/`;
-}
-
-export function batchStateKey(id: GraphId, batch: BatchId): string {
-  return batchStatePrefix(id) + batch;
-}
-
-/** open -> sealed -> done | failed; open, sealed -> cancelled. Sealed: no batch is added any more. */
+/**
+ * Phase of a whole graph. open -> sealed -> done | failed; open, sealed -> cancelled. A sealed graph takes no
+ * further batches.
+ */
 export type GraphPhase = 'open' | 'sealed' | 'done' | 'failed' | 'cancelled';
 const PHASES: readonly GraphPhase[] = ['open', 'sealed', 'done', 'failed', 'cancelled'];
 
-/** How many tasks ended how, once all have. */
+/** How many tasks of a finished graph ended in which state. Stored as it is. */
 export interface GraphSummary {
   readonly done: number;
   readonly failed: number;
   readonly cancelled: number;
-  /** Some of those that failed first, with what they are called. */
+  /** Some of the tasks that failed by themselves, in the order in which they were added. */
   readonly failures: readonly GraphTaskId[];
 }
 
+/** A task that its client cancelled, and whether the tasks that it spawned are cancelled with it. */
+export interface CancelledSubtree {
+  readonly task: GraphTaskId;
+  readonly recursive: boolean;
+}
+
+/** The record of a whole graph. */
 export interface GraphRecord {
-  readonly head: GraphSpec;
+  readonly spec: GraphSpec;
   readonly phase: GraphPhase;
+  /** Tasks in all batches. */
   readonly tasks: number;
   readonly batches: number;
-  /** Roots of cancelled subtrees. */
-  readonly cancelled: readonly { readonly task: GraphTaskId; readonly recursive: boolean }[];
+  readonly cancelledSubtrees: readonly CancelledSubtree[];
+  /** Null until all tasks have ended. */
   readonly summary: GraphSummary | null;
 }
 
-export function encodeGraph(h: GraphRecord): Record<string, unknown> {
+/** Whether a graph in this phase may still change: it was neither cancelled nor has it ended. */
+export function isActivePhase(phase: GraphPhase): boolean {
+  return phase === 'open' || phase === 'sealed';
+}
+
+/** The stored form of a graph's record. */
+export function encodeGraph(graph: GraphRecord): Record<string, unknown> {
+  const { spec } = graph;
   return {
-    head: { graph: h.head.id, class: h.head.class, team: h.head.team, priority: h.head.priority },
-    phase: h.phase,
-    tasks: h.tasks,
-    batches: h.batches,
-    cancelled: h.cancelled.map((c) => [c.task, c.recursive]),
-    tally: h.summary,
+    head: { graph: spec.id, class: spec.class, team: spec.team, priority: spec.priority },
+    phase: graph.phase,
+    tasks: graph.tasks,
+    batches: graph.batches,
+    cancelled: graph.cancelledSubtrees.map((subtree) => [subtree.task, subtree.recursive]),
+    tally: graph.summary,
   };
 }
 
+/**
+ * Reads what {@link encodeGraph} wrote.
+ *
+ * @throws MalformedError naming the field
+ */
 export function decodeGraph(value: unknown): GraphRecord {
-  const o = read.asObject(value, 'graph record');
+  const fields = read.asObject(value, 'graph record');
   return {
-    head: parseGraphSpec(o['head']),
-    phase: read.oneOf(o, 'phase', PHASES),
-    tasks: read.count(o, 'tasks'),
-    batches: read.count(o, 'batches'),
-    cancelled: read.asArray(o['cancelled'], 'cancelled').map((c) => {
-      const [task, recursive] = read.asArray(c, 'cancelled');
+    spec: parseGraphSpec(fields['head']),
+    phase: read.oneOf(fields, 'phase', PHASES),
+    tasks: read.count(fields, 'tasks'),
+    batches: read.count(fields, 'batches'),
+    cancelledSubtrees: read.asArray(fields['cancelled'], 'cancelled').map((subtree) => {
+      const [task, recursive] = read.asArray(subtree, 'cancelled');
       return { task: task as GraphTaskId, recursive: recursive === true };
     }),
-    summary: (o['tally'] ?? null) as GraphSummary | null,
+    summary: (fields['tally'] ?? null) as GraphSummary | null,
   };
 }
 
-/** A batch as it is kept: in which order it came, and how many tasks deep it was spawned. */
+/** A batch with its place in the graph. */
 export interface StoredBatch {
   readonly batch: Batch;
+  /** Position among the graph's batches, in the order in which they were accepted. */
   readonly order: number;
+  /** Length of the chain of tasks that spawned each other down to this batch; 0 where a client added it. */
   readonly depth: number;
 }
 
-export function encodeBatch(b: StoredBatch): Record<string, unknown> {
-  return { ...formatBatch(b.batch), order: b.order, depth: b.depth };
+/** The stored form of a batch. */
+export function encodeBatch(stored: StoredBatch): Record<string, unknown> {
+  return { ...formatBatch(stored.batch), order: stored.order, depth: stored.depth };
 }
 
+/**
+ * Reads what {@link encodeBatch} wrote.
+ *
+ * @throws MalformedError naming the field
+ */
 export function decodeBatch(value: unknown): StoredBatch {
-  const o = read.asObject(value, 'batch record');
-  return { batch: parseBatch(o), order: read.count(o, 'order'), depth: read.count(o, 'depth') };
+  const fields = read.asObject(value, 'batch record');
+  return {
+    batch: parseBatch(fields),
+    order: read.count(fields, 'order'),
+    depth: read.count(fields, 'depth'),
+  };
 }
 
-/** Task of the batch, name of the cotask that it is a part of, and its place there. */
-export type AssignmentEntry = readonly [task: number, cotask: string, piece: number];
+/**
+ * Position of a task in its batch, the cotask that it was submitted in, and its index in the cotask's job
+ * array.
+ */
+export type AssignmentEntry = readonly [task: number, cotask: string, taskIndex: number];
 
+/** States of one batch's tasks, and where those are that were submitted. Stored as it is. */
 export interface BatchStateRecord extends TaskStatesRecord {
   readonly parts: readonly AssignmentEntry[];
 }
 
+/**
+ * Reads the states of a batch's tasks.
+ *
+ * @throws MalformedError naming the field
+ */
 export function decodeBatchState(value: unknown): BatchStateRecord {
-  const o = read.asObject(value, 'state record');
-  for (const field of ['states', 'kept', 'held']) read.string(o, field);
-  for (const field of ['errors', 'endedBy', 'failures', 'parts']) read.asArray(o[field], field);
-  return o as unknown as BatchStateRecord;
+  const fields = read.asObject(value, 'state record');
+  for (const field of ['states', 'kept', 'held']) read.string(fields, field);
+  for (const field of ['errors', 'endedBy', 'failures', 'parts']) read.asArray(fields[field], field);
+  return fields as unknown as BatchStateRecord;
 }
--- a/packages/graph-service/src/routes.ts
+++ b/packages/graph-service/src/routes.ts
@@ -1,40 +1,66 @@
+/**
+ * HTTP interface of graph clients, beside that of users (`docs/graphs-operators.md`).
+ *
+ * @module
+ */
 import type { FastifyInstance, FastifyReply } from 'fastify';
-import type { GraphResponse, GraphService } from './graph-service.js';
-import { respond } from './graph-service.js';
+import type { GraphResult } from './graph-result.js';
+import { respond } from './graph-result.js';
+import type { GraphService } from './graph-service.js';
 
-const GRAPHS = '/graphs';
+const GRAPHS_PATH = '/graphs';
 
-async function send(reply: FastifyReply, call: () => Promise<GraphResponse>): Promise<FastifyReply> {
-  const a = await respond(call);
-  if ('retryAfterS' in a)
-    return reply.code(a.code).header('retry-after', String(a.retryAfterS)).send({ error: a.error });
-  return reply.code(a.code).send('body' in a ? a.body : { error: a.error });
+interface GraphPath {
+  readonly Params: { readonly id: string };
 }
 
-interface Path {
-  readonly Params: { readonly id: string };
+interface TaskPath {
+  readonly Params: { readonly id: string; readonly task: string };
+}
+
+interface BatchPath {
+  readonly Params: { readonly id: string; readonly batch: string };
+  readonly Querystring: { readonly from?: string };
+}
+
+async function send(reply: FastifyReply, call: () => Promise<GraphResult>): Promise<FastifyReply> {
+  const response = await respond(call);
+  if ('retryAfterS' in response) {
+    const { code, error, retryAfterS } = response;
+    return reply.code(code).header('retry-after', String(retryAfterS)).send({ error });
+  }
+  return reply.code(response.code).send('body' in response ? response.body : { error: response.error });
 }
 
-/** The interface of graph clients, beside that of users (`docs/graphs.md`). */
+/** Position in a batch from which tasks are listed; 0 where the query states none or none that is one. */
+function parseFrom(text: string | undefined): number {
+  return Math.max(0, Number(text ?? 0) || 0);
+}
+
+/** Adds the routes of graph clients to a node's HTTP server. */
 export function registerGraphRoutes(app: FastifyInstance, graphs: GraphService): void {
-  app.post(GRAPHS, (q, reply) => send(reply, () => graphs.create(q.body)));
-  app.get<Path>(`${GRAPHS}/:id`, (q, reply) => send(reply, () => graphs.status(q.params.id)));
-  app.post<Path>(`${GRAPHS}/:id/tasks`, (q, reply) =>
-    send(reply, () => graphs.addBatch(q.params.id, q.body)),
+  app.post(GRAPHS_PATH, (request, reply) => send(reply, () => graphs.create(request.body)));
+  app.get<GraphPath>(`${GRAPHS_PATH}/:id`, (request, reply) =>
+    send(reply, () => graphs.status(request.params.id)),
+  );
+  app.post<GraphPath>(`${GRAPHS_PATH}/:id/tasks`, (request, reply) =>
+    send(reply, () => graphs.addBatch(request.params.id, request.body)),
+  );
+  app.post<GraphPath>(`${GRAPHS_PATH}/:id/results`, (request, reply) =>
+    send(reply, () => graphs.updateResults(request.params.id, request.body)),
+  );
+  app.post<GraphPath>(`${GRAPHS_PATH}/:id/seal`, (request, reply) =>
+    send(reply, () => graphs.seal(request.params.id)),
   );
-  app.post<Path>(`${GRAPHS}/:id/results`, (q, reply) =>
-    send(reply, () => graphs.updateResults(q.params.id, q.body)),
+  app.post<GraphPath>(`${GRAPHS_PATH}/:id/cancel`, (request, reply) =>
+    send(reply, () => graphs.cancel(request.params.id, request.body)),
   );
-  app.post<Path>(`${GRAPHS}/:id/seal`, (q, reply) => send(reply, () => graphs.seal(q.params.id)));
-  app.post<Path>(`${GRAPHS}/:id/cancel`, (q, reply) => send(reply, () => graphs.cancel(q.params.id, q.body)));
-  app.get<{ Params: { id: string; task: string } }>(`${GRAPHS}/:id/failures/:task`, (q, reply) =>
-    send(reply, () => graphs.explainFailure(q.params.id, q.params.task)),
+  app.get<TaskPath>(`${GRAPHS_PATH}/:id/failures/:task`, (request, reply) =>
+    send(reply, () => graphs.explainFailure(request.params.id, request.params.task)),
   );
-  app.get<{ Params: { id: string; batch: string }; Querystring: { from?: string } }>(
-    `${GRAPHS}/:id/tasks/:batch`,
-    (q, reply) =>
-      send(reply, () =>
-        graphs.listTasks(q.params.id, q.params.batch, Math.max(0, Number(q.query.from ?? 0) || 0)),
-      ),
+  app.get<BatchPath>(`${GRAPHS_PATH}/:id/tasks/:batch`, (request, reply) =>
+    send(reply, () =>
+      graphs.listTasks(request.params.id, request.params.batch, parseFrom(request.query.from)),
+    ),
   );
 }
--- a/packages/graph-service/test/service.test.ts
+++ b/packages/graph-service/test/graph-service.test.ts
@@ -3,7 +3,7 @@
 import { TEAMS, TYPES, World, ZONES } from '@spurbridge/testkit';
 import type { WorldOptions } from '@spurbridge/testkit';
 import type { BatchId, GraphId, JobSpec } from '@spurbridge/wire';
-import type { GraphResponse, GraphLimits } from '../src/index.js';
+import type { GraphLimits, GraphResponse, GraphResult } from '../src/index.js';
 import {
   GraphService,
   respond,
@@ -94,7 +94,7 @@
   }
 
   /** Asks a node and lets time pass until it has answered. */
-  async ask(call: (s: GraphService) => Promise<GraphResponse>, node = 0): Promise<GraphResponse> {
+  async ask(call: (s: GraphService) => Promise<GraphResult>, node = 0): Promise<GraphResponse> {
     const got: GraphResponse[] = [];
     void respond(() => call(this.service(node))).then((a) => got.push(a));
     for (let i = 0; got.length === 0 && i < 1000; i += 1) {
@@ -171,7 +171,7 @@
   return site;
 }
 
-test('a graph of layers runs in order, ends, and leaves one small record', async () => {
+test('a layered graph runs in dependency order, completes, and leaves only its own record', async () => {
   const site = await begun();
   await site.add('a', [[0], [0, [0]], [0, [0]], [0, [1, 2]]]);
   await site.add(
@@ -189,7 +189,7 @@
   assert.deepEqual('body' in end && [end.body['phase'], end.body['done']], ['done', 34]);
 });
 
-test('a task that fails for good ends what waits for it; the others go on, and the graph says which it was', async () => {
+test('a task that exhausts its retries fails its dependents; other tasks complete, and the summary names it', async () => {
   const site = await begun();
   await site.add('a', [[1], [0, [0]], [0], [0, [2]]], null, [
     SHAPE,
@@ -207,7 +207,7 @@
   site.assertFolded();
 });
 
-test('what cannot be is refused at once by its name: unknown, foreign, circular, changed, too much', async () => {
+test('invalid calls are refused with the field: unknown or foreign tasks, cycles, changed batches, exceeded limits', async () => {
   const limits = { openPerTeam: 1, tasks: 10, depth: 1, references: 2 };
   const site = await begun({}, limits);
   const shapes = [SHAPE];
@@ -271,7 +271,7 @@
   assert.deepEqual(direct, [404]);
 });
 
-test('a graph cancelled halfway: nothing starts after the answer, all is gone in time, a spawn comes too late', async () => {
+test('a graph cancelled halfway: nothing starts after the response, all tasks stop in time, a late spawn is not run', async () => {
   const site = await begun();
   await site.add(
     'a',
@@ -306,7 +306,7 @@
   assert.deepEqual(site.w.checker.violations, []);
 });
 
-test('a lost result of a shared parent runs it again once, also when the leader falls right after the note', async () => {
+test('a lost result makes its task run again once, also when the leader crashes right after the update', async () => {
   // Acted on, a note is gone and its repetition a new one, which does no harm: here it comes before that.
   const site = await begun({ seed: 23 });
   await site.add('a', [[0], [1, [0]], [1, [0]]], null, [SHAPE, { ...SHAPE, estimateS: 20 }]);
@@ -329,7 +329,7 @@
   assert.deepEqual(site.w.checker.violations, []);
 });
 
-test('a subtree is cancelled with what it spawned; the rest of the graph ends', async () => {
+test('a subtree is cancelled with what it spawned; the rest of the graph completes', async () => {
   const site = await begun();
   await site.add('a', [[1], [0], [0, [1]]], null, [SHAPE, { ...SHAPE, estimateS: 60 }]);
   await site.w.runUntil(8000);
@@ -345,7 +345,7 @@
   site.assertFolded();
 });
 
-test('tasks spawn tasks ten deep while takeovers go on, and each child is there once', async () => {
+test('tasks spawn tasks ten deep during failovers, and each child exists once', async () => {
   const site = await begun();
   const spawned: Promise<unknown>[] = [];
   site.onStart = (task) => {
@@ -389,7 +389,7 @@
 }
 
 for (const seed of seeds())
-  test(`crashes, cuts, outages and deaths drawn from seed ${seed}: nothing lost, nothing twice, nothing before its time`, async () => {
+  test(`crashes, partitions, outages and machine losses with seed ${seed}: no task is lost, repeated or started early`, async () => {
     const site = await begun({ seed, storeLimits: { rps: 150, writeRps: 25, valueKb: 16, txnOps: 12 } });
     const { w } = site;
     const at = (): number => 5000 + w.random(80_000);
--- a/packages/measure/src/graphs.ts
+++ b/packages/measure/src/graphs.ts
@@ -5,8 +5,9 @@
   graphControllerFactory,
   graphKey,
   batchStateKey,
+  respond,
 } from '@spurbridge/graph-service';
-import type { GraphResponse } from '@spurbridge/graph-service';
+import type { GraphResponse, GraphResult } from '@spurbridge/graph-service';
 import { World, ZONES, jobSpec, machineType } from '@spurbridge/testkit';
 import type { Batch, BatchId, GraphId, JobId, TaskShape } from '@spurbridge/wire';
 import { formatGraphTaskId } from '@spurbridge/wire';
@@ -63,10 +64,10 @@
 }
 
 /** Asks until the answer is a good one, on one node after the other. */
-async function ask(w: World, call: (s: GraphService) => Promise<GraphResponse>): Promise<void> {
+async function ask(w: World, call: (s: GraphService) => Promise<GraphResult>): Promise<void> {
   for (let n = 0; ; n += 1) {
     const got: GraphResponse[] = [];
-    void call(service(w, n % 3)).then((a) => got.push(a));
+    void respond(() => call(service(w, n % 3))).then((a) => got.push(a));
     for (let i = 0; got.length === 0 && i < 2000; i += 1) {
       await new Promise((resolve) => setImmediate(resolve));
       await w.runUntil(w.time.now + 10);
