--- /dev/null
+++ b/packages/graph-client/src/graph-client.ts
@@ -0,0 +1,72 @@
+/**
+ * Creates graphs on a cluster, and finds those that are there.
+ *
+ * @module
+ */
+import { randomBytes } from 'node:crypto';
+import type { GraphTaskId, JobPriority } from '@spurbridge/wire';
+import { ClientGraph } from './client-graph.js';
+import { RequestSender } from './requests.js';
+import type { Transport } from './transport.js';
+import { httpTransport } from './transport.js';
+
+/** How a client reaches the cluster. */
+export interface ClientOptions {
+  /** Such as `http://127.0.0.1:8080`; tried in turn. */
+  readonly servers: readonly string[];
+  /** Milliseconds for which a request is tried in all. */
+  readonly patienceMs?: number;
+  /** Milliseconds between two questions what became of tasks. */
+  readonly pollMs?: number;
+  readonly transport?: Transport;
+  readonly sleep?: (ms: number) => Promise<void>;
+  /** Milliseconds since any fixed moment. */
+  readonly now?: () => number;
+}
+
+/** What a client states of a graph. */
+export interface GraphOptions {
+  /** Chosen at random where it is not stated. */
+  readonly name?: string;
+  readonly team: string;
+  readonly class: string;
+  readonly priority?: JobPriority;
+}
+
+const DEFAULT_PATIENCE_MS = 60_000;
+const DEFAULT_POLL_MS = 1000;
+
+/** Creates graphs on a cluster. */
+export class GraphClient {
+  private readonly requests: RequestSender;
+  private readonly pollMs: number;
+
+  constructor(options: ClientOptions) {
+    this.pollMs = options.pollMs ?? DEFAULT_POLL_MS;
+    this.requests = new RequestSender({
+      servers: options.servers,
+      transport: options.transport ?? httpTransport,
+      patienceMs: options.patienceMs ?? DEFAULT_PATIENCE_MS,
+      sleep: options.sleep ?? ((ms) => new Promise((resolve) => setTimeout(resolve, ms))),
+      now: options.now ?? (() => performance.now()),
+      random: Math.random,
+    });
+  }
+
+  /** Creates a graph, or goes on with the one of that name, team, class and priority. */
+  async graph(options: GraphOptions): Promise<ClientGraph> {
+    const id = `gr-${options.name ?? randomBytes(8).toString('hex')}`;
+    await this.requests.post('/graphs', {
+      graph: id,
+      team: options.team,
+      class: options.class,
+      priority: options.priority ?? 'normal',
+    });
+    return new ClientGraph(id, this.requests, this.pollMs, null);
+  }
+
+  /** The graph that a running task belongs to: what it asks for is spawned by it, the same on every run. */
+  within(graph: string, task: GraphTaskId): ClientGraph {
+    return new ClientGraph(graph, this.requests, this.pollMs, task);
+  }
+}
--- a/packages/graph-client/test/client.test.ts
+++ b/packages/graph-client/test/graph-client.test.ts
@@ -68,7 +68,7 @@
   return { w, client, play, asked };
 }
 
-test('futures as arguments make the edges, results come as they are done, and the graph ends', async () => {
+test('futures as arguments make the dependencies, results arrive as tasks are done, and the graph can be sealed', async () => {
   const s = await site(2);
   await s.play(
     (async () => {
@@ -98,7 +98,7 @@
   assert.deepEqual(s.w.checker.violations, []);
 });
 
-test('an error says which task of which graph failed first, and what led from it', async () => {
+test('an error names the graph, the task that failed first and the chain from it', async () => {
   const s = await site();
   await s.play(
     (async () => {
@@ -144,7 +144,7 @@
   );
 });
 
-test('many calls are sent in batches, an abort ends the waiting, and what is wrong is not tried again', async () => {
+test('many calls are sent in batches, an abort ends a wait, and a refused request is not retried', async () => {
   const s = await site();
   await s.play(
     (async () => {
