--- a/packages/measure/src/store-data-loss.ts
+++ b/packages/measure/src/store-data-loss.ts
@@ -162,7 +162,7 @@
     requests: (state.requests - before.requests) / 20,
     changes: (state.mutations - before.changes) / 20,
   };
-  const copies = w.nodes[0]?.guard.replicaSnapshot();
+  const copies = w.nodes[0]?.recoverableStore.replicaSnapshot();
   const began = performance.now();
   const bytes = encodeSnapshot(
     {
--- a/packages/scale/src/messages.ts
+++ b/packages/scale/src/messages.ts
@@ -4,7 +4,7 @@
 
 /** Durations of the protocol that workers keep, in milliseconds. */
 export interface WorkerTimes {
-  readonly reportMs: number;
+  readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
   readonly gangWaitMs: number;
   readonly gangPeerMs: number;
--- a/packages/scale/src/region.ts
+++ b/packages/scale/src/region.ts
@@ -272,10 +272,10 @@
   }
 }
 
-function workerTimes(): { reportMs: number; leaseMs: number; gangWaitMs: number; gangPeerMs: number } {
+function workerTimes(): { heartbeatIntervalMs: number; leaseMs: number; gangWaitMs: number; gangPeerMs: number } {
   const { report_s, lease_s, gang_wait_s, gang_peer_s } = RUN_SETTINGS.workers;
   return {
-    reportMs: report_s * 1000,
+    heartbeatIntervalMs: report_s * 1000,
     leaseMs: lease_s * 1000,
     gangWaitMs: gang_wait_s * 1000,
     gangPeerMs: gang_peer_s * 1000,
--- a/packages/simulated-worker/src/worker.ts
+++ b/packages/simulated-worker/src/worker.ts
@@ -57,7 +57,7 @@
   readonly observer: TaskObserver;
   /** Names or addresses of the controller nodes. */
   readonly nodes: readonly string[];
-  readonly reportMs: number;
+  readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
   readonly gangWaitMs: number;
   readonly gangPeerMs: number;
@@ -215,7 +215,7 @@
   private reportLoop(): void {
     if (!this.alive) return;
     this.reportNow();
-    this.host.time.after(this.host.reportMs * (0.75 + this.host.random(50) / 100), () => {
+    this.host.time.after(this.host.heartbeatIntervalMs * (0.75 + this.host.random(50) / 100), () => {
       this.reportLoop();
     });
   }
--- a/packages/testkit/src/cloud.ts
+++ b/packages/testkit/src/cloud.ts
@@ -2,6 +2,8 @@
 import type { Timeline } from '@spurbridge/simulated-worker';
 import type { ListedMachine, MachineId, MachineType, RentalRequest } from '@spurbridge/wire';
 
+/** Lists of machines are this late, and up to twice as late, in milliseconds. */
+export const LIST_LAG_MS = 4000;
 /** A machine that failed by itself goes on being listed as running for so long, in milliseconds. */
 const FAILURE_SEEN_MS = 30_000;
 
--- a/packages/testkit/src/combined-faults.ts
+++ b/packages/testkit/src/combined-faults.ts
@@ -4,7 +4,7 @@
 import type { FaultInjector } from './fault-injector.js';
 import { jobSpec } from './fixtures.js';
 import { leaderIndex } from './data-loss.js';
-import { STORE_HOST } from './key-value-store.js';
+import { STORE_HOST } from './hosts.js';
 import type { World } from './world.js';
 
 const ONE_TASK_EVERY_MS = 250;
@@ -80,13 +80,13 @@
 
 /** Where two of these meet, rules have broken: what the operators' letters name. */
 export const COMBINABLE_FAULTS: Readonly<Record<string, Trouble>> = {
-  'late writes': share('lateWrites'),
-  'late reports': share('lateReports'),
-  'held commands': share('heldCommands'),
-  'lost answers': share('lostAnswers'),
-  'reports kept for the next leader': share('keptReports'),
-  'cancelled at the end': share('cancelsAtEnd'),
-  'close looks': share('closeLooks'),
+  'late writes': share('delayedWrites'),
+  'late reports': share('duplicateHeartbeats'),
+  'held commands': share('delayedCommands'),
+  'lost answers': share('lostResponses'),
+  'reports kept for the next leader': share('replayedHeartbeats'),
+  'cancelled at the end': share('cancellationsAtCompletion'),
+  'close looks': share('pollBursts'),
   'slow state service': (w, forMs) => {
     w.faults.storeLatencyMs = [200, 500, 1000][w.random(3)] ?? 500;
     heal(w, forMs, () => {
--- a/packages/testkit/src/configuration.ts
+++ b/packages/testkit/src/configuration.ts
@@ -13,7 +13,7 @@
   const node = w.nodes[index];
   if (node === undefined) throw new Error(`there is no node ${index}`);
   return new ConfigurationEditor({
-    store: node.guard,
+    store: node.recoverableStore,
     clock: node.clock,
     wallNow: () => w.wallClockStartMs + w.time.now,
     limits: w.storeLimits,
--- a/packages/testkit/src/data-loss.ts
+++ b/packages/testkit/src/data-loss.ts
@@ -2,9 +2,9 @@
 import type { MachineId } from '@spurbridge/wire';
 import { FAULTS_END_MS } from './generated-days.js';
 import type { StoreCheckpoint } from './key-value-store.js';
-import { SimKeyValueStore, STORE_HOST } from './key-value-store.js';
+import { SimKeyValueStore } from './key-value-store.js';
 import type { World } from './world.js';
-import { CLOUD_HOST } from './world.js';
+import { CLOUD_HOST, STORE_HOST } from './hosts.js';
 
 /** What a state service can lose. */
 export const DATA_LOSSES = [
@@ -135,7 +135,7 @@
   const other = new SimKeyValueStore(w.time, { rps: 1000, writeRps: 1000, valueKb: 16, txnOps: 12 });
   other.restore(point);
   const node = w.nodes[index];
-  if (node !== undefined) node.store.store = other;
+  if (node !== undefined) node.store.backend = other;
   return other;
 }
 
--- a/packages/testkit/src/fault-injector.ts
+++ b/packages/testkit/src/fault-injector.ts
@@ -13,36 +13,36 @@
 /** What goes wrong for a share of messages, or for some machines, for as long as it is set. */
 export class FaultInjector {
   /** Share of transactions that get no answer and are carried out late, after newer ones of the same node. */
-  lateWrites = 0;
+  delayedWrites = 0;
   /** Share of transactions that are carried out at once, but of which only the answer is lost. */
-  lostAnswers = 0;
+  lostResponses = 0;
   /** Each request to the state service and each answer of it is late by up to so many milliseconds. */
   storeLatencyMs = 0;
   /** New machines are up within two seconds. */
   fastBoots = false;
   /** Share of workers' reports of which a copy is kept, and reaches every node as the next leader begins. */
-  keptReports = 0;
+  replayedHeartbeats = 0;
   /** Share of the jobs that end which are called off at that moment. */
-  cancelsAtEnd = 0;
+  cancellationsAtCompletion = 0;
   /** Share of what users are told anew after which they look at all nodes within milliseconds. */
-  closeLooks = 0;
+  pollBursts = 0;
   /** Machines that reach no controller, while direct commands reach them. */
   readonly outboundPartitioned = new Set<MachineId>();
   /** Share of workers' reports of which a copy arrives again, late. */
-  lateReports = 0;
+  duplicateHeartbeats = 0;
   /** Share of direct commands that are held up, on their way there or back. */
-  heldCommands = 0;
+  delayedCommands = 0;
   /** Machines whose reports arrive while answers and direct commands to them are lost. */
   readonly inboundPartitioned = new Set<MachineId>();
   /** How many of each kind came about. */
   readonly counts = {
-    lateWrites: 0,
-    lostAnswers: 0,
-    lateReports: 0,
-    keptReports: 0,
-    heldCommands: 0,
-    cancelsAtEnd: 0,
-    closeLooks: 0,
+    delayedWrites: 0,
+    lostResponses: 0,
+    duplicateHeartbeats: 0,
+    replayedHeartbeats: 0,
+    delayedCommands: 0,
+    cancellationsAtCompletion: 0,
+    pollBursts: 0,
   };
 
   constructor(
@@ -60,11 +60,11 @@
   /** How much later this transaction is carried out, without an answer; null: at once. */
   writeDelayMs(): number | null {
     const { least, most } = LATE_WRITE_MS;
-    return this.shouldInject('lateWrites') ? least + this.random(most - least) : null;
+    return this.shouldInject('delayedWrites') ? least + this.random(most - least) : null;
   }
 
   losesResponse(): boolean {
-    return this.shouldInject('lostAnswers');
+    return this.shouldInject('lostResponses');
   }
 
   /** How much later one message to or from the state service arrives, in milliseconds. */
@@ -80,12 +80,14 @@
   /** How much later a copy of this report arrives; null: there is none. */
   duplicateHeartbeatDelayMs(): number | null {
     const most = this.leaseMs * LATE_REPORT_LEASES;
-    return this.shouldInject('lateReports') ? LATE_REPORT_MS + this.random(most - LATE_REPORT_MS) : null;
+    return this.shouldInject('duplicateHeartbeats')
+      ? LATE_REPORT_MS + this.random(most - LATE_REPORT_MS)
+      : null;
   }
 
   /** For how long a direct command is held up on its way, and its answer on the way back. */
   commandDelayMs(): { readonly there: number; readonly back: number } {
-    if (!this.shouldInject('heldCommands')) return { there: 0, back: 0 };
+    if (!this.shouldInject('delayedCommands')) return { there: 0, back: 0 };
     const ms = this.random(HELD_COMMAND_MS);
     return this.random(2) === 0 ? { there: ms, back: 0 } : { there: 0, back: ms };
   }
--- a/packages/testkit/src/generated-days.ts
+++ b/packages/testkit/src/generated-days.ts
@@ -1,8 +1,8 @@
 import type { JobId, JobSpec, MachineId } from '@spurbridge/wire';
 import { TEAMS, TYPES, ZONES, jobId, jobSpec } from './fixtures.js';
-import { STORE_HOST } from './key-value-store.js';
-import type { WorldOptions } from './world.js';
-import { CLOUD_HOST, World } from './world.js';
+import type { WorldOptions } from './world-options.js';
+import { World } from './world.js';
+import { CLOUD_HOST, STORE_HOST } from './hosts.js';
 
 const LEASE_S = 12;
 const CANCEL_S = 26;
--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -1,13 +1,26 @@
+/**
+ * A simulated world of controllers, key-value store, cloud, workers and users for tests and measurements: stand-ins that
+ * follow the protocol, faults, and a checker that judges what happens by the protocol's rules.
+ *
+ * @module
+ */
 export * from './clock.js';
 export * from './cloud.js';
 export * from './configuration.js';
 export * from './fault-injector.js';
+export * from './hosts.js';
 export * from './network.js';
 export * from './key-value-store.js';
+export * from './store-client.js';
+export * from './store-rate-limit.js';
+export * from './store-faults.js';
 export * from './rule-checker.js';
+export * from './sim-node.js';
 export * from './world.js';
+export * from './world-options.js';
 export * from './traffic-digest.js';
 export * from './users.js';
+export * from './malformed-submissions.js';
 export * from './fixtures.js';
 export * from './tariff-feed.js';
 export * from './generated-days.js';
--- /dev/null
+++ b/packages/testkit/src/peer-network.ts
@@ -0,0 +1,143 @@
+/**
+ * Connections between the controllers of a simulated world.
+ *
+ * @module
+ */
+import type { PeerTransport } from '@spurbridge/controller';
+import type { NodeId, PeerMessage } from '@spurbridge/wire';
+import { decodePeerMessage, encodePeerMessage } from '@spurbridge/wire';
+import type { ProcessClock } from './clock.js';
+import { SimNetwork } from './network.js';
+import type { NodeDirectory } from './sim-node.js';
+import type { TrafficRecorder } from './traffic-recorder.js';
+
+const STATUS_INTERVAL_MS = 700;
+/** A peer's status says something of the key-value store for this long. */
+const STATUS_VALID_MS = 4000;
+
+/** What a controller hands to its transport. */
+export interface PeerEndpoint {
+  readonly name: NodeId;
+  readonly clock: ProcessClock;
+  /** The status that is broadcast at fixed intervals. */
+  readonly status: () => PeerMessage;
+  readonly receive: (message: PeerMessage) => void;
+  /** The connection to a peer was closed or refused. */
+  readonly closed: (node: NodeId) => void;
+}
+
+interface ReceivedStatus {
+  readonly at: number;
+  readonly isStoreServing: boolean;
+}
+
+/** Carries encoded messages between controllers, and refuses connections on demand. */
+export class PeerNetwork {
+  /** Frames and bytes that controllers sent each other. */
+  readonly traffic = { frames: 0, bytes: 0 };
+  /** Nodes of a version that knows nothing of shards. */
+  readonly previousVersionNodes = new Set<string>();
+  private readonly endpoints = new Map<string, PeerEndpoint>();
+  private readonly refusedLinks = new Set<string>();
+
+  constructor(
+    private readonly directory: NodeDirectory,
+    private readonly network: SimNetwork,
+    private readonly recorder: TrafficRecorder,
+  ) {}
+
+  /** The transport of a process that has just begun; it replaces that of the process before. */
+  connect(endpoint: PeerEndpoint): PeerTransport {
+    const { name, clock, status, receive } = endpoint;
+    const received = new Map<string, ReceivedStatus>();
+    this.endpoints.set(name, {
+      ...endpoint,
+      receive: (message) => {
+        const { status: peer } = message;
+        if (peer !== undefined) received.set(peer.node, { at: clock.now(), isStoreServing: peer.stateOk });
+        receive(message);
+      },
+    });
+    const broadcast = (message: PeerMessage): void => {
+      for (const peer of this.directory.namesExcept(name)) this.send(endpoint, peer, message);
+    };
+    return {
+      broadcast,
+      send: (to, message) => this.send(endpoint, to, message),
+      isConnected: (to) => this.directory.findRunning(to) !== null && !this.isRefused(name, to),
+      hasPeerWithStore: () =>
+        [...received.values()].some(
+          ({ at, isStoreServing }) => isStoreServing && clock.now() - at < STATUS_VALID_MS,
+        ),
+      run: async () => {
+        for (;;) {
+          await clock.sleep(STATUS_INTERVAL_MS);
+          broadcast(status());
+        }
+      },
+    };
+  }
+
+  /** From now on connections between two controllers are refused, or accepted again. */
+  setLinkRefused(a: string, b: string, refused: boolean): void {
+    const link = SimNetwork.linkKey(a, b);
+    if (!refused) {
+      this.refusedLinks.delete(link);
+      return;
+    }
+    this.refusedLinks.add(link);
+    this.endpoints.get(a)?.closed(b as NodeId);
+    this.endpoints.get(b)?.closed(a as NodeId);
+  }
+
+  /** The other running nodes notice, a message later, that the process has ended. */
+  announceEnd(name: NodeId): void {
+    for (const other of this.directory.nodes)
+      if (other.name !== name && other.clock.alive)
+        this.network.send(name, other.name, () => {
+          if (other.clock.alive) this.endpoints.get(other.name)?.closed(name);
+        });
+  }
+
+  private isRefused(a: string, b: string): boolean {
+    return this.refusedLinks.has(SimNetwork.linkKey(a, b));
+  }
+
+  private send({ name, clock }: PeerEndpoint, to: NodeId, message: PeerMessage): boolean {
+    // A dead process refuses at once; a host behind a partition is silent.
+    const target = this.directory.findRunning(to);
+    if (target === null || this.isRefused(name, to)) return false;
+    const frame = encodePeerMessage(this.asUnderstoodBy(name, message));
+    this.recorder.record('peer-frame', name, to, Buffer.from(frame).toString('hex'));
+    this.traffic.frames += 1;
+    this.traffic.bytes += frame.length;
+    this.network.send(name, to, () => {
+      if (this.directory.findRunning(to) !== target || !clock.alive) return;
+      const decoded = decodePeerMessage(frame);
+      if (decoded === null) return;
+      this.endpoints.get(to)?.receive(this.asUnderstoodBy(to, decoded.message));
+    });
+    return true;
+  }
+
+  private asUnderstoodBy(node: string, message: PeerMessage): PeerMessage {
+    return this.previousVersionNodes.has(node) ? withoutShardFields(message) : message;
+  }
+}
+
+/** What a node of the version before shards writes, and reads, of a message. */
+function withoutShardFields({ status, progress }: PeerMessage): PeerMessage {
+  const unset = {
+    takesReports: false,
+    ready: false,
+    holds: false,
+    machines: 0,
+    burden: 0,
+    configuration: 0,
+    configurationAgeMs: 0,
+  };
+  return {
+    ...(status === undefined ? {} : { status: { ...status, ...unset } }),
+    ...(progress === undefined ? {} : { progress }),
+  };
+}
--- /dev/null
+++ b/packages/testkit/src/store-rate-limit.ts
@@ -0,0 +1,61 @@
+/**
+ * Limits of the simulated key-value store on requests and writes.
+ *
+ * @module
+ */
+import type { Timeline } from '@spurbridge/simulated-worker';
+
+/** What the key-value store takes, as in a controller's settings. */
+export interface StoreLimits {
+  /** Requests a second. */
+  readonly rps: number;
+  /** Mutations a second. */
+  readonly writeRps: number;
+  /** Size of one value, in units of 1,024 bytes. */
+  readonly valueKb: number;
+  /** Mutations in one transaction. */
+  readonly txnOps: number;
+}
+
+/** Two token buckets, each as deep as one second's worth. */
+export class StoreRateLimit {
+  /** Requests that were let through. */
+  requests = 0;
+  /** Mutations that were let through. */
+  mutations = 0;
+  /** Requests that were refused, as by the status 429. */
+  refusals = 0;
+  private requestTokens: number;
+  private writeTokens: number;
+  private refilledAt = 0;
+
+  constructor(
+    private readonly time: Timeline,
+    private readonly limits: StoreLimits,
+  ) {
+    this.requestTokens = limits.rps;
+    this.writeTokens = limits.writeRps;
+  }
+
+  /** Whether a request with this many mutations is let through now; it is counted either way. */
+  tryAcquire(mutations: number): boolean {
+    this.refill();
+    if (this.requestTokens < 1 || this.writeTokens < mutations) {
+      this.refusals += 1;
+      return false;
+    }
+    this.requestTokens -= 1;
+    this.writeTokens -= mutations;
+    this.requests += 1;
+    this.mutations += mutations;
+    return true;
+  }
+
+  private refill(): void {
+    const { rps, writeRps } = this.limits;
+    const elapsedS = (this.time.now - this.refilledAt) / 1000;
+    this.refilledAt = this.time.now;
+    this.requestTokens = Math.min(rps, this.requestTokens + elapsedS * rps);
+    this.writeTokens = Math.min(writeRps, this.writeTokens + elapsedS * writeRps);
+  }
+}
--- a/packages/testkit/src/users.ts
+++ b/packages/testkit/src/users.ts
@@ -1,198 +1,224 @@
+/**
+ * The users of a simulated world: what they ask, of which node and when. All responses are judged by the rule checker.
+ *
+ * @module
+ */
 import type { JobResponse } from '@spurbridge/controller';
 import type { JobId, JobSpec } from '@spurbridge/wire';
 import { formatJobStatus, formatSubmission } from '@spurbridge/wire';
 import { jobId } from './fixtures.js';
-import type { World } from './world.js';
+import { USER_HOST } from './hosts.js';
+import { malformedSubmissions } from './malformed-submissions.js';
+import type { SimNode } from './sim-node.js';
+import type { UserEnvironment } from './user-environment.js';
 
-const USER_HOST = 'user';
-/** Users ask after their accepted jobs this often, at least, in milliseconds. */
+/** Least time between two polls for an accepted job, in milliseconds, where a world does not say otherwise. */
 export const DEFAULT_POLL_MS = 1500;
-const SUBMIT_AGAIN_MS = 1500;
-/** Right after news the user looks at every node, at moments drawn up to these, in milliseconds. */
-const LOOKS_MS = [3, 10, 30, 90, 250] as const;
-/** Called off right after it was accepted: one in so many. */
-const CANCELS_AT_ONCE = 6;
-const NEVER_FITS_CPUS = 1000;
-
+const RESUBMIT_MS = 1500;
+/** A final response is asked for again with this chance, one in so many: it must stay the same. */
+const FINAL_POLLS = 4;
+/** After news the user polls every node, at moments drawn up to each of these, in milliseconds. */
+const BURST_WITHIN_MS = [3, 10, 30, 90, 250] as const;
+/** In a burst, one request in so many repeats the submission. */
+const RESUBMISSIONS_IN_BURST = 3;
+/** One job in so many is cancelled right after news of it. */
+const CANCELLATIONS_AFTER_NEWS = 6;
+const RETRY_CANCEL_MS = 1000;
+const RETRY_CANCEL_SPREAD_MS = 500;
+const CANCEL_TOGETHER_WITHIN_MS = 200;
+/** Ids of malformed submissions begin after this number. */
+const FIRST_MALFORMED_JOB = 900_000;
+
+/** What a user asks of a controller. */
 export type UserCall = 'submit' | 'poll' | 'cancel';
 
-/** A submission that must not be accepted, and what is wrong with it. */
-interface OddSubmission {
-  readonly what: string;
-  readonly body: Record<string, unknown>;
-}
+type ResponseListener = (response: JobResponse) => void;
 
-/** The users of a simulated world: what they ask, of which node and when; all answers are judged. */
+/** Plays all users of a world. */
 export class Users {
-  private readonly cancelAt = new Map<JobId, number>();
+  private readonly cancelAtMs = new Map<JobId, number>();
   /** Jobs about which several requests may be under way at once: it then matters which was sent first. */
-  private readonly watched = new Set<JobId>();
-  private odd = 0;
+  private readonly concurrentlyAsked = new Set<JobId>();
+  private malformedCount = 0;
 
   constructor(
-    private readonly w: World,
+    private readonly world: UserEnvironment,
     private readonly pollMs: number,
   ) {}
 
-  /** The job's user asks to cancel it, so much later. */
+  /** The job's user asks to cancel it, this much later. */
   scheduleCancellation(id: JobId, inMs: number): void {
-    this.cancelAt.set(id, this.w.time.now + inMs);
+    this.cancelAtMs.set(id, this.world.time.now + inMs);
   }
 
-  /** Submits until accepted or refused for good, then polls and, if asked to, cancels. */
-  startUser(spec: JobSpec, cancelAfterMs: number | null): void {
-    const { w } = this;
-    w.checker.jobSubmitted(spec);
-    let accepted = false;
-    let over = false;
-    if (cancelAfterMs !== null) this.cancelAt.set(spec.id, cancelAfterMs);
+  /** Submits until accepted or refused for good, then polls and cancels at `cancelAtMs`, where that is set. */
+  startUser(spec: JobSpec, cancelAtMs: number | null): void {
+    const { world } = this;
+    world.checker.jobSubmitted(spec);
+    let isAccepted = false;
+    let isOver = false;
+    if (cancelAtMs !== null) this.cancelAtMs.set(spec.id, cancelAtMs);
     const ask = (): void => {
-      if (over) return;
-      const node = w.random(w.nodes.length);
-      const cancelling = accepted && w.time.now >= (this.cancelAt.get(spec.id) ?? Infinity);
-      this.sendRequest(node, !accepted ? 'submit' : cancelling ? 'cancel' : 'poll', spec, (a) => {
-        if (a.code === 200 || a.code === 201) accepted = true;
-        // A final answer is asked for again once in a while: it must stay the same.
-        if (isFinal(a)) over = w.random(4) === 0;
+      if (isOver) return;
+      const node = world.random(world.nodes.length);
+      this.sendRequest(node, this.nextCall(spec.id, isAccepted), spec, (response) => {
+        if (isSuccess(response)) isAccepted = true;
+        if (isFinal(response)) isOver = world.random(FINAL_POLLS) === 0;
       });
-      const leastMs = accepted ? this.pollMs : SUBMIT_AGAIN_MS;
-      w.time.after(leastMs + w.random(2 * leastMs), ask);
+      const leastMs = isAccepted ? this.pollMs : RESUBMIT_MS;
+      world.time.after(leastMs + world.random(2 * leastMs), ask);
     };
     ask();
   }
 
-  /** One request to one node; `answered` is called when the answer arrives, never where the process ended. */
+  /** One request to one node; `onResponse` is called when the response arrives, never where the process has ended. */
   sendRequest(
     node: number,
     call: UserCall,
     spec: JobSpec,
-    answered: (a: JobResponse) => void = () => undefined,
+    onResponse: ResponseListener = () => undefined,
     body: Record<string, unknown> = formatSubmission(spec),
   ): void {
-    const { w } = this;
-    const target = w.nodes[node];
+    const { world } = this;
+    const target = world.nodes[node];
     if (target?.clock.alive !== true) return;
-    const sentAt = w.time.now;
-    if (call === 'cancel') w.checker.cancellationRequested(spec.id);
-    const { jobs } = target.controller;
-    const answer =
-      call === 'submit' ? jobs.submit(body) : call === 'cancel' ? jobs.cancel(spec.id) : jobs.status(spec.id);
-    void answer.then((a) => {
-      w.observe('user-response', target.name, USER_HOST, [call, spec.id, a.code, bodyOf(a)]);
-      w.network.send(target.name, USER_HOST, () => {
-        const knownAt = this.watched.has(spec.id) ? sentAt : w.time.now;
-        const isNews = w.checker.responseReceived(
-          spec.id,
-          call,
-          a.code,
-          'status' in a ? a.status.phase : null,
-          knownAt,
-        );
-        answered(a);
-        if (isNews && w.faults.shouldInject('closeLooks')) this.look(spec);
+    const sentAtMs = world.time.now;
+    if (call === 'cancel') world.checker.cancellationRequested(spec.id);
+    void callController(target, call, spec.id, body).then((response) => {
+      const sent = [call, spec.id, response.code, formatResponseBody(response)];
+      world.recorder.record('user-response', target.name, USER_HOST, sent);
+      world.network.send(target.name, USER_HOST, () => {
+        this.receive(call, spec, response, sentAtMs, onResponse);
       });
     });
   }
 
-  /** Asks all nodes, again and again within milliseconds, and repeats the submission; now and then cancels at once. */
-  private look(spec: JobSpec): void {
-    const { w } = this;
-    this.watched.add(spec.id);
-    for (const most of LOOKS_MS)
-      for (let node = 0; node < w.nodes.length; node += 1) {
-        const call = w.random(3) === 0 ? 'submit' : 'poll';
-        w.time.after(w.random(most), () => {
-          this.sendRequest(node, call, spec);
-        });
-      }
-    if (spec.kind !== 'service' && w.random(CANCELS_AT_ONCE) === 0) this.cancelUntilConfirmed(spec);
-  }
-
-  /** Asks to cancel until one of the final answers comes back. */
+  /** Asks to cancel until a final response comes back. */
   cancelUntilConfirmed(spec: JobSpec): void {
-    this.watched.add(spec.id);
-    let over = false;
-    const again = (): void => {
-      if (over) return;
-      this.sendRequest(this.w.random(this.w.nodes.length), 'cancel', spec, (a) => {
-        over = isFinal(a);
+    const { world } = this;
+    this.concurrentlyAsked.add(spec.id);
+    let isOver = false;
+    const ask = (): void => {
+      if (isOver) return;
+      this.sendRequest(world.random(world.nodes.length), 'cancel', spec, (response) => {
+        isOver = isFinal(response);
       });
-      this.w.time.after(1000 + this.w.random(500), again);
+      world.time.after(RETRY_CANCEL_MS + world.random(RETRY_CANCEL_SPREAD_MS), ask);
     };
-    again();
+    ask();
   }
 
-  /** Users call off so many arrays and gangs that run and have long to go, within a fifth of a second. */
+  /** Users cancel up to this many running arrays and gangs within a fifth of a second; which ones. */
   cancelRunningJobs(count: number): JobSpec[] {
-    const { w } = this;
-    const running = [...w.checker.submitted.values()].filter(
-      (s) =>
-        s.kind !== 'service' &&
-        !w.checker.isCancellationRequested(s.id) &&
-        w.checker.runningTasksOf(s.id) > 0,
+    const { world } = this;
+    const { checker } = world;
+    const running = [...checker.submitted.values()].filter(
+      ({ id, kind }) =>
+        kind !== 'service' && !checker.isCancellationRequested(id) && checker.runningTasksOf(id) > 0,
     );
     const chosen = running.slice(0, count);
     for (const spec of chosen)
-      w.time.after(w.random(200), () => {
+      world.time.after(world.random(CANCEL_TOGETHER_WITHIN_MS), () => {
         this.cancelUntilConfirmed(spec);
       });
     return chosen;
   }
 
-  /** Repeats unfinished jobs, also in part, cancels what is done, and sends what must not be accepted. */
+  /** Repeats a known submission, also in part, cancels what is done, and sends what must not be accepted. */
   sendMalformedRequest(): void {
-    const { w } = this;
-    const known = [...w.checker.submitted.values()].filter((s) => w.checker.isAccepted(s.id));
-    const spec = known[w.random(known.length)];
-    const node = w.random(w.nodes.length);
-    if (spec !== undefined) {
-      this.watched.add(spec.id);
-      const body = formatSubmission(spec);
-      if (w.random(2) === 0) Reflect.deleteProperty(body, w.random(2) === 0 ? 'memGb' : 'shape');
-      this.sendRequest(node, 'submit', spec, () => undefined, body);
-      if (w.checker.isReportedDone(spec.id)) this.sendRequest(node, 'cancel', spec);
-    }
+    const { world } = this;
+    const known = [...world.checker.submitted.values()].filter(({ id }) => world.checker.isAccepted(id));
+    const spec = known[world.random(known.length)];
+    const node = world.random(world.nodes.length);
+    if (spec !== undefined) this.repeatSubmission(node, spec);
     const template = spec ?? known[0];
-    if (template === undefined) return;
-    const id = jobId(900_000 + (this.odd += 1));
-    const odd = malformedSubmissions({ ...template, id });
-    const chosen = odd[w.random(odd.length)];
-    const target = w.nodes[w.random(w.nodes.length)];
+    if (template !== undefined) this.sendMalformedSubmission(template);
+  }
+
+  private nextCall(id: JobId, isAccepted: boolean): UserCall {
+    const isCancelling = isAccepted && this.world.time.now >= (this.cancelAtMs.get(id) ?? Infinity);
+    if (!isAccepted) return 'submit';
+    return isCancelling ? 'cancel' : 'poll';
+  }
+
+  private receive(
+    call: UserCall,
+    spec: JobSpec,
+    response: JobResponse,
+    sentAtMs: number,
+    onResponse: ResponseListener,
+  ): void {
+    const { world } = this;
+    const askedMs = this.concurrentlyAsked.has(spec.id) ? sentAtMs : world.time.now;
+    const phase = 'status' in response ? response.status.phase : null;
+    const isNews = world.checker.responseReceived(spec.id, call, response.code, phase, askedMs);
+    onResponse(response);
+    if (isNews && world.faults.shouldInject('pollBursts')) this.startPollBurst(spec);
+  }
+
+  /** Asks all nodes, again and again within milliseconds, and repeats the submission; now and then cancels at once. */
+  private startPollBurst(spec: JobSpec): void {
+    const { world } = this;
+    this.concurrentlyAsked.add(spec.id);
+    for (const withinMs of BURST_WITHIN_MS)
+      for (let node = 0; node < world.nodes.length; node += 1) {
+        const call = world.random(RESUBMISSIONS_IN_BURST) === 0 ? 'submit' : 'poll';
+        world.time.after(world.random(withinMs), () => {
+          this.sendRequest(node, call, spec);
+        });
+      }
+    if (spec.kind !== 'service' && world.random(CANCELLATIONS_AFTER_NEWS) === 0)
+      this.cancelUntilConfirmed(spec);
+  }
+
+  private repeatSubmission(node: number, spec: JobSpec): void {
+    const { world } = this;
+    this.concurrentlyAsked.add(spec.id);
+    const body = formatSubmission(spec);
+    if (world.random(2) === 0) Reflect.deleteProperty(body, world.random(2) === 0 ? 'memGb' : 'shape');
+    this.sendRequest(node, 'submit', spec, () => undefined, body);
+    if (world.checker.isReportedDone(spec.id)) this.sendRequest(node, 'cancel', spec);
+  }
+
+  private sendMalformedSubmission(template: JobSpec): void {
+    const { world } = this;
+    const id = jobId(FIRST_MALFORMED_JOB + (this.malformedCount += 1));
+    const submissions = malformedSubmissions({ ...template, id });
+    const chosen = submissions[world.random(submissions.length)];
+    const target = world.nodes[world.random(world.nodes.length)];
     if (chosen === undefined || target?.clock.alive !== true) return;
-    void target.controller.jobs.submit(chosen.body).then((a) => {
-      w.checker.invalidSubmissionAnswered(id, chosen.what, a.code);
+    void target.controller.jobs.submit(chosen.body).then((response) => {
+      world.checker.invalidSubmissionAnswered(id, chosen.defect, response.code);
     });
   }
 }
 
-/** The body of an answer as it is sent; the texts of errors are for people and may change. */
-function bodyOf(a: JobResponse): unknown {
-  return 'status' in a ? formatJobStatus(a.status) : null;
+function callController(
+  target: SimNode,
+  call: UserCall,
+  id: JobId,
+  body: Record<string, unknown>,
+): Promise<JobResponse> {
+  const { jobs } = target.controller;
+  switch (call) {
+    case 'submit':
+      return jobs.submit(body);
+    case 'cancel':
+      return jobs.cancel(id);
+    case 'poll':
+      return jobs.status(id);
+  }
+}
+
+/** The body of a response as it is sent; the texts of errors are for people and may change. */
+function formatResponseBody(response: JobResponse): unknown {
+  return 'status' in response ? formatJobStatus(response.status) : null;
 }
 
-function isFinal(a: JobResponse): boolean {
-  return 'status' in a && (a.status.phase === 'cancelled' || a.status.phase === 'done');
+function isSuccess({ code }: JobResponse): boolean {
+  return code === 200 || code === 201;
 }
 
-/** Fields of a submission that may be null, and so may be left out. */
-const MAY_BE_LEFT_OUT: ReadonlySet<string> = new Set(['builds', 'yard', 'dueS']);
-
-/** The job as it can never run, and once without each field that must not be left out. */
-export function malformedSubmissions(spec: JobSpec): OddSubmission[] {
-  const body = formatSubmission(spec);
-  const lacking = Object.keys(body).filter((f) => f !== 'nameId' && !MAY_BE_LEFT_OUT.has(f));
-  return [
-    { what: 'more CPUs than any machine', body: { ...body, cpus: NEVER_FITS_CPUS } },
-    { what: 'more accelerators than any machine', body: { ...body, accelerators: NEVER_FITS_CPUS } },
-    { what: 'more memory than any machine', body: { ...body, memGb: NEVER_FITS_CPUS * 1000 } },
-    { what: 'a machine type that there is not', body: { ...body, builds: ['none-such'] } },
-    { what: 'no machine type', body: { ...body, builds: [] } },
-    { what: 'a zone that there is not', body: { ...body, yard: 'nowhere' } },
-    { what: 'a team that there is not', body: { ...body, crew: 'nobody' } },
-    { what: 'no tasks', body: { ...body, pieces: 0 } },
-    ...lacking.map((field) => ({
-      what: `no ${field}`,
-      body: Object.fromEntries(Object.entries(body).filter(([f]) => f !== field)),
-    })),
-  ];
+function isFinal(response: JobResponse): boolean {
+  return 'status' in response && (response.status.phase === 'cancelled' || response.status.phase === 'done');
 }
--- a/packages/testkit/test/combined-fault-cases.test.ts
+++ b/packages/testkit/test/combined-fault-cases.test.ts
@@ -37,19 +37,19 @@
 
 /** Every transaction of any node in this time gets no answer, and is carried out 2 to 12 s later. */
 async function allLate(w: World, forMs: number): Promise<void> {
-  w.faults.lateWrites = 1;
+  w.faults.delayedWrites = 1;
   await w.runUntil(w.time.now + forMs);
-  w.faults.lateWrites = 0;
+  w.faults.delayedWrites = 0;
 }
 
 test('an accept carried out late is the same job as its retry, for whoever asks', async () => {
   const w = world(1);
   await w.runUntil(CALM_MS);
   const spec = jobSpec({ id: id(1), tasks: 2 });
-  w.faults.lateWrites = 1;
+  w.faults.delayedWrites = 1;
   assert.equal(await call(w, 0, 'submit', spec), 503);
-  w.faults.lateWrites = 0;
-  assert.equal(w.faults.counts.lateWrites > 0, true);
+  w.faults.delayedWrites = 0;
+  assert.equal(w.faults.counts.delayedWrites > 0, true);
   assert.ok([200, 201].includes(await call(w, 1, 'submit', spec)));
   await w.runUntil(w.time.now + 15_000);
   assert.equal(await call(w, 2, 'poll', spec), 200);
@@ -63,9 +63,9 @@
   const spec = jobSpec({ id: id(1), tasks: 2, estimateS: 300 });
   w.startUser(spec, null);
   await w.runUntil(CALM_MS);
-  w.faults.lateWrites = 1;
+  w.faults.delayedWrites = 1;
   assert.equal(await call(w, 0, 'cancel', spec), 503);
-  w.faults.lateWrites = 0;
+  w.faults.delayedWrites = 0;
   assert.equal(w.recordedPhaseOf(spec.id), 'active');
   await w.runUntil(w.time.now + 15_000);
   assert.equal(w.recordedPhaseOf(spec.id), 'cancelled');
@@ -89,7 +89,7 @@
     await w.runUntil(w.time.now + 20_000);
     assert.ok(leaderIndex(w) >= 0, 'nobody leads');
     await w.runUntil(w.time.now + 100_000);
-    assert.ok(w.faults.counts.lateWrites >= 5, String(w.faults.counts.lateWrites));
+    assert.ok(w.faults.counts.delayedWrites >= 5, String(w.faults.counts.delayedWrites));
     assert.deepEqual(w.checker.violations, []);
     for (let i = 0; i < 4; i += 1) assert.equal(w.recordedPhaseOf(id(i)), 'done');
   });
@@ -127,7 +127,7 @@
   test(`jobs of two and three tasks that end far apart, across changes of leader and old reports, seed ${seed}`, async () => {
     const w = world(seed, { taskRunMs: (_, task) => 5000 + task * 22_000 });
     await w.runUntil(20_000);
-    w.faults.lateReports = 0.4;
+    w.faults.duplicateHeartbeats = 0.4;
     for (let i = 0; i < 6; i += 1)
       w.startUser(jobSpec({ id: id(i), tasks: 2 + (i % 2), estimateS: 20 }), null);
     for (let ms = 4000; ms < 60_000; ms += 9500) {
@@ -141,9 +141,9 @@
       const next = leaderIndex(w);
       if (next >= 0) w.crash(next, 100);
     }
-    w.faults.lateReports = 0;
+    w.faults.duplicateHeartbeats = 0;
     await w.runUntil(180_000);
-    assert.ok(w.faults.counts.lateReports > 0);
+    assert.ok(w.faults.counts.duplicateHeartbeats > 0);
     assert.deepEqual(w.checker.violations, []);
     for (let i = 0; i < 6; i += 1) assert.equal(w.recordedPhaseOf(id(i)), 'done', id(i));
   });
--- a/packages/testkit/test/configuration.test.ts
+++ b/packages/testkit/test/configuration.test.ts
@@ -83,7 +83,7 @@
 
 test('a commit whose answer is lost, or that is carried out late, changes nothing twice', async () => {
   const w = await settled(3);
-  for (const fault of ['lostAnswers', 'lateWrites'] as const) {
+  for (const fault of ['lostResponses', 'delayedWrites'] as const) {
     const before = configurationVersions(w)[0] ?? 0;
     const changeId = nextChangeId();
     w.faults[fault] = 1;
--- a/packages/testkit/test/data-loss-cases.test.ts
+++ b/packages/testkit/test/data-loss-cases.test.ts
@@ -39,7 +39,7 @@
 }
 
 function allTrusted(w: World): boolean {
-  return w.nodes.every((n) => n.guard.isTrusted);
+  return w.nodes.every((n) => n.recoverableStore.isTrusted);
 }
 
 function placedOn(w: World, job: JobId): string[] {
@@ -83,11 +83,11 @@
   const leader = leaderIndex(w);
   forkStore(w, (leader + 1) % 3, point);
   await w.runUntil(75_000);
-  assert.ok(w.nodes.some((n) => n.guard.isTrusted) && !allTrusted(w), 'not both sides may work');
+  assert.ok(w.nodes.some((n) => n.recoverableStore.isTrusted) && !allTrusted(w), 'not both sides may work');
   // The operators put all nodes in front of one store again: the one that was written to last.
-  const working = w.nodes.find((n) => n.guard.isTrusted);
+  const working = w.nodes.find((n) => n.recoverableStore.isTrusted);
   assert.ok(working !== undefined);
-  for (const n of w.nodes) n.store.store = working.store.store;
+  for (const n of w.nodes) n.store.backend = working.store.backend;
   await w.runUntil(180_000);
   assert.ok(allTrusted(w));
   assert.deepEqual(w.checker.violations, []);
@@ -312,7 +312,7 @@
   for (const a of [0, 1, 2])
     for (const b of [0, 1, 2]) if (a < b) lonely.network.partition(`spur-${a}`, `spur-${b}`, 'drop');
   await lonely.runUntil(1500);
-  assert.ok(!lonely.nodes.some((n) => n.guard.isTrusted));
+  assert.ok(!lonely.nodes.some((n) => n.recoverableStore.isTrusted));
   await lonely.runUntil(2600);
   assert.ok(allTrusted(lonely));
 });
@@ -395,7 +395,7 @@
   await w.runUntil(60_000);
   assert.ok(allTrusted(w));
   assert.equal((w.store.peek('epoch') as { number: number }).number, 1);
-  assert.equal(node.guard.phaseOf(id(2)), 'done');
+  assert.equal(node.recoverableStore.phaseOf(id(2)), 'done');
 });
 
 test('tasks that nobody knows any more count against every team until they are gone', async () => {
--- a/packages/testkit/test/fault-search-regressions.test.ts
+++ b/packages/testkit/test/fault-search-regressions.test.ts
@@ -73,7 +73,7 @@
     w.faults.storeLatencyMs = 600;
   },
   'answers lost': (w) => {
-    w.faults.lostAnswers = 0.4;
+    w.faults.lostResponses = 0.4;
   },
   'nodes that have just begun': (w) => {
     for (let ms = 0; ms < 30_000; ms += 2500)
@@ -99,8 +99,8 @@
   test(`users look at all nodes within milliseconds of each news, and ${name}: nothing older is answered`, async () => {
     const w = world(21);
     await w.runUntil(20_000);
-    w.faults.closeLooks = 1;
-    w.faults.cancelsAtEnd = 0.3;
+    w.faults.pollBursts = 1;
+    w.faults.cancellationsAtCompletion = 0.3;
     begin(w);
     for (let i = 0; i < 24; i += 1)
       after(w, i * 1200, () => {
@@ -109,9 +109,9 @@
       });
     await on(w, 32_000);
     w.faults.storeLatencyMs = 0;
-    w.faults.lostAnswers = 0;
+    w.faults.lostResponses = 0;
     await on(w, 50_000);
-    assert.ok(w.faults.counts.closeLooks >= 24, String(w.faults.counts.closeLooks));
+    assert.ok(w.faults.counts.pollBursts >= 24, String(w.faults.counts.pollBursts));
     assertWhole(w, name);
     for (let i = 0; i < 24; i += 1)
       assert.ok(['done', 'cancelled'].includes(String(w.recordedPhaseOf(id(i)))), id(i));
@@ -122,7 +122,7 @@
 for (const seed of [31, 32, 33, 34])
   test(`every transaction is carried out and its answer lost, through placements, ends and an election, seed ${seed}`, async () => {
     const w = world(seed);
-    w.faults.closeLooks = 1;
+    w.faults.pollBursts = 1;
     await w.runUntil(20_000);
     const spells: [number, number][] = [
       [0, 2500],
@@ -131,10 +131,10 @@
     ];
     for (const [ms, forMs] of spells) {
       after(w, ms, () => {
-        w.faults.lostAnswers = 1;
+        w.faults.lostResponses = 1;
       });
       after(w, ms + forMs, () => {
-        w.faults.lostAnswers = 0;
+        w.faults.lostResponses = 0;
       });
     }
     // The second spell meets an election, the third one cancellations.
@@ -149,7 +149,7 @@
         );
       });
     await on(w, 90_000);
-    assert.ok(w.faults.counts.lostAnswers >= 5, String(w.faults.counts.lostAnswers));
+    assert.ok(w.faults.counts.lostResponses >= 5, String(w.faults.counts.lostResponses));
     assert.ok(leaderIndex(w) >= 0);
     assertWhole(w);
     assert.deepEqual(w.reusedRentalNames, []);
@@ -163,12 +163,12 @@
     const jobs = longJobs(w, 4);
     await w.runUntil(BEGIN_MS);
     const { starts } = w.checker;
-    w.faults.lostAnswers = 0.5;
+    w.faults.lostResponses = 0.5;
     w.store.clear();
     await on(w, 8000);
-    w.faults.lostAnswers = 0;
+    w.faults.lostResponses = 0;
     await on(w, 40_000);
-    assert.ok(w.faults.counts.lostAnswers > 0);
+    assert.ok(w.faults.counts.lostResponses > 0);
     assert.ok(leaderIndex(w) >= 0);
     for (const spec of jobs) assert.equal(w.recordedPhaseOf(spec.id), 'active');
     assert.equal(w.checker.starts, starts, 'something was started anew');
@@ -291,7 +291,7 @@
 test('old reports reach every node just as a new leader begins, also of machines that are long gone', async () => {
   for (const seed of [71, 72, 73, 74]) {
     const w = world(seed);
-    w.faults.keptReports = 0.3;
+    w.faults.replayedHeartbeats = 0.3;
     for (let i = 0; i < 6; i += 1) w.startUser(jobSpec({ id: id(i), tasks: 3, estimateS: 12 }), null);
     await w.runUntil(30_000);
     for (const x of aliveWorkers(w).slice(0, 3)) w.reclaimMachine(x.id);
@@ -302,7 +302,7 @@
         crashLeader(w, 100);
       });
     await on(w, 110_000);
-    assert.ok(w.faults.counts.keptReports > 20);
+    assert.ok(w.faults.counts.replayedHeartbeats > 20);
     assertWhole(w, `seed ${seed}`);
     for (let i = 0; i < 10; i += 1) assert.equal(w.recordedPhaseOf(id(i)), 'done', `${id(i)}, seed ${seed}`);
   }
@@ -422,7 +422,7 @@
     const w = world(seed);
     longJobs(w, 8);
     await w.runUntil(BEGIN_MS);
-    w.faults.closeLooks = 1;
+    w.faults.pollBursts = 1;
     w.faults.storeLatencyMs = 500;
     w.users.cancelRunningJobs(5);
     await on(w, 1500);
@@ -498,7 +498,7 @@
       after(w, 15_000 + i * 9000, () => {
         w.startUser(jobSpec({ id: id(i), tasks: 2, estimateS: 8 }), i % 4 === 0 ? w.time.now + 6000 : null);
       });
-    w.faults.keptReports = 0.2;
+    w.faults.replayedHeartbeats = 0.2;
     for (let n = 0; n < 10; n += 1)
       after(w, 20_000 + n * 12_000, () => {
         crashLeader(w, [50, 300, 2000][n % 3]);
@@ -518,8 +518,8 @@
   test(`a cancellation, a question and a repeat meet the end of the last task, the store late by up to ${slowMs} ms`, async () => {
     for (const seed of [103, 104, 110]) {
       const w = world(seed);
-      w.faults.cancelsAtEnd = 0.7;
-      w.faults.closeLooks = 1;
+      w.faults.cancellationsAtCompletion = 0.7;
+      w.faults.pollBursts = 1;
       w.faults.storeLatencyMs = slowMs;
       await w.runUntil(20_000);
       for (let i = 0; i < 30; i += 1)
@@ -529,7 +529,7 @@
       await on(w, 30_000);
       w.faults.storeLatencyMs = 0;
       await on(w, 40_000);
-      assert.ok(w.faults.counts.cancelsAtEnd > 5);
+      assert.ok(w.faults.counts.cancellationsAtCompletion > 5);
       assertWhole(w, `seed ${seed}`);
       for (let i = 0; i < 30; i += 1)
         assert.ok(['done', 'cancelled'].includes(String(w.recordedPhaseOf(id(i)))), id(i));
