--- /dev/null
+++ b/packages/testkit/src/response-rules.ts
@@ -0,0 +1,187 @@
+/**
+ * Rules about what users are told: nothing is forgotten, invented, said too early or taken back.
+ *
+ * @module
+ */
+import type { JobId, JobPhase, JobSpec } from '@spurbridge/wire';
+import type { RuleViolations } from './rule-violations.js';
+import type { UserCall } from './user-call.js';
+
+/** An accepted job is forgotten when its polls fail for longer than this, while most others get responses. */
+const FORGOTTEN_MS = 90_000;
+/** The same once all faults are over, however others fare. */
+const FORGOTTEN_AFTER_FAULTS_MS = 75_000;
+/** Responses that say that a job is unknown or wrong. */
+const REJECTIONS: ReadonlySet<number> = new Set([400, 404, 422]);
+
+interface ResponseCounts {
+  readonly given: number;
+  readonly refused: number;
+}
+
+interface FailingPolls {
+  readonly sinceMs: number;
+  readonly before: ResponseCounts;
+}
+
+/** A response of a controller to a user. */
+export interface UserResponse {
+  readonly id: JobId;
+  readonly call: UserCall;
+  readonly code: number;
+  readonly phase: JobPhase | null;
+  /**
+   * When the request was sent, where several of a user's requests were under way at once: what was learned after that is
+   * no reason to expect it in the response.
+   */
+  readonly askedMs: number;
+}
+
+/** What the rules need to know of jobs. */
+export interface ResponseRulesOptions {
+  readonly now: () => number;
+  readonly violations: RuleViolations;
+  readonly submitted: ReadonlyMap<JobId, JobSpec>;
+  /** How many tasks of the job are done. */
+  readonly doneTasksOf: (id: JobId) => number;
+}
+
+/** Judges every response, and remembers when users were told what. */
+export class ResponseRules {
+  /** From then on all faults are over. */
+  faultsEndMs = Infinity;
+  /** Longest time for which requests about an accepted job went unanswered since then. */
+  longestUnansweredMs = 0;
+  private readonly acceptedAt = new Map<JobId, number>();
+  private readonly cancelledAt = new Map<JobId, number>();
+  private readonly doneAt = new Map<JobId, number>();
+  private readonly cancellationRequests = new Set<JobId>();
+  private readonly statusChanges = new Map<string, number[]>();
+  private readonly failingPolls = new Map<JobId, FailingPolls>();
+  private counts: ResponseCounts = { given: 0, refused: 0 };
+
+  constructor(private readonly options: ResponseRulesOptions) {}
+
+  /** Jobs of which users were told that they are cancelled. */
+  get cancelledJobs(): Iterable<JobId> {
+    return this.cancelledAt.keys();
+  }
+
+  /** When the user was first told that the job is cancelled. */
+  cancelledAtMs(id: JobId): number | undefined {
+    return this.cancelledAt.get(id);
+  }
+
+  isAccepted(id: JobId): boolean {
+    return this.acceptedAt.has(id);
+  }
+
+  isReportedDone(id: JobId): boolean {
+    return this.doneAt.has(id);
+  }
+
+  isCancellationRequested(id: JobId): boolean {
+    return this.cancellationRequests.has(id);
+  }
+
+  cancellationRequested(id: JobId): void {
+    this.cancellationRequests.add(id);
+  }
+
+  /** When the user was told something new of the job, in order. */
+  statusChangesOf(id: string): readonly number[] {
+    return this.statusChanges.get(id) ?? [];
+  }
+
+  /** Judges a response; whether the user was told something new. */
+  receive(response: UserResponse): boolean {
+    const { id, code, call } = response;
+    const { violations, submitted } = this.options;
+    if (this.isAccepted(id)) this.countResponse(id, call, code < 500);
+    const spec = submitted.get(id);
+    if (spec === undefined) {
+      if (code === 200) violations.report('invented', id);
+      return false;
+    }
+    if (this.isKnown(this.acceptedAt, response) && REJECTIONS.has(code))
+      violations.report('forgotten', `${id} got ${code} on ${call}`);
+    if (code !== 200 && code !== 201) return false;
+    return this.receiveStatus(spec, response);
+  }
+
+  /** A submission that must not be accepted got this response. */
+  receiveInvalidSubmission(id: JobId, defect: string, code: number): void {
+    if (code === 200 || code === 201)
+      this.options.violations.report('accepted_wrongly', `${id} with ${defect}`);
+  }
+
+  private receiveStatus(spec: JobSpec, response: UserResponse): boolean {
+    const { id, phase } = response;
+    const news = [this.tell(this.acceptedAt, id)];
+    if (phase === 'done') news.push(this.receiveDone(spec));
+    else this.checkNotDoneBefore(response);
+    if (phase === 'cancelled') news.push(this.receiveCancelled(id));
+    else if (phase !== 'done' && this.isKnown(this.cancelledAt, response))
+      this.options.violations.report('went_back', `${id} was cancelled, now ${String(phase)}`);
+    const isNews = news.includes(true);
+    if (isNews) this.statusChanges.set(id, [...this.statusChangesOf(id), this.options.now()]);
+    return isNews;
+  }
+
+  private receiveDone(spec: JobSpec): boolean {
+    const { violations, doneTasksOf } = this.options;
+    if (spec.kind === 'service' || doneTasksOf(spec.id) < spec.tasks) violations.report('not_done', spec.id);
+    // Both are final: whichever was asked for first, they can't both be true.
+    if (this.cancelledAt.has(spec.id)) violations.report('went_back', `${spec.id} was cancelled, now done`);
+    return this.tell(this.doneAt, spec.id);
+  }
+
+  private checkNotDoneBefore(response: UserResponse): void {
+    const { id, phase } = response;
+    if (this.isKnown(this.doneAt, response) || (phase === 'cancelled' && this.isReportedDone(id)))
+      this.options.violations.report('went_back', `${id} was done, now ${String(phase)}`);
+  }
+
+  private receiveCancelled(id: JobId): boolean {
+    if (!this.isCancellationRequested(id))
+      this.options.violations.report('went_back', `${id} was not cancelled by its user`);
+    return this.tell(this.cancelledAt, id);
+  }
+
+  /** Whether the user knew it when the request was sent. */
+  private isKnown(toldAt: ReadonlyMap<JobId, number>, { id, askedMs }: UserResponse): boolean {
+    const at = toldAt.get(id);
+    return at !== undefined && at <= askedMs;
+  }
+
+  /** The user is told now; true: for the first time. */
+  private tell(toldAt: Map<JobId, number>, id: JobId): boolean {
+    if (toldAt.has(id)) return false;
+    toldAt.set(id, this.options.now());
+    return true;
+  }
+
+  /** An accepted job whose every poll fails for long is forgotten, too, while most others get responses. */
+  private countResponse(id: JobId, call: UserCall, isGiven: boolean): void {
+    const now = this.options.now();
+    const { given, refused } = this.counts;
+    this.counts = isGiven ? { given: given + 1, refused } : { given, refused: refused + 1 };
+    const sinceMs = this.failingPolls.get(id)?.sinceMs ?? now;
+    if (isGiven) this.failingPolls.delete(id);
+    this.countUnanswered(id, now - Math.max(sinceMs, this.faultsEndMs));
+    if (isGiven || call !== 'poll') return;
+    const failing = this.failingPolls.get(id) ?? { sinceMs: now, before: this.counts };
+    this.failingPolls.set(id, failing);
+    const others = this.counts.given - failing.before.given;
+    const refusedSince = this.counts.refused - failing.before.refused;
+    if (now - failing.sinceMs > FORGOTTEN_MS && others > refusedSince)
+      this.options.violations.report('forgotten', `${id} got no answer for ${now - failing.sinceMs} ms`);
+  }
+
+  private countUnanswered(id: JobId, forMs: number): void {
+    if (!(forMs > this.longestUnansweredMs)) return;
+    this.longestUnansweredMs = forMs;
+    if (forMs > FORGOTTEN_AFTER_FAULTS_MS)
+      this.options.violations.report('forgotten', `${id} got no answer for ${forMs} ms after all troubles`);
+  }
+}
--- a/packages/testkit/src/users.ts
+++ b/packages/testkit/src/users.ts
@@ -10,6 +10,7 @@
 import { USER_HOST } from './hosts.js';
 import { malformedSubmissions } from './malformed-submissions.js';
 import type { SimNode } from './sim-node.js';
+import type { UserCall } from './user-call.js';
 import type { UserEnvironment } from './user-environment.js';
 
 /** Least time between two polls for an accepted job, in milliseconds, where a world does not say otherwise. */
@@ -29,9 +30,6 @@
 /** Ids of malformed submissions begin after this number. */
 const FIRST_MALFORMED_JOB = 900_000;
 
-/** What a user asks of a controller. */
-export type UserCall = 'submit' | 'poll' | 'cancel';
-
 type ResponseListener = (response: JobResponse) => void;
 
 /** Plays all users of a world. */
