--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -8,5 +8,6 @@
 export * from './leadership/campaign-delay.js';
 export * from './leadership/leader-record.js';
 export * from './leadership/leadership.js';
+export * from './leadership/leadership-listener.js';
 export * from './leadership/leadership-state.js';
 export * from './leadership/leader-lease.js';
--- a/packages/store/src/leadership/leadership.ts
+++ b/packages/store/src/leadership/leadership.ts
@@ -9,6 +9,7 @@
 import { KEY_ABSENT } from '@spurbridge/wire';
 import type { CommitOutcome, KeyValueStore, LeaseRenewalOutcome } from '../key-value-store.js';
 import { LEASE_TTL_MS, LeaderLease } from './leader-lease.js';
+import type { KnownLeader, LeadershipListener } from './leadership-listener.js';
 import { LEADER_KEY, formatLeaderRecord, parseLeaderRecord } from './leader-record.js';
 import type { LeadershipState } from './leadership-state.js';
 import { checkTransition, isLeaderState } from './leadership-state.js';
@@ -34,27 +35,6 @@
 /** How long after its start a process may not know of its peers yet, in milliseconds. */
 const PEER_DISCOVERY_MS = 1000;
 
-/** Receives changes of leadership, and knows what the election needs to know of other nodes. */
-export interface LeadershipListener {
-  /** This node was elected. */
-  onElected(token: FencingToken): void;
-  /** The lease is certainly valid again after a time in the state `holding`. */
-  onLeaseConfirmedAgain(): void;
-  /** This node no longer leads. */
-  onDeposed(reason: string): void;
-  log(message: string, fields: Record<string, unknown>): void;
-  /** Whether another node is connected that may lead. */
-  hasPeers?(): boolean;
-  /** How long others may campaign first where no node leads, in milliseconds. */
-  campaignDelayMs?(): number;
-}
-
-/** The leader with the highest fencing token that this node knows. */
-export interface KnownLeader {
-  readonly fencingToken: FencingToken;
-  readonly node: NodeId;
-}
-
 /**
  * Takes part in the election, keeps the lease while leading, and tells whether it is valid. The states and their
  * transitions are those of `LeadershipState`; only `transitionTo` changes the state.
