--- a/packages/cloud/src/http-cloud-provider.ts
+++ b/packages/cloud/src/http-cloud-provider.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Clock, HttpMethod, HttpResponse, RequestPriority } from '@spurbridge/net';
-import { JsonClient, REQUEST_PRIORITY, RateLimiter } from '@spurbridge/net';
+import { HTTP_STATUS, JsonClient, REQUEST_PRIORITY, RateLimiter } from '@spurbridge/net';
 import type { ListedMachine, MachineId, MachineType, RentalRequest } from '@spurbridge/wire';
 import {
   PATHS,
@@ -25,9 +25,6 @@
 const REQUEST_RATE_SHARE = 0.8;
 const REQUEST_BURST_SHARE = 1.5;
 
-const HTTP_OK = 200;
-const HTTP_TOO_MANY_REQUESTS = 429;
-const HTTP_UNAVAILABLE = 503;
 /** What a response of 503 holds where the cloud works but has no such machine. */
 const NO_CAPACITY_ERROR = 'no capacity';
 
@@ -44,7 +41,7 @@
 
   async listMachineTypes(): Promise<readonly MachineType[] | null> {
     const response = await this.send('GET', PATHS.machineTypes, undefined, REQUEST_PRIORITY.high);
-    return response?.status === HTTP_OK ? parseMachineTypes(response.body) : null;
+    return response?.status === HTTP_STATUS.ok ? parseMachineTypes(response.body) : null;
   }
 
   async rent(request: RentalRequest): Promise<RentalOutcome> {
@@ -52,7 +49,7 @@
     try {
       const body = formatRentalRequest(request);
       const response = await this.client.call('POST', PATHS.rentals, body, RESPONSE_TIMEOUT_MS);
-      if (response.status === HTTP_TOO_MANY_REQUESTS) this.requests.drain();
+      if (response.status === HTTP_STATUS.tooManyRequests) this.requests.drain();
       return rentalOutcomeOf(response);
     } catch {
       // A `NoResponseError`, or a `ValidationError` where the response cannot be understood.
@@ -62,7 +59,7 @@
 
   async release(machines: readonly MachineId[], priority: RequestPriority): Promise<boolean> {
     const response = await this.send('POST', PATHS.release, formatReleaseRequest(machines), priority);
-    return response?.status === HTTP_OK;
+    return response?.status === HTTP_STATUS.ok;
   }
 
   /** Reads the whole list, a page at a time. */
@@ -70,7 +67,7 @@
     const machines: ListedMachine[] = [];
     for (let from = ''; ;) {
       const response = await this.send('GET', listPath(from), undefined, REQUEST_PRIORITY.normal);
-      if (response?.status !== HTTP_OK) return null;
+      if (response?.status !== HTTP_STATUS.ok) return null;
       const page = parseMachineList(response.body);
       machines.push(...page.machines);
       const last = page.machines.at(-1);
@@ -89,7 +86,7 @@
     if (!this.requests.tryAcquire(1, priority)) return null;
     try {
       const response = await this.client.call(method, path, body, RESPONSE_TIMEOUT_MS);
-      if (response.status === HTTP_TOO_MANY_REQUESTS) this.requests.drain();
+      if (response.status === HTTP_STATUS.tooManyRequests) this.requests.drain();
       return response;
     } catch {
       // A `NoResponseError`.
@@ -104,8 +101,10 @@
 }
 
 function rentalOutcomeOf(response: HttpResponse): RentalOutcome {
-  if (response.status === HTTP_OK) return { outcome: 'rented', machines: parseRentalResponse(response.body) };
+  if (response.status === HTTP_STATUS.ok)
+    return { outcome: 'rented', machines: parseRentalResponse(response.body) };
   const error = (response.body as { error?: unknown } | null)?.error;
-  if (response.status === HTTP_UNAVAILABLE && error === NO_CAPACITY_ERROR) return { outcome: 'no_capacity' };
+  if (response.status === HTTP_STATUS.unavailable && error === NO_CAPACITY_ERROR)
+    return { outcome: 'no_capacity' };
   return { outcome: 'refused' };
 }
--- a/packages/net/src/index.ts
+++ b/packages/net/src/index.ts
@@ -5,4 +5,5 @@
  */
 export * from './clock.js';
 export * from './rate-limiter.js';
+export * from './http-status.js';
 export * from './json-client.js';
--- a/packages/store/src/http-key-value-store.ts
+++ b/packages/store/src/http-key-value-store.ts
@@ -4,8 +4,17 @@
  * @module
  */
 import type { Clock, HttpMethod, MonotonicMs, RequestPriority } from '@spurbridge/net';
-import { JsonClient, NoResponseError, REQUEST_PRIORITY, RateLimiter } from '@spurbridge/net';
-import type { Compare, FencingToken, KeyValue, LeaseId, Mutation, Revision, Version } from '@spurbridge/wire';
+import { HTTP_STATUS, JsonClient, NoResponseError, REQUEST_PRIORITY, RateLimiter } from '@spurbridge/net';
+import type {
+  Compare,
+  FencingToken,
+  KeyValue,
+  KeyValuePage,
+  LeaseId,
+  Mutation,
+  Revision,
+  Version,
+} from '@spurbridge/wire';
 import {
   PATHS,
   formatLeaseTtlMs,
@@ -57,13 +66,6 @@
 const WRITE_RATE_SHARE = 0.8;
 const WRITE_BURST_SHARE = 0.8;
 
-const HTTP_OK = 200;
-const HTTP_BAD_REQUEST = 400;
-const HTTP_NOT_FOUND = 404;
-const HTTP_CONFLICT = 409;
-const HTTP_GONE = 410;
-const HTTP_TOO_MANY_REQUESTS = 429;
-
 const REFUSED: RequestFailure = { outcome: 'refused' };
 
 /** A request, and how its response is read. */
@@ -76,6 +78,11 @@
   readonly interpret: (status: number, body: unknown) => T | null;
 }
 
+/** One page of a list. */
+interface ListedPage extends KeyValuePage {
+  readonly outcome: 'page';
+}
+
 /** A client of the key-value store that keeps within its node's part of the limits. */
 export class HttpKeyValueStore implements KeyValueStore {
   /** The store's content is taken as it is: the package `recovery` adds the checks. */
@@ -128,7 +135,7 @@
     let revision: Revision | null = null;
     for (let from = ''; ;) {
       if (!this.requests.tryAcquire(1, priority)) return REFUSED;
-      const page = await this.send({
+      const page = await this.send<ListedPage>({
         method: 'GET',
         path: listPath(prefix, from),
         timeoutMs: LIST_TIMEOUT_MS,
@@ -213,7 +220,7 @@
         return outcome;
       }
       // Over the limit the store does serve requests, only not these.
-      if (response.status === HTTP_TOO_MANY_REQUESTS) this.requests.drain();
+      if (response.status === HTTP_STATUS.tooManyRequests) this.requests.drain();
       else this.failingFrom ??= this.clock.now();
       return REFUSED;
     } catch (error) {
@@ -231,21 +238,21 @@
 }
 
 function interpretRead(status: number, body: unknown): ReadOutcome | null {
-  if (status === HTTP_OK) return { outcome: 'found', item: parseKeyValue(body) };
-  return status === HTTP_NOT_FOUND ? { outcome: 'absent', revision: parseRevision(body) } : null;
+  if (status === HTTP_STATUS.ok) return { outcome: 'found', item: parseKeyValue(body) };
+  return status === HTTP_STATUS.notFound ? { outcome: 'absent', revision: parseRevision(body) } : null;
 }
 
-function interpretPage(status: number, body: unknown) {
-  return status === HTTP_OK ? { outcome: 'page' as const, ...parseKeyValuePage(body) } : null;
+function interpretPage(status: number, body: unknown): ListedPage | null {
+  return status === HTTP_STATUS.ok ? { outcome: 'page', ...parseKeyValuePage(body) } : null;
 }
 
 function interpretCommit(status: number, body: unknown): CommitOutcome | null {
   switch (status) {
-    case HTTP_OK:
+    case HTTP_STATUS.ok:
       return { outcome: 'committed', revision: parseRevision(body) };
-    case HTTP_CONFLICT:
+    case HTTP_STATUS.conflict:
       return { outcome: 'conflict', failed: parseFailedKeys(body), revision: parseRevision(body) };
-    case HTTP_BAD_REQUEST:
+    case HTTP_STATUS.badRequest:
       return { outcome: 'no_lease' };
     default:
       return null;
@@ -253,19 +260,19 @@
 }
 
 function interpretWatch(status: number, body: unknown): WatchOutcome | null {
-  if (status === HTTP_OK) return { outcome: 'events', ...parseWatchResponse(body) };
-  return status === HTTP_GONE ? { outcome: 'compacted' } : null;
+  if (status === HTTP_STATUS.ok) return { outcome: 'events', ...parseWatchResponse(body) };
+  return status === HTTP_STATUS.gone ? { outcome: 'compacted' } : null;
 }
 
 function interpretLeaseGrant(status: number, body: unknown): LeaseGrantOutcome | null {
-  return status === HTTP_OK ? { outcome: 'granted', lease: parseLeaseId(body) } : null;
+  return status === HTTP_STATUS.ok ? { outcome: 'granted', lease: parseLeaseId(body) } : null;
 }
 
 function interpretLeaseRenewal(status: number): LeaseRenewalOutcome | null {
-  if (status === HTTP_OK) return { outcome: 'renewed' };
-  return status === HTTP_NOT_FOUND ? { outcome: 'ended' } : null;
+  if (status === HTTP_STATUS.ok) return { outcome: 'renewed' };
+  return status === HTTP_STATUS.notFound ? { outcome: 'ended' } : null;
 }
 
 function interpretLeaseRevocation(status: number): { readonly outcome: 'ended' } | null {
-  return status === HTTP_OK || status === HTTP_NOT_FOUND ? { outcome: 'ended' } : null;
+  return status === HTTP_STATUS.ok || status === HTTP_STATUS.notFound ? { outcome: 'ended' } : null;
 }
--- a/packages/wire/src/graphs/batch.ts
+++ b/packages/wire/src/graphs/batch.ts
@@ -45,7 +45,7 @@
 /** Most tasks in one batch. */
 export const MAX_BATCH_TASKS = 400;
 /** Most tasks that one task depends on. */
-export const MAX_TASK_DEPENDENCIES = 64;
+const MAX_TASK_DEPENDENCIES = 64;
 const MAX_SHAPES = 32;
 const MAX_RETRIES = 100;
 
--- a/packages/wire/src/peers/peer-message.ts
+++ b/packages/wire/src/peers/peer-message.ts
@@ -67,7 +67,7 @@
 }
 
 /** Longest message, in bytes without its length prefix. */
-export const MAX_FRAME_BYTES = 1 << 20;
+const MAX_FRAME_BYTES = 1 << 20;
 
 function formatJobProgress(progress: JobProgress): JobProgress {
   return { job: progress.job, done: progress.done, running: progress.running };
--- a/packages/wire/src/tariff.ts
+++ b/packages/wire/src/tariff.ts
@@ -70,7 +70,7 @@
 }
 
 /** Version of the format that this module reads and writes. */
-export const TARIFF_FORMAT = 1;
+const TARIFF_FORMAT = 1;
 /** Longest document, in bytes. */
 export const MAX_TARIFF_BYTES = 512 * 1024;
 
