--- a/packages/measure/src/store-data-loss.ts
+++ b/packages/measure/src/store-data-loss.ts
@@ -118,8 +118,8 @@
     const now = this.w?.time.now ?? 0;
     if (now < LOSS_MS) return;
     const f = fields as { to?: unknown };
-    const key = message === 'state service' ? `${message} ${String(f.to)}` : message;
-    if (!this.seen.has(key) || message === 'state service')
+    const key = message === 'store integrity changed' ? `${message} ${String(f.to)}` : message;
+    if (!this.seen.has(key) || message === 'store integrity changed')
       this.seen.set(key, this.seen.get(key) ?? now - LOSS_MS);
     this.last.set(key, now - LOSS_MS);
   }
@@ -182,7 +182,7 @@
   while (w.time.now < END_MS) {
     await w.runUntil(w.time.now + 20);
     // What began to fetch its image before is no start of the rebuilt cluster's own.
-    const soundAt = log.seen.get('state service sound');
+    const soundAt = log.seen.get('store integrity changed trusted');
     if (
       firstStartMs === null &&
       (part.loss === 'nothing' || soundAt !== undefined) &&
@@ -195,8 +195,8 @@
   const lost = checker.violations.filter((b) => b.rule === 'forgotten' || b.rule === 'went_back');
   return {
     ...part,
-    noticedMs: round(log.seen.get('state service doubtful')),
-    soundMs: round(log.seen.get('state service sound')),
+    noticedMs: round(log.seen.get('store integrity changed suspect')),
+    soundMs: round(log.seen.get('store integrity changed trusted')),
     firstStartMs: round(firstStartMs ?? undefined),
     writtenMs: round(log.last.get('all written back')),
     replicaTimeLost: Number((missing / Math.max(1, wanted)).toFixed(5)),
--- a/packages/recovery/src/attachment.ts
+++ b/packages/recovery/src/attachment.ts
@@ -26,7 +26,7 @@
 export type AttachOutcome =
   | { readonly outcome: 'attached'; readonly openEpoch: OpenEpoch }
   /** Something speaks against the store. */
-  | { readonly outcome: 'doubtful'; readonly evidence: string }
+  | { readonly outcome: 'suspect'; readonly evidence: string }
   /** Nothing is certain yet. The attempt has ended with a pause, and is to be repeated. */
   | { readonly outcome: 'undecided' };
 
@@ -72,7 +72,7 @@
     if (epoch === null) return this.attachWithoutEpoch();
     const { ahead } = observations.reachablePeers();
     if (epoch.phase !== 'open' || epoch.number < ahead)
-      return doubtful(`epoch ${epoch.number} is ${epoch.phase}, of others ${ahead}`);
+      return suspect(`epoch ${epoch.number} is ${epoch.phase}, of others ${ahead}`);
     return this.attachToEpoch(epoch);
   }
 
@@ -84,9 +84,9 @@
     if (openEpoch === null) return UNDECIDED;
     const { latestRevision } = openEpoch;
     if (latestRevision < knownRevision)
-      return doubtful(`revision ${latestRevision} was read, a peer knows ${knownRevision}`);
+      return suspect(`revision ${latestRevision} was read, a peer knows ${knownRevision}`);
     const evidence = this.snapshot === null ? null : findMissingFromSnapshot(this.snapshot, openEpoch);
-    return evidence === null ? { outcome: 'attached', openEpoch } : doubtful(evidence);
+    return evidence === null ? { outcome: 'attached', openEpoch } : suspect(evidence);
   }
 
   /** The store has no epoch record: this is a first start, or the store was emptied. */
@@ -96,7 +96,7 @@
     const { peers, ahead } = observations.reachablePeers();
     const waitMs = peers.length >= nodes - 1 ? INITIALIZE_AMONG_PEERS_MS : INITIALIZE_ALONE_MS;
     if (observations.highestToken > 0 || this.snapshot !== null)
-      return doubtful('no epoch, but a token or a snapshot');
+      return suspect('no epoch, but a token or a snapshot');
     if (ahead > 0 || now - this.startedAt < waitMs) return this.pause(AWAIT_PEERS_MS);
     if (!(await observations.isNewToWorkers())) return this.pause(AWAIT_WORKERS_MS);
     return this.initialize();
@@ -106,7 +106,7 @@
     const { raw, recovery } = this.dependencies;
     const listed = await raw.list('', 0);
     if (listed.outcome !== 'listed') return this.pause(RETRY_MS);
-    if (listed.items.some((item) => !isControlKey(item.key))) return doubtful('records without an epoch');
+    if (listed.items.some((item) => !isControlKey(item.key))) return suspect('records without an epoch');
     await recovery.initializeStore();
     return UNDECIDED;
   }
@@ -124,6 +124,6 @@
   }
 }
 
-function doubtful(evidence: string): AttachOutcome {
-  return { outcome: 'doubtful', evidence };
+function suspect(evidence: string): AttachOutcome {
+  return { outcome: 'suspect', evidence };
 }
--- a/packages/recovery/src/phases/contributed-replicas.ts
+++ b/packages/recovery/src/phases/contributed-replicas.ts
@@ -14,7 +14,7 @@
 /** Decodes all complete contributions among the given keys, and logs those that are damaged. */
 export function decodeContributions(keyValues: Iterable<KeyValue>, log: RecoveryLog): Contribution[] {
   return readContributions(keyValues, (description) => {
-    log.info({ what: description }, 'pages cannot be read');
+    log.info({ what: description }, 'contribution cannot be decoded');
   });
 }
 
--- a/packages/recovery/src/phases/late-contribution.ts
+++ b/packages/recovery/src/phases/late-contribution.ts
@@ -34,7 +34,7 @@
       if (!(await commitWithRetry(dependencies, compares, mutations)))
         return pauseBeforeRetry(dependencies.clock);
     }
-    dependencies.log.info({ epoch: epoch.number, records: repairs.length }, 'copy contributed late');
+    dependencies.log.info({ epoch: epoch.number, records: repairs.length }, 'replica contributed late');
   }
 }
 
--- a/packages/recovery/src/recoverable-store.ts
+++ b/packages/recovery/src/recoverable-store.ts
@@ -64,7 +64,7 @@
 
   /** Whether the store is trusted now. */
   get isTrusted(): boolean {
-    return this.lifecycle.integrity.isSound;
+    return this.lifecycle.integrity.isTrusted;
   }
 
   /** Number of the epoch that the replica belongs to. */
--- a/packages/recovery/src/store-integrity.ts
+++ b/packages/recovery/src/store-integrity.ts
@@ -7,17 +7,17 @@
 
 /**
  * - `unattached`: the controller has not read the store yet.
- * - `sound`: nothing speaks against the store; its responses are validated and passed on.
- * - `doubtful`: a response, a peer or a worker gave evidence that the store has lost data. All calls are refused.
- * - `rebuilding`: the controller takes part in a recovery. All calls are refused.
+ * - `trusted`: nothing speaks against the store; its responses are validated and passed on.
+ * - `suspect`: a response, a peer or a worker gave evidence that the store has lost data. All calls are refused.
+ * - `recovering`: the controller takes part in a recovery. All calls are refused.
  */
-export type IntegrityState = 'unattached' | 'sound' | 'doubtful' | 'rebuilding';
+export type IntegrityState = 'unattached' | 'trusted' | 'suspect' | 'recovering';
 
-const transitions = new TransitionTable<IntegrityState>('state service', {
-  unattached: ['sound', 'doubtful', 'rebuilding'],
-  sound: ['doubtful'],
-  doubtful: ['rebuilding'],
-  rebuilding: ['sound', 'doubtful'],
+const transitions = new TransitionTable<IntegrityState>('store integrity', {
+  unattached: ['trusted', 'suspect', 'recovering'],
+  trusted: ['suspect'],
+  suspect: ['recovering'],
+  recovering: ['trusted', 'suspect'],
 });
 
 /** Called after each change of state, with the evidence for it. */
@@ -34,13 +34,13 @@
   }
 
   /** Whether the store is trusted. */
-  get isSound(): boolean {
-    return this.current === 'sound';
+  get isTrusted(): boolean {
+    return this.current === 'trusted';
   }
 
   /** Whether evidence of a loss changes anything: in the other states the loss is known already. */
-  get canBecomeDoubtful(): boolean {
-    return this.current === 'sound' || this.current === 'unattached';
+  get canBecomeSuspect(): boolean {
+    return this.current === 'trusted' || this.current === 'unattached';
   }
 
   /**
--- a/packages/recovery/src/store-lifecycle.ts
+++ b/packages/recovery/src/store-lifecycle.ts
@@ -37,7 +37,7 @@
     const { raw, clock, nodes, log, shelf, countRunningMachines } = dependencies;
     this.integrity = new StoreIntegrity((from, to, evidence) => {
       const revision = this.epochStore?.highestKnownRevision ?? 0;
-      log.info({ from, to, evidence, epoch: this.generation, revision }, 'state service');
+      log.info({ from, to, evidence, epoch: this.generation, revision }, 'store integrity changed');
     });
     this.observations = new PeerObservations(clock, countRunningMachines);
     this.recovery = this.createRecovery();
@@ -58,7 +58,7 @@
 
   /** The store of the epoch that is trusted now; null without one. */
   get trustedStore(): EpochStore | null {
-    return this.integrity.isSound ? this.latestEpochStore : null;
+    return this.integrity.isTrusted ? this.latestEpochStore : null;
   }
 
   /** Number of the epoch that the replica belongs to. */
@@ -73,7 +73,7 @@
 
   /** Whether the epoch is trusted and was followed without a gap: everything that was ever written was read. */
   get isContinuous(): boolean {
-    return this.integrity.isSound && this.wasFollowedWithoutGap;
+    return this.integrity.isTrusted && this.wasFollowedWithoutGap;
   }
 
   /** When the store was last doubted; null while it is not. */
@@ -83,7 +83,7 @@
 
   /** Records that nothing that was written before can be missing any more. */
   confirmContinuous(): void {
-    if (this.integrity.isSound) this.wasFollowedWithoutGap = true;
+    if (this.integrity.isTrusted) this.wasFollowedWithoutGap = true;
   }
 
   /** Records that this process was elected leader under a token. */
@@ -132,8 +132,8 @@
         await this.step();
       } catch (error) {
         // What was read cannot be understood, for whatever reason: a store with such content is not trusted.
-        log.info({ error: String(error) }, 'state service cannot be read');
-        if (this.integrity.state === 'rebuilding') this.integrity.transitionTo('doubtful', String(error));
+        log.info({ error: String(error) }, 'store cannot be read');
+        if (this.integrity.state === 'recovering') this.integrity.transitionTo('suspect', String(error));
         else this.suspect(String(error));
         await clock.sleep(RETRY_MS);
       }
@@ -144,12 +144,12 @@
     switch (this.integrity.state) {
       case 'unattached':
         return this.attach();
-      case 'sound':
+      case 'trusted':
         return this.trustedStore?.follow();
-      case 'doubtful':
-        this.integrity.transitionTo('rebuilding', 'what the nodes remember is gathered');
+      case 'suspect':
+        this.integrity.transitionTo('recovering', 'recovery begins');
         return;
-      case 'rebuilding': {
+      case 'recovering': {
         const openEpoch = await this.recovery.attempt();
         if (openEpoch !== null) this.enter(openEpoch);
       }
@@ -165,15 +165,15 @@
 
   private async attach(): Promise<void> {
     const attached = await this.attachment.attempt();
-    if (attached.outcome === 'doubtful') this.suspect(attached.evidence);
+    if (attached.outcome === 'suspect') this.suspect(attached.evidence);
     else if (attached.outcome === 'attached') this.enter(attached.openEpoch);
   }
 
   /** Records evidence that the store is not intact. All calls are refused until a recovery has ended. */
   private suspect(evidence: string): void {
-    if (!this.integrity.canBecomeDoubtful) return;
+    if (!this.integrity.canBecomeSuspect) return;
     this.suspectedAt = this.dependencies.clock.now();
-    this.integrity.transitionTo('doubtful', evidence);
+    this.integrity.transitionTo('suspect', evidence);
     this.dependencies.onIntegrityChanged();
   }
 
@@ -191,7 +191,7 @@
     this.attachment.releaseSnapshot();
     this.suspectedAt = null;
     const evidence = `epoch ${epoch.number} at ${revision}, ${pendingRepairs.length} to write back`;
-    this.integrity.transitionTo('sound', evidence);
+    this.integrity.transitionTo('trusted', evidence);
     this.dependencies.onIntegrityChanged();
     this.dependencies.onReplicaChanged?.();
     const impossible = records.find((record) => record.version > latestRevision);
