--- a/packages/recovery/src/attachment.ts
+++ b/packages/recovery/src/attachment.ts
@@ -11,6 +11,7 @@
 import type { PeerObservations } from './peer-observations.js';
 import { RETRY_MS } from './phases/recovery-dependencies.js';
 import type { StoreRecovery } from './phases/store-recovery.js';
+import { CONTROL_PRIORITY } from './request-priorities.js';
 import type { SnapshotReplica, SnapshotSource } from './snapshot-source.js';
 import { findMissingFromSnapshot } from './snapshot-source.js';
 
@@ -104,7 +105,7 @@
 
   private async initialize(): Promise<AttachOutcome> {
     const { raw, recovery } = this.dependencies;
-    const listed = await raw.list('', 0);
+    const listed = await raw.list('', CONTROL_PRIORITY);
     if (listed.outcome !== 'listed') return this.pause(RETRY_MS);
     if (listed.items.some((item) => !isControlKey(item.key))) return suspect('records without an epoch');
     await recovery.initializeStore();
--- a/packages/recovery/src/epoch-store/epoch-store.ts
+++ b/packages/recovery/src/epoch-store/epoch-store.ts
@@ -25,6 +25,7 @@
 import { isNeverDeleted } from '../replica/replica-entry.js';
 import { RepairOverlay } from '../replica/repair-overlay.js';
 import { Replica } from '../replica/replica.js';
+import { BACKGROUND_PRIORITY, CONTROL_PRIORITY } from '../request-priorities.js';
 import { AuditSelector } from './audit-selector.js';
 import { IntegrityAuditor } from './integrity-auditor.js';
 import { ReplicaFollower } from './replica-follower.js';
@@ -39,8 +40,6 @@
 const RESERVED_COMPARES = 2;
 /** Time for which users repeat a submission: until then a job id that is not known may still arrive. */
 const SUBMISSION_RETRY_MS = 60_000;
-const HIGHEST_PRIORITY: RequestPriority = 0;
-const LOWEST_PRIORITY: RequestPriority = 3;
 
 type FoundOrAbsent = Extract<ReadOutcome, { outcome: 'found' | 'absent' }>;
 type Found = Extract<ReadOutcome, { outcome: 'found' }>;
@@ -119,7 +118,7 @@
       replica: this.replica,
       validator: this.validator,
       trust,
-      listAll: () => this.list('', HIGHEST_PRIORITY),
+      listAll: () => this.list('', CONTROL_PRIORITY),
       onEvent: (event) => {
         this.noteMutation(event, event.version);
       },
@@ -135,7 +134,7 @@
       selector: this.selector,
       validator: this.validator,
       trust,
-      readAll: () => this.list('', LOWEST_PRIORITY),
+      readAll: () => this.list('', BACKGROUND_PRIORITY),
     });
   }
 
--- a/packages/recovery/src/epoch-store/integrity-auditor.ts
+++ b/packages/recovery/src/epoch-store/integrity-auditor.ts
@@ -8,6 +8,7 @@
 import { isTombstone } from '../epoch/tombstone.js';
 import type { Replica } from '../replica/replica.js';
 import type { RepairOverlay } from '../replica/repair-overlay.js';
+import { CONTROL_PRIORITY } from '../request-priorities.js';
 import type { AuditSelector } from './audit-selector.js';
 import type { EpochTrust, ResponseValidator } from './response-validator.js';
 
@@ -58,7 +59,7 @@
   private async checkKey(key: string): Promise<boolean> {
     const { raw, replica, selector, validator, trust } = this.dependencies;
     const known = replica.get(key);
-    const found = await raw.read(key, 0);
+    const found = await raw.read(key, CONTROL_PRIORITY);
     if (!trust.isCurrent()) return false;
     if (found.outcome === 'found') {
       const { version, value } = found.item;
--- a/packages/recovery/src/epoch-store/replica-follower.ts
+++ b/packages/recovery/src/epoch-store/replica-follower.ts
@@ -10,6 +10,7 @@
 import type { Epoch } from '../epoch/epoch-record.js';
 import { decodeEpoch } from '../epoch/epoch-record.js';
 import type { Replica } from '../replica/replica.js';
+import { CONTROL_PRIORITY } from '../request-priorities.js';
 import type { EpochTrust, ResponseValidator } from './response-validator.js';
 import { withoutTombstone } from './watch-events.js';
 
@@ -83,7 +84,7 @@
 
   private async checkEpochRecord(): Promise<void> {
     const { raw, epoch, trust } = this.dependencies;
-    const found = await raw.read(EPOCH_KEY, 0);
+    const found = await raw.read(EPOCH_KEY, CONTROL_PRIORITY);
     const id = found.outcome === 'found' ? decodeEpoch(found.item.value)?.id : null;
     if ((found.outcome === 'found' && id !== epoch.id) || found.outcome === 'absent')
       trust.suspect('the fence was moved');
--- a/packages/recovery/src/epoch-store/response-validator.ts
+++ b/packages/recovery/src/epoch-store/response-validator.ts
@@ -7,6 +7,7 @@
 import type { Compare, Revision, Version } from '@spurbridge/wire';
 import type { ReplicaEntry } from '../replica/replica-entry.js';
 import { findContradiction } from '../replica/replica-entry.js';
+import { CONTROL_PRIORITY } from '../request-priorities.js';
 
 /** Outcome of a request that was certainly not executed. */
 export const REFUSED: RequestFailure = { outcome: 'refused' };
@@ -53,7 +54,9 @@
 
   /** Compares the fence, and other keys, in a transaction without mutations. */
   async compare(compares: readonly Compare[]): Promise<CommitOutcome> {
-    return this.checkFence(await this.send(() => this.raw.commit([this.fence, ...compares], [], 0)));
+    return this.checkFence(
+      await this.send(() => this.raw.commit([this.fence, ...compares], [], CONTROL_PRIORITY)),
+    );
   }
 
   /** Returns the outcome of a commit, unless the fence is gone: the epoch is over then. */
--- a/packages/recovery/src/phases/commit-with-retry.ts
+++ b/packages/recovery/src/phases/commit-with-retry.ts
@@ -4,6 +4,7 @@
  * @module
  */
 import type { Compare, Mutation } from '@spurbridge/wire';
+import { CONTROL_PRIORITY } from '../request-priorities.js';
 import type { StoreRecoveryDependencies } from './recovery-dependencies.js';
 import { RETRY_MS } from './recovery-dependencies.js';
 
@@ -16,7 +17,7 @@
   mutations: readonly Mutation[],
 ): Promise<boolean> {
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
-    const outcome = await raw.commit(compares, mutations, 0);
+    const outcome = await raw.commit(compares, mutations, CONTROL_PRIORITY);
     if (outcome.outcome === 'committed') return true;
     if (outcome.outcome === 'conflict' || outcome.outcome === 'no_lease') return false;
     await clock.sleep(RETRY_MS);
--- a/packages/recovery/src/phases/contribute.ts
+++ b/packages/recovery/src/phases/contribute.ts
@@ -3,15 +3,16 @@
  *
  * @module
  */
+import { addMs } from '@spurbridge/net';
 import type { Compare, KeyValue, Revision } from '@spurbridge/wire';
 import { KEY_ABSENT } from '@spurbridge/wire';
-import { addMs } from '@spurbridge/net';
 import { fenceKey, isControlKey } from '../epoch/control-keys.js';
 import type { Epoch } from '../epoch/epoch-record.js';
 import { isTombstone } from '../epoch/tombstone.js';
 import type { EpochReplica, RecordRepair } from '../replica/merge.js';
 import { mergeReplicas } from '../replica/merge.js';
 import { Replica } from '../replica/replica.js';
+import { CONTROL_PRIORITY } from '../request-priorities.js';
 import { commitWithRetry } from './commit-with-retry.js';
 import { decodeContributions, mergeContributions, toReplicas } from './contributed-replicas.js';
 import type { ContributionMarker, EncodedPages } from './contribution-codec.js';
@@ -40,7 +41,7 @@
   const { raw, clock } = dependencies;
   const deadline = addMs(clock.now(), INITIATOR_TIMEOUT_MS);
   while (clock.now() < deadline) {
-    const found = await raw.read(markerKey(epoch.id, epoch.initiator), 0);
+    const found = await raw.read(markerKey(epoch.id, epoch.initiator), CONTROL_PRIORITY);
     if (found.outcome === 'found') return;
     await clock.sleep(POLL_INTERVAL_MS);
   }
@@ -49,7 +50,7 @@
 /** Writes what this controller has and the store lacks, then its marker. Returns false where it has to be tried again. */
 export async function contribute(dependencies: StoreRecoveryDependencies, epoch: Epoch): Promise<boolean> {
   const { raw, node, valueKb, log } = dependencies;
-  const listed = await raw.list('', 0);
+  const listed = await raw.list('', CONTROL_PRIORITY);
   if (listed.outcome !== 'listed') return false;
   const localState = dependencies.localState();
   const content = analyseStore(dependencies, epoch, listed.items);
--- a/packages/recovery/src/phases/load-epoch.ts
+++ b/packages/recovery/src/phases/load-epoch.ts
@@ -11,6 +11,7 @@
 import { isTombstone } from '../epoch/tombstone.js';
 import type { PendingRepair } from '../replica/repair-overlay.js';
 import { isRepairApplicable } from '../replica/repair-overlay.js';
+import { CONTROL_PRIORITY } from '../request-priorities.js';
 import { decodeContributions, mergeContributions } from './contributed-replicas.js';
 import type { RecoveryLog, StoreRecoveryDependencies } from './recovery-dependencies.js';
 import { pauseBeforeRetry } from './recovery-dependencies.js';
@@ -25,7 +26,7 @@
   epoch: Epoch,
   tookPartInRecovery: boolean,
 ): Promise<OpenEpoch | null> {
-  const listed = await raw.list('', 0);
+  const listed = await raw.list('', CONTROL_PRIORITY);
   if (listed.outcome !== 'listed') return pauseBeforeRetry(clock);
   const { items, revision, latest } = listed;
   const fence = items.find((item) => item.key === fenceKey(epoch.id));
--- a/packages/recovery/src/phases/move-fence.ts
+++ b/packages/recovery/src/phases/move-fence.ts
@@ -11,6 +11,7 @@
 import type { Epoch, EpochNumber, VersionedEpoch } from '../epoch/epoch-record.js';
 import { encodeEpoch } from '../epoch/epoch-record.js';
 import { nextTokenFloor } from '../epoch/fencing-tokens.js';
+import { CONTROL_PRIORITY } from '../request-priorities.js';
 import type { LocalRecoveryState, StoreRecoveryDependencies } from './recovery-dependencies.js';
 
 /** Fences of earlier epochs that one transaction deletes. */
@@ -49,7 +50,7 @@
 
   private async moveTo(found: VersionedEpoch, createEpoch: () => Epoch): Promise<void> {
     const { raw, clock, log } = this.dependencies;
-    const fences = await raw.list(FENCE_PREFIX, 0);
+    const fences = await raw.list(FENCE_PREFIX, CONTROL_PRIORITY);
     if (fences.outcome !== 'listed') return;
     const epoch = createEpoch();
     this.initiatedAt.set(epoch.id, clock.now());
@@ -61,7 +62,7 @@
         { delete: LEADER_KEY },
         { put: fenceKey(epoch.id), value: {} },
       ],
-      0,
+      CONTROL_PRIORITY,
     );
     if (outcome.outcome !== 'committed') return;
     const { number, isInitial, tokenFloor, baseEpoch } = epoch;
--- a/packages/recovery/src/phases/open-epoch.ts
+++ b/packages/recovery/src/phases/open-epoch.ts
@@ -9,6 +9,7 @@
 import type { Epoch } from '../epoch/epoch-record.js';
 import { encodeEpoch } from '../epoch/epoch-record.js';
 import type { OpenEpoch } from '../epoch/open-epoch.js';
+import { CONTROL_PRIORITY } from '../request-priorities.js';
 import { loadEpoch } from './load-epoch.js';
 import type { Markers } from './quorum.js';
 import { isContinuous } from './quorum.js';
@@ -29,7 +30,7 @@
   const outcome = await raw.commit(
     [{ key: EPOCH_KEY, version }],
     [{ put: EPOCH_KEY, value: encodeEpoch(epoch) }],
-    0,
+    CONTROL_PRIORITY,
   );
   if (outcome.outcome !== 'committed') return pauseBeforeRetry(clock);
   log.info({ epoch: epoch.number, continuous, contributors: markers.size }, 'epoch opened');
--- a/packages/recovery/src/phases/quorum.ts
+++ b/packages/recovery/src/phases/quorum.ts
@@ -6,9 +6,10 @@
 import { LEASE_TTL_MS } from '@spurbridge/store';
 import type { NodeId } from '@spurbridge/wire';
 import type { Epoch } from '../epoch/epoch-record.js';
-import { epochContributionPrefix } from './contribution-codec.js';
+import { CONTROL_PRIORITY } from '../request-priorities.js';
 import { decodeContributions } from './contributed-replicas.js';
 import type { ContributionMarker } from './contribution-codec.js';
+import { epochContributionPrefix } from './contribution-codec.js';
 import type { FenceMover } from './move-fence.js';
 import type { StoreRecoveryDependencies } from './recovery-dependencies.js';
 import { POLL_INTERVAL_MS, STALL_TIMEOUT_MS } from './recovery-dependencies.js';
@@ -39,7 +40,7 @@
   const { raw, clock, node, log } = dependencies;
   for (;;) {
     const elapsedMs = fenceMover.msSinceInitiated(epoch);
-    const listed = await raw.list(epochContributionPrefix(epoch.id), 0);
+    const listed = await raw.list(epochContributionPrefix(epoch.id), CONTROL_PRIORITY);
     if (listed.outcome === 'listed') {
       const contributions = decodeContributions(listed.items, log);
       const markers = new Map(contributions.map((contribution) => [contribution.node, contribution.marker]));
--- a/packages/recovery/src/phases/read-epoch.ts
+++ b/packages/recovery/src/phases/read-epoch.ts
@@ -8,10 +8,11 @@
 import { EPOCH_KEY } from '../epoch/control-keys.js';
 import type { VersionedEpoch } from '../epoch/epoch-record.js';
 import { decodeEpoch } from '../epoch/epoch-record.js';
+import { CONTROL_PRIORITY } from '../request-priorities.js';
 
 /** Reads the epoch record. Returns null where the store has not answered. */
 export async function readEpochRecord(raw: KeyValueStore): Promise<VersionedEpoch | null> {
-  const found = await raw.read(EPOCH_KEY, 0);
+  const found = await raw.read(EPOCH_KEY, CONTROL_PRIORITY);
   if (found.outcome === 'absent') return { epoch: null, version: KEY_ABSENT };
   if (found.outcome !== 'found') return null;
   return { epoch: decodeEpoch(found.item.value), version: found.item.version };
--- a/packages/recovery/src/phases/write-back.ts
+++ b/packages/recovery/src/phases/write-back.ts
@@ -3,17 +3,18 @@
  *
  * @module
  */
-import type { Clock, RequestPriority } from '@spurbridge/net';
+import type { Clock } from '@spurbridge/net';
 import type { CommitOutcome, KeyValueStore } from '@spurbridge/store';
 import { isControlKey } from '../epoch/control-keys.js';
 import type { EpochStore } from '../epoch-store/epoch-store.js';
+import { BACKGROUND_PRIORITY } from '../request-priorities.js';
 import { isMarkerKey } from './contribution-codec.js';
 import type { RecoveryLog } from './recovery-dependencies.js';
 import { writeBackPriority } from './write-back-priority.js';
 
 const WRITE_BACK_INTERVAL_MS = 250;
-/** The lowest of all: a record that is needed sooner is written by the commit that needs it. */
-const WRITE_BACK_PRIORITY: RequestPriority = 3;
+/** A record that is needed sooner is written by the commit that needs it. */
+const WRITE_BACK_PRIORITY = BACKGROUND_PRIORITY;
 
 /** What writing back works with. */
 export interface WriteBackDependencies {
