--- a/packages/controller/src/jobs/cluster-state.ts
+++ b/packages/controller/src/jobs/cluster-state.ts
@@ -1,115 +1,102 @@
+/**
+ * The state of the cluster in the leader's memory.
+ *
+ * @module
+ */
 import { EventEmitter } from 'node:events';
-import type { JobRecord, Placement, StopReason, WallClockMs } from '@spurbridge/model';
-import { Job, Machine, restoreChunk } from '@spurbridge/model';
+import type { JobRecord, Machine, Placement, StopReason, WallClockMs } from '@spurbridge/model';
+import { Job, restoreChunk } from '@spurbridge/model';
 import type { Clock, MonotonicMs } from '@spurbridge/net';
 import { addMs } from '@spurbridge/net';
 import type {
+  AgentEpoch,
   Attempt,
-  KeyValue,
   JobId,
+  KeyValue,
   MachineId,
   MachineType,
-  AgentEpoch,
   TaskStatus,
   Version,
 } from '@spurbridge/wire';
 import { formatTaskName } from '@spurbridge/wire';
 import type { Logger } from '../logger.js';
+import { MachineRegistry } from '../machines/machine-registry.js';
+import type { ClusterEvents } from './cluster-events.js';
+import type { PlacedTask } from './placement-index.js';
+import { PlacementIndex } from './placement-index.js';
 
-export interface PlacedTask {
-  readonly job: Job;
-  readonly task: number;
-}
-
-/** What the rooms are told. Listeners are called at once, in the order in which they asked. */
-export interface ClusterEvents {
-  /** A job is known from now on. */
-  learned: [job: Job];
-  /** What users see of the job may have changed. */
-  changed: [job: Job];
-  /** A task is to be started: durable first. */
-  placed: [job: Job, task: number];
-  /** A task is proven to be off its machine, done or not, and why; the placement as it was. */
-  off: [job: Job, placement: Placement, done: boolean, why: string];
-  /** A task of a job was given up. */
-  abandoned: [job: Job, task: number];
-  /** All tasks are done, or the job is cancelled. */
-  ended: [job: Job];
-  /** The job is over and nothing refers to it any more. */
-  released: [job: Job];
-  /** Starts or stops are due on the machine. */
-  due: [machine: MachineId];
-  /** A machine reported for the first time to this leader. */
-  up: [machine: Machine];
-  /** Something changed that a plan should see. */
-  plan: [];
-}
+export type { ClusterEvents } from './cluster-events.js';
+export type { PlacedTask } from './placement-index.js';
+export { compareMachineIds } from '../machines/machine-registry.js';
 
+/** What the cluster state works with. */
 export interface ClusterStateOptions {
   readonly clock: Clock;
   readonly log: Logger;
+  /** The machine types that the cloud offers; empty until they are known. */
   readonly machineTypes: () => readonly MachineType[];
-  /** Time of day less another that a record holds, in milliseconds, never negative. */
+  /** Age of a time of day that a record holds, in milliseconds, never negative. */
   readonly ageMs: (at: WallClockMs) => number;
-  /** Until when an earlier leader may still answer the reports of a machine. */
+  /** Until when the previous leader may still have renewed the lease of a machine that this one has not heard of. */
   readonly previousLeaderRenewsUntil: MonotonicMs;
 }
 
+/** One attempt of a task whose start may be sent. */
+export interface StartedAttempt {
+  readonly task: number;
+  readonly attempt: Attempt;
+}
+
 /**
- * The cluster as its leader knows it: jobs, machines and what may be on them, rebuilt from records and
- * reports. It knows none of those who work on it; only its functions change it, and they tell the listeners.
+ * The cluster as its leader knows it: jobs, machines and the tasks that may be on them, rebuilt from records and
+ * heartbeats after an election. Its methods are the only ones that change it; each change is announced by an event,
+ * so that this class depends on none of the components that act on it.
  */
 export class ClusterState extends EventEmitter<ClusterEvents> {
   readonly jobs = new Map<JobId, Job>();
-  readonly machines = new Map<MachineId, Machine>();
-  /** What may be on each machine: the placements of all jobs, by machine. */
-  private readonly held = new Map<MachineId, Map<string, PlacedTask>>();
-  /** Machines up to this id stood there before the service first ran: its owners' choice, kept. */
-  private standing: string | null = null;
+  readonly machines: ReadonlyMap<MachineId, Machine>;
+  private readonly placements = new PlacementIndex();
+  private readonly registry: MachineRegistry;
 
-  constructor(private readonly parts: ClusterStateOptions) {
+  constructor(private readonly options: ClusterStateOptions) {
     super();
+    this.registry = new MachineRegistry({
+      clock: options.clock,
+      log: options.log,
+      placements: this.placements,
+      previousLeaderRenewsUntil: options.previousLeaderRenewsUntil,
+      onAvailable: () => this.emit('plan'),
+    });
+    this.machines = this.registry.machines;
+  }
+
+  /** The machine type of that name, or undefined while the types are not known. */
+  machineType(name: string): MachineType | undefined {
+    return this.options.machineTypes().find((type) => type.name === name);
   }
 
   private now(): MonotonicMs {
-    return this.parts.clock.now();
+    return this.options.clock.now();
   }
 
-  machineType(name: string): MachineType | undefined {
-    return this.parts.machineTypes().find((t) => t.name === name);
+  /** The monotonic time at which a recorded time of day was. */
+  private monotonicTimeOf(at: WallClockMs): MonotonicMs {
+    return addMs(this.now(), -this.options.ageMs(at));
   }
 
   // --- jobs ------------------------------------------------------------------------------------
 
-  /** Takes in a job's record; null when it needs no memory here. */
+  /** Adds or updates a job by its record. Returns null for a job that is over: its users are answered from the record. */
   applyJobRecord(record: JobRecord, version: Version): Job | null {
-    const { spec } = record;
-    let job = this.jobs.get(spec.id);
+    let job = this.jobs.get(record.spec.id);
     if (job === undefined) {
-      // What is over needs no memory here: its users are answered from the record.
       if (record.phase === 'done') return null;
-      const submittedAt = addMs(this.now(), -this.parts.ageMs(record.submittedAt));
-      job = new Job(spec, record.chunkSize, version, submittedAt, record.graph ?? null);
-      if (record.phase === 'active')
-        this.parts.log.debug(
-          {
-            job: spec.id,
-            class: spec.class,
-            tasks: spec.tasks,
-            cpus: spec.cpus,
-            memoryGb: spec.memoryGb,
-            team: spec.team,
-          },
-          'job learned',
-        );
-      this.jobs.set(spec.id, job);
-      this.emit('learned', job);
+      job = this.addJob(record, version);
     }
     if (version >= job.version) {
       job.version = version;
       if (record.phase === 'cancelled' && job.state !== 'cancelled') {
-        if (record.cancelledAt !== undefined)
-          job.cancelledAt = addMs(this.now(), -this.parts.ageMs(record.cancelledAt));
+        if (record.cancelledAt !== undefined) job.cancelledAt = this.monotonicTimeOf(record.cancelledAt);
         this.cancelJob(job);
       }
     }
@@ -117,40 +104,48 @@
     return job;
   }
 
+  private addJob(record: JobRecord, version: Version): Job {
+    const { spec, chunkSize, graph } = record;
+    const job = new Job(spec, chunkSize, version, this.monotonicTimeOf(record.submittedAt), graph ?? null);
+    if (record.phase === 'active') {
+      const { id, class: jobClass, tasks, cpus, memoryGb, team } = spec;
+      this.options.log.debug({ job: id, class: jobClass, tasks, cpus, memoryGb, team }, 'job added');
+    }
+    this.jobs.set(spec.id, job);
+    this.emit('learned', job);
+    return job;
+  }
+
+  /** Restores the tasks of one task record; a record that cannot be read is logged and ignored. */
   applyTaskRecord(item: KeyValue): void {
     const [, id, index] = item.key.split('/');
     const job = this.jobs.get(id as JobId);
     if (job === undefined || job.state === 'done') return;
     try {
       restoreChunk(job, Number(index), item.value, item.version, this.now());
-    } catch (e) {
-      this.parts.log.error({ key: item.key, error: String(e) }, 'task record cannot be read');
+    } catch (error) {
+      this.options.log.error({ key: item.key, error: String(error) }, 'task record cannot be read');
     }
   }
 
-  /** All of the job's records are read. */
+  /** Called once all of the job's records have been applied. */
   finishRestore(job: Job): void {
-    for (const p of [...job.placements.values()]) {
-      this.addPlacement(job, p);
-      const session = this.machines.get(p.machine)?.agentEpoch ?? null;
-      // A machine that reported while the records were still being read has shown its newer session already, and
-      // would not do so again: its task was taken for running for ever.
-      if (session !== null && p.agentEpoch < session)
-        this.removePlacement(job, p, false, 'newer session', true);
-      else if (job.state === 'cancelled') job.requestStop(p.task, 0, 'cancelled', this.now());
+    for (const placement of [...job.placements.values()]) {
+      this.addPlacement(job, placement);
+      const agentEpoch = this.machines.get(placement.machine)?.agentEpoch ?? null;
+      // A machine whose heartbeat came while the records were being read has shown its newer agent epoch already and
+      // does not show it again: without this check its task would count as running for ever.
+      if (agentEpoch !== null && placement.agentEpoch < agentEpoch)
+        this.removePlacement(job, placement, false, 'newer session', true);
+      else if (job.state === 'cancelled') job.requestStop(placement.task, 0, 'cancelled', this.now());
     }
     this.announceIfEnded(job);
   }
 
   private cancelJob(job: Job): void {
     job.transitionTo('cancelled');
-    this.parts.log.info({ job: job.spec.id, placed: job.placements.size }, 'job cancelled');
-    const machines = new Set<MachineId>();
-    for (const p of [...job.placements.values()]) {
-      job.requestStop(p.task, 0, 'cancelled', this.now());
-      machines.add(p.machine);
-    }
-    for (const id of machines) this.emit('due', id);
+    this.options.log.info({ job: job.spec.id, placed: job.placements.size }, 'job cancelled');
+    this.stopTasks(job, [...job.placements.values()], 0, 'cancelled');
     this.emit('ended', job);
     this.emit('plan');
   }
@@ -162,7 +157,7 @@
     } else if (job.state === 'cancelled' && job.placements.size === 0) this.emit('ended', job);
   }
 
-  /** The job is over and its task records are gone: nothing here refers to it any more. */
+  /** Forgets a job that is over and whose task records are deleted. */
   releaseJob(job: Job): void {
     this.jobs.delete(job.spec.id);
     this.emit('released', job);
@@ -170,101 +165,115 @@
 
   // --- placements ------------------------------------------------------------------------------
 
+  /** The tasks that may be on the machine. */
   tasksOn(id: MachineId): Iterable<PlacedTask> {
-    return this.held.get(id)?.values() ?? [];
+    return this.placements.tasksOn(id);
   }
 
   taskCountOn(id: MachineId): number {
-    return this.held.get(id)?.size ?? 0;
-  }
-
-  /** Whether records or the cloud's list say that the machine was up, whoever has heard it. */
-  isKnownToHaveRun(m: Machine): boolean {
-    return this.taskCountOn(m.id) > 0 || m.isListedRunning;
-  }
-
-  private addPlacement(job: Job, p: Placement): void {
-    let on = this.held.get(p.machine);
-    if (on === undefined) {
-      on = new Map();
-      this.held.set(p.machine, on);
-    }
-    on.set(formatTaskName(job.spec.id, p.task), { job, task: p.task });
-    const machine = this.machines.get(p.machine);
-    if (machine !== undefined) {
-      machine.idleSince = null;
-      this.confirmMachine(machine);
-    } else this.addMachine(p.machine, '', '', false);
+    return this.placements.countOn(id);
   }
 
-  /** Places a task: an intent, of which nothing is sent before it is durable. */
+  /** Places a task. Its start is not sent before the placement is durable. */
   placeTask(
     job: Job,
     task: number,
     machine: MachineId,
-    session: AgentEpoch,
-    shared: Attempt | null,
+    agentEpoch: AgentEpoch,
+    sharedAttempt: Attempt | null,
   ): Placement {
-    const p = job.recordIntent(task, machine, session, this.now(), shared);
-    this.addPlacement(job, p);
+    const placement = job.recordIntent(task, machine, agentEpoch, this.now(), sharedAttempt);
+    this.addPlacement(job, placement);
     this.emit('placed', job, task);
-    return p;
+    return placement;
   }
 
-  /** Takes over a task that its machine reports and no record places. */
-  adoptTask(job: Job, t: TaskStatus, machine: MachineId, session: AgentEpoch): void {
-    job.adoptPlacement(t.task, machine, session, t.attempt, this.now());
-    const p = job.placements.get(t.task);
-    if (p === undefined) return;
-    this.addPlacement(job, p);
-    if (t.phase !== 'exited') job.applyReportedPhase(t.task, t.phase, this.now());
-    this.emit('placed', job, t.task);
+  /** Takes over a task that its machine reports and that no record places there. */
+  adoptTask(job: Job, status: TaskStatus, machine: MachineId, agentEpoch: AgentEpoch): void {
+    const { task, attempt, phase } = status;
+    job.adoptPlacement(task, machine, agentEpoch, attempt, this.now());
+    const placement = job.placements.get(task);
+    if (placement === undefined) return;
+    this.addPlacement(job, placement);
+    if (phase !== 'exited') job.applyReportedPhase(task, phase, this.now());
+    this.emit('placed', job, task);
     this.emit('changed', job);
   }
 
-  /** The intent is durable: the start may go out where there is room. */
-  markDurable(job: Job, started: readonly { task: number; attempt: Attempt }[]): void {
+  private addPlacement(job: Job, placement: Placement): void {
+    this.placements.add(job, placement);
+    const machine = this.machines.get(placement.machine);
+    if (machine === undefined) {
+      this.registry.addUnidentified(placement.machine);
+      return;
+    }
+    machine.idleSince = null;
+    this.registry.confirm(machine);
+  }
+
+  /** The placements of these attempts are durable: their starts may be sent where there is room. */
+  markDurable(job: Job, started: readonly StartedAttempt[]): void {
     const machines = new Set<MachineId>();
-    for (const s of started) {
-      job.markDurable(s.task, s.attempt, this.now());
-      const p = job.placements.get(s.task);
-      if (p?.state === 'queued' || p?.state === 'starting') machines.add(p.machine);
+    for (const { task, attempt } of started) {
+      job.markDurable(task, attempt, this.now());
+      const placement = job.placements.get(task);
+      if (placement?.state === 'queued' || placement?.state === 'starting') machines.add(placement.machine);
     }
     for (const id of machines) this.emit('due', id);
   }
 
-  /** A task is proven to be off its machine. */
-  removePlacement(job: Job, p: Placement, done: boolean, why: string, withMachine = false): void {
+  /**
+   * A task is proven to be off its machine.
+   *
+   * @param isDone whether the task was completed
+   * @param reason why it is known to be off, for the log and the listeners
+   * @param isMachineCleared whether nothing that the machine's agent knew of is left there either
+   */
+  removePlacement(
+    job: Job,
+    placement: Placement,
+    isDone: boolean,
+    reason: string,
+    isMachineCleared = false,
+  ): void {
     const now = this.now();
-    const machine = this.machines.get(p.machine);
-    const name = formatTaskName(job.spec.id, p.task);
-    this.parts.log.debug({ task: name, try: p.attempt, machine: p.machine, why, state: p.state }, 'task off');
-    job.removePlacement(p.task, done, now);
-    const on = this.held.get(p.machine);
-    on?.delete(name);
-    if (machine !== undefined && (on === undefined || on.size === 0)) machine.idleSince = now;
+    const { task, attempt, machine: id, state } = placement;
+    const name = formatTaskName(job.spec.id, task);
+    this.options.log.debug({ task: name, try: attempt, machine: id, why: reason, state }, 'task removed');
+    job.removePlacement(task, isDone, now);
+    this.placements.remove(job, placement);
+    const machine = this.machines.get(id);
+    if (machine !== undefined && this.taskCountOn(id) === 0) machine.idleSince = now;
     this.emit('changed', job);
-    this.emit('off', job, p, done, why);
-    // A gang that lost a task cannot go on: the rest is told, so that all can start anew together. Where it
-    // surely has not started, a replacement under the same attempt completes it; but a machine that still
-    // knows this attempt of the task would not start it again.
-    if (
-      job.spec.kind === 'gang' &&
-      !done &&
-      job.state === 'active' &&
-      !(withMachine && job.awaitsReplacementTask)
-    )
+    this.emit('off', job, placement, isDone, reason);
+    // A gang that has lost a task cannot go on: the others are stopped, so that all start anew together. A gang that has
+    // surely not started can be completed by a replacement under the same attempt, but not on a machine whose agent still
+    // knows this attempt of the task: it would not start it again.
+    const canReplace = isMachineCleared && job.awaitsReplacementTask;
+    if (job.spec.kind === 'gang' && !isDone && job.state === 'active' && !canReplace)
       this.stopGang(job, 0, 'gang');
     this.announceIfEnded(job);
     this.emit('plan');
   }
 
-  /** Gives up a task for good: stopped where it may be on a machine, never started again. */
+  /**
+   * Everything on the machine is proven to be gone.
+   *
+   * @param before only what was started in an earlier agent epoch than this; null for everything
+   */
+  removePlacementsOn(id: MachineId, reason: string, before: AgentEpoch | null = null): void {
+    for (const { job, task } of [...this.tasksOn(id)]) {
+      const placement = job.placements.get(task);
+      if (placement?.machine === id && (before === null || placement.agentEpoch < before))
+        this.removePlacement(job, placement, false, reason, true);
+    }
+  }
+
+  /** Gives a task up for good: it is stopped where it may be on a machine, and never started again. */
   abandonTask(job: Job, task: number): void {
-    const p = job.placements.get(task);
-    if (p !== undefined) {
-      job.requestStop(task, 0, 'cancelled', this.now());
-      this.emit('due', p.machine);
+    const placement = job.placements.get(task);
+    if (placement !== undefined) {
+      this.stopTasks(job, [placement], 0, 'cancelled');
       return;
     }
     job.abandon(task);
@@ -272,95 +281,65 @@
     this.announceIfEnded(job);
   }
 
+  /** Stops all tasks of a gang that are not being stopped yet, each with `graceS` seconds to save its state. */
   stopGang(job: Job, graceS: number, reason: StopReason): void {
-    const machines = new Set<MachineId>();
-    for (const p of job.placements.values()) {
-      if (p.stopRequest !== null) continue;
-      job.requestStop(p.task, graceS, reason, this.now());
-      machines.add(p.machine);
-    }
-    for (const id of machines) this.emit('due', id);
+    const running = [...job.placements.values()].filter((placement) => placement.stopRequest === null);
+    this.stopTasks(job, running, graceS, reason);
   }
 
-  /** Everything on the machine is proven gone. */
-  removePlacementsOn(id: MachineId, why: string, before: AgentEpoch | null = null): void {
-    for (const { job, task } of [...this.tasksOn(id)]) {
-      const p = job.placements.get(task);
-      if (p !== undefined && p.machine === id && (before === null || p.agentEpoch < before))
-        this.removePlacement(job, p, false, why, true);
+  private stopTasks(job: Job, placements: readonly Placement[], graceS: number, reason: StopReason): void {
+    const machines = new Set<MachineId>();
+    for (const { task, machine } of placements) {
+      job.requestStop(task, graceS, reason, this.now());
+      machines.add(machine);
     }
+    for (const id of machines) this.emit('due', id);
   }
 
   // --- machines --------------------------------------------------------------------------------
 
+  /** Id of the last machine of the initial fleet, empty where there was none; null until it is known. */
   get initialFleetUpTo(): string | null {
-    return this.standing;
+    return this.registry.initialFleetUpTo;
   }
 
-  /** The fleet found at the very first start is known. */
+  /** The fleet that the service found at its very first start is known. */
   setInitialFleet(upTo: string): void {
-    this.standing = upTo;
-    for (const m of this.machines.values()) m.isProvisioned = this.isScaledOut(m.id);
+    this.registry.setInitialFleet(upTo);
   }
 
+  /** Whether the service provisioned the machine itself. */
   isScaledOut(id: MachineId): boolean {
-    return this.standing !== null && compareMachineIds(id, this.standing) > 0;
+    return this.registry.isScaledOut(id);
   }
 
-  /** A service that started with no machines rents all of them for its work: money is weighed. */
+  /** Whether the service provisions all machines itself, so that it weighs their cost. */
   get minimizesCost(): boolean {
-    return this.standing === '';
+    return this.registry.minimizesCost;
   }
 
-  private addMachine(id: MachineId, type: string, zone: string, spot: boolean, rented = true): Machine {
-    const machine = new Machine(id, type, zone, spot, rented, this.now());
-    // Until the machine shows our token, an earlier leader may still answer it up to its horizon.
-    machine.latestPossibleRenewalAt = this.parts.previousLeaderRenewsUntil;
-    if (this.taskCountOn(id) > 0) machine.idleSince = null;
-    this.machines.set(id, machine);
-    return machine;
+  /** Whether records or the cloud's list show that the machine was up, whether or not this leader has heard of it. */
+  isKnownToHaveRun(machine: Machine): boolean {
+    return this.taskCountOn(machine.id) > 0 || machine.isListedRunning;
   }
 
   /**
-   * Records loaded before a machine was known carry its id only: its facts are filled in here. `isProven`: whether they
-   * come from what can't be older than the machine's end, and not from a report that may have been on its way for long.
+   * Adds a machine, or fills in the facts of one that records mention by its id alone.
+   *
+   * @param isConfirmed whether the facts come from a source that cannot be older than the machine's end; a heartbeat may
+   * have been under way for long
    */
-  registerMachine(id: MachineId, type: string, zone: string, spot: boolean, isProven = true): Machine {
-    const known = this.machines.get(id);
-    if (known !== undefined && known.type !== '') {
-      if (isProven) this.confirmMachine(known);
-      return known;
-    }
-    const added = this.addMachine(id, type, zone, spot, this.isScaledOut(id));
-    // A record places something there.
-    added.isConfirmed = isProven || known !== undefined;
-    return added;
+  registerMachine(id: MachineId, type: string, zone: string, spot: boolean, isConfirmed = true): Machine {
+    return this.registry.register(id, type, zone, spot, isConfirmed);
   }
 
-  /** The machine is there now: it may be placed on. */
-  confirmMachine(m: Machine): void {
-    if (m.isConfirmed) return;
-    m.isConfirmed = true;
-    this.emit('plan');
+  /** No further tasks are placed on the machine; it is released once it is empty. */
+  drainMachine(machine: Machine, reason: string): void {
+    this.registry.drain(machine, reason);
   }
 
-  drainMachine(m: Machine, reason: string): void {
-    if (m.state !== 'ready' && m.state !== 'silent' && m.state !== 'booting') return;
-    m.drainReason = reason;
-    m.transitionTo('draining');
-    this.parts.log.info({ machine: m.id, reason }, 'machine drains');
+  /** Puts a draining machine back into use, unless the cloud is about to take it back. */
+  cancelDrain(machine: Machine): void {
+    this.registry.cancelDrain(machine);
   }
-
-  cancelDrain(m: Machine): void {
-    if (m.state !== 'draining' || m.preemptionDeadline !== null) return;
-    m.drainReason = '';
-    m.transitionTo('ready');
-    this.parts.log.info({ machine: m.id }, 'machine is needed after all');
-    this.emit('plan');
-  }
-}
-
-/** Names are in order of creation; a longer name is a later one. */
-export function compareMachineIds(a: string, b: string): number {
-  return a.length - b.length || (a < b ? -1 : a > b ? 1 : 0);
 }
--- a/packages/controller/src/jobs/job-record-reader.ts
+++ b/packages/controller/src/jobs/job-record-reader.ts
@@ -1,69 +1,98 @@
+/**
+ * Reads job and task records into the cluster state.
+ *
+ * @module
+ */
 import type { Job, JobRecord } from '@spurbridge/model';
 import { JOB_KEY_PREFIX, TASK_KEY_PREFIX, decodeJob } from '@spurbridge/model';
+import type { RequestPriority } from '@spurbridge/net';
 import type { KeyValue, Revision } from '@spurbridge/wire';
+import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { ClusterState } from './cluster-state.js';
 import { RecordWatcher } from './record-watcher.js';
-import type { LeaderTerm } from '../leadership/leader-term.js';
 
-/** Reads the job records that any node writes: all of them after the election, then their changes. */
+/** A new leader cannot place anything before it has read the records. */
+const LOAD_PRIORITY: RequestPriority = 0;
+/** Pause after a list that failed. */
+const LOAD_RETRY_MS = 200;
+
+/** Is told of every job record that is read, also of jobs that are over. */
+export interface JobRecordListener {
+  onJobRecord(record: JobRecord): void;
+}
+
+/** Reads all records after the election, and then follows the job records, which any node may change. */
 export class JobRecordReader {
-  private readonly following: RecordWatcher;
+  private readonly watcher: RecordWatcher;
 
   constructor(
     private readonly term: LeaderTerm,
     private readonly cluster: ClusterState,
-    /** Told of every record that is read. */
-    private readonly seen: (record: JobRecord) => void,
+    private readonly listener: JobRecordListener,
   ) {
-    this.following = new RecordWatcher(term, JOB_KEY_PREFIX);
+    this.watcher = new RecordWatcher(term, JOB_KEY_PREFIX);
   }
 
-  /** How old what is known of cancellations is, in milliseconds: by the records, or by the node's copy until they are read. */
+  /**
+   * How old the knowledge of cancellations is, in milliseconds: by the records, or by the node's own replica of them
+   * until they are read.
+   */
   get stalenessMs(): number {
-    return this.following.knownAsOf === null
-      ? this.term.context.storeIntegrity.copyAgeMs
-      : this.following.ageMs;
+    return this.watcher.knownAsOf === null ? this.term.context.storeIntegrity.copyAgeMs : this.watcher.ageMs;
   }
 
-  /** The revision to watch from, or null when deposed meanwhile. */
+  /** Reads all records, repeating until it succeeds. Returns the revision to watch from, or null when deposed meanwhile. */
   async load(): Promise<Revision | null> {
     const { clock, store } = this.term.context;
     while (this.term.isActive) {
-      const askedAt = clock.now();
-      const jobs = await store.list(JOB_KEY_PREFIX, 0);
-      const tasks = jobs.outcome === 'listed' ? await store.list(TASK_KEY_PREFIX, 0) : jobs;
+      const requestedAt = clock.now();
+      const jobs = await store.list(JOB_KEY_PREFIX, LOAD_PRIORITY);
+      const tasks = jobs.outcome === 'listed' ? await store.list(TASK_KEY_PREFIX, LOAD_PRIORITY) : jobs;
       if (jobs.outcome === 'listed' && tasks.outcome === 'listed') {
-        for (const item of jobs.items) this.apply(item);
-        for (const item of tasks.items) this.cluster.applyTaskRecord(item);
-        for (const job of this.cluster.jobs.values()) this.cluster.finishRestore(job);
-        this.following.markReadAt(askedAt);
-        // Tasks are read after jobs; a job that came between is seen by the watch from the first list.
+        this.restore(jobs.items, tasks.items);
+        this.watcher.markReadAt(requestedAt);
+        // Tasks are read after jobs: a job that was added in between is seen by a watch from the first list's revision.
         return jobs.revision;
       }
-      await clock.sleep(200);
+      await clock.sleep(LOAD_RETRY_MS);
     }
     return null;
   }
 
-  /** Takes in a job's record, from a list, a watch or a read after a conflict. */
+  private restore(jobs: readonly KeyValue[], tasks: readonly KeyValue[]): void {
+    for (const item of jobs) this.apply(item);
+    for (const item of tasks) this.cluster.applyTaskRecord(item);
+    for (const job of this.cluster.jobs.values()) this.cluster.finishRestore(job);
+  }
+
+  /**
+   * Applies a job's record, whether it comes from a list, a watch or a read after a conflict. Returns null for a job that
+   * is over, and for a record that cannot be read, which is logged.
+   */
   apply(item: KeyValue): Job | null {
-    let record;
-    try {
-      record = decodeJob(item.value);
-    } catch (e) {
-      this.term.context.log.error({ key: item.key, error: String(e) }, 'job record cannot be read');
-      return null;
-    }
-    this.seen(record);
+    const record = this.decode(item);
+    if (record === null) return null;
+    this.listener.onJobRecord(record);
     const wasActive = this.cluster.jobs.get(record.spec.id)?.state !== 'cancelled';
     const job = this.cluster.applyJobRecord(record, item.version);
-    // Not known as of then, it was confirmed later: its user counts `cancel_s` from after that.
-    if (job?.state === 'cancelled' && wasActive) job.cancelledAfter = this.following.knownAsOf;
+    // The cancellation was not known when the records were last up to date, so it was confirmed after that: its user
+    // counts `cancel_s` from then on.
+    if (job?.state === 'cancelled' && wasActive) job.cancelledAfter = this.watcher.knownAsOf;
     return job;
   }
 
+  private decode(item: KeyValue): JobRecord | null {
+    try {
+      return decodeJob(item.value);
+    } catch (error) {
+      this.term.context.log.error({ key: item.key, error: String(error) }, 'job record cannot be read');
+      return null;
+    }
+  }
+
+  /** Applies changed job records until the leader's term ends. */
   async watch(from: Revision): Promise<void> {
-    await this.following.run(from, (items) => {
+    await this.watcher.run(from, (items) => {
       for (const item of items) this.apply(item);
       this.cluster.emit('plan');
     });
--- a/packages/controller/src/jobs/record-writer.ts
+++ b/packages/controller/src/jobs/record-writer.ts
@@ -1,291 +1,298 @@
-import type { TaskChunk, Job } from '@spurbridge/model';
-import { chunkKey, encodeChunk, encodeJob, jobKey } from '@spurbridge/model';
-import type { MonotonicMs } from '@spurbridge/net';
+/**
+ * Writes the leader's view of jobs and tasks to the key-value store: task records as tasks are placed and end,
+ * job records as jobs complete, and the deletion of task records that are no longer needed.
+ *
+ * @module
+ */
+import type { Job, Placement, TaskChunk, WallClockMs } from '@spurbridge/model';
+import { chunkKey, encodeJob, jobKey } from '@spurbridge/model';
+import type { MonotonicMs, RequestPriority } from '@spurbridge/net';
 import { addMs } from '@spurbridge/net';
-import type { CommitOutcome } from '@spurbridge/store';
-import type { Attempt, Mutation, Compare, KeyValue, JobId, Version } from '@spurbridge/wire';
+import type { CommitOutcome, ReadOutcome } from '@spurbridge/store';
+import type { Compare, JobId, KeyValue, Mutation, Revision, Version } from '@spurbridge/wire';
 import { KEY_ABSENT } from '@spurbridge/wire';
-import type { ClusterState } from './cluster-state.js';
-import { WakeSignal } from '../wake-signal.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
+import { WakeSignal } from '../wake-signal.js';
+import type { ChunkWriteBatch } from './chunk-write-queue.js';
+import { ChunkWriteQueue } from './chunk-write-queue.js';
+import type { ClusterState, StartedAttempt } from './cluster-state.js';
 
-/** Finished tasks wait this long for others to share their write; intents go at once. */
-const FOLD_MS = 400;
-const MOST_BYTES = 48 * 1024;
-const PARALLEL = 4;
+/** Commits under way at the same time. */
+const MAX_CONCURRENT_COMMITS = 4;
+/** The writer looks for due records at least this often. */
+const POLL_INTERVAL_MS = 100;
+/** No commit is started for this long after one has failed. */
+const BACKOFF_MS = 120;
+
+/** Intents and completed jobs go ahead of the records of finished tasks, deletions come last. */
+const COMPLETION_PRIORITY: RequestPriority = 1;
+const INTENT_PRIORITY: RequestPriority = 1;
+const FINISHED_TASKS_PRIORITY: RequestPriority = 2;
+const DELETION_PRIORITY: RequestPriority = 3;
+const REFRESH_PRIORITY: RequestPriority = 1;
+
+/** Takes over a job's record that was read again after a conflict. */
+export interface JobRecordSink {
+  apply(item: KeyValue): unknown;
+}
 
-interface Entry {
-  readonly job: Job;
-  readonly chunk: TaskChunk;
-  dueAt: MonotonicMs;
-  /** Holds a new intent. */
-  urgent: boolean;
+/** Decides whether a job whose tasks are all done may be recorded as done. */
+export interface JobClosePolicy {
+  mayClose(job: Job): boolean;
+}
+
+/** A record that a failed commit compared; `chunk` is null for a job's own record. */
+interface ComparedRecord {
+  readonly key: string;
+  readonly chunk: TaskChunk | null;
 }
 
 /**
- * Keeps the records as the leader's memory has them. Each write is conditioned on the leadership and
- * on the record's last version, so one applied late changes nothing.
+ * Keeps the stored records up to date with the leader's memory. Each write is conditional on the leadership
+ * and on the record's last known version, so that a write that is applied late changes nothing.
  */
 export class RecordWriter {
-  private readonly entries = new Map<string, Entry>();
-  private readonly closing = new Map<JobId, Job>();
-  private readonly clearing = new Set<Job>();
-  private readonly busy = new Set<string>();
+  private readonly queue = new ChunkWriteQueue();
+  /** Jobs whose tasks are all done while their record does not say so. */
+  private readonly closingJobs = new Map<JobId, Job>();
+  /** Jobs that are over and whose task records are to be deleted. */
+  private readonly endedJobs = new Set<Job>();
+  /** Keys that a commit under way writes or deletes. */
+  private readonly busyKeys = new Set<string>();
   private readonly signal = new WakeSignal();
-  private running = 0;
+  private commitsUnderWay = 0;
   private backOffUntil = 0 as MonotonicMs;
 
   constructor(
     private readonly term: LeaderTerm,
     private readonly cluster: ClusterState,
-    /** Takes in a job's record that was read again. */
-    private readonly learn: (item: KeyValue) => void,
-    /** Whether a job whose tasks are all done may be closed: what they came to is known elsewhere, too. */
-    private readonly mayClose: (job: Job) => boolean,
+    private readonly jobRecords: JobRecordSink,
+    private readonly closePolicy: JobClosePolicy,
   ) {
     cluster.on('placed', (job, task) => {
-      this.dirty(job, task, true);
+      this.enqueue(job, task, true);
     });
-    cluster.on('off', (job, p) => {
-      this.dirty(job, p.task, false);
+    cluster.on('off', (job, placement) => {
+      this.enqueue(job, placement.task, false);
     });
     cluster.on('abandoned', (job, task) => {
-      this.dirty(job, task, false);
+      this.enqueue(job, task, false);
     });
     cluster.on('ended', (job) => {
-      this.ended(job);
+      this.onJobEnded(job);
     });
   }
 
-  private dirty(job: Job, task: number, urgent: boolean): void {
-    if (job.state === 'done') return;
-    const now = this.term.context.clock.now();
-    const chunk = job.chunkOf(task);
-    const key = chunkKey(job.spec.id, chunk.index);
-    const dueAt = urgent ? now : addMs(now, FOLD_MS);
-    const entry = this.entries.get(key);
-    if (entry === undefined) this.entries.set(key, { job, chunk, dueAt, urgent });
-    else {
-      entry.dueAt = Math.min(entry.dueAt, dueAt) as MonotonicMs;
-      entry.urgent ||= urgent;
+  /** Writes until the leader's term ends. */
+  async run(): Promise<void> {
+    const { clock } = this.term.context;
+    while (this.term.isActive) {
+      await this.signal.wait(clock, POLL_INTERVAL_MS);
+      while (this.term.isActive && this.commitsUnderWay < MAX_CONCURRENT_COMMITS && this.startCommit());
     }
-    if (urgent) this.signal.notify();
   }
 
-  /** The job is closing, or cancelled: its record and its task records are put in order. */
-  private ended(job: Job): void {
-    if (job.state === 'closing') this.closing.set(job.spec.id, job);
-    if (job.state === 'done' || (job.state === 'cancelled' && job.placements.size === 0))
-      this.clearing.add(job);
+  /** Wakes `run`, so that it notices that the term has ended. */
+  stop(): void {
     this.signal.notify();
   }
 
-  stop(): void {
-    this.signal.notify();
+  private enqueue(job: Job, task: number, isUrgent: boolean): void {
+    if (job.state === 'done') return;
+    this.queue.add(job, task, isUrgent, this.term.context.clock.now());
+    if (isUrgent) this.signal.notify();
   }
 
-  async run(): Promise<void> {
-    const { clock } = this.term.context;
-    while (this.term.isActive) {
-      await this.signal.wait(clock, 100);
-      while (this.term.isActive && this.running < PARALLEL && this.launch());
-    }
+  private onJobEnded(job: Job): void {
+    if (job.state === 'closing') this.closingJobs.set(job.spec.id, job);
+    if (job.state === 'done' || (job.state === 'cancelled' && job.placements.size === 0))
+      this.endedJobs.add(job);
+    this.signal.notify();
   }
 
-  /** Starts one commit; false when nothing is due. */
-  private launch(): boolean {
-    const { clock, leadership } = this.term.context;
+  /** Starts the most urgent commit; returns false when nothing is due. */
+  private startCommit(): boolean {
+    const { clock, leadership, log } = this.term.context;
     if (clock.now() < this.backOffUntil || !leadership.holdsValidLease()) return false;
-    const work = this.closeOne() ?? this.writeChunks() ?? this.clearOne();
-    if (work === null) return false;
-    this.running += 1;
-    work
-      .catch((e: unknown) => {
-        this.term.context.log.error({ error: String(e) }, 'recording failed');
+    const commit = this.closeNextJob() ?? this.writeDueChunks() ?? this.deleteNextTaskRecords();
+    if (commit === null) return false;
+    this.commitsUnderWay += 1;
+    commit
+      .catch((error: unknown) => {
+        log.error({ error: String(error) }, 'writing records failed');
       })
       .finally(() => {
-        this.running -= 1;
+        this.commitsUnderWay -= 1;
         this.signal.notify();
       });
     return true;
   }
 
-  private closeOne(): Promise<void> | null {
-    for (const [id, job] of this.closing) {
+  // --- jobs that are done ------------------------------------------------------------------------
+
+  private closeNextJob(): Promise<void> | null {
+    for (const [id, job] of this.closingJobs) {
       if (job.state !== 'closing') {
-        this.closing.delete(id);
+        this.closingJobs.delete(id);
         continue;
       }
-      if (!this.mayClose(job)) continue;
+      if (!this.closePolicy.mayClose(job)) continue;
       const key = jobKey(id);
-      const chunks = job.chunks.map((c) => chunkKey(id, c.index));
-      if (this.busy.has(key) || chunks.some((k) => this.busy.has(k))) continue;
-      return this.close(job, key);
+      if (this.busyKeys.has(key) || taskRecordKeys(job).some((chunk) => this.busyKeys.has(chunk))) continue;
+      return this.closeJob(job, key);
     }
     return null;
   }
 
-  private async close(job: Job, key: string): Promise<void> {
-    const { store, log, wallNow, clock } = this.term.context;
-    this.busy.add(key);
-    const at = wallNow() - (clock.now() - job.submittedAt);
-    const changes: Mutation[] = [
-      {
-        put: key,
-        value: encodeJob({
-          spec: job.spec,
-          phase: 'done',
-          submittedAt: at as never,
-          chunkSize: job.chunkSize,
-          ...(job.graph === null ? {} : { graph: job.graph }),
-        }),
-      },
-    ];
-    const only = job.chunks.length === 1 ? job.chunks[0] : undefined;
-    if (only !== undefined && only.version !== KEY_ABSENT)
-      changes.push({ delete: chunkKey(job.spec.id, only.index) });
-    const outcome = await store.commit(
-      [this.term.context.leadership.leadershipCompare(), { key, version: job.version }],
-      changes,
-      1,
-    );
-    this.busy.delete(key);
+  private async closeJob(job: Job, key: string): Promise<void> {
+    const { store, leadership, log } = this.term.context;
+    this.busyKeys.add(key);
+    const mutations: Mutation[] = [{ put: key, value: this.encodeDone(job) }];
+    // A job with a single task record saves the commit that would delete it.
+    const onlyChunk = job.chunks.length === 1 ? job.chunks[0] : undefined;
+    if (onlyChunk !== undefined && onlyChunk.version !== KEY_ABSENT)
+      mutations.push({ delete: chunkKey(job.spec.id, onlyChunk.index) });
+    const compares = [leadership.leadershipCompare(), { key, version: job.version }];
+    const outcome = await store.commit(compares, mutations, COMPLETION_PRIORITY);
+    this.busyKeys.delete(key);
     if (!this.term.isActive) return;
-    if (outcome.outcome === 'committed') {
-      job.version = outcome.revision as number as Version;
-      job.transitionTo('done');
-      this.closing.delete(job.spec.id);
-      for (const c of job.chunks) this.entries.delete(chunkKey(job.spec.id, c.index));
-      if (only !== undefined) only.version = KEY_ABSENT;
-      this.clearing.add(job);
-      log.info({ job: job.spec.id, tasks: job.spec.tasks }, 'job done');
-    } else await this.failed(outcome, [{ key, job, chunk: null }]);
+    if (outcome.outcome !== 'committed') {
+      await this.onCommitFailed(outcome, [{ key, chunk: null }]);
+      return;
+    }
+    job.version = versionOf(outcome.revision);
+    job.transitionTo('done');
+    this.closingJobs.delete(job.spec.id);
+    this.queue.removeJob(job);
+    if (onlyChunk !== undefined) onlyChunk.version = KEY_ABSENT;
+    this.endedJobs.add(job);
+    log.info({ job: job.spec.id, tasks: job.spec.tasks }, 'job done');
   }
 
-  private writeChunks(): Promise<void> | null {
-    const now = this.term.context.clock.now();
-    const most = this.term.context.settings.storeLimits.txnOps;
-    const batch: { key: string; entry: Entry; value: unknown; edition: number }[] = [];
-    let bytes = 0;
-    const due = [...this.entries].filter(([key, e]) => e.dueAt <= now && !this.busy.has(key));
-    if (due.length === 0) return null;
-    due.sort((a, b) => Number(b[1].urgent) - Number(a[1].urgent) || a[1].dueAt - b[1].dueAt);
-    const urgent = due[0]?.[1].urgent === true;
-    for (const [key, entry] of due) {
-      if (batch.length >= most) break;
-      if (entry.job.state === 'done') {
-        this.entries.delete(key);
-        continue;
-      }
-      const value = encodeChunk(entry.job, entry.chunk);
-      bytes += JSON.stringify(value).length + 300;
-      if (batch.length > 0 && bytes > MOST_BYTES) break;
-      batch.push({ key, entry, value, edition: entry.chunk.revision });
-    }
-    if (batch.length === 0) return null;
-    for (const b of batch) {
-      this.busy.add(b.key);
-      this.entries.delete(b.key);
-    }
-    return this.write(batch, urgent);
+  private encodeDone(job: Job): Record<string, unknown> {
+    const { wallNow, clock } = this.term.context;
+    const submittedAt = (wallNow() - (clock.now() - job.submittedAt)) as WallClockMs;
+    return encodeJob({
+      spec: job.spec,
+      phase: 'done',
+      submittedAt,
+      chunkSize: job.chunkSize,
+      ...(job.graph === null ? {} : { graph: job.graph }),
+    });
+  }
+
+  // --- task records ------------------------------------------------------------------------------
+
+  private writeDueChunks(): Promise<void> | null {
+    const { clock, settings } = this.term.context;
+    const isBusy = (key: string): boolean => this.busyKeys.has(key);
+    const batch = this.queue.takeBatch(clock.now(), settings.storeLimits.txnOps, isBusy);
+    if (batch === null) return null;
+    for (const { write } of batch.writes) this.busyKeys.add(write.key);
+    return this.writeBatch(batch);
   }
 
-  private async write(
-    batch: readonly { key: string; entry: Entry; value: unknown; edition: number }[],
-    urgent: boolean,
-  ): Promise<void> {
+  private async writeBatch(batch: ChunkWriteBatch): Promise<void> {
     const { store, leadership } = this.term.context;
-    const conditions: Compare[] = [leadership.leadershipCompare()];
-    const changes: Mutation[] = [];
-    const started = batch.map((b) => {
-      conditions.push({ key: b.key, version: b.entry.chunk.version });
-      changes.push({ put: b.key, value: b.value });
-      return intended(b.entry.job, b.entry.chunk);
+    const compares: Compare[] = [leadership.leadershipCompare()];
+    const mutations: Mutation[] = [];
+    const intents = batch.writes.map(({ write, value }) => {
+      compares.push({ key: write.key, version: write.chunk.version });
+      mutations.push({ put: write.key, value });
+      return intendedAttempts(write.job, write.chunk);
     });
-    const outcome = await store.commit(conditions, changes, urgent ? 1 : 2);
-    for (const b of batch) this.busy.delete(b.key);
+    const priority = batch.isUrgent ? INTENT_PRIORITY : FINISHED_TASKS_PRIORITY;
+    const outcome = await store.commit(compares, mutations, priority);
+    for (const { write } of batch.writes) this.busyKeys.delete(write.key);
     if (!this.term.isActive) return;
     if (outcome.outcome === 'committed') {
-      batch.forEach((b, i) => {
-        b.entry.chunk.version = outcome.revision as number as Version;
-        b.entry.chunk.durableRevision = Math.max(b.entry.chunk.durableRevision, b.edition);
-        this.cluster.markDurable(b.entry.job, started[i] ?? []);
+      batch.writes.forEach(({ write, revision }, index) => {
+        write.chunk.version = versionOf(outcome.revision);
+        write.chunk.durableRevision = Math.max(write.chunk.durableRevision, revision);
+        this.cluster.markDurable(write.job, intents[index] ?? []);
       });
       return;
     }
-    for (const b of batch) {
-      const again = this.entries.get(b.key);
-      if (again === undefined) this.entries.set(b.key, b.entry);
-      else again.urgent ||= b.entry.urgent;
-    }
-    await this.failed(
+    this.queue.putBack(batch);
+    await this.onCommitFailed(
       outcome,
-      batch.map((b) => ({ key: b.key, job: b.entry.job, chunk: b.entry.chunk })),
+      batch.writes.map(({ write }) => ({ key: write.key, chunk: write.chunk })),
     );
   }
 
-  private clearOne(): Promise<void> | null {
-    for (const job of this.clearing) {
-      // Read as cancelled, it had no task before its task records were read: deleted then, nobody knew of what still ran,
-      // and limits let others start beside it (docs/incidents/records-deleted-too-early.md). Its last task brings it back here.
+  // --- jobs that are over ------------------------------------------------------------------------
+
+  private deleteNextTaskRecords(): Promise<void> | null {
+    for (const job of this.endedJobs) {
+      // A cancelled job that has just been read has no task until its task records are read as well. Had these been
+      // deleted then, nobody would have known of the tasks that still ran, and quotas would have let others start beside
+      // them (docs/incidents/records-deleted-too-early.md). The end of its last task adds the job here again.
       if (job.state === 'cancelled' && job.placements.size > 0) {
-        this.clearing.delete(job);
-        continue;
-      }
-      const keys = job.chunks.map((c) => chunkKey(job.spec.id, c.index));
-      if (keys.some((k) => this.busy.has(k) || this.entries.has(k))) continue;
-      const chunks = job.chunks.filter((c) => c.version !== KEY_ABSENT);
-      if (chunks.length === 0) {
-        this.clearing.delete(job);
-        if (job.state === 'done' || job.placements.size === 0) this.cluster.releaseJob(job);
+        this.endedJobs.delete(job);
         continue;
       }
-      return this.clear(job, chunks.slice(0, this.term.context.settings.storeLimits.txnOps));
+      if (taskRecordKeys(job).some((key) => this.busyKeys.has(key) || this.queue.has(key))) continue;
+      const stored = job.chunks.filter((chunk) => chunk.version !== KEY_ABSENT);
+      if (stored.length > 0)
+        return this.deleteTaskRecords(job, stored.slice(0, this.term.context.settings.storeLimits.txnOps));
+      this.endedJobs.delete(job);
+      if (job.state === 'done' || job.placements.size === 0) this.cluster.releaseJob(job);
     }
     return null;
   }
 
-  private async clear(job: Job, chunks: readonly TaskChunk[]): Promise<void> {
+  private async deleteTaskRecords(job: Job, chunks: readonly TaskChunk[]): Promise<void> {
     const { store, leadership } = this.term.context;
-    const keys = chunks.map((c) => chunkKey(job.spec.id, c.index));
-    for (const k of keys) this.busy.add(k);
-    const outcome = await store.commit(
-      [leadership.leadershipCompare()],
-      keys.map((k) => ({ delete: k })),
-      3,
-    );
-    for (const k of keys) this.busy.delete(k);
+    const keys = chunks.map((chunk) => chunkKey(job.spec.id, chunk.index));
+    for (const key of keys) this.busyKeys.add(key);
+    const mutations = keys.map((key) => ({ delete: key }));
+    const outcome = await store.commit([leadership.leadershipCompare()], mutations, DELETION_PRIORITY);
+    for (const key of keys) this.busyKeys.delete(key);
     if (!this.term.isActive) return;
-    if (outcome.outcome === 'committed') for (const c of chunks) c.version = KEY_ABSENT;
-    else await this.failed(outcome, []);
+    if (outcome.outcome === 'committed') for (const chunk of chunks) chunk.version = KEY_ABSENT;
+    else await this.onCommitFailed(outcome, []);
   }
 
-  /** Refused: later. Unknown or conflicting: the versions may have moved, so they are read again. */
-  private async failed(
-    outcome: CommitOutcome,
-    touched: readonly { key: string; job: Job; chunk: TaskChunk | null }[],
-  ): Promise<void> {
+  // --- failed commits ----------------------------------------------------------------------------
+
+  /** Backs off; after a conflict the versions may have moved, so the records that were compared are read again. */
+  private async onCommitFailed(outcome: CommitOutcome, compared: readonly ComparedRecord[]): Promise<void> {
     const { store, leadership, clock } = this.term.context;
     if (leadership.stepDownOnConflict(outcome)) return;
-    this.backOffUntil = addMs(clock.now(), 120);
+    this.backOffUntil = addMs(clock.now(), BACKOFF_MS);
     if (outcome.outcome !== 'conflict') return;
-    for (const t of touched) {
-      if (!outcome.failed.includes(t.key)) continue;
-      const found = await store.read(t.key, 1);
+    for (const record of compared) {
+      if (!outcome.failed.includes(record.key)) continue;
+      const found = await store.read(record.key, REFRESH_PRIORITY);
       if (!this.term.isActive) return;
-      if (found.outcome === 'found') {
-        if (t.chunk === null) this.learn(found.item);
-        else t.chunk.version = found.item.version;
-      } else if (found.outcome === 'absent' && t.chunk !== null) t.chunk.version = KEY_ABSENT;
+      this.refresh(record, found);
     }
   }
+
+  private refresh({ chunk }: ComparedRecord, found: ReadOutcome): void {
+    if (found.outcome === 'found') {
+      if (chunk === null) this.jobRecords.apply(found.item);
+      else chunk.version = found.item.version;
+    } else if (found.outcome === 'absent' && chunk !== null) chunk.version = KEY_ABSENT;
+  }
+}
+
+function taskRecordKeys(job: Job): string[] {
+  return job.chunks.map((chunk) => chunkKey(job.spec.id, chunk.index));
+}
+
+/** A committed key's version is the revision of its commit. */
+function versionOf(revision: Revision): Version {
+  return revision as number as Version;
 }
 
-function intended(job: Job, chunk: TaskChunk): { task: number; attempt: Attempt }[] {
-  const first = chunk.index * job.chunkSize;
-  const found: { task: number; attempt: Attempt }[] = [];
-  for (const p of job.placements.values())
-    if (p.state === 'intended' && p.task >= first && p.task < first + job.chunkSize)
-      found.push({ task: p.task, attempt: p.attempt });
+/** The attempts of a chunk's tasks whose intent is not durable yet. */
+function intendedAttempts(job: Job, chunk: TaskChunk): StartedAttempt[] {
+  const firstTask = chunk.index * job.chunkSize;
+  const isInChunk = ({ task }: Placement): boolean => task >= firstTask && task < firstTask + job.chunkSize;
+  const found: StartedAttempt[] = [];
+  for (const placement of job.placements.values())
+    if (placement.state === 'intended' && isInChunk(placement))
+      found.push({ task: placement.task, attempt: placement.attempt });
   return found;
 }
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -66,11 +66,11 @@
       () => c.clock.now(),
     );
     this.shown = new ProgressPublisher(term, cluster);
-    this.records = new JobRecordReader(term, cluster, (record) => {
-      arrivals.recordArrival(
-        record.spec,
-        addMs(c.clock.now(), -Math.max(0, c.wallNow() - record.submittedAt)),
-      );
+    this.records = new JobRecordReader(term, cluster, {
+      onJobRecord: (record) => {
+        const submittedAt = addMs(c.clock.now(), -Math.max(0, c.wallNow() - record.submittedAt));
+        arrivals.recordArrival(record.spec, submittedAt);
+      },
     });
     this.reports = new HeartbeatHandler(term, cluster, estimates);
     this.served = new ServiceLevelTracker(term, cluster);
@@ -91,33 +91,26 @@
       () => this.settling.mayIssueCommands,
       mayPlace,
     );
-    this.recorder = new RecordWriter(
-      term,
-      cluster,
-      (item) => {
-        this.records.apply(item);
-      },
-      (job) => this.rooms.every((room) => room.mayClose(job)),
-    );
+    this.recorder = new RecordWriter(term, cluster, this.records, {
+      mayClose: (job) => this.rooms.every((room) => room.mayClose(job)),
+    });
     this.fleet = new FleetController(term, cluster, arrivals, isSettled);
     this.rooms = c.leaderComponents.map((room) => room(term, cluster));
     this.planning = new SchedulingLoop(term, cluster, estimates, {
-      hasJoined: (job) => mayPlace(job) && this.rooms.every((room) => room.isSchedulable(job)),
-      isSettled,
-      unknownUse: (team) => this.settling.unconfirmedUsage(team),
-      isComingIn: () => this.fleet.isReconnectionWave(c.clock.now()),
-      planned: (unmet) => {
-        this.fleet.setUnplacedDemand(unmet);
+      isSchedulable: (job) => mayPlace(job) && this.rooms.every((room) => room.isSchedulable(job)),
+      mayPlaceTasks: isSettled,
+      unconfirmedUsage: (team) => this.settling.unconfirmedUsage(team),
+      isReconnectionWave: () => this.fleet.isReconnectionWave(c.clock.now()),
+      onUnplacedDemand: (unplaced) => {
+        this.fleet.setUnplacedDemand(unplaced);
       },
     });
-    this.sweeper = new FailureDetector(
-      term,
-      cluster,
-      this.fleet,
+    this.sweeper = new FailureDetector(term, cluster, {
+      fleet: this.fleet,
       queues,
-      takeReport,
-      () => this.settling.unconfirmedCount,
-    );
+      onHeartbeat: takeReport,
+      unconfirmedCount: () => this.settling.unconfirmedCount,
+    });
   }
 
   /** Rebuilds from the records, then runs until deposed. */
--- a/packages/controller/src/machines/failure-detector.ts
+++ b/packages/controller/src/machines/failure-detector.ts
@@ -1,292 +1,302 @@
+/**
+ * Detects machines that have failed, and releases them.
+ *
+ * @module
+ */
 import type { Job, Machine, Placement } from '@spurbridge/model';
 import type { MonotonicMs } from '@spurbridge/net';
 import { addMs } from '@spurbridge/net';
-import type { ClusterState } from '../jobs/cluster-state.js';
+import type { Heartbeat } from '@spurbridge/wire';
 import { startCommandKey } from '../heartbeats/command-dispatcher.js';
-import type { FleetController } from './fleet-controller.js';
-import type { MachineQueues } from '../placement/machine-queues.js';
 import { CHECKPOINT_MARGIN_S } from '../heartbeats/heartbeat-handler.js';
-import { maxHeartbeatIntervalMs, heartbeatTimeoutMs, failoverDiscoveryTimeoutMs } from '../settings.js';
+import type { ClusterState } from '../jobs/cluster-state.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
-import type { Heartbeat } from '@spurbridge/wire';
+import type { MachineQueues } from '../placement/machine-queues.js';
+import { failoverDiscoveryTimeoutMs, heartbeatTimeoutMs, maxHeartbeatIntervalMs } from '../settings.js';
+import type { FleetController } from './fleet-controller.js';
+import { LeaderIsolationDetector } from './leader-isolation.js';
+import { MachineProber, isUnreachable } from './machine-prober.js';
 import { ZoneReachability } from './zone-reachability.js';
 
-/** Clocks of different machines drift apart by at most this. */
-const DRIFT = 0.0005;
+const CHECK_INTERVAL_MS = 500;
+
+/** The clocks of two machines drift apart by at most this share. */
+const MAX_CLOCK_DRIFT = 0.0005;
+/** Added to a lease's length before it counts as expired. */
 const LEASE_MARGIN_MS = 500;
-const SWEEP_MS = 500;
-/** Questions to a machine not heard; at once at most this share of the sockets, since hundreds may fall silent together. */
-const PROBES = 2;
-const PROBE_SHARE = 0.12;
-/** A machine not up after this many times its usual boot time is given back. */
-const BOOT_PATIENCE = 3;
-/** Found silent, a machine is released this much later: that proves its tasks gone sooner than the lease. */
-const SILENT_RELEASE_MS = 1500;
-/** Silence of this share of the machines points at our own network. */
-const MASS_SHARE = 0.5;
-const MASS_MS = 1500;
-/** None of at least so many workers heard, for this long and for so many usual intervals. */
-const DEAF_LEAST = 10;
-const DEAF_MS = 2000;
-const DEAF_REPORTS = 12;
-/** Workers may all have gone to other nodes: machines must not answer calls either. */
-const DEAF_CALLS = 3;
-/** This share of the time between a lease and `cancel_s` is left for the cloud's call that proves a machine gone. */
-const LAST_RESORT_SHARE = 0.3;
-/** So many of the machines may be the last ones that decisions wait for. */
-const LAST_SHARE = 0.05;
+/** A heartbeat that is late by this much is missed. */
+const HEARTBEAT_MARGIN_MS = 1000;
+
+/** A machine is released when it is not up after so many times its usual boot time, and a constant. */
+const BOOT_TIMEOUT_FACTOR = 3;
+const BOOT_TIMEOUT_MARGIN_MS = 5000;
+/** Boot time of a machine of an unknown type, in seconds. */
+const DEFAULT_BOOT_S = 60;
+/** A silent machine is released this much later: that proves its tasks gone sooner than the end of its lease. */
+const SILENT_RELEASE_DELAY_MS = 1500;
+/** The same for a machine that ran under an earlier leader and that this one never heard of. */
+const UNDISCOVERED_RELEASE_DELAY_MS = 6000;
+/** A preempted machine counts as taken back this long after its deadline. */
+const PREEMPTION_MARGIN_MS = 1500;
+
+/** This share of the time between a lease's length and `cancel_s` is left for the release that proves a machine gone. */
+const RELEASE_TIME_SHARE = 0.3;
+/** Unconfirmed machines count as the last few up to this number, or this share of those that are heard of. */
+const LAST_UNCONFIRMED_COUNT = 2;
+const LAST_UNCONFIRMED_SHARE = 0.05;
+
+/** The components that the failure detector works with. */
+export interface FailureDetectorDependencies {
+  readonly fleet: FleetController;
+  readonly queues: MachineQueues;
+  /** Called with the heartbeat that a probed machine responds with. */
+  readonly onHeartbeat: (heartbeat: Heartbeat) => void;
+  /** Machines that must be heard of before jobs can be placed again, after records may have been lost. */
+  readonly unconfirmedCount: () => number;
+}
+
+/** The machines that need attention, by what is wrong with them. */
+interface FleetSurvey {
+  /** Not heard of for too long. */
+  readonly silent: Machine[];
+  /** Ran under an earlier leader and may still find this one. */
+  readonly undiscovered: Machine[];
+  /** Draining, but not empty. */
+  readonly draining: Machine[];
+  /** Number of machines that are heard of and take tasks. */
+  readyCount: number;
+}
 
-/** Looks after silent machines, notices that run out and stops that take too long. */
+/** Watches over heartbeats, leases, preemption deadlines and cancellations that do not take effect. */
 export class FailureDetector {
-  private probing = 0;
-  private massSince: MonotonicMs | null = null;
-  private wasDeaf = false;
   private readonly zones: ZoneReachability;
+  private readonly prober: MachineProber;
+  private readonly isolation: LeaderIsolationDetector;
 
   constructor(
     private readonly term: LeaderTerm,
     private readonly cluster: ClusterState,
-    private readonly fleet: FleetController,
-    private readonly queues: MachineQueues,
-    /** Takes in the report that a machine answers with. */
-    private readonly onReport: (report: Heartbeat) => void,
-    /** Machines that decisions wait for, after a start at which nobody remembers anything. */
-    private readonly awaited: () => number,
+    private readonly dependencies: FailureDetectorDependencies,
   ) {
     const { settings, log } = term.context;
     this.zones = new ZoneReachability(maxHeartbeatIntervalMs(settings), (fields) => {
-      log.info(fields, 'zone');
+      log.info(fields, 'zone reachability');
     });
+    this.prober = new MachineProber(term, dependencies.onHeartbeat);
+    this.isolation = new LeaderIsolationDetector(term);
   }
 
+  /** Checks all machines at regular intervals until the leader's term ends. */
   async run(): Promise<void> {
     const { clock, leadership } = this.term.context;
     while (this.term.isActive) {
-      await clock.sleep(SWEEP_MS);
+      await clock.sleep(CHECK_INTERVAL_MS);
       if (!this.term.isActive || !leadership.holdsValidLease()) continue;
-      const now = clock.now();
-      this.zones.update(this.cluster.machines.values(), now, this.term.electedAt, (m) =>
-        this.cluster.isKnownToHaveRun(m),
-      );
-      this.queues.evictAllStale();
-      this.endCancelled(now);
-      for (const m of [...this.cluster.machines.values()]) this.sweep(m, now);
-      this.sweepFleet(now);
+      this.check(clock.now());
     }
   }
 
-  private sweep(m: Machine, now: MonotonicMs): void {
+  private check(now: MonotonicMs): void {
+    const { machines } = this.cluster;
+    this.zones.update(machines.values(), now, this.term.electedAt, (machine) =>
+      this.cluster.isKnownToHaveRun(machine),
+    );
+    this.dependencies.queues.evictAllStale();
+    this.releaseForOverdueCancellations(now);
+    for (const machine of [...machines.values()]) this.checkMachine(machine, now);
+    this.checkFleet(now);
+  }
+
+  // --- single machines ---------------------------------------------------------------------------
+
+  private checkMachine(machine: Machine, now: MonotonicMs): void {
+    if (machine.state === 'gone' || machine.state === 'releasing') return;
+    if (this.cluster.taskCountOn(machine.id) > 0 && this.isLeaseExpired(machine, now))
+      this.cluster.removePlacementsOn(machine.id, 'lease surely over');
+    this.checkHeartbeat(machine, now);
+    this.checkPreemption(machine, now);
+  }
+
+  /** Whether the machine's agent has ended all tasks by itself, however late a leader or a delegate renewed its lease. */
+  private isLeaseExpired(machine: Machine, now: MonotonicMs): boolean {
+    const leaseMs = this.term.context.settings.workers.leaseS * 1000;
+    const expiredAfterMs = (leaseMs + LEASE_MARGIN_MS) * (1 + MAX_CLOCK_DRIFT * 2);
+    const lastRenewalAt = Math.max(
+      machine.latestPossibleRenewalAt,
+      machine.leaseDelegatedUntil,
+      machine.lastHeartbeatAt ?? this.term.electedAt,
+    );
+    return now - lastRenewalAt > expiredAfterMs;
+  }
+
+  /** Probes a machine whose heartbeat is missing or that is not confirmed, and marks it as silent in the end. */
+  private checkHeartbeat(machine: Machine, now: MonotonicMs): void {
     const { settings, log } = this.term.context;
     const { electedAt } = this.term;
-    if (m.state === 'gone' || m.state === 'releasing') return;
-    if (this.cluster.taskCountOn(m.id) > 0) {
-      const surelyOver = (settings.workers.leaseS * 1000 + LEASE_MARGIN_MS) * (1 + DRIFT * 2);
-      const last = Math.max(m.latestPossibleRenewalAt, m.leaseDelegatedUntil, m.lastHeartbeatAt ?? electedAt);
-      if (now - last > surelyOver) this.cluster.removePlacementsOn(m.id, 'lease surely over');
-    }
-    const silence = now - Math.max(m.lastHeartbeatAt ?? electedAt, electedAt);
-    const heardBefore = m.state === 'ready' || m.state === 'draining';
-    const wasUp = m.state === 'booting' && this.cluster.isKnownToHaveRun(m);
-    const isQuiet = (heardBefore || wasUp) && silence > maxHeartbeatIntervalMs(settings) + 1000;
-    if (!isQuiet && m.isConfirmed) return this.expire(m, now);
-    if (m.probesSent < PROBES && this.probing < Math.max(8, settings.maxSockets * PROBE_SHARE)) {
-      m.probesSent += 1;
-      this.probe(m);
-    }
-    if (heardBefore && isUnreachable(m) && silence > heartbeatTimeoutMs(settings)) {
-      log.info({ machine: m.id, silence: Math.round(silence) }, 'machine is silent');
-      m.transitionTo('silent');
-      this.cluster.emit('plan');
+    const silenceMs = now - Math.max(machine.lastHeartbeatAt ?? electedAt, electedAt);
+    const wasHeard = machine.state === 'ready' || machine.state === 'draining';
+    const isExpected = wasHeard || (machine.state === 'booting' && this.cluster.isKnownToHaveRun(machine));
+    const isLate = isExpected && silenceMs > maxHeartbeatIntervalMs(settings) + HEARTBEAT_MARGIN_MS;
+    if (!isLate && machine.isConfirmed) return;
+    this.prober.probe(machine);
+    if (!wasHeard || !isUnreachable(machine) || silenceMs <= heartbeatTimeoutMs(settings)) return;
+    log.info({ machine: machine.id, silence: Math.round(silenceMs) }, 'machine is silent');
+    machine.transitionTo('silent');
+    this.cluster.emit('plan');
+  }
+
+  /** Releases a preempted machine after its deadline, and stops tasks in time for their last checkpoint before it. */
+  private checkPreemption(machine: Machine, now: MonotonicMs): void {
+    const deadline = machine.preemptionDeadline;
+    if (deadline === null) return;
+    if (now > addMs(deadline, PREEMPTION_MARGIN_MS))
+      this.dependencies.fleet.releaseMachine(machine, 'taken back');
+    if (machine.state !== 'draining') return;
+    for (const { job, task } of this.cluster.tasksOn(machine.id)) {
+      const placement = job.placements.get(task);
+      if (placement === undefined || placement.stopRequest !== null) continue;
+      const { kind, checkpointS, saveS } = job.spec;
+      const graceS = saveS + CHECKPOINT_MARGIN_S;
+      if (kind !== 'array' || checkpointS <= 0 || now <= addMs(deadline, -graceS * 1000)) continue;
+      job.requestStop(task, graceS, 'drained', now);
+      this.cluster.emit('due', machine.id);
     }
-    this.expire(m, now);
   }
 
+  // --- cancellations -----------------------------------------------------------------------------
+
   /**
-   * The last resort for what is cancelled and still not proven gone as `cancel_s` draws to its end: its machine is given back,
-   * whatever excuses its silence. Its lease is no proof: a machine that hangs doesn't carry out its end, and may go on
-   * (docs/incidents/hung-past-its-lease.md). By then a machine that heard nothing, but lives, has ended its lease by itself.
+   * Releases the machines of cancelled tasks that are not proven to be gone as `cancel_s` runs out, whatever explains
+   * a machine's silence. The end of its lease is no proof: a machine that hangs does not end its tasks, and may go on
+   * later (docs/incidents/hung-past-its-lease.md). By then a machine that is alive and cut off has ended them by itself.
    */
-  private endCancelled(now: MonotonicMs): void {
-    const { settings } = this.term.context;
-    const { cancelS, leaseS } = settings.workers;
-    const patienceMs = (cancelS - (cancelS - leaseS) * LAST_RESORT_SHARE) * 1000;
+  private releaseForOverdueCancellations(now: MonotonicMs): void {
+    const { cancelS, leaseS } = this.term.context.settings.workers;
+    const timeoutMs = (cancelS - (cancelS - leaseS) * RELEASE_TIME_SHARE) * 1000;
     for (const job of this.cluster.jobs.values()) {
       if (job.state !== 'cancelled') continue;
-      for (const p of job.placements.values()) {
-        if (now < addMs(job.cancelledAt ?? p.stopRequest?.at ?? now, patienceMs)) continue;
-        const m = this.cluster.machines.get(p.machine);
-        if (m === undefined || m.state === 'gone' || this.isLeftToItsLease(m, job, p, now)) continue;
-        this.fleet.releaseMachine(m, 'a cancelled task does not end', true);
+      for (const placement of job.placements.values()) {
+        const cancelledAt = job.cancelledAt ?? placement.stopRequest?.at ?? now;
+        if (now < addMs(cancelledAt, timeoutMs)) continue;
+        const machine = this.cluster.machines.get(placement.machine);
+        if (machine === undefined || machine.state === 'gone') continue;
+        if (this.isLeftToLeaseExpiry(machine, job, placement, now)) continue;
+        this.dependencies.fleet.releaseMachine(machine, 'a cancelled task does not end', true);
       }
     }
   }
 
-  /** Heard all the while, never shown the task, and not renewed any more: its session ends in time (`Commands.mayStartLate`). */
-  private isLeftToItsLease(m: Machine, job: Job, p: Placement, now: MonotonicMs): boolean {
-    const isHeard =
-      m.lastHeartbeatAt !== null &&
-      now - m.lastHeartbeatAt < maxHeartbeatIntervalMs(this.term.context.settings) + 1000;
+  /**
+   * Whether the machine is heard of, has never shown the task, and is not renewed any more: its agent epoch ends in time
+   * (see `CommandDispatcher`, which sends no response that renews its lease).
+   */
+  private isLeftToLeaseExpiry(machine: Machine, job: Job, placement: Placement, now: MonotonicMs): boolean {
+    const { lastHeartbeatAt } = machine;
+    const maxSilenceMs = maxHeartbeatIntervalMs(this.term.context.settings) + HEARTBEAT_MARGIN_MS;
     return (
-      isHeard &&
-      p.state === 'starting' &&
-      m.unconfirmedStarts.has(startCommandKey(job.spec.id, p.task, p.attempt))
+      lastHeartbeatAt !== null &&
+      now - lastHeartbeatAt < maxSilenceMs &&
+      placement.state === 'starting' &&
+      machine.unconfirmedStarts.has(startCommandKey(job.spec.id, placement.task, placement.attempt))
     );
   }
 
-  /** What ends by itself on a machine: its notice, and the time that work with checkpoints has left. */
-  private expire(m: Machine, now: MonotonicMs): void {
-    if (m.preemptionDeadline !== null && now > addMs(m.preemptionDeadline, 1500))
-      this.fleet.releaseMachine(m, 'taken back');
-    if (m.state === 'draining')
-      for (const { job, task } of this.cluster.tasksOn(m.id)) {
-        const p = job.placements.get(task);
-        if (p === undefined || p.stopRequest !== null || m.preemptionDeadline === null) continue;
-        const graceS = job.spec.saveS + CHECKPOINT_MARGIN_S;
-        if (
-          job.spec.kind === 'array' &&
-          job.spec.checkpointS > 0 &&
-          now > addMs(m.preemptionDeadline, -graceS * 1000)
-        ) {
-          job.requestStop(task, graceS, 'drained', now);
-          this.cluster.emit('due', m.id);
-        }
+  // --- the fleet as a whole ----------------------------------------------------------------------
+
+  /** Releases machines that never came up, are silent or have drained, unless this node itself is cut off. */
+  private checkFleet(now: MonotonicMs): void {
+    const survey = this.surveyFleet(now);
+    if (survey.draining.length > 0) this.dependencies.fleet.evictReplicas(survey.draining, now);
+    const verdict = this.isolation.evaluate(survey.silent.length, survey.readyCount, now);
+    if (verdict.kind === 'isolated') this.resign(verdict.reason);
+    if (verdict.kind === 'connected') this.releaseSilent(survey, now);
+  }
+
+  private surveyFleet(now: MonotonicMs): FleetSurvey {
+    const survey: FleetSurvey = { silent: [], undiscovered: [], draining: [], readyCount: 0 };
+    const isReconnectionWave = this.dependencies.fleet.isReconnectionWave(now);
+    for (const machine of this.cluster.machines.values())
+      switch (machine.state) {
+        case 'booting':
+          this.surveyBooting(machine, survey, isReconnectionWave, now);
+          break;
+        case 'silent':
+          if (!this.isSilenceExplained(machine, now)) survey.silent.push(machine);
+          break;
+        case 'ready':
+          survey.readyCount += 1;
+          break;
+        case 'draining':
+          if (machine.preemptionDeadline !== null) break;
+          if (this.cluster.taskCountOn(machine.id) > 0) survey.draining.push(machine);
+          else this.dependencies.fleet.releaseMachine(machine, machine.drainReason);
+          break;
+        default:
+          break;
       }
+    return survey;
   }
 
-  private probe(m: Machine): void {
-    if (m.address === '') {
-      m.probesUnanswered += 1;
+  private surveyBooting(
+    machine: Machine,
+    survey: FleetSurvey,
+    isReconnectionWave: boolean,
+    now: MonotonicMs,
+  ): void {
+    const ageMs = now - machine.firstSeenAt;
+    if (!this.cluster.isKnownToHaveRun(machine)) {
+      const bootS = this.cluster.machineType(machine.type)?.bootS ?? DEFAULT_BOOT_S;
+      if (ageMs > bootS * 1000 * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN_MS)
+        this.dependencies.fleet.releaseMachine(machine, 'never came up');
       return;
     }
-    const { workerClient: workers, leadership, log } = this.term.context;
-    this.probing += 1;
-    workers
-      .fetchHeartbeat(m.address)
-      .finally(() => {
-        this.probing -= 1;
-      })
-      .then((report) => {
-        if (!this.term.isActive) return;
-        // With no socket left every machine seemed silent: hundreds that lived were given back.
-        if (report === 'unasked') {
-          m.probesSent = Math.max(0, m.probesSent - 1);
-          return;
-        }
-        this.term.workerReachability.recordCall(report !== null);
-        if (report === null) {
-          m.probesUnanswered += 1;
-          return;
-        }
-        leadership.observeToken(report.fencingToken, null);
-        if (this.term.isActive) this.onReport(report);
-      })
-      .catch((e: unknown) => {
-        log.error({ machine: m.id, error: String(e) }, 'probe failed');
-      });
+    if (this.isSilenceExplained(machine, now)) return;
+    // It was up under an earlier leader: that it is not heard of may be this node's own fault.
+    const { settings } = this.term.context;
+    const isOverdue = ageMs > failoverDiscoveryTimeoutMs(settings);
+    const isSilent = isOverdue && (!isReconnectionWave || ageMs > settings.workers.leaseS * 1000);
+    (isSilent ? survey.silent : survey.undiscovered).push(machine);
   }
 
-  /** Machines that never came up, are silent, or have drained. */
-  private sweepFleet(now: MonotonicMs): void {
-    const silent: Machine[] = [];
-    const wave = this.fleet.isReconnectionWave(now);
-    const leaseMs = this.term.context.settings.workers.leaseS * 1000;
-    const draining: Machine[] = [];
-    const unheard: Machine[] = [];
-    let heard = 0;
-    for (const m of this.cluster.machines.values()) {
-      if (m.state === 'booting') {
-        // It was up under an earlier leader: not hearing it may be this node's own fault.
-        const unheardForMs = now - m.firstSeenAt;
-        const suspect =
-          unheardForMs > failoverDiscoveryTimeoutMs(this.term.context.settings) &&
-          (!wave || unheardForMs > leaseMs);
-        if (!this.cluster.isKnownToHaveRun(m)) this.sweepBooting(m, now);
-        else if (!this.isExcused(m, now)) (suspect ? silent : unheard).push(m);
-      } else if (m.state === 'silent') {
-        if (!this.isExcused(m, now)) silent.push(m);
-      } else if (m.state === 'ready') heard += 1;
-      else if (
-        m.state === 'draining' &&
-        this.cluster.taskCountOn(m.id) === 0 &&
-        m.preemptionDeadline === null
-      )
-        this.fleet.releaseMachine(m, m.drainReason);
-      else if (m.state === 'draining' && m.preemptionDeadline === null) draining.push(m);
-    }
-    if (draining.length > 0) this.fleet.evictReplicas(draining, now);
-    if (this.isDeaf(now)) return this.resign('no worker is heard: the fault is here');
-    const mass = silent.length >= 3 && silent.length >= (silent.length + heard) * MASS_SHARE;
-    if (!mass) this.massSince = null;
-    else {
-      this.massSince ??= now;
-      // So many at once: more likely it is this node that cannot reach them. Another may lead.
-      if (now - this.massSince < MASS_MS) return;
-      if (this.term.context.leadership.canResign())
-        return this.resign('most machines are silent: the fault may be here');
-    }
-    // The last few of a fleet that everything waits for are given back as soon as they leave two questions unanswered: dead
-    // ones, still listed as running, kept a whole fleet from any start for twelve seconds.
-    const awaited = this.awaited();
-    const isLast = awaited > 0 && awaited <= Math.max(2, heard * LAST_SHARE);
-    for (const m of isLast ? [...silent, ...unheard] : silent) {
-      const last = m.lastHeartbeatAt ?? m.firstSeenAt;
-      const patienceMs =
-        m.state === 'booting'
-          ? failoverDiscoveryTimeoutMs(this.term.context.settings) + 6000
-          : heartbeatTimeoutMs(this.term.context.settings) + SILENT_RELEASE_MS;
-      if (((isLast || now - last > patienceMs) && isUnreachable(m)) || m.preemptionDeadline !== null)
-        this.fleet.releaseMachine(m, 'silent');
+  private releaseSilent({ silent, undiscovered, readyCount }: FleetSurvey, now: MonotonicMs): void {
+    // The last few machines that everything waits for are released as soon as they have left all probes unanswered: dead
+    // ones that were still listed as running had kept a whole fleet from any start for twelve seconds.
+    const unconfirmed = this.dependencies.unconfirmedCount();
+    const areLast =
+      unconfirmed > 0 && unconfirmed <= Math.max(LAST_UNCONFIRMED_COUNT, readyCount * LAST_UNCONFIRMED_SHARE);
+    for (const machine of areLast ? [...silent, ...undiscovered] : silent) {
+      const isOverdue = areLast || this.isReleaseDue(machine, now);
+      if ((isOverdue && isUnreachable(machine)) || machine.preemptionDeadline !== null)
+        this.dependencies.fleet.releaseMachine(machine, 'silent');
     }
   }
 
-  /**
-   * Whether this node hears none of the many workers that report to it: it could tell nobody to start anything, though
-   * others pass on what their workers say. Each reports on its own, so that hundreds of them fall
-   * silent within a second or two only for a fault of this node's: it need not wait for each to be late.
-   */
-  private isDeaf(now: MonotonicMs): boolean {
-    const { settings, leadership, directWorkers: direct } = this.term.context;
-    const { size, lastAt } = direct();
-    const expectedMs = maxHeartbeatIntervalMs(settings) / Math.max(1, size);
-    const quietMs = now - Math.max(lastAt ?? now, this.term.electedAt);
-    // Those that found it before it led may have gone elsewhere since.
-    const isNew = now - this.term.electedAt < maxHeartbeatIntervalMs(settings) + DEAF_MS;
-    const quiet = size >= DEAF_LEAST && quietMs > Math.max(DEAF_MS, expectedMs * DEAF_REPORTS);
-    const deaf = !isNew && quiet && this.term.workerReachability.isUnreachable(DEAF_CALLS, DEAF_MS);
-    // Twice in a row: what came while this process was held up is read between two sweeps.
-    const again = deaf && this.wasDeaf;
-    this.wasDeaf = deaf;
-    return again && leadership.canResign();
+  private isReleaseDue(machine: Machine, now: MonotonicMs): boolean {
+    const { settings } = this.term.context;
+    const timeoutMs =
+      machine.state === 'booting'
+        ? failoverDiscoveryTimeoutMs(settings) + UNDISCOVERED_RELEASE_DELAY_MS
+        : heartbeatTimeoutMs(settings) + SILENT_RELEASE_DELAY_MS;
+    return now - (machine.lastHeartbeatAt ?? machine.firstSeenAt) > timeoutMs;
   }
 
   /**
-   * Whether a silent machine is left alone for now: its zone is cut off, and what runs there goes on as long as its lease
-   * may. Where a node is in the zone it may answer under its grants; where none is, the lease ends sooner, and giving the
-   * machine back then proves its tasks gone sooner than waiting.
+   * Whether a silent machine is left alone for now, because its zone is cut off: its tasks go on as long as its lease may
+   * last. A node in the zone may renew the lease under a delegation; where there is none, the lease ends sooner, and
+   * releasing the machine then proves its tasks gone sooner than waiting.
    */
-  private isExcused(m: Machine, now: MonotonicMs): boolean {
-    if (m.preemptionDeadline !== null || !this.zones.explainsSilenceOf(m, now)) return false;
-    const { settings } = this.term.context;
-    const hasNode = settings.zone === m.zone || settings.peers.some((p) => p.zone === m.zone);
-    if (hasNode) return true;
-    return now - (m.lastHeartbeatAt ?? m.firstSeenAt) < settings.workers.leaseS * 1000;
+  private isSilenceExplained(machine: Machine, now: MonotonicMs): boolean {
+    if (machine.preemptionDeadline !== null || !this.zones.explainsSilenceOf(machine, now)) return false;
+    const { zone, peers, workers } = this.term.context.settings;
+    const hasNodeInZone = zone === machine.zone || peers.some((peer) => peer.zone === machine.zone);
+    if (hasNodeInZone) return true;
+    return now - (machine.lastHeartbeatAt ?? machine.firstSeenAt) < workers.leaseS * 1000;
   }
 
   private resign(reason: string): void {
     const { leadership, log } = this.term.context;
-    leadership.resign(reason).catch((e: unknown) => {
-      log.error({ error: String(e) }, 'resigning failed');
+    leadership.resign(reason).catch((error: unknown) => {
+      log.error({ error: String(error) }, 'resigning failed');
     });
   }
-
-  private sweepBooting(m: Machine, now: MonotonicMs): void {
-    const bootS = this.cluster.machineType(m.type)?.bootS ?? 60;
-    if (now - m.firstSeenAt > bootS * 1000 * BOOT_PATIENCE + 5000)
-      this.fleet.releaseMachine(m, 'never came up');
-  }
-}
-
-/** Neither reports nor answers: a node behind its share misses reports of machines that answer well. */
-function isUnreachable(m: Machine): boolean {
-  return m.probesUnanswered >= PROBES;
 }
--- a/packages/controller/src/placement/scheduling-loop.ts
+++ b/packages/controller/src/placement/scheduling-loop.ts
@@ -1,123 +1,155 @@
-import type { Job } from '@spurbridge/model';
-import type { UnplacedDemand } from '@spurbridge/planner';
+/**
+ * The loop that runs scheduling passes and carries out their plans.
+ *
+ * @module
+ */
+import type { Job, Team } from '@spurbridge/model';
+import type { MonotonicMs } from '@spurbridge/net';
+import type { SchedulingPlan, TaskPreemption, TaskStart, UnplacedDemand } from '@spurbridge/planner';
 import { planTasks } from '@spurbridge/planner';
 import type { Attempt, JobId } from '@spurbridge/wire';
 import { formatTaskName } from '@spurbridge/wire';
 import type { ClusterState } from '../jobs/cluster-state.js';
-import type { RuntimeEstimator } from './runtime-estimator.js';
-import { cancelUnsentBeyondQuota } from './quota-enforcement.js';
-import { WakeSignal } from '../wake-signal.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
+import { WakeSignal } from '../wake-signal.js';
+import { cancelUnsentBeyondQuota } from './quota-enforcement.js';
+import type { ResourceUsage } from './resource-usage.js';
+import type { RuntimeEstimator } from './runtime-estimator.js';
 import { buildSchedulingSnapshot } from './scheduling-snapshot.js';
 
-const PLAN_GAP_MS = 40;
-const MOST_PLAN_GAP_MS = 1000;
-/** After a plan, this many times as long as it took is left to everything else. */
-const PLAN_REST = 4;
+/** A pass is made at least this often, also when nothing has changed. */
+const MAX_INTERVAL_MS = 1000;
+/** Limits of the pause after a pass. */
+const MIN_PAUSE_MS = 40;
+const MAX_PAUSE_MS = 1000;
+/** The pause is this many times as long as the pass took: the rest of the time is left to everything else. */
+const PAUSE_FACTOR = 4;
 /**
- * The same while the workers of an earlier leader still come in, and no less than this for each machine:
- * answers go first, and a plan for the few heard so far is soon made again.
+ * The same while the workers of the previous leader reconnect, and no less than this for each machine: their
+ * heartbeats go first, and a plan for the few that are connected so far is soon made again.
  */
-const WAVE_PLAN_REST = 10;
-const WAVE_PLAN_MS = 1.5;
+const RECONNECTION_PAUSE_FACTOR = 10;
+const RECONNECTION_PAUSE_PER_MACHINE_MS = 1.5;
+/** Added to the time that a preempted task takes to save a checkpoint, in seconds. */
+const CHECKPOINT_GRACE_MARGIN_S = 1;
 
-/** Re-plans on every change and carries the plan out: the only place where tasks are placed. */
+/** What the scheduling loop asks of the leader's other components, and tells them. */
+export interface SchedulingLoopDependencies {
+  /** Whether tasks of the job may be placed now. */
+  isSchedulable(job: Job): boolean;
+  /** Whether tasks may be placed at all: it is known well enough what runs on the machines. */
+  mayPlaceTasks(): boolean;
+  /** What machines that have not been heard of yet may use of a team's quota, beyond what the records say. */
+  unconfirmedUsage(team: string): Readonly<ResourceUsage>;
+  /** Whether workers of the previous leader are reconnecting to this one. */
+  isReconnectionWave(): boolean;
+  /** Called after each pass with the demand that no machine can take at once. */
+  onUnplacedDemand(unplaced: readonly UnplacedDemand[]): void;
+}
+
+/** Runs a scheduling pass after every change and carries out its plan. It is the only component that places tasks. */
 export class SchedulingLoop {
   private readonly signal = new WakeSignal();
 
   constructor(
     private readonly term: LeaderTerm,
     private readonly cluster: ClusterState,
-    private readonly estimates: RuntimeEstimator,
-    private readonly parts: {
-      /** Whether the job takes part in the order now. */
-      readonly hasJoined: (job: Job) => boolean;
-      /** Whether what is on the machines is known. */
-      readonly isSettled: () => boolean;
-      /** What machines that are still to be heard may use of a team's limit. */
-      readonly unknownUse: (team: string) => { readonly cpus: number; readonly gpus: number };
-      /** Whether workers of an earlier leader are still finding this one. */
-      readonly isComingIn: () => boolean;
-      /** What found no room. */
-      readonly planned: (unmet: readonly UnplacedDemand[]) => void;
-    },
+    private readonly estimator: RuntimeEstimator,
+    private readonly dependencies: SchedulingLoopDependencies,
   ) {
     cluster.on('plan', () => {
       this.requestPass();
     });
   }
 
+  /** Has a pass made as soon as the pause after the last one is over. */
   requestPass(): void {
     this.signal.notify();
   }
 
+  /** Runs passes until the leader's term ends. */
   async run(): Promise<void> {
-    const { clock, leadership, machineTypes: types } = this.term.context;
+    const { clock, leadership, machineTypes } = this.term.context;
     while (this.term.isActive) {
-      await this.signal.wait(clock, 1000);
+      await this.signal.wait(clock, MAX_INTERVAL_MS);
       if (!this.term.isActive) return;
-      const began = clock.now();
-      if (leadership.holdsValidLease() && types().length > 0 && this.parts.isSettled()) this.planOnce();
-      // Planning gives way to reports, renewals and users: when events are dense, one plan serves many.
-      const tookMs = clock.now() - began;
-      await clock.sleep(
-        this.parts.isComingIn()
-          ? Math.max(
-              Math.min(MOST_PLAN_GAP_MS, this.cluster.machines.size * WAVE_PLAN_MS),
-              tookMs * WAVE_PLAN_REST,
-            )
-          : Math.min(MOST_PLAN_GAP_MS, Math.max(PLAN_GAP_MS, tookMs * PLAN_REST)),
-      );
+      const startedAt = clock.now();
+      const canPlan = leadership.holdsValidLease() && machineTypes().length > 0;
+      if (canPlan && this.dependencies.mayPlaceTasks()) this.runPass();
+      await clock.sleep(this.pauseAfter(clock.now() - startedAt));
     }
   }
 
-  private planOnce(): void {
-    const { clock, log, configuration, onPlanned: planned } = this.term.context;
+  /** Heartbeats, lease renewals and users go ahead of planning: when changes are dense, one pass serves many. */
+  private pauseAfter(passMs: number): number {
+    if (!this.dependencies.isReconnectionWave())
+      return Math.min(MAX_PAUSE_MS, Math.max(MIN_PAUSE_MS, passMs * PAUSE_FACTOR));
+    const forMachinesMs = this.cluster.machines.size * RECONNECTION_PAUSE_PER_MACHINE_MS;
+    return Math.max(Math.min(MAX_PAUSE_MS, forMachinesMs), passMs * RECONNECTION_PAUSE_FACTOR);
+  }
+
+  private runPass(): void {
+    const { clock, configuration, onPlanned } = this.term.context;
     const now = clock.now();
-    // One whole version for the whole plan, whatever becomes known while it is made.
-    const { version, teams: configured, objectives } = configuration();
-    cancelUnsentBeyondQuota(this.cluster, configured, now);
-    const settings = { ...this.term.context.settings, teams: configured, objectives };
-    const seen = buildSchedulingSnapshot(this.cluster, this.estimates, settings, now, this.parts.hasJoined);
-    const teams = seen.teams.map((t) => {
-      const unknown = this.parts.unknownUse(t.name);
-      return {
-        ...t,
-        cpusMax: less(t.cpusMax, unknown.cpus),
-        gpusMax: less(t.gpusMax, unknown.gpus),
-      };
+    // The whole pass uses one version of the configuration, whatever becomes known meanwhile.
+    const { version, teams, objectives } = configuration();
+    cancelUnsentBeyondQuota(this.cluster, teams, now);
+    const settings = { ...this.term.context.settings, teams, objectives };
+    const isSchedulable = (job: Job): boolean => this.dependencies.isSchedulable(job);
+    const snapshot = buildSchedulingSnapshot(this.cluster, this.estimator, settings, now, isSchedulable);
+    const plan = planTasks({
+      ...snapshot,
+      teams: snapshot.teams.map((team) => this.withoutUnconfirmedUsage(team)),
     });
-    const result = planTasks({ ...seen, teams });
-    const gangs = new Map<JobId, Attempt>();
-    for (const s of [...result.starts, ...result.queuedStarts]) {
-      const job = this.cluster.jobs.get(s.job);
-      const machine = this.cluster.machines.get(s.machine);
-      if (job === undefined || machine?.agentEpoch === null || machine === undefined) continue;
-      let shared: Attempt | null = null;
-      if (job.spec.kind === 'gang') {
-        shared = gangs.get(s.job) ?? job.gangAttempt();
-        gangs.set(s.job, shared);
-      }
-      const p = this.cluster.placeTask(job, s.task, s.machine, machine.agentEpoch, shared);
-      log.debug({ task: formatTaskName(s.job, s.task), try: p.attempt, machine: s.machine }, 'task placed');
-    }
-    for (const s of result.preemptions) {
-      const job = this.cluster.jobs.get(s.job);
-      const p = job?.placements.get(s.task);
-      if (job === undefined || p === undefined || p.stopRequest !== null) continue;
-      job.requestStop(s.task, job.spec.checkpointS > 0 ? job.spec.saveS + 1 : 0, 'preempted', now);
-      log.info(
-        { task: formatTaskName(s.job, s.task), machine: p.machine, inFavourOf: s.preemptor },
-        'task preempted',
-      );
-      this.cluster.emit('due', p.machine);
+    this.placeTasks(plan);
+    for (const preemption of plan.preemptions) this.preempt(preemption, now);
+    this.dependencies.onUnplacedDemand(plan.unplacedDemand);
+    onPlanned(version);
+  }
+
+  private withoutUnconfirmedUsage(team: Team): Team {
+    const unconfirmed = this.dependencies.unconfirmedUsage(team.name);
+    return {
+      ...team,
+      cpusMax: remainingLimit(team.cpusMax, unconfirmed.cpus),
+      gpusMax: remainingLimit(team.gpusMax, unconfirmed.gpus),
+    };
+  }
+
+  private placeTasks({ starts, queuedStarts }: SchedulingPlan): void {
+    const gangAttempts = new Map<JobId, Attempt>();
+    for (const start of [...starts, ...queuedStarts]) this.placeTask(start, gangAttempts);
+  }
+
+  /** Places one task; all tasks that a pass places for a gang share one attempt, kept in `gangAttempts`. */
+  private placeTask(start: TaskStart, gangAttempts: Map<JobId, Attempt>): void {
+    const job = this.cluster.jobs.get(start.job);
+    const agentEpoch = this.cluster.machines.get(start.machine)?.agentEpoch ?? null;
+    if (job === undefined || agentEpoch === null) return;
+    let sharedAttempt: Attempt | null = null;
+    if (job.spec.kind === 'gang') {
+      sharedAttempt = gangAttempts.get(start.job) ?? job.gangAttempt();
+      gangAttempts.set(start.job, sharedAttempt);
     }
-    this.parts.planned(result.unplacedDemand);
-    planned(version);
+    const { attempt } = this.cluster.placeTask(job, start.task, start.machine, agentEpoch, sharedAttempt);
+    const name = formatTaskName(start.job, start.task);
+    this.term.context.log.debug({ task: name, try: attempt, machine: start.machine }, 'task placed');
+  }
+
+  private preempt({ job: id, task, preemptor }: TaskPreemption, now: MonotonicMs): void {
+    const job = this.cluster.jobs.get(id);
+    const placement = job?.placements.get(task);
+    if (job === undefined || placement === undefined || placement.stopRequest !== null) return;
+    const graceS = job.spec.checkpointS > 0 ? job.spec.saveS + CHECKPOINT_GRACE_MARGIN_S : 0;
+    job.requestStop(task, graceS, 'preempted', now);
+    const { machine } = placement;
+    const name = formatTaskName(id, task);
+    this.term.context.log.info({ task: name, machine, inFavourOf: preemptor }, 'task preempted');
+    this.cluster.emit('due', machine);
   }
 }
 
-/** A limit less what may be used of it unseen; what has no limit keeps none. */
-function less(limit: number, unseen: number): number {
-  return limit === Infinity ? limit : Math.max(0, limit - unseen);
+/** A quota's limit less what may be used of it unseen; an infinite limit stays infinite. */
+function remainingLimit(limit: number, usage: number): number {
+  return limit === Infinity ? limit : Math.max(0, limit - usage);
 }
--- a/packages/controller/test/quota-enforcement.test.ts
+++ b/packages/controller/test/quota-enforcement.test.ts
@@ -54,11 +54,11 @@
     assert.equal(p.state, 'queued');
   }
   const planning = new SchedulingLoop(term, cluster, new RuntimeEstimator(), {
-    hasJoined: () => true,
-    isSettled: () => true,
-    unknownUse: () => ({ cpus: 0, gpus: 0 }),
-    isComingIn: () => false,
-    planned: () => undefined,
+    isSchedulable: () => true,
+    mayPlaceTasks: () => true,
+    unconfirmedUsage: () => ({ cpus: 0, gpus: 0 }),
+    isReconnectionWave: () => false,
+    onUnplacedDemand: () => undefined,
   });
   planning.requestPass();
   await planning.run();
--- a/packages/controller/test/record-staleness.test.ts
+++ b/packages/controller/test/record-staleness.test.ts
@@ -51,7 +51,11 @@
     ageMs: () => 0,
     previousLeaderRenewsUntil: 0 as MonotonicMs,
   });
-  return { time, cluster, records: new JobRecordReader(new LeaderTerm(context), cluster, () => undefined) };
+  return {
+    time,
+    cluster,
+    records: new JobRecordReader(new LeaderTerm(context), cluster, { onJobRecord: () => undefined }),
+  };
 }
 
 test('before its records are read a leader knows no more of cancellations than its node’s copy does', () => {
