--- /dev/null
+++ b/packages/controller/src/machines/demand-history.ts
@@ -0,0 +1,86 @@
+/**
+ * The recent demand for processors, which determines the fleet's target size.
+ *
+ * @module
+ */
+import type { MonotonicMs } from '@spurbridge/net';
+import type { UnplacedDemand } from '@spurbridge/planner';
+import { effectiveCpus } from '@spurbridge/planner';
+import type { JobSpec, MachineType } from '@spurbridge/wire';
+import type { ClusterState } from '../jobs/cluster-state.js';
+
+const WINDOW_MS = 40_000;
+/** The target exceeds the recent demand by this factor. */
+const HEADROOM_FACTOR = 1.1;
+/** Capacity kept for the replicas of a machine that may be lost, at most this share of the on-demand CPUs in use. */
+const MAX_RESERVE_SHARE = 0.1;
+
+/** Processors of the whole fleet. */
+export interface CpuDemand {
+  /** On any machines. */
+  readonly cpus: number;
+  /** Of these, what jobs need that may not run on spot machines. */
+  readonly onDemandCpus: number;
+}
+
+/** Samples of the demand over the last while. */
+export class DemandHistory {
+  private readonly samples: (CpuDemand & { readonly at: MonotonicMs })[] = [];
+
+  constructor(
+    private readonly cluster: ClusterState,
+    private readonly machineTypes: () => readonly MachineType[],
+  ) {}
+
+  /** Adds a sample: what is placed, and what could not be placed though its team's quota allows it. */
+  record(unplaced: readonly UnplacedDemand[], now: MonotonicMs): void {
+    const types = this.machineTypes();
+    let cpus = 0;
+    let onDemandCpus = 0;
+    const add = (spec: JobSpec, taskCount: number): void => {
+      const needed = taskCount * effectiveCpus(spec, types);
+      cpus += needed;
+      if (!spec.spot) onDemandCpus += needed;
+    };
+    for (const job of this.cluster.jobs.values())
+      if (job.placements.size > 0) add(job.spec, job.placements.size);
+    for (const demand of unplaced) if (demand.isWithinLimit) add(demand.job.spec, demand.taskCount);
+    this.samples.push({ at: now, cpus, onDemandCpus });
+    while ((this.samples[0]?.at ?? now) < now - WINDOW_MS) this.samples.shift();
+  }
+
+  /** What the fleet should hold: the mean of all demand, but the peak of what needs on-demand machines. */
+  target(): CpuDemand {
+    let cpus = 0;
+    let peak = 0;
+    for (const sample of this.samples) {
+      cpus += sample.cpus;
+      peak = Math.max(peak, sample.onDemandCpus);
+    }
+    return {
+      cpus: (cpus / Math.max(1, this.samples.length)) * HEADROOM_FACTOR,
+      onDemandCpus: peak * HEADROOM_FACTOR + Math.min(this.reserveCpus(), peak * MAX_RESERVE_SHARE),
+    };
+  }
+
+  /** Whether a service that needs on-demand machines spreads over the zones. */
+  spreadsOverZones(): boolean {
+    for (const { spec, state } of this.cluster.jobs.values())
+      if (state === 'active' && spec.kind === 'service' && spec.spread && !spec.spot) return true;
+    return false;
+  }
+
+  /** What the loss of one machine would leave without a place: the most CPUs that services use on one. */
+  private reserveCpus(): number {
+    const types = this.machineTypes();
+    let most = 0;
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.spot || machine.state !== 'ready') continue;
+      let cpus = 0;
+      for (const { job } of this.cluster.tasksOn(machine.id))
+        if (job.spec.kind === 'service') cpus += effectiveCpus(job.spec, types);
+      most = Math.max(most, cpus);
+    }
+    return most;
+  }
+}
