--- a/packages/controller/src/jobs/progress-publisher.ts
+++ b/packages/controller/src/jobs/progress-publisher.ts
@@ -1,44 +1,51 @@
-import type { Job } from '@spurbridge/model';
+/**
+ * Publishes the progress of jobs to the other controllers.
+ *
+ * @module
+ */
+import type { Job, Placement } from '@spurbridge/model';
 import type { JobId, JobProgress } from '@spurbridge/wire';
-import type { ClusterState } from './cluster-state.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
+import type { ClusterState } from './cluster-state.js';
 
-const PUBLISH_MS = 1000;
+const PUBLISH_INTERVAL_MS = 1000;
 
-/** Tells the other nodes how far jobs are, for display alone. */
+/** Publishes which jobs have changed. Progress is only displayed: nothing is decided by it. */
 export class ProgressPublisher {
-  private readonly changed = new Set<JobId>();
+  private readonly changedJobs = new Set<JobId>();
 
   constructor(
     private readonly term: LeaderTerm,
     private readonly cluster: ClusterState,
   ) {
     cluster.on('changed', (job) => {
-      this.changed.add(job.spec.id);
+      this.changedJobs.add(job.spec.id);
     });
   }
 
+  /** Publishes at regular intervals until the leader's term ends. */
   async run(): Promise<void> {
+    const { clock, publishProgress } = this.term.context;
     while (this.term.isActive) {
-      await this.term.context.clock.sleep(PUBLISH_MS);
+      await clock.sleep(PUBLISH_INTERVAL_MS);
       const progress: JobProgress[] = [];
-      for (const id of this.changed) {
+      for (const id of this.changedJobs) {
         const job = this.cluster.jobs.get(id);
-        if (job !== undefined && job.state === 'active') progress.push(progressOf(job));
+        if (job?.state === 'active') progress.push(progressOf(job));
       }
-      this.changed.clear();
-      if (progress.length > 0) this.term.context.publishProgress(progress);
+      this.changedJobs.clear();
+      if (progress.length > 0) publishProgress(progress);
     }
   }
 
+  /** The progress of a job, or null for one that is not known here. */
   progressOfJob(id: JobId): JobProgress | null {
     const job = this.cluster.jobs.get(id);
     return job === undefined ? null : progressOf(job);
   }
 }
 
-function progressOf(job: Job): JobProgress {
-  let running = 0;
-  for (const p of job.placements.values()) if (p.state === 'running' || p.state === 'saving') running += 1;
-  return { job: job.spec.id, done: job.doneCount, running };
+function progressOf({ spec, doneCount, placements }: Job): JobProgress {
+  const isRunning = ({ state }: Placement): boolean => state === 'running' || state === 'saving';
+  return { job: spec.id, done: doneCount, running: [...placements.values()].filter(isRunning).length };
 }
--- a/packages/controller/src/jobs/service-level-tracker.ts
+++ b/packages/controller/src/jobs/service-level-tracker.ts
@@ -1,149 +1,173 @@
-import type { ServiceLevelCounts, Job } from '@spurbridge/model';
+/**
+ * Measures the service levels of every class and team.
+ *
+ * @module
+ */
+import type { Job, ServiceLevelCounts } from '@spurbridge/model';
 import {
   REPLICA_GRACE_S,
   countJob,
   countLargestJob,
-  largestJobThreshold,
   emptyServiceLevelCounts,
+  jobSize,
+  largestJobThreshold,
   maxRunnableReplicas,
   serviceLevels,
-  jobSize,
 } from '@spurbridge/model';
+import type { MonotonicMs } from '@spurbridge/net';
 import { addMs } from '@spurbridge/net';
-import type { ClusterState } from './cluster-state.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
+import type { ClusterState } from './cluster-state.js';
 
-const SAMPLE_MS = 5000;
-const SAY_MS = 60_000;
-/** Sizes of so many of a class's last jobs tell which are its largest. */
-const SIZES_KEPT = 400;
+const SAMPLE_INTERVAL_MS = 5000;
+const LOG_INTERVAL_MS = 60_000;
+/** The sizes of so many of a class's last jobs determine which of its jobs are the largest. */
+const MAX_JOB_SIZES = 400;
 
+/** Sizes of a class's last jobs, and the size from which a job is one of the largest. */
 interface ClassSizes {
   readonly sizes: number[];
   largestFrom: number;
 }
 
-/** Says once a minute how much of every class and team is served: nobody is to be left under half unseen. */
+/** The counts of a class or team by its name, created where there are none. */
+type CountsByName = (name: string) => ServiceLevelCounts;
+
+/** Logs the service levels once a minute, so that no class or team is left behind unnoticed. */
 export class ServiceLevelTracker {
-  /** What is over: jobs that ended or were cancelled under this leader, and replica time. */
-  private readonly past = new Map<string, ServiceLevelCounts>();
-  private readonly classes = new Map<string, ClassSizes>();
-  /** Heard running for the first time by this leader, these counted as begun only then, minutes late. */
-  private readonly begunBefore = new WeakSet<Job>();
-  /** A cancelled job ends twice: for its user, and once nothing of it runs any more. */
-  private readonly counted = new WeakSet<Job>();
+  /** Jobs that ended or were cancelled in this term, and replica time. */
+  private readonly endedCounts = new Map<string, ServiceLevelCounts>();
+  private readonly sizesByClass = new Map<string, ClassSizes>();
+  /**
+   * Jobs that had begun before this term. This leader hears that they run only minutes later, which must not count as
+   * their start.
+   */
+  private readonly restoredJobs = new WeakSet<Job>();
+  /** Ended jobs that are counted. A cancelled job ends twice: for its user, and once nothing of it runs any more. */
+  private readonly countedJobs = new WeakSet<Job>();
 
   constructor(
     private readonly term: LeaderTerm,
     private readonly cluster: ClusterState,
   ) {
     cluster.on('ended', (job) => {
-      if (job.state === 'active' || this.counted.has(job)) return;
-      this.counted.add(job);
-      this.count(job, job.state === 'closing', (name) => this.of(name));
+      if (job.state === 'active' || this.countedJobs.has(job)) return;
+      this.countedJobs.add(job);
+      this.count(job, job.state === 'closing', (name) => countsIn(this.endedCounts, name));
     });
     cluster.on('learned', ({ spec }) => {
-      const c = this.classOf(spec.class);
-      c.sizes.push(jobSize(spec));
-      if (c.sizes.length > SIZES_KEPT) c.sizes.shift();
+      const { sizes } = this.sizesOf(spec.class);
+      sizes.push(jobSize(spec));
+      if (sizes.length > MAX_JOB_SIZES) sizes.shift();
     });
   }
 
-  private classOf(name: string): ClassSizes {
-    let c = this.classes.get(name);
-    if (c === undefined) {
-      c = { sizes: [], largestFrom: Infinity };
-      this.classes.set(name, c);
+  /** Called once the records are read: what runs, or is partly done, began under an earlier leader. */
+  markRestoredJobs(): void {
+    for (const job of this.cluster.jobs.values())
+      if (job.placements.size > 0 || job.doneCount > 0) this.restoredJobs.add(job);
+  }
+
+  /** Samples and logs at regular intervals until the leader's term ends. */
+  async run(): Promise<void> {
+    const { clock } = this.term.context;
+    this.markRestoredJobs();
+    let nextLogAt = addMs(clock.now(), LOG_INTERVAL_MS);
+    while (this.term.isActive) {
+      await clock.sleep(SAMPLE_INTERVAL_MS);
+      if (!this.term.isActive) return;
+      this.sample();
+      if (clock.now() < nextLogAt) continue;
+      nextLogAt = addMs(clock.now(), LOG_INTERVAL_MS);
+      this.log();
     }
-    return c;
   }
 
-  private of(name: string): ServiceLevelCounts {
-    let asked = this.past.get(name);
-    if (asked === undefined) {
-      asked = emptyServiceLevelCounts();
-      this.past.set(name, asked);
+  /** The present counts by class and team: jobs that are over, and the active ones as they are. */
+  current(): Map<string, ServiceLevelCounts> {
+    const all = new Map([...this.endedCounts].map(([name, counts]) => [name, { ...counts }]));
+    for (const job of this.cluster.jobs.values())
+      if (job.state === 'active') this.count(job, false, (name) => countsIn(all, name));
+    return all;
+  }
+
+  private log(): void {
+    for (const [who, counts] of this.current()) {
+      const shares = serviceLevels(counts).map(
+        ({ indicator, share }) => [indicator, Number(share.toFixed(3))] as const,
+      );
+      this.term.context.log.info({ who, ...Object.fromEntries(shares) }, 'service levels');
     }
-    return asked;
   }
 
-  private count(job: Job, isEnded: boolean, of: (name: string) => ServiceLevelCounts): void {
+  private count(job: Job, isEnded: boolean, countsOf: CountsByName): void {
     const { spec, submittedAt } = job;
     const hasBegun = isEnded || job.placements.size > 0 || job.doneCount > 0;
-    const counted = {
+    const outcome = {
       spec,
-      ageS: (this.term.context.clock.now() - submittedAt) / 1000,
-      startedS: this.startedS(job, hasBegun),
+      ageS: secondsBetween(submittedAt, this.term.context.clock.now()),
+      startedS: this.startAgeS(job, hasBegun),
       isEnded,
       isCancelled: job.state === 'cancelled',
     };
-    for (const name of namesOf(job)) countJob(of(name), counted);
-    if (jobSize(spec) >= this.classOf(spec.class).largestFrom)
-      countLargestJob(of(`class ${spec.class}, largest`), counted);
+    for (const name of countedNames(job)) countJob(countsOf(name), outcome);
+    if (jobSize(spec) >= this.sizesOf(spec.class).largestFrom)
+      countLargestJob(countsOf(`class ${spec.class}, largest`), outcome);
   }
 
-  /** A job's age at its first start, in seconds; of one that began before this leader, when it did is not known. */
-  private startedS(job: Job, hasBegun: boolean): number | null {
-    if (this.begunBefore.has(job)) return 0;
+  /**
+   * A job's age at its first start, in seconds, or null when it has not begun. Of a job that began before this term the
+   * age is not known and counts as 0.
+   */
+  private startAgeS(job: Job, hasBegun: boolean): number | null {
+    if (this.restoredJobs.has(job)) return 0;
     if (job.firstStartedAt === null) return hasBegun ? 0 : null;
-    return (job.firstStartedAt - job.submittedAt) / 1000;
+    return secondsBetween(job.submittedAt, job.firstStartedAt);
   }
 
-  /** The records are read: what runs, or is done in part, began under an earlier leader. */
-  markRestoredJobs(): void {
-    for (const job of this.cluster.jobs.values())
-      if (job.placements.size > 0 || job.doneCount > 0) this.begunBefore.add(job);
-  }
-
-  async run(): Promise<void> {
-    const { clock, log } = this.term.context;
-    this.markRestoredJobs();
-    let sayAt = addMs(clock.now(), SAY_MS);
-    while (this.term.isActive) {
-      await clock.sleep(SAMPLE_MS);
-      if (!this.term.isActive) return;
-      this.sample();
-      if (clock.now() < sayAt) continue;
-      sayAt = addMs(clock.now(), SAY_MS);
-      for (const [who, asked] of this.current()) {
-        const shares = serviceLevels(asked).map((s) => [s.indicator, Number(s.share.toFixed(3))] as const);
-        log.info({ who, ...Object.fromEntries(shares) }, 'served');
-      }
+  private sizesOf(jobClass: string): ClassSizes {
+    let sizes = this.sizesByClass.get(jobClass);
+    if (sizes === undefined) {
+      sizes = { sizes: [], largestFrom: Infinity };
+      this.sizesByClass.set(jobClass, sizes);
     }
+    return sizes;
   }
 
-  /** What is over, and the open jobs as they are. */
-  current(): Map<string, ServiceLevelCounts> {
-    const all = new Map([...this.past].map(([name, asked]) => [name, { ...asked }]));
+  private sample(): void {
+    const now = this.term.context.clock.now();
+    for (const sizes of this.sizesByClass.values()) sizes.largestFrom = largestJobThreshold(sizes.sizes);
     for (const job of this.cluster.jobs.values()) {
-      if (job.state !== 'active') continue;
-      this.count(job, false, (name) => {
-        const asked = all.get(name) ?? emptyServiceLevelCounts();
-        all.set(name, asked);
-        return asked;
-      });
+      if (job.state !== 'active' || job.spec.kind !== 'service') continue;
+      if (now - job.submittedAt >= REPLICA_GRACE_S * 1000) this.sampleReplicas(job);
     }
-    return all;
   }
 
-  private sample(): void {
-    const now = this.term.context.clock.now();
-    for (const c of this.classes.values()) c.largestFrom = largestJobThreshold(c.sizes);
-    for (const job of this.cluster.jobs.values()) {
-      const { spec } = job;
-      if (job.state !== 'active' || spec.kind !== 'service') continue;
-      if (now - job.submittedAt < REPLICA_GRACE_S * 1000) continue;
-      let running = 0;
-      for (const p of job.placements.values()) if (p.state === 'running') running += 1;
-      for (const name of namesOf(job)) {
-        const asked = this.of(name);
-        asked.wantedS += (maxRunnableReplicas(spec) * SAMPLE_MS) / 1000;
-        asked.ranS += (running * SAMPLE_MS) / 1000;
-      }
+  /** Adds the replica time since the last sample. */
+  private sampleReplicas(job: Job): void {
+    const running = [...job.placements.values()].filter(({ state }) => state === 'running').length;
+    for (const name of countedNames(job)) {
+      const counts = countsIn(this.endedCounts, name);
+      counts.wantedS += (maxRunnableReplicas(job.spec) * SAMPLE_INTERVAL_MS) / 1000;
+      counts.ranS += (running * SAMPLE_INTERVAL_MS) / 1000;
     }
   }
 }
 
-function namesOf(job: Job): string[] {
-  return [`class ${job.spec.class}`, `team ${job.spec.team}`];
+function countsIn(countsByName: Map<string, ServiceLevelCounts>, name: string): ServiceLevelCounts {
+  let counts = countsByName.get(name);
+  if (counts === undefined) {
+    counts = emptyServiceLevelCounts();
+    countsByName.set(name, counts);
+  }
+  return counts;
+}
+
+/** The names under which a job counts: those of its class and its team. */
+function countedNames({ spec }: Job): string[] {
+  return [`class ${spec.class}`, `team ${spec.team}`];
+}
+
+function secondsBetween(from: MonotonicMs, to: MonotonicMs): number {
+  return (to - from) / 1000;
 }
--- a/packages/controller/src/machines/zone-reachability.ts
+++ b/packages/controller/src/machines/zone-reachability.ts
@@ -1,3 +1,8 @@
+/**
+ * Tells zones that are cut off from machines that have failed.
+ *
+ * @module
+ */
 import type { Machine } from '@spurbridge/model';
 import { TransitionTable } from '@spurbridge/model';
 import type { MonotonicMs } from '@spurbridge/net';
@@ -5,8 +10,10 @@
 import { FAILOVER_DISCOVERY_MS } from '../settings.js';
 
 /**
- * `whole`: heard as usual. `away`: as good as none of its many machines is heard, while others are: cut off, more likely than dead at
- * the same instant. `returning`: heard again, not by all yet.
+ * - `whole`: heartbeats arrive as usual.
+ * - `away`: nearly none of the zone's many machines is heard of, while those of other zones are: the zone is more likely
+ *   cut off than that they all failed at the same instant.
+ * - `returning`: machines are heard of again, but not all of them yet.
  */
 export type ZoneReachabilityState = 'whole' | 'away' | 'returning';
 
@@ -16,80 +23,124 @@
   returning: ['whole', 'away'],
 });
 
-/** Of fewer machines nothing is concluded. */
-const LEAST = 10;
-/** Lately: this long, and as long as so many reports of the zone usually take. */
-const QUIET_MS = 2000;
-const QUIET_REPORTS = 12;
-/** Of a zone's machines so many heard lately: it is not heard, but for single ones that have just come up; and it is. */
-const UNHEARD = 0.05;
-const HEARD = 0.2;
-/** Machines of a zone that has been away for longer are given back like any other. */
-const MOST_AWAY_MS = 90_000;
+/** Of a zone with fewer machines nothing is concluded. */
+const MIN_MACHINES = 10;
+/** A heartbeat counts as recent for this long, and for so many usual intervals between two heartbeats of the zone. */
+const RECENT_MS = 2000;
+const RECENT_INTERVALS = 12;
+/** Up to this share of machines with recent heartbeats a zone is cut off: single machines may have just come up. */
+const MAX_CUT_OFF_SHARE = 0.05;
+/** From this share on a zone is heard of. */
+const MIN_HEARD_SHARE = 0.2;
+/** The machines of a zone that has been away for longer are released like any other. */
+const MAX_AWAY_MS = 90_000;
+
+/** A change of a zone's state, as it is logged. */
+export interface ZoneTransition {
+  readonly zone: string;
+  readonly from: ZoneReachabilityState;
+  readonly to: ZoneReachabilityState;
+  /** How long the zone was in the state before, in milliseconds. */
+  readonly afterMs: number;
+}
 
 interface Zone {
+  readonly name: string;
   state: ZoneReachabilityState;
   since: MonotonicMs;
 }
 
-/** Tells a zone that is cut off from machines that died: what runs in it is left to run, as long as its leases may last. */
+/** The machines of a zone that are heard of. */
+interface ZoneSample {
+  readonly machineCount: number;
+  /** Share of the machines whose last heartbeat is recent. */
+  readonly heardShare: number;
+}
+
+/** Tracks the reachability of each zone. The tasks of a zone that is cut off go on as long as their leases may last. */
 export class ZoneReachability {
   private readonly zones = new Map<string, Zone>();
 
   constructor(
-    private readonly longestReportMs: number,
-    private readonly say: (fields: object) => void,
+    /** The longest interval between two heartbeats of a machine, in milliseconds. */
+    private readonly heartbeatIntervalMs: number,
+    private readonly onTransition: (transition: ZoneTransition) => void,
   ) {}
 
-  /** The only function that changes a zone's state. */
-  private enter(name: string, z: Zone, next: ZoneReachabilityState, now: MonotonicMs): void {
-    transitions.assertAllowed(z.state, next);
-    this.say({ zone: name, from: z.state, to: next, afterMs: Math.round(now - z.since) });
-    z.state = next;
-    z.since = now;
-  }
-
   /**
-   * Looks at all machines. One that was not heard by this leader counts where it was up before, as `isUp` says: in a
-   * takeover workers have `FIND_MS` more to be heard, from the leader's election on.
+   * Updates the states of all zones.
+   *
+   * @param electedAt when the leader was elected. Workers have `FAILOVER_DISCOVERY_MS` more to find it
+   * @param isKnownToHaveRun whether a machine of which this leader has not heard was up before
    */
   update(
     machines: Iterable<Machine>,
     now: MonotonicMs,
     electedAt: MonotonicMs,
-    isUp: (m: Machine) => boolean,
+    isKnownToHaveRun: (machine: Machine) => boolean,
   ): void {
-    const heard = new Map<string, { count: number; times: number[] }>();
-    for (const m of machines) {
-      if (m.zone === '' || m.state === 'gone' || m.state === 'releasing') continue;
-      if (m.lastHeartbeatAt === null && !isUp(m)) continue;
-      const z = heard.get(m.zone) ?? { count: 0, times: [] };
-      heard.set(m.zone, z);
-      z.count += 1;
-      z.times.push(m.lastHeartbeatAt ?? addMs(electedAt, this.longestReportMs + FAILOVER_DISCOVERY_MS));
+    const discoveredBy = addMs(electedAt, this.heartbeatIntervalMs + FAILOVER_DISCOVERY_MS);
+    const heartbeats = new Map<string, MonotonicMs[]>();
+    for (const machine of machines) {
+      if (machine.zone === '' || machine.state === 'gone' || machine.state === 'releasing') continue;
+      if (machine.lastHeartbeatAt === null && !isKnownToHaveRun(machine)) continue;
+      const times = heartbeats.get(machine.zone) ?? [];
+      heartbeats.set(machine.zone, times);
+      times.push(machine.lastHeartbeatAt ?? discoveredBy);
     }
-    const shares = new Map<string, number>();
-    for (const [name, { count, times }] of heard) {
-      const quietMs = Math.max(QUIET_MS, (this.longestReportMs / count) * QUIET_REPORTS);
-      shares.set(name, times.filter((at) => now - at < quietMs).length / count);
+    const samples = new Map([...heartbeats].map(([name, times]) => [name, this.sample(times, now)]));
+    for (const [name, sample] of samples) {
+      const isAnotherHeard = [...samples].some(
+        ([other, { heardShare }]) => other !== name && heardShare >= MIN_HEARD_SHARE,
+      );
+      this.updateZone(this.zoneNamed(name, now), sample, isAnotherHeard, now);
     }
-    for (const [name, share] of shares) {
-      const z = this.zones.get(name) ?? { state: 'whole' as const, since: now };
-      this.zones.set(name, z);
-      const isLarge = (heard.get(name)?.count ?? 0) >= LEAST;
-      const othersHeard = [...shares].some(([other, s]) => other !== name && s >= HEARD);
-      if (z.state !== 'away' && isLarge && share <= UNHEARD && othersHeard) this.enter(name, z, 'away', now);
-      else if (z.state === 'away' && share >= HEARD) this.enter(name, z, 'returning', now);
-      // Workers that tried other nodes meanwhile need up to two reports to be heard again.
-      else if (z.state === 'returning' && now > addMs(z.since, 2 * this.longestReportMs))
-        this.enter(name, z, 'whole', now);
+  }
+
+  private sample(heartbeats: readonly MonotonicMs[], now: MonotonicMs): ZoneSample {
+    const machineCount = heartbeats.length;
+    const recentMs = Math.max(RECENT_MS, (this.heartbeatIntervalMs / machineCount) * RECENT_INTERVALS);
+    const recent = heartbeats.filter((at) => now - at < recentMs);
+    return { machineCount, heardShare: recent.length / machineCount };
+  }
+
+  private zoneNamed(name: string, now: MonotonicMs): Zone {
+    let zone = this.zones.get(name);
+    if (zone === undefined) {
+      zone = { name, state: 'whole', since: now };
+      this.zones.set(name, zone);
     }
+    return zone;
+  }
+
+  private updateZone(zone: Zone, sample: ZoneSample, isAnotherHeard: boolean, now: MonotonicMs): void {
+    const { machineCount, heardShare } = sample;
+    const isCutOff = machineCount >= MIN_MACHINES && heardShare <= MAX_CUT_OFF_SHARE && isAnotherHeard;
+    if (zone.state !== 'away' && isCutOff) this.transitionTo(zone, 'away', now);
+    else if (zone.state === 'away' && heardShare >= MIN_HEARD_SHARE)
+      this.transitionTo(zone, 'returning', now);
+    // Workers that have tried other nodes meanwhile need up to two intervals to be heard of again.
+    else if (zone.state === 'returning' && now > addMs(zone.since, 2 * this.heartbeatIntervalMs))
+      this.transitionTo(zone, 'whole', now);
+  }
+
+  /** The only function that changes a zone's state. */
+  private transitionTo(zone: Zone, next: ZoneReachabilityState, now: MonotonicMs): void {
+    transitions.assertAllowed(zone.state, next);
+    this.onTransition({
+      zone: zone.name,
+      from: zone.state,
+      to: next,
+      afterMs: Math.round(now - zone.since),
+    });
+    zone.state = next;
+    zone.since = now;
   }
 
-  /** Whether the machine's silence is its zone's, and says nothing of itself. */
-  explainsSilenceOf(m: Machine, now: MonotonicMs): boolean {
-    const z = this.zones.get(m.zone);
-    if (z === undefined || z.state === 'whole') return false;
-    return z.state === 'returning' || now < addMs(z.since, MOST_AWAY_MS);
+  /** Whether the machine is silent because its zone is cut off, so that its silence says nothing of the machine itself. */
+  explainsSilenceOf(machine: Machine, now: MonotonicMs): boolean {
+    const zone = this.zones.get(machine.zone);
+    if (zone === undefined || zone.state === 'whole') return false;
+    return zone.state === 'returning' || now < addMs(zone.since, MAX_AWAY_MS);
   }
 }
--- a/packages/controller/src/placement/arrival-rate.ts
+++ b/packages/controller/src/placement/arrival-rate.ts
@@ -1,71 +1,97 @@
+/**
+ * The rate at which jobs of kind `array` arrive, and bursts of them.
+ *
+ * @module
+ */
 import type { Team } from '@spurbridge/model';
 import type { MonotonicMs } from '@spurbridge/net';
 import { addMs } from '@spurbridge/net';
 import type { JobId, JobSpec } from '@spurbridge/wire';
 import type { RuntimeEstimator } from './runtime-estimator.js';
 
-/** Long enough for some jobs to arrive on a usual minute, short against the time that a machine takes to boot. */
-const WINDOW_MS = 10_000;
-/** What is usual goes by this long before. Of less than `LEAST_MS` nothing is concluded: a start is no burst. */
-const USUAL_MS = 120_000;
-const LEAST_MS = 30_000;
-/** So many more than usual hardly come by chance: these deviations, and some jobs where few come. */
-const DEVIATIONS = 4;
-const SOME = 4;
+/** Recent arrivals: long enough for some jobs to arrive usually, short against the time that a machine takes to boot. */
+const RECENT_WINDOW_MS = 10_000;
+/** The usual rate is measured over this long before. Of less than the minimum nothing is concluded: a start is no burst. */
+const BASELINE_WINDOW_MS = 120_000;
+const MIN_BASELINE_MS = 30_000;
+/** A burst exceeds the usual number by so many standard deviations, and by so many jobs where few arrive. */
+const BURST_DEVIATIONS = 4;
+const MIN_BURST_JOBS = 4;
 
 interface Arrival {
   readonly at: MonotonicMs;
   readonly team: string;
-  /** CPU seconds. */
-  readonly work: number;
+  /** The job's expected work in CPU seconds. */
+  readonly cpuSeconds: number;
 }
 
-/** Work of arrays that came lately, as a rate: a burst is met while it comes, not once its backlog is there. */
+/** The arrivals within both windows. */
+interface WindowCounts {
+  readonly recentJobs: number;
+  readonly baselineJobs: number;
+  readonly recentCpuSecondsByTeam: ReadonlyMap<string, number>;
+}
+
+/** Detects bursts, so that the fleet grows while the work arrives and not only once a backlog has formed. */
 export class ArrivalRate {
-  /** In the order in which they were learned. */
-  private readonly known = new Map<JobId, Arrival>();
-  private firstAt: MonotonicMs | null = null;
+  /** In the order in which the records were read. */
+  private readonly arrivals = new Map<JobId, Arrival>();
+  private firstArrivalAt: MonotonicMs | null = null;
 
   constructor(
-    private readonly estimates: RuntimeEstimator,
+    private readonly estimator: RuntimeEstimator,
     private readonly teams: () => readonly Team[],
     private readonly now: () => MonotonicMs,
   ) {}
 
-  /** A job's record, also of one that is over: after a takeover the records say what was usual. */
+  /**
+   * Records a job's arrival once, however often its record is read. Records of jobs that are over count as well: after a
+   * failover they show what was usual.
+   */
   recordArrival(spec: JobSpec, submittedAt: MonotonicMs): void {
-    if (spec.kind !== 'array' || this.known.has(spec.id)) return;
-    this.firstAt = Math.min(this.firstAt ?? submittedAt, submittedAt) as MonotonicMs;
-    if (this.now() > addMs(submittedAt, USUAL_MS + WINDOW_MS)) return;
-    const work = spec.tasks * spec.cpus * this.estimates.expectedRuntimeS(spec);
-    this.known.set(spec.id, { at: submittedAt, team: spec.team, work });
+    if (spec.kind !== 'array' || this.arrivals.has(spec.id)) return;
+    this.firstArrivalAt = Math.min(this.firstArrivalAt ?? submittedAt, submittedAt) as MonotonicMs;
+    if (this.now() > addMs(submittedAt, BASELINE_WINDOW_MS + RECENT_WINDOW_MS)) return;
+    const cpuSeconds = spec.tasks * spec.cpus * this.estimator.expectedRuntimeS(spec);
+    this.arrivals.set(spec.id, { at: submittedAt, team: spec.team, cpuSeconds });
   }
 
-  /** In a burst, the CPUs that would keep up with what arrives, of each team no more than its limit; 0: as usual. */
+  /** The CPUs that would keep up with a burst, for each team no more than its limit; 0 when there is none. */
   burstCpus(): number {
     const now = this.now();
-    const since = addMs(now, -WINDOW_MS);
-    const usualSince = addMs(now, -WINDOW_MS - USUAL_MS);
-    const work = new Map<string, number>();
-    let lately = 0;
-    let before = 0;
-    for (const [id, a] of this.known) {
-      if (a.at < usualSince) this.known.delete(id);
-      else if (a.at < since) before += 1;
-      else {
-        lately += 1;
-        work.set(a.team, (work.get(a.team) ?? 0) + a.work);
-      }
-    }
-    const spanMs = Math.min(USUAL_MS, this.firstAt === null ? 0 : since - this.firstAt);
-    if (spanMs < LEAST_MS) return 0;
-    const usual = (before * WINDOW_MS) / spanMs;
-    if (lately <= usual + DEVIATIONS * Math.sqrt(usual) + SOME) return 0;
+    const recentFrom = addMs(now, -RECENT_WINDOW_MS);
+    const baselineFrom = addMs(now, -RECENT_WINDOW_MS - BASELINE_WINDOW_MS);
+    const counts = this.countWindows(baselineFrom, recentFrom);
+    if (!this.isBurst(counts, recentFrom)) return 0;
     let cpus = 0;
-    for (const [team, sum] of work) {
-      const limit = this.teams().find((t) => t.name === team)?.cpusMax ?? 0;
-      cpus += Math.min(limit, sum / (WINDOW_MS / 1000));
+    for (const [team, cpuSeconds] of counts.recentCpuSecondsByTeam) {
+      const limit = this.teams().find(({ name }) => name === team)?.cpusMax ?? 0;
+      cpus += Math.min(limit, cpuSeconds / (RECENT_WINDOW_MS / 1000));
     }
     return cpus;
   }
+
+  /** Counts arrivals and forgets those that are older than both windows. */
+  private countWindows(baselineFrom: MonotonicMs, recentFrom: MonotonicMs): WindowCounts {
+    const recentCpuSecondsByTeam = new Map<string, number>();
+    let recentJobs = 0;
+    let baselineJobs = 0;
+    for (const [id, { at, team, cpuSeconds }] of this.arrivals) {
+      if (at < baselineFrom) this.arrivals.delete(id);
+      else if (at < recentFrom) baselineJobs += 1;
+      else {
+        recentJobs += 1;
+        recentCpuSecondsByTeam.set(team, (recentCpuSecondsByTeam.get(team) ?? 0) + cpuSeconds);
+      }
+    }
+    return { recentJobs, baselineJobs, recentCpuSecondsByTeam };
+  }
+
+  private isBurst({ recentJobs, baselineJobs }: WindowCounts, recentFrom: MonotonicMs): boolean {
+    const observedMs = this.firstArrivalAt === null ? 0 : recentFrom - this.firstArrivalAt;
+    const baselineMs = Math.min(BASELINE_WINDOW_MS, observedMs);
+    if (baselineMs < MIN_BASELINE_MS) return false;
+    const usualJobs = (baselineJobs * RECENT_WINDOW_MS) / baselineMs;
+    return recentJobs > usualJobs + BURST_DEVIATIONS * Math.sqrt(usualJobs) + MIN_BURST_JOBS;
+  }
 }
--- a/packages/controller/src/placement/gang-scheduling.ts
+++ b/packages/controller/src/placement/gang-scheduling.ts
@@ -1,16 +1,25 @@
+/**
+ * Rules for gangs, whose tasks start and stop together.
+ *
+ * @module
+ */
 import type { Job, Placement } from '@spurbridge/model';
 import type { MonotonicMs } from '@spurbridge/net';
+import type { JobSpec } from '@spurbridge/wire';
 import type { ClusterState } from '../jobs/cluster-state.js';
 import type { Settings } from '../settings.js';
 import { maxHeartbeatIntervalMs } from '../settings.js';
 
-/** An image may take this many times its nominal time: a slow machine, and another image beside it. */
-const SLOWEST_FETCH = 2.25;
-const GANG_MARGIN_S = 10;
+/** Fetching an image may take this many times its nominal time: on a slow machine, beside another image. */
+const SLOWEST_FETCH_FACTOR = 2.25;
+/** Kept back of the time that a gang's task waits for the others, in seconds. */
+const GANG_WAIT_MARGIN_S = 10;
+/** A heartbeat that is late by this much is missed. */
+const HEARTBEAT_MARGIN_MS = 1000;
 
 /**
- * Whether every task of the gang can be told now: a stop that some hear too late saves nothing, and costs
- * all of them what they did since their last checkpoint.
+ * Whether all tasks of the gang run on machines that can be told to stop now. A stop that reaches some of them too late
+ * saves nothing, and costs all of them their work since the last checkpoint.
  */
 export function isWholeGangReachable(
   cluster: ClusterState,
@@ -18,34 +27,40 @@
   job: Job,
   now: MonotonicMs,
 ): boolean {
-  for (const p of job.placements.values()) {
-    const m = cluster.machines.get(p.machine);
-    const heardAt = m?.lastHeartbeatAt ?? null;
-    if (m === undefined || heardAt === null || (m.state !== 'ready' && m.state !== 'draining')) return false;
-    if (p.state !== 'running' || p.stopRequest !== null) return false;
-    if (now - heardAt > maxHeartbeatIntervalMs(settings) + 1000) return false;
-  }
-  return true;
+  const maxSilenceMs = maxHeartbeatIntervalMs(settings) + HEARTBEAT_MARGIN_MS;
+  return [...job.placements.values()].every(({ machine: id, state, stopRequest }) => {
+    const machine = cluster.machines.get(id);
+    if (machine === undefined || machine.lastHeartbeatAt === null) return false;
+    if (machine.state !== 'ready' && machine.state !== 'draining') return false;
+    return state === 'running' && stopRequest === null && now - machine.lastHeartbeatAt <= maxSilenceMs;
+  });
 }
 
 /**
- * Whether a gang's task, whose machine has the image, is not started yet because another one may fetch
- * it for longer than the first may wait: it would exit as incomplete, and the gang with it, each time.
+ * Whether the start of a gang's task is delayed although its machine has the image. Where another machine may fetch the
+ * image for longer than the first task may wait, the first one would exit as incomplete, and the gang with it, each time.
  */
 export function isGangStartDelayed(
   cluster: ClusterState,
   settings: Settings,
   job: Job,
-  p: Placement,
+  placement: Placement,
 ): boolean {
   const { spec } = job;
-  const m = cluster.machines.get(p.machine);
-  if (spec.kind !== 'gang' || spec.tasks === 1 || m?.images.has(spec.image) !== true) return false;
-  const type = cluster.machineType(m.type);
-  const slowestS = type === undefined ? 0 : (spec.imageGb / type.fetchGbPerS) * SLOWEST_FETCH;
-  if (slowestS <= settings.workers.gangWaitS - GANG_MARGIN_S) return false;
-  for (const other of job.placements.values())
-    if (other.state !== 'waiting' && cluster.machines.get(other.machine)?.images.has(spec.image) !== true)
-      return true;
-  return false;
+  if (spec.kind !== 'gang' || spec.tasks === 1 || !hasImage(cluster, spec, placement)) return false;
+  if (slowestFetchS(cluster, spec, placement) <= settings.workers.gangWaitS - GANG_WAIT_MARGIN_S)
+    return false;
+  return [...job.placements.values()].some(
+    (other) => other.state !== 'waiting' && !hasImage(cluster, spec, other),
+  );
+}
+
+function hasImage(cluster: ClusterState, { image }: JobSpec, placement: Placement): boolean {
+  return cluster.machines.get(placement.machine)?.images.has(image) === true;
+}
+
+function slowestFetchS(cluster: ClusterState, { imageGb }: JobSpec, placement: Placement): number {
+  const machine = cluster.machines.get(placement.machine);
+  const type = machine === undefined ? undefined : cluster.machineType(machine.type);
+  return type === undefined ? 0 : (imageGb / type.fetchGbPerS) * SLOWEST_FETCH_FACTOR;
 }
--- a/packages/controller/src/placement/machine-queues.ts
+++ b/packages/controller/src/placement/machine-queues.ts
@@ -1,100 +1,139 @@
+/**
+ * Tasks that are placed on a machine and wait there for room (docs/queues.md).
+ *
+ * @module
+ */
 import type { Job, Placement } from '@spurbridge/model';
 import { EPSILON, isUnsent } from '@spurbridge/model';
 import type { MonotonicMs } from '@spurbridge/net';
 import { PRIORITY_RANK } from '@spurbridge/planner';
-import type { MachineId } from '@spurbridge/wire';
+import type { JobSpec, MachineId } from '@spurbridge/wire';
 import type { ClusterState } from '../jobs/cluster-state.js';
 
-/** A head that has waited for longer than this is placed anew: what runs before it takes longer than was estimated. */
-const PATIENCE_MS = 6000;
+/** A task that waits longer than this is placed anew: what runs before it takes longer than was estimated. */
+const MAX_QUEUE_WAIT_MS = 6000;
+
+interface QueuedTask {
+  readonly job: Job;
+  readonly placement: Placement;
+}
+
+/** Resources that are free on a machine. */
+interface FreeResources {
+  cpus: number;
+  gpus: number;
+  memoryGb: number;
+}
 
 /**
- * The machines' queues (docs/queues.md): tasks whose intent is durable and that wait for room on their machine. The head of a
- * queue starts with the answer to the very report that shows the room, without a plan and a commit between.
+ * The queues of all machines. The head of a queue starts with the response to the very heartbeat that shows the room,
+ * without a scheduling pass and a commit in between.
  */
 export class MachineQueues {
-  /** Machines for which this leader has placed something that may wait there still. */
-  private readonly having = new Set<MachineId>();
+  /** Machines on which this leader has placed tasks that may still wait there. */
+  private readonly machinesWithQueue = new Set<MachineId>();
 
   constructor(
     private readonly cluster: ClusterState,
     private readonly now: () => MonotonicMs,
   ) {
     cluster.on('placed', (job, task) => {
-      const p = job.placements.get(task);
-      if (p !== undefined && job.gang === null) this.having.add(p.machine);
+      const placement = job.placements.get(task);
+      if (placement !== undefined && job.gang === null) this.machinesWithQueue.add(placement.machine);
     });
   }
 
-  /** Lets those tasks start that the machine has room for, by priority and in the order of their placing; false: none. */
+  /**
+   * Lets those queued tasks start that the machine has room for, by priority and in the order of their placement.
+   * Returns false when none can.
+   */
   startFitting(id: MachineId): boolean {
-    const queued: { job: Job; p: Placement }[] = [];
-    for (const { job, task } of this.cluster.tasksOn(id)) {
-      const p = job.placements.get(task);
-      if (p?.state === 'queued' && p.stopRequest === null) queued.push({ job, p });
-    }
+    const queued = this.queuedOn(id);
     if (queued.length === 0) return false;
-    const m = this.cluster.machines.get(id);
-    if (m === undefined || this.now() < m.backoffUntil) return false;
-    const room = this.roomOn(id, m.type);
-    queued.sort(
-      (a, b) =>
-        PRIORITY_RANK[a.job.spec.priority] - PRIORITY_RANK[b.job.spec.priority] ||
-        a.p.placedAt - b.p.placedAt,
-    );
-    let released = false;
-    for (const { job, p } of queued) {
-      const { cpus, gpus, memoryGb } = job.spec;
-      const fits =
-        cpus <= room.cpus + EPSILON && gpus <= room.gpus + EPSILON && memoryGb <= room.memoryGb + EPSILON;
-      if (!fits) continue;
-      room.cpus -= cpus;
-      room.gpus -= gpus;
-      room.memoryGb -= memoryGb;
-      job.markStarting(p.task, this.now());
-      released = true;
+    const machine = this.cluster.machines.get(id);
+    if (machine === undefined || this.now() < machine.backoffUntil) return false;
+    const free = this.freeOn(id, machine.type);
+    let hasStarted = false;
+    for (const { job, placement } of queued.sort(compareQueuedTasks)) {
+      if (!fits(job.spec, free)) continue;
+      subtract(free, job.spec);
+      job.markStarting(placement.task, this.now());
+      hasStarted = true;
+    }
+    return hasStarted;
+  }
+
+  private queuedOn(id: MachineId): QueuedTask[] {
+    const queued: QueuedTask[] = [];
+    for (const { job, task } of this.cluster.tasksOn(id)) {
+      const placement = job.placements.get(task);
+      if (placement?.state === 'queued' && placement.stopRequest === null) queued.push({ job, placement });
     }
-    return released;
+    return queued;
   }
 
-  /** What is free beside everything that may run there; a machine of unknown type takes what its record gave it. */
-  private roomOn(id: MachineId, name: string): { cpus: number; gpus: number; memoryGb: number } {
-    const type = this.cluster.machineType(name);
-    const room = {
+  /** What is free beside everything that may run there. A machine of unknown type takes what the records gave it. */
+  private freeOn(id: MachineId, typeName: string): FreeResources {
+    const type = this.cluster.machineType(typeName);
+    const free = {
       cpus: type?.cpus ?? Infinity,
       gpus: type?.gpus ?? Infinity,
       memoryGb: type?.memoryGb ?? Infinity,
     };
     for (const { job, task } of this.cluster.tasksOn(id)) {
-      const p = job.placements.get(task);
-      if (p === undefined || p.state === 'queued' || p.state === 'intended') continue;
-      room.cpus -= job.spec.cpus;
-      room.gpus -= job.spec.gpus;
-      room.memoryGb -= job.spec.memoryGb;
+      const state = job.placements.get(task)?.state;
+      if (state !== undefined && state !== 'queued' && state !== 'intended') subtract(free, job.spec);
     }
-    return room;
+    return free;
   }
 
-  /** Looks after all machines on which something waits; called once in a while. */
+  /** Looks after the queues of all machines; called at regular intervals. */
   evictAllStale(): void {
-    for (const id of this.having) this.evictStale(id);
+    for (const id of this.machinesWithQueue) this.evictStale(id);
   }
 
-  /** Gives up what was to be stopped, waits in vain, or waits on a machine that takes no tasks: no start of it was sent. */
+  /**
+   * Removes queued tasks that are to be stopped, have waited too long, or are on a machine that takes no tasks. No start of
+   * theirs was sent, so that they can be placed elsewhere at once.
+   */
   evictStale(id: MachineId): void {
-    if (!this.having.has(id)) return;
-    let waits = false;
-    const takes = this.cluster.machines.get(id)?.isSchedulable === true;
+    if (!this.machinesWithQueue.has(id)) return;
+    const isSchedulable = this.cluster.machines.get(id)?.isSchedulable === true;
+    let hasUnsent = false;
     for (const { job, task } of [...this.cluster.tasksOn(id)]) {
-      const p = job.placements.get(task);
-      if (p === undefined || !isUnsent(p)) continue;
-      waits = true;
-      if (p.state !== 'queued') continue;
-      if (p.stopRequest !== null) this.cluster.removePlacement(job, p, false, 'gave way');
-      else if (!takes) this.cluster.removePlacement(job, p, false, 'its machine takes no tasks');
-      else if (this.now() - p.stateSince > PATIENCE_MS)
-        this.cluster.removePlacement(job, p, false, 'its place did not come free');
+      const placement = job.placements.get(task);
+      if (placement === undefined || !isUnsent(placement)) continue;
+      hasUnsent = true;
+      const reason = placement.state === 'queued' ? this.evictionReason(placement, isSchedulable) : null;
+      if (reason !== null) this.cluster.removePlacement(job, placement, false, reason);
     }
-    if (!waits) this.having.delete(id);
+    if (!hasUnsent) this.machinesWithQueue.delete(id);
   }
+
+  private evictionReason(
+    { stopRequest, stateSince }: Placement,
+    isMachineSchedulable: boolean,
+  ): string | null {
+    if (stopRequest !== null) return 'gave way';
+    if (!isMachineSchedulable) return 'its machine takes no tasks';
+    if (this.now() - stateSince > MAX_QUEUE_WAIT_MS) return 'its place did not come free';
+    return null;
+  }
+}
+
+function compareQueuedTasks(left: QueuedTask, right: QueuedTask): number {
+  return (
+    PRIORITY_RANK[left.job.spec.priority] - PRIORITY_RANK[right.job.spec.priority] ||
+    left.placement.placedAt - right.placement.placedAt
+  );
+}
+
+function fits({ cpus, gpus, memoryGb }: JobSpec, free: Readonly<FreeResources>): boolean {
+  return cpus <= free.cpus + EPSILON && gpus <= free.gpus + EPSILON && memoryGb <= free.memoryGb + EPSILON;
+}
+
+function subtract(free: FreeResources, { cpus, gpus, memoryGb }: JobSpec): void {
+  free.cpus -= cpus;
+  free.gpus -= gpus;
+  free.memoryGb -= memoryGb;
 }
--- a/packages/controller/src/placement/runtime-estimator.ts
+++ b/packages/controller/src/placement/runtime-estimator.ts
@@ -1,38 +1,67 @@
+/**
+ * Estimates of how long tasks run and how large they are.
+ *
+ * @module
+ */
 import type { JobSpec } from '@spurbridge/wire';
 
-const WEIGHT = 0.08;
-const ENOUGH = 6;
-const SIZES = 50;
+/** Weight of a new observation in a class's mean, once there are many. */
+const OBSERVATION_WEIGHT = 0.08;
+/** A class's estimates are not corrected before there are so many observations. */
+const MIN_SAMPLES = 6;
+/** An observed run time counts as within this factor of the owner's estimate. */
+const MAX_RATIO = 8;
+/** Shortest estimate, in seconds. */
+const MIN_RUNTIME_S = 0.5;
+/** The typical task is the median of so many of the last jobs. */
+const MAX_TASK_SIZES = 50;
 
-/** Owners err systematically on some days: each class's estimates are corrected by what was seen. */
+/** Resources that one task takes. */
+export interface TaskSize {
+  readonly cpus: number;
+  readonly gpus: number;
+  readonly memoryGb: number;
+}
+
+/** How far a class's run times differ from their estimates. */
+interface ClassBias {
+  /** Mean logarithm of the run time over the estimate. */
+  logRatio: number;
+  samples: number;
+}
+
+/** Corrects the owners' estimates, which are systematically wrong on some days, by what was observed of each class. */
 export class RuntimeEstimator {
-  private readonly classes = new Map<string, { logRatio: number; samples: number }>();
+  private readonly biasByClass = new Map<string, ClassBias>();
+  /** Sizes of the last jobs' tasks, the oldest first. */
+  private readonly taskSizes: TaskSize[] = [];
 
+  /** The expected run time of one of the job's tasks on a machine of usual speed, in seconds. */
   expectedRuntimeS(spec: JobSpec): number {
-    const c = this.classes.get(spec.class);
-    const ratio = c === undefined || c.samples < ENOUGH ? 1 : Math.exp(c.logRatio);
-    return Math.max(0.5, spec.estimateS * ratio);
+    const bias = this.biasByClass.get(spec.class);
+    const ratio = bias === undefined || bias.samples < MIN_SAMPLES ? 1 : Math.exp(bias.logRatio);
+    return Math.max(MIN_RUNTIME_S, spec.estimateS * ratio);
   }
 
-  private readonly sizes: { cpus: number; gpus: number; memoryGb: number }[] = [];
-
-  /** Called for every job that is not a service: what machines should keep room for. */
-  observeTaskSize(spec: JobSpec): void {
-    this.sizes.push({ cpus: spec.cpus, gpus: spec.gpus, memoryGb: spec.memoryGb });
-    if (this.sizes.length > SIZES) this.sizes.shift();
+  /** Records the run time of a task that has ended, in seconds on a machine of usual speed. */
+  observeRuntime(spec: JobSpec, ranS: number): void {
+    const ratio = ranS / Math.max(spec.estimateS, MIN_RUNTIME_S);
+    const logRatio = Math.log(Math.min(MAX_RATIO, Math.max(1 / MAX_RATIO, ratio)));
+    const bias = this.biasByClass.get(spec.class) ?? { logRatio: 0, samples: 0 };
+    bias.samples += 1;
+    bias.logRatio += (logRatio - bias.logRatio) * Math.max(OBSERVATION_WEIGHT, 1 / (bias.samples + 1));
+    this.biasByClass.set(spec.class, bias);
   }
 
-  typicalTask(): { cpus: number; gpus: number; memoryGb: number } | null {
-    if (this.sizes.length === 0) return null;
-    const sorted = [...this.sizes].sort((a, b) => a.cpus - b.cpus);
-    return sorted[Math.floor(sorted.length / 2)] ?? null;
+  /** Records the size of a job's tasks. Called for every job that is not a service. */
+  observeTaskSize({ cpus, gpus, memoryGb }: JobSpec): void {
+    this.taskSizes.push({ cpus, gpus, memoryGb });
+    if (this.taskSizes.length > MAX_TASK_SIZES) this.taskSizes.shift();
   }
 
-  observeRuntime(spec: JobSpec, ranS: number): void {
-    const seen = Math.log(Math.min(8, Math.max(0.125, ranS / Math.max(spec.estimateS, 0.5))));
-    const c = this.classes.get(spec.class) ?? { logRatio: 0, samples: 0 };
-    c.samples += 1;
-    c.logRatio += (seen - c.logRatio) * Math.max(WEIGHT, 1 / (c.samples + 1));
-    this.classes.set(spec.class, c);
+  /** The median task by CPUs, for which machines should keep room; null before any job was observed. */
+  typicalTask(): TaskSize | null {
+    const sorted = [...this.taskSizes].sort((left, right) => left.cpus - right.cpus);
+    return sorted[Math.floor(sorted.length / 2)] ?? null;
   }
 }
--- a/packages/controller/src/placement/scheduling-snapshot.ts
+++ b/packages/controller/src/placement/scheduling-snapshot.ts
@@ -1,182 +1,227 @@
+/**
+ * The cluster as a scheduling pass sees it.
+ *
+ * @module
+ */
+import type { Job, Machine, Placement } from '@spurbridge/model';
 import type { MonotonicMs } from '@spurbridge/net';
-import type { Placement } from '@spurbridge/model';
-import type { Job } from '@spurbridge/model';
-import type { JobView, MachineView, Occupant, ClusterSnapshot } from '@spurbridge/planner';
+import type { ClusterSnapshot, JobView, MachineView, Occupant } from '@spurbridge/planner';
+import type { JobSpec, MachineType } from '@spurbridge/wire';
 import type { ClusterState } from '../jobs/cluster-state.js';
-import type { RuntimeEstimator } from './runtime-estimator.js';
 import type { Settings } from '../settings.js';
 import { maxHeartbeatIntervalMs } from '../settings.js';
+import { completionMilestonesS, startMilestonesS, toleratedWaitS } from './job-objectives.js';
+import type { RuntimeEstimator } from './runtime-estimator.js';
 
-/** Starting value of the design: seconds of summed waiting after which a job goes first. */
-const STARVATION_S = 30;
+/** Summed waiting time of a job's tasks after which it goes first, in seconds; the initial value of the design. */
+const STARVATION_THRESHOLD_S = 30;
 /**
- * Room that is expected to come free within this is given to a task now: its intent is durable by then, and it starts with the
- * report that shows the room. Longer, and estimates are too far off to tie a task to one machine.
+ * Room that is expected to become free within this time is given to a task now, in seconds: its placement is durable by
+ * then, and the task starts with the heartbeat that shows the room. For longer times estimates are too inaccurate to bind
+ * a task to one machine.
  */
-const HEAD_S = 0.5;
-/** Tasks of one job that one plan looks at. */
-const PLAN_TASKS = 200;
-
-function occupant(job: Job, p: Placement, now: MonotonicMs, expectedS: number): Occupant {
-  const spec = job.spec;
-  const ranS = p.runningSince === null ? 0 : (now - p.runningSince) / 1000;
-  const overS = expectedS - ranS;
-  const isWaiting = p.state === 'intended' || p.state === 'queued';
-  // Past its estimate, a task is expected to take a share longer of what it took already.
-  const remainingS = p.stopRequest !== null ? 0.5 : overS > 0.5 ? overS : Math.max(0.5, ranS * 0.25);
-  return {
-    job: spec.id,
-    task: p.task,
-    cpus: spec.cpus,
-    gpus: spec.gpus,
-    memoryGb: spec.memoryGb,
-    remainingS: spec.kind === 'service' && p.stopRequest === null ? Infinity : remainingS,
-    lostWorkS: isWaiting ? 0 : spec.checkpointS > 0 ? Math.min(ranS, 1) : (now - p.placedAt) / 1000,
-    priority: spec.priority,
-    team: spec.team,
-    isStopping: p.stopRequest !== null,
-    isPreemptible: spec.kind !== 'gang',
-  };
-}
+const PLACE_AHEAD_S = 0.5;
+/** Tasks of one job that one pass looks at. */
+const MAX_TASKS_PER_JOB = 200;
+/** No tasks are placed on a machine whose heartbeat is late by more than this. */
+const HEARTBEAT_MARGIN_MS = 1500;
+
+/** A task is expected to run for at least this much longer, and so long when it is being stopped, in seconds. */
+const MIN_REMAINING_S = 0.5;
+/** Beyond its estimate a task is expected to run for this share of its run time more. */
+const OVERRUN_SHARE = 0.25;
+/** A task with checkpoints loses at most this much when it is stopped, in seconds. */
+const MAX_LOSS_WITH_CHECKPOINTS_S = 1;
 
 /**
- * What the planner sees: everything that may be on a machine counts, also where none is heard, and of the
- * jobs those that have joined the order.
+ * Builds the snapshot: everything that may run on a machine, also where the machine is not heard of, and the active jobs
+ * that may be scheduled.
  */
 export function buildSchedulingSnapshot(
   cluster: ClusterState,
-  estimates: RuntimeEstimator,
+  estimator: RuntimeEstimator,
   settings: Settings,
   now: MonotonicMs,
-  hasJoined: (job: Job) => boolean,
+  isSchedulable: (job: Job) => boolean,
 ): ClusterSnapshot {
-  const machines: MachineView[] = [];
-  const expected = new Map<Job, number>();
-  const expect = (job: Job): number => {
-    let s = expected.get(job);
-    if (s === undefined) {
-      s = estimates.expectedRuntimeS(job.spec);
-      expected.set(job, s);
-    }
-    return s;
-  };
-  const freshMs = maxHeartbeatIntervalMs(settings) + 1500;
-  for (const m of cluster.machines.values()) {
-    if (m.state === 'gone') continue;
-    const type = cluster.machineType(m.type) ?? {
-      name: m.type,
-      cpus: 0,
-      gpus: 0,
-      memoryGb: 0,
-      cacheGb: 0,
-      fetchGbPerS: 1,
-      price: 0,
-      spotPrice: 0,
-      bootS: 0,
-      zones: [],
+  return new SnapshotBuilder(cluster, estimator, settings, now).build(isSchedulable);
+}
+
+class SnapshotBuilder {
+  /** Estimates by job: asked for once per job and pass, not once per task. */
+  private readonly runtimes = new Map<Job, number>();
+
+  constructor(
+    private readonly cluster: ClusterState,
+    private readonly estimator: RuntimeEstimator,
+    private readonly settings: Settings,
+    private readonly now: MonotonicMs,
+  ) {}
+
+  build(isSchedulable: (job: Job) => boolean): ClusterSnapshot {
+    return {
+      machines: this.machineViews(),
+      jobs: this.jobViews(isSchedulable),
+      teams: this.settings.teams,
+      starvationThresholdS: STARVATION_THRESHOLD_S,
+      placeAheadS: PLACE_AHEAD_S,
+      isCostAware: this.cluster.minimizesCost,
+      typicalTask: this.estimator.typicalTask(),
     };
+  }
+
+  // --- machines ----------------------------------------------------------------------------------
+
+  private machineViews(): MachineView[] {
+    const views: MachineView[] = [];
+    for (const machine of this.cluster.machines.values())
+      if (machine.state !== 'gone') views.push(this.machineView(machine));
+    return views;
+  }
+
+  private machineView(machine: Machine): MachineView {
+    const { id, type, zone, spot, images, slowness } = machine;
+    return {
+      id,
+      type: this.cluster.machineType(type) ?? unknownMachineType(type),
+      zone,
+      spot,
+      isSchedulable: this.canTakeTasks(machine),
+      images,
+      slowness,
+      occupants: this.occupantsOf(machine),
+    };
+  }
+
+  private canTakeTasks({ isSchedulable, backoffUntil, lastHeartbeatAt }: Machine): boolean {
+    const maxSilenceMs = maxHeartbeatIntervalMs(this.settings) + HEARTBEAT_MARGIN_MS;
+    return (
+      isSchedulable &&
+      this.now >= backoffUntil &&
+      lastHeartbeatAt !== null &&
+      this.now - lastHeartbeatAt < maxSilenceMs
+    );
+  }
+
+  private occupantsOf({ id, slowness }: Machine): Occupant[] {
     const occupants: Occupant[] = [];
-    const { slowness } = m;
-    for (const { job, task } of cluster.tasksOn(m.id)) {
-      const p = job.placements.get(task);
-      if (p !== undefined) occupants.push(occupant(job, p, now, expect(job) * slowness));
+    for (const { job, task } of this.cluster.tasksOn(id)) {
+      const placement = job.placements.get(task);
+      if (placement !== undefined)
+        occupants.push(this.occupant(job.spec, placement, this.expectedRuntimeS(job) * slowness));
     }
-    machines.push({
-      id: m.id,
-      type,
-      zone: m.zone,
-      spot: m.spot,
-      isSchedulable:
-        m.isSchedulable &&
-        now >= m.backoffUntil &&
-        m.lastHeartbeatAt !== null &&
-        now - m.lastHeartbeatAt < freshMs,
-      images: m.images,
-      slowness,
-      occupants,
-    });
+    return occupants;
+  }
+
+  private occupant(spec: JobSpec, placement: Placement, expectedRuntimeS: number): Occupant {
+    const { runningSince, stopRequest, task } = placement;
+    const { id, cpus, gpus, memoryGb, priority, team } = spec;
+    const ranS = runningSince === null ? 0 : (this.now - runningSince) / 1000;
+    const isStopping = stopRequest !== null;
+    return {
+      job: id,
+      task,
+      cpus,
+      gpus,
+      memoryGb,
+      remainingS: remainingRuntimeS(spec, isStopping, ranS, expectedRuntimeS),
+      lostWorkS: this.lostWorkS(spec, placement, ranS),
+      priority,
+      team,
+      isStopping,
+      isPreemptible: spec.kind !== 'gang',
+    };
+  }
+
+  private lostWorkS({ checkpointS }: JobSpec, { state, placedAt }: Placement, ranS: number): number {
+    if (state === 'intended' || state === 'queued') return 0;
+    return checkpointS > 0 ? Math.min(ranS, MAX_LOSS_WITH_CHECKPOINTS_S) : (this.now - placedAt) / 1000;
+  }
+
+  private expectedRuntimeS(job: Job): number {
+    let runtimeS = this.runtimes.get(job);
+    if (runtimeS === undefined) {
+      runtimeS = this.estimator.expectedRuntimeS(job.spec);
+      this.runtimes.set(job, runtimeS);
+    }
+    return runtimeS;
+  }
+
+  // --- jobs --------------------------------------------------------------------------------------
+
+  private jobViews(isSchedulable: (job: Job) => boolean): JobView[] {
+    return [...this.cluster.jobs.values()]
+      .filter((job) => job.state === 'active' && isSchedulable(job))
+      .sort((left, right) => left.submittedAt - right.submittedAt)
+      .map((job, index) => this.jobView(job, index));
+  }
+
+  private jobView(job: Job, submissionOrder: number): JobView {
+    const { spec, pendingCount } = job;
+    const { objectives } = this.settings;
+    const ageS = (this.now - job.submittedAt) / 1000;
+    const waitS = Math.max(0, this.now - Math.max(job.submittedAt, job.waitingSince)) / 1000;
+    const placedZones = pendingCount > 0 ? this.zonesOf(job) : [];
+    // After a failover a machine may be known by its id alone. A job that is bound to zones cannot be placed before the
+    // zones of all its tasks are known.
+    const lacksZone = (spec.spread || spec.oneZone) && placedZones.includes('');
+    return {
+      spec,
+      pendingTasks: placeableTasks(job),
+      pendingCount,
+      unfinishedCount: spec.tasks - job.doneCount,
+      placedZones,
+      totalWaitS: waitS * pendingCount,
+      ageS,
+      estimateS: this.estimator.expectedRuntimeS(spec),
+      completionMilestonesS: completionMilestonesS(objectives, job),
+      startMilestonesS: startMilestonesS(objectives, job),
+      toleratedWaitS: toleratedWaitS(objectives, job, ageS),
+      excludedMachines: job.failedMachines,
+      submissionOrder,
+      isStartable: this.now >= job.backoffUntil && !lacksZone,
+    };
+  }
+
+  private zonesOf(job: Job): string[] {
+    return [...job.placements.values()].map(({ machine }) => this.cluster.machines.get(machine)?.zone ?? '');
   }
-  const jobs: JobView[] = [];
-  let order = 0;
-  const active = [...cluster.jobs.values()].filter((j) => j.state === 'active' && hasJoined(j));
-  active.sort((a, b) => a.submittedAt - b.submittedAt);
-  for (const job of active) jobs.push(viewOf(cluster, estimates, settings, job, now, order++));
-  return {
-    jobs,
-    machines,
-    teams: settings.teams,
-    starvationThresholdS: STARVATION_S,
-    placeAheadS: HEAD_S,
-    isCostAware: cluster.minimizesCost,
-    typicalTask: estimates.typicalTask(),
-  };
 }
 
-function viewOf(
-  cluster: ClusterState,
-  estimates: RuntimeEstimator,
-  settings: Settings,
-  job: Job,
-  now: MonotonicMs,
-  order: number,
-): JobView {
-  const zones: string[] = [];
-  if (job.pendingCount > 0)
-    for (const p of job.placements.values()) zones.push(cluster.machines.get(p.machine)?.zone ?? '');
-  // A gang starts as a whole: while any task of the old attempt may be there, none can, but for what
-  // completes an attempt that has not started.
-  const blocked = job.spec.kind === 'gang' && job.placements.size > 0 && !job.awaitsReplacementTask;
-  const pending = blocked ? [] : job.pendingTasks(job.spec.kind === 'gang' ? job.spec.tasks : PLAN_TASKS);
-  const waitS = Math.max(0, now - Math.max(job.submittedAt, job.waitingSince)) / 1000;
+/** Stands for a type that the cloud's list does not name: nothing can be placed on it. */
+function unknownMachineType(name: string): MachineType {
   return {
-    spec: job.spec,
-    pendingTasks: pending,
-    pendingCount: job.pendingCount,
-    unfinishedCount: job.spec.tasks - job.doneCount,
-    placedZones: zones,
-    totalWaitS: waitS * job.pendingCount,
-    ageS: (now - job.submittedAt) / 1000,
-    estimateS: estimates.expectedRuntimeS(job.spec),
-    completionMilestonesS: milestones(settings, job),
-    startMilestonesS: startMilestones(settings, job),
-    toleratedWaitS: patience(settings, job, (now - job.submittedAt) / 1000),
-    excludedMachines: job.failedMachines,
-    submissionOrder: order,
-    // After a takeover a machine may be known by its id alone: without the zones of what it may run,
-    // a job that is bound by zones cannot be placed.
-    isStartable: now >= job.backoffUntil && !((job.spec.spread || job.spec.oneZone) && zones.includes('')),
+    name,
+    cpus: 0,
+    gpus: 0,
+    memoryGb: 0,
+    cacheGb: 0,
+    fetchGbPerS: 1,
+    price: 0,
+    spotPrice: 0,
+    bootS: 0,
+    zones: [],
   };
 }
 
-const LEAST_PATIENCE_S = 0.5;
-const LATE_PATIENCE_S = 2;
-
-/** What the aims leave a job to wait before its start; one that is late already is treated alike. */
-function patience(settings: Settings, job: Job, ageS: number): number {
-  const { objectives } = settings;
-  const aim =
-    objectives.find((o) => o.kind === 'wait' && o.class === job.spec.class) ??
-    objectives.find((o) => o.kind === 'guarantee');
-  const withinS = aim?.withinS ?? 0;
-  if (job.spec.kind === 'service') return Math.max(LEAST_PATIENCE_S, withinS - ageS);
-  return withinS - ageS - 1 > 0 ? withinS - ageS - 1 : LATE_PATIENCE_S;
-}
-
-function startMilestones(settings: Settings, job: Job): number[] {
-  const ages: number[] = [];
-  for (const o of settings.objectives)
-    if (o.class === job.spec.class && o.kind === 'wait' && o.withinS !== null) ages.push(o.withinS);
-  return ages.sort((a, b) => a - b);
+function remainingRuntimeS(
+  { kind }: JobSpec,
+  isStopping: boolean,
+  ranS: number,
+  expectedRuntimeS: number,
+): number {
+  if (isStopping) return MIN_REMAINING_S;
+  if (kind === 'service') return Infinity;
+  const remainingS = expectedRuntimeS - ranS;
+  return remainingS > MIN_REMAINING_S ? remainingS : Math.max(MIN_REMAINING_S, ranS * OVERRUN_SHARE);
 }
 
-function milestones(settings: Settings, job: Job): number[] {
-  const { spec } = job;
-  const ages: number[] = [];
-  for (const o of settings.objectives) {
-    if (o.class !== spec.class) continue;
-    if (o.kind === 'deadline' && spec.deadlineS !== null) ages.push(spec.deadlineS * (o.times ?? 1));
-    else if (o.kind === 'finished' && o.withinS !== null) ages.push(o.withinS);
-  }
-  if (ages.length === 0 && spec.deadlineS !== null) ages.push(spec.deadlineS);
-  return ages.sort((a, b) => a - b);
+/**
+ * The tasks that may be placed now. A gang starts as a whole: while any task of the old attempt may be on a machine none
+ * can, except for those that complete an attempt that has not started.
+ */
+function placeableTasks(job: Job): number[] {
+  if (job.spec.kind !== 'gang') return job.pendingTasks(MAX_TASKS_PER_JOB);
+  const isBlocked = job.placements.size > 0 && !job.awaitsReplacementTask;
+  return isBlocked ? [] : job.pendingTasks(job.spec.tasks);
 }
