--- a/packages/planner/src/scheduling/assign-gang.ts
+++ b/packages/planner/src/scheduling/assign-gang.ts
@@ -1,40 +1,50 @@
+/**
+ * Assigns the tasks of a gang, which start together or not at all.
+ *
+ * @module
+ */
+
+import { preemptFor } from './preemption.js';
+import { fitsQuota } from './resources.js';
 import type { SchedulingPass } from './scheduling-pass.js';
-import { preempt } from './preemption.js';
-import type { TaskAssignment, JobEvaluation } from './types.js';
-import { EPSILON } from '@spurbridge/model';
+import type { JobEvaluation } from './types.js';
+
+/** Starts the whole gang, or keeps its places in the queues and makes room for all of it. */
+export function assignGang(pass: SchedulingPass, evaluation: JobEvaluation): void {
+  const { job, assignments, unplacedCount } = evaluation;
+  const { pendingTasks, pendingCount } = job;
+  const quota = pass.remainingQuota(job.spec.team);
+  const isComplete = pendingTasks.length === pendingCount && unplacedCount === 0;
+  const isAssignable = isComplete && fitsQuota(job.spec, pendingTasks.length, quota);
+  if (!isAssignable || assignments.some(({ startS }) => startS > 0)) {
+    delayGang(pass, evaluation, isAssignable);
+    return;
+  }
+  for (const assignment of assignments) pass.start(job, assignment, quota);
+  pass.applyEvaluation(evaluation);
+}
 
-/** Starts a whole gang, or keeps its places and makes room for all of it. */
-export function assignGang(g: SchedulingPass, e: JobEvaluation): void {
-  const { job } = e;
-  const spec = job.spec;
-  const room = g.remainingQuota.get(spec.team) ?? { cpus: 0, gpus: 0 };
-  const fits = (n: number): boolean =>
-    spec.cpus * n <= room.cpus + EPSILON && spec.gpus * n <= room.gpus + EPSILON;
-  const guaranteed = g.guaranteedJobs.has(job);
-  const whole = job.pendingTasks.length === job.pendingCount && e.unplacedCount === 0;
-  const now = whole && fits(job.pendingTasks.length) && e.assignments.every((c) => c.startS <= 0);
-  if (now) {
-    for (const c of e.assignments) g.start(job, c, room);
-    g.applyEvaluation(e);
-  } else {
-    // It keeps its places in the queues, as any cotask: when only starved gangs did, all that waited
-    // counted on the same room, and nothing was rented for the others until they were late.
-    const first = e.assignments[0];
-    const zone = spec.oneZone && first !== undefined ? g.zoneOfQueue(first.queueIndex) : null;
-    if (whole && fits(job.pendingTasks.length)) {
-      g.applyEvaluation(e);
-      const late = (c: TaskAssignment): boolean =>
-        c.startS > 0 && c.endS - job.estimateS > job.toleratedWaitS;
-      const waits = e.assignments.filter(late).map((c) => c.endS);
-      if (waits.length > 0) preempt(g, job, waits, guaranteed, zone);
-    }
-    // Only what has no room now is rented for, beside the tasks that have.
-    g.recordUnplaced(
-      job,
-      e.unplacedCount + e.assignments.filter((c) => c.startS > 0).length,
-      e.unplacedCount > 0 ? Infinity : Math.max(...e.assignments.map((c) => c.startS)),
-      fits(job.pendingTasks.length),
-      zone,
-    );
+function delayGang(pass: SchedulingPass, evaluation: JobEvaluation, isAssignable: boolean): void {
+  const { job, assignments, unplacedCount } = evaluation;
+  const { spec, pendingTasks, estimateS, toleratedWaitS } = job;
+  const [first] = assignments;
+  const zone = spec.oneZone && first !== undefined ? pass.queueOrder.zoneOf(first.queueIndex) : null;
+  const delayed = assignments.filter(({ startS }) => startS > 0);
+  if (isAssignable) {
+    // The gang keeps its places in the queues, as any cotask does: when only starved gangs did, all that waited counted on the same
+    // machines, and nothing was scaled out for the others until they were late.
+    pass.applyEvaluation(evaluation);
+    const late = delayed.filter(({ endS }) => endS - estimateS > toleratedWaitS);
+    if (late.length > 0)
+      preemptFor(
+        pass,
+        job,
+        late.map(({ endS }) => endS),
+        zone,
+      );
   }
+  // Only the tasks that cannot start now are scaled out for, beside those that can.
+  const startsInS = unplacedCount > 0 ? Infinity : Math.max(...assignments.map(({ startS }) => startS));
+  const isWithinLimit = fitsQuota(spec, pendingTasks.length, pass.remainingQuota(spec.team));
+  pass.recordUnplaced(job, unplacedCount + delayed.length, startsInS, isWithinLimit, zone);
 }
--- a/packages/planner/src/scheduling/assign-job.ts
+++ b/packages/planner/src/scheduling/assign-job.ts
@@ -1,63 +1,107 @@
+/**
+ * Assigns the tasks of an evaluated job: starts what can start now, keeps places in the queues for the rest, and preempts others
+ * where the job cannot wait.
+ *
+ * @module
+ */
+
 import { assignGang } from './assign-gang.js';
+import { preemptFor } from './preemption.js';
+import { fitsQuota, takeQuota } from './resources.js';
 import type { SchedulingPass } from './scheduling-pass.js';
-import { preempt } from './preemption.js';
-import type { TaskAssignment, JobEvaluation } from './types.js';
-import { EPSILON } from '@spurbridge/model';
-
-/** Takes the evaluation over into the queues, and starts what can start now. */
-export function assignJob(g: SchedulingPass, e: JobEvaluation): void {
-  if (e.job.spec.kind === 'gang') return assignGang(g, e);
-  const { job } = e;
-  const spec = job.spec;
-  const room = g.remainingQuota.get(spec.team) ?? { cpus: 0, gpus: 0 };
-  const fits = (n: number): boolean =>
-    spec.cpus * n <= room.cpus + EPSILON && spec.gpus * n <= room.gpus + EPSILON;
-  const guaranteed = g.guaranteedJobs.has(job);
-  // A service that would fetch its image past its aim waits a moment for room where the image is.
-  const tooSlow =
-    spec.kind === 'service' && job.ageS < job.toleratedWaitS
-      ? e.assignments.filter((c) => c.startS <= 0 && c.endS > job.toleratedWaitS)
-      : [];
-  const deferred = new Set<TaskAssignment>();
-  if (tooSlow.length > 0) {
-    const ends = tooSlow.map((c) => c.endS);
-    const made = preempt(g, job, ends, guaranteed);
-    const slowest = [...tooSlow].sort((a, b) => b.endS - a.endS);
-    for (const c of slowest.slice(0, made)) deferred.add(c);
+import type { JobEvaluation, TaskAssignment } from './types.js';
+
+const NO_ASSIGNMENTS: ReadonlySet<TaskAssignment> = new Set();
+
+/** What became of the assignments of an evaluation. */
+interface AssignmentOutcome {
+  /** Assignments that start later. */
+  readonly delayed: readonly TaskAssignment[];
+  /** The last assignments, which the team's limit does not allow. */
+  readonly limitedCount: number;
+}
+
+/** Applies an evaluation to the queues, and starts what can start now. */
+export function assignJob(pass: SchedulingPass, evaluation: JobEvaluation): void {
+  if (evaluation.job.spec.kind === 'gang') {
+    assignGang(pass, evaluation);
+    return;
   }
-  let late = 0;
-  let limited = 0;
-  let startsInS = 0;
+  const deferred = deferSlowStarts(pass, evaluation);
+  const outcome = startWithinLimit(pass, evaluation, deferred);
+  // What the limit keeps back must not hold a place in any queue.
+  if (outcome.limitedCount === 0) pass.applyEvaluation(evaluation);
+  else pass.applyAllButLast(evaluation, outcome.limitedCount);
+  recordUnplacedTasks(pass, evaluation, outcome);
+  if (outcome.limitedCount === 0) preemptForLateTasks(pass, evaluation, outcome.delayed);
+}
+
+/**
+ * A replica that could start now, but would fetch its image for longer than its objective allows, waits a moment where room can be
+ * made for it on a machine with the image.
+ */
+function deferSlowStarts(
+  pass: SchedulingPass,
+  { job, assignments }: JobEvaluation,
+): ReadonlySet<TaskAssignment> {
+  const { spec, ageS, toleratedWaitS } = job;
+  if (spec.kind !== 'service' || ageS >= toleratedWaitS) return NO_ASSIGNMENTS;
+  const tooSlow = assignments.filter(({ startS, endS }) => startS <= 0 && endS > toleratedWaitS);
+  if (tooSlow.length === 0) return NO_ASSIGNMENTS;
+  const deferredCount = preemptFor(
+    pass,
+    job,
+    tooSlow.map(({ endS }) => endS),
+  );
+  tooSlow.sort((first, second) => second.endS - first.endS);
+  return new Set(tooSlow.slice(0, deferredCount));
+}
+
+/** Starts what can start now; tasks that start later take their part of the limit as well, in the order of the plan. */
+function startWithinLimit(
+  pass: SchedulingPass,
+  { job, assignments }: JobEvaluation,
+  deferred: ReadonlySet<TaskAssignment>,
+): AssignmentOutcome {
+  const { spec } = job;
+  const quota = pass.remainingQuota(spec.team);
+  const latestStartS = pass.placeAheadS(job);
   const delayed: TaskAssignment[] = [];
-  for (const c of e.assignments) {
-    if (!fits(1)) {
-      limited += 1;
-    } else if (deferred.has(c)) {
-      room.cpus -= spec.cpus;
-      room.gpus -= spec.gpus;
-    } else if (c.startS <= g.placeAheadS(job)) {
-      g.start(job, c, room);
-    } else {
-      // Room within the limit is taken in the order of the plan, also by what starts later.
-      room.cpus -= spec.cpus;
-      room.gpus -= spec.gpus;
-      late += 1;
-      startsInS = Math.max(startsInS, c.startS);
-      delayed.push(c);
+  let limitedCount = 0;
+  for (const assignment of assignments) {
+    if (!fitsQuota(spec, 1, quota)) limitedCount += 1;
+    else if (deferred.has(assignment)) takeQuota(spec, quota);
+    else if (assignment.startS <= latestStartS) pass.start(job, assignment, quota);
+    else {
+      takeQuota(spec, quota);
+      delayed.push(assignment);
     }
   }
-  // What the limit keeps back must not hold a place in any queue.
-  if (limited === 0) g.applyEvaluation(e);
-  else g.applyStartedAssignments(e, limited);
-  const more = Math.max(
-    0,
-    e.unplacedCount + (limited === 0 ? job.pendingCount - job.pendingTasks.length : 0),
-  );
-  if (e.unplacedCount > 0) startsInS = Infinity;
-  if (late + more > 0) g.recordUnplaced(job, late + more, startsInS, true);
-  if (limited > 0) g.recordUnplaced(job, limited, Infinity, false);
-  if (limited > 0) return;
-  const waits = delayed.filter((c) => c.startS > job.toleratedWaitS).map((c) => c.endS);
-  for (let i = 0; i < e.unplacedCount; i += 1) waits.push(Infinity);
-  if (waits.length > 0) preempt(g, job, waits, guaranteed);
+  return { delayed, limitedCount };
+}
+
+function recordUnplacedTasks(
+  pass: SchedulingPass,
+  { job, unplacedCount }: JobEvaluation,
+  { delayed, limitedCount }: AssignmentOutcome,
+): void {
+  // Pending tasks beyond those that were evaluated.
+  const furtherCount = limitedCount === 0 ? job.pendingCount - job.pendingTasks.length : 0;
+  const waitingCount = delayed.length + Math.max(0, unplacedCount + furtherCount);
+  let startsInS = unplacedCount > 0 ? Infinity : 0;
+  for (const { startS } of delayed) startsInS = Math.max(startsInS, startS);
+  pass.recordUnplaced(job, waitingCount, startsInS, true);
+  pass.recordUnplaced(job, limitedCount, Infinity, false);
+}
+
+/** Preempts others for tasks that would start later than is tolerated, or never. */
+function preemptForLateTasks(
+  pass: SchedulingPass,
+  { job, unplacedCount }: JobEvaluation,
+  delayed: readonly TaskAssignment[],
+): void {
+  const endsS: number[] = [];
+  for (const { startS, endS } of delayed) if (startS > job.toleratedWaitS) endsS.push(endS);
+  for (let count = 0; count < unplacedCount; count += 1) endsS.push(Infinity);
+  if (endsS.length > 0) preemptFor(pass, job, endsS);
 }
--- a/packages/planner/src/scheduling/earliest-start-index.ts
+++ b/packages/planner/src/scheduling/earliest-start-index.ts
@@ -1,70 +1,87 @@
+/**
+ * An index of the queues by when they could start a task of some size, so that a job need not look at all machines.
+ *
+ * @module
+ */
+
 import type { JobSpec } from '@spurbridge/wire';
 import type { MachineQueue } from './machine-queue.js';
+import type { ResourceRequest } from './resources.js';
 
-/** Tasks are sorted into classes of at least this many CPUs. */
+/** The least CPUs of a task of each size class. */
 const CPU_CLASS_BOUNDS = [0, 0.5, 1, 1.5, 2, 3, 4, 5, 6, 8, 12, 16, 24, 32, 48, 64, 96, 128, 192, 256];
+/** An index is rebuilt after so many stale visits, ... */
+const MIN_STALE_VISITS = 64;
+/** ... and so many more for each queue in it. */
+const STALE_VISITS_PER_QUEUE = 4;
 
-/** The class of a task: no task in it is smaller than its sample. */
-export function sizeClass(spec: JobSpec): {
+/** A class of tasks of similar size: no task in it is smaller than its request. */
+export interface SizeClass {
   readonly key: string;
-  readonly cpus: number;
-  readonly gpus: number;
-} {
+  readonly request: ResourceRequest;
+}
+
+/** The size class of a job's tasks. */
+export function sizeClassOf(spec: JobSpec): SizeClass {
   let cpus = 0;
-  for (const c of CPU_CLASS_BOUNDS) if (c <= spec.cpus) cpus = c;
+  for (const bound of CPU_CLASS_BOUNDS) if (bound <= spec.cpus) cpus = bound;
   const gpus = spec.gpus >= 1 ? 1 : 0;
-  return { key: `${cpus}/${gpus}`, cpus, gpus };
+  return { key: `${cpus}/${gpus}`, request: { cpus, gpus, memoryGb: 0 } };
 }
 
 /**
- * Queues in the order of when the smallest task of a class could start in them. Placing only takes room away, so a start
- * found at one time bounds all later ones from below, and whoever looks for the best few queues may stop where the bound
- * is worse than what he has: a plan need not look at all machines for each job.
+ * Queues in the order of when the smallest task of a size class could start in them. Placing tasks only takes resources away, so a
+ * start that was found once is a lower bound for all later ones: whoever searches the best few queues can stop where the bound is
+ * worse than what was found.
  */
 export class EarliestStartIndex {
+  /** The queues in this order, by their index in the pass. */
   readonly queueIndexes: Int32Array;
-  /** For each place in the order: no task of the class starts in that queue before this, in seconds. */
+  /** For each position in the order: no task of the class starts in that queue before this, in seconds from now. */
   readonly earliestStartsS: Float64Array;
-  /** How many queues may start such a task ever. */
+  /** The number of queues that can ever start such a task. */
   readonly size: number;
-  /** Places looked at whose queue had changed since. */
-  staleVisits = 0;
+  /** Visits of queues that had changed since the index was built. */
+  private staleVisits = 0;
   private readonly indexedQueues: readonly MachineQueue[];
 
-  /** `indices` are in the order by which equal choices are made; so are starts that are equal to `grainS`. */
+  /**
+   * @param request - of the smallest task of the class.
+   * @param queuesByPreference - the indexes of the queues to be indexed; among equal starts, they stay in this order.
+   * @param grainS - starts within the same multiple of this count as equal.
+   */
   constructor(
     queues: readonly MachineQueue[],
-    cpus: number,
-    gpus: number,
-    indices: readonly number[],
+    request: ResourceRequest,
+    queuesByPreference: readonly number[],
     grainS: number,
   ) {
-    const need = { cpus, gpus, memoryGb: 0 };
-    const starts = new Float64Array(queues.length);
-    const byGrain = new Map<number, number[]>();
-    for (const i of indices) {
-      const s = (queues[i] as MachineQueue).earliestStart(need);
-      if (s === Infinity) continue;
-      const grain = Math.floor(s / grainS);
-      starts[i] = grain * grainS;
-      const alike = byGrain.get(grain);
-      if (alike === undefined) byGrain.set(grain, [i]);
-      else alike.push(i);
+    const startsS = new Float64Array(queues.length);
+    const indexesByGrain = new Map<number, number[]>();
+    for (const index of queuesByPreference) {
+      const startS = (queues[index] as MachineQueue).earliestStart(request);
+      if (startS === Infinity) continue;
+      const grain = Math.floor(startS / grainS);
+      startsS[index] = grain * grainS;
+      const sameStart = indexesByGrain.get(grain);
+      if (sameStart === undefined) indexesByGrain.set(grain, [index]);
+      else sameStart.push(index);
     }
-    const able = [...byGrain.keys()].sort((a, b) => a - b).flatMap((grain) => byGrain.get(grain) ?? []);
-    this.size = able.length;
-    this.queueIndexes = Int32Array.from(able);
-    this.earliestStartsS = Float64Array.from(able, (i) => starts[i] as number);
-    this.indexedQueues = able.map((i) => queues[i] as MachineQueue);
+    const grains = [...indexesByGrain.keys()].sort((first, second) => first - second);
+    const indexes = grains.flatMap((grain) => indexesByGrain.get(grain) ?? []);
+    this.size = indexes.length;
+    this.queueIndexes = Int32Array.from(indexes);
+    this.earliestStartsS = Float64Array.from(indexes, (index) => startsS[index] as number);
+    this.indexedQueues = indexes.map((index) => queues[index] as MachineQueue);
   }
 
-  /** Notes that a place was looked at, and whether its queue is not any more what it was. */
-  recordVisit(place: number, now: MachineQueue): void {
-    if (this.indexedQueues[place] !== now) this.staleVisits += 1;
+  /** Records that the queue at a position was looked at; `queue` is what it is now. */
+  recordVisit(position: number, queue: MachineQueue): void {
+    if (this.indexedQueues[position] !== queue) this.staleVisits += 1;
   }
 
-  /** Whether too much is looked at in vain: the order is worth being made anew. */
+  /** Whether so many visits were in vain that the index is worth being rebuilt. */
   get isStale(): boolean {
-    return this.staleVisits > 64 + 4 * this.size;
+    return this.staleVisits > MIN_STALE_VISITS + STALE_VISITS_PER_QUEUE * this.size;
   }
 }
--- /dev/null
+++ b/packages/planner/src/scheduling/estimate-unplaced.ts
@@ -0,0 +1,93 @@
+/**
+ * Estimates when jobs start of which nothing can start now. The fleet is sized by this; the order of the jobs does not matter any
+ * more.
+ *
+ * @module
+ */
+
+import { EPSILON } from '@spurbridge/model';
+import type { JobSpec } from '@spurbridge/wire';
+import type { JobView } from '../cluster-snapshot.js';
+import { assignJob } from './assign-job.js';
+import { evaluate } from './evaluate.js';
+import { removeFromShape } from './job-shapes.js';
+import { ResourcePool } from './resource-pool.js';
+import { MIN_RUN_S, neededDimensions } from './resources.js';
+import type { Quota } from './resources.js';
+import type { SchedulingPass } from './scheduling-pass.js';
+
+/** Records jobs as unplaced, in their order, with an estimate of their start from the pools of all machines. */
+export function estimateUnplaced(pass: SchedulingPass, jobs: readonly JobView[]): void {
+  const estimate = new PooledEstimate(pass);
+  for (const job of jobs) {
+    removeFromShape(pass, job);
+    // Which machines come free decides for these jobs, so the pools say too little.
+    if (isMachineBound(job.spec)) assignJob(pass, evaluate(pass, job));
+    else recordPooled(pass, job, estimate);
+  }
+}
+
+/** Whether it matters which machines come free for a job, and not only how much of them. */
+function isMachineBound(spec: JobSpec): boolean {
+  return (
+    spec.kind !== 'array' ||
+    !spec.spot ||
+    spec.zone !== null ||
+    spec.types !== null ||
+    spec.oneZone ||
+    spec.spread
+  );
+}
+
+function recordPooled(pass: SchedulingPass, job: JobView, estimate: PooledEstimate): void {
+  const quota = pass.remainingQuota(job.spec.team);
+  const countWithinLimit = countTasksWithin(job, quota);
+  const startsInS = estimate.add(job, countWithinLimit, quota);
+  pass.recordUnplaced(job, countWithinLimit, startsInS, true);
+  pass.recordUnplaced(job, job.pendingCount - countWithinLimit, Infinity, false);
+}
+
+/** How many of a job's pending tasks fit into what remains of its team's limit. */
+function countTasksWithin({ spec, pendingCount }: JobView, quota: Quota): number {
+  let count = pendingCount;
+  for (const dimension of neededDimensions(spec))
+    if (spec[dimension] > 0)
+      count = Math.min(count, Math.floor(quota[dimension] / spec[dimension] + EPSILON));
+  return Math.max(0, count);
+}
+
+/** Estimates starts as if all waiting work took its turn in the pools. */
+class PooledEstimate {
+  private readonly pools: { readonly cpus: ResourcePool; readonly gpus: ResourcePool };
+  /** What the jobs so far take, and for how long in sum. */
+  private readonly taken = { cpus: 0, gpus: 0 };
+  private readonly work = { cpus: 0, gpus: 0 };
+  private readonly hasQueues: boolean;
+
+  constructor({ queues }: SchedulingPass) {
+    this.pools = { cpus: new ResourcePool(queues, 'cpus'), gpus: new ResourcePool(queues, 'gpus') };
+    this.hasQueues = queues.length > 0;
+  }
+
+  /** Adds tasks of a job, takes them from the quota and returns the seconds until the last of them starts. */
+  add({ spec, estimateS }: JobView, taskCount: number, quota: Quota): number {
+    const runS = Math.max(estimateS, MIN_RUN_S);
+    let startsInS = this.hasQueues ? 0 : Infinity;
+    for (const dimension of neededDimensions(spec)) {
+      const amount = taskCount * spec[dimension];
+      quota[dimension] -= amount;
+      this.taken[dimension] += amount;
+      this.work[dimension] += amount * runS;
+      const taken = this.taken[dimension];
+      if (taken <= 0) continue;
+      const pool = this.pools[dimension];
+      const meanRunS = this.work[dimension] / taken;
+      startsInS = Math.max(
+        startsInS,
+        pool.earliestFreeS(spec[dimension]),
+        pool.earliestStartedS(taken, meanRunS),
+      );
+    }
+    return startsInS;
+  }
+}
--- a/packages/planner/src/scheduling/evaluate.ts
+++ b/packages/planner/src/scheduling/evaluate.ts
@@ -1,171 +1,235 @@
+/**
+ * Evaluates a job: where each of its tasks would go, and when the job would complete at the earliest. This is the paper's minimum
+ * completion time, found greedily: each task goes to the queue in which it ends first.
+ *
+ * @module
+ */
+
 import type { JobView } from '../cluster-snapshot.js';
 import { NumberHeap } from '../heap.js';
-import type { SchedulingPass } from './scheduling-pass.js';
-import { COST_GRAIN_S } from './scheduling-pass.js';
-import type { MachineQueue } from './machine-queue.js';
 import type { EarliestStartIndex } from './earliest-start-index.js';
-import type { TaskAssignment, JobEvaluation } from './types.js';
-import { isMachineAllowed, imageFetchS } from './types.js';
-
-/** A service that takes a whole task's place on a machine is worth waiting this long to avoid. */
-const FRAGMENT_S = 2;
-/** A service that would serve later than its aim rather takes a whole task's place. */
-const MISS_S = 3;
-/** Where money counts, work that may use spot machines takes them even if it ends this much later. */
-const DEAR_S = 4;
-/**
- * Room for a gang is taken to come free later than estimated, the more so the longer it has waited: gangs
- * had waited 50 to 100 s for machines that hold their image, always about to be free, beside empty ones.
- */
-const GANG_DOUBT_S = 5;
-const GANG_DOUBT_AGE_S = 15;
+import type { MachineQueue } from './machine-queue.js';
+import { estimateTask } from './queue-estimate.js';
+import { MIN_RUN_S } from './resources.js';
+import type { QueueEstimates, SchedulingPass } from './scheduling-pass.js';
+import { COST_GRAIN_S } from './scheduling-pass.js';
+import type { JobEvaluation, QueueChange, TaskAssignment } from './types.js';
+import { isMachineAllowed } from './types.js';
+
 /** More than the tasks of one job that a plan puts on one machine. */
-const USES = 1024;
+const MAX_TASKS_PER_QUEUE = 1024;
+/** In place of the index of a queue. */
+const NO_QUEUE = -1;
 
-/** Queues that are looked at in turn. */
-interface Front {
-  readonly heap: NumberHeap;
-  readonly order: EarliestStartIndex;
-  /** The next place in the order that was not looked at. */
-  next: number;
+/** Evaluates a job; nothing changes but the estimates of the pass. */
+export function evaluate(pass: SchedulingPass, job: JobView): JobEvaluation {
+  if (!job.spec.oneZone) return new JobEvaluator(pass, job, null).evaluate();
+  let best: JobEvaluation | null = null;
+  for (const zone of possibleZones(pass, job)) {
+    const evaluation = new JobEvaluator(pass, job, zone).evaluate();
+    const isBetter =
+      best === null ||
+      evaluation.unplacedCount < best.unplacedCount ||
+      evaluation.completionS < best.completionS;
+    if (isBetter) best = evaluation;
+  }
+  return best ?? new JobEvaluator(pass, job, null).evaluate();
 }
 
-/** Where each task would go, and when the job would complete; changes nothing. */
-export function evaluate(g: SchedulingPass, job: JobView): JobEvaluation {
-  const spec = job.spec;
-  if (spec.oneZone) {
-    let best: JobEvaluation | null = null;
-    const held = job.placedZones[0];
-    const zones = held !== undefined ? [held] : [...new Set(g.snapshot.machines.map((m) => m.zone))];
-    for (const zone of zones) {
-      const e = evaluateIn(g, job, zone);
-      if (best === null || e.unplacedCount < best.unplacedCount || e.completionS < best.completionS) best = e;
-    }
-    if (best !== null) return best;
-  }
-  return evaluateIn(g, job, null);
+/** The zones for a job bound to one: where it has tasks already, or any. */
+function possibleZones({ snapshot }: SchedulingPass, job: JobView): readonly string[] {
+  const [placedZone] = job.placedZones;
+  if (placedZone !== undefined) return [placedZone];
+  return [...new Set(snapshot.machines.map((machine) => machine.zone))];
 }
 
-/** Estimates the start and end of a task in a queue; false when it never fits there. */
-export function estimate(g: SchedulingPass, job: JobView, at: number, q: MachineQueue): boolean {
-  const { spec } = job;
-  const m = q.machine;
-  g.queueVisits += 1;
-  const startS = q.earliestStart(spec);
-  if (startS === Infinity) return false;
-  const service = spec.kind === 'service';
-  const busy = startS + imageFetchS(job, m);
-  // A service never completes: what counts for it is when it serves.
-  const endS = service ? busy : busy + Math.max(job.estimateS, 0.5) * m.slowness;
-  let costS = endS + (g.snapshot.isCostAware && spec.spot && !m.spot ? DEAR_S : 0);
-  if (spec.kind === 'gang') {
-    // A gang waits for the slowest of its places, and estimates of what runs there are off.
-    if (startS > 0) costS += GANG_DOUBT_S + startS * (1 + job.ageS / GANG_DOUBT_AGE_S);
-  }
-  if (service) {
-    if (g.snapshot.typicalTask !== null) costS += q.slotsLost(spec, g.snapshot.typicalTask) * FRAGMENT_S;
-    if (endS > job.toleratedWaitS) costS += MISS_S;
-  }
-  g.startsS[at] = startS;
-  g.endsS[at] = endS;
-  g.costBuckets[at] = Math.floor(costS / COST_GRAIN_S);
-  return true;
+/** The search for the best queue among those of one zone, or among all. */
+interface QueueSearch {
+  /** The rank keys of the queues estimated so far; the best is on top. */
+  readonly heap: NumberHeap;
+  readonly startIndex: EarliestStartIndex;
+  /** The next position of the index that was not looked at. */
+  nextPosition: number;
 }
 
-export function evaluateIn(g: SchedulingPass, job: JobView, zone: string | null): JobEvaluation {
-  const spec = job.spec;
-  const service = spec.kind === 'service';
-  const balanced = spec.spread || service;
-  const changed = new Map<number, { before: MachineQueue; after: MachineQueue }>();
-  const perZone = new Int32Array(g.zones.length);
-  for (const z of job.placedZones) {
-    const i = g.zones.indexOf(z);
-    if (i >= 0) perZone[i] = (perZone[i] as number) + 1;
+/** Evaluates one job in one zone, or in all zones for null. */
+class JobEvaluator {
+  private readonly isService: boolean;
+  /** Whether the tasks are balanced over the zones. */
+  private readonly isBalanced: boolean;
+  private readonly maxPerZone: number;
+  private readonly queueCount: number;
+  private readonly estimates: QueueEstimates;
+  private readonly preferenceRanks: Int32Array;
+  private readonly queuesByPreference: readonly number[];
+  private readonly zoneIndexes: Int32Array;
+  /** The tasks of the job in each zone, with those assigned so far. */
+  private readonly tasksByZone: Int32Array;
+  /** One search for each zone where the zones are balanced, otherwise a single one. */
+  private readonly searches: readonly QueueSearch[];
+  /** No task runs for less than this on any machine. */
+  private readonly minRunS: number;
+  private readonly changedQueues = new Map<number, QueueChange>();
+  private readonly assignments: TaskAssignment[] = [];
+  private completionS = 0;
+
+  constructor(
+    private readonly pass: SchedulingPass,
+    private readonly job: JobView,
+    private readonly zone: string | null,
+  ) {
+    const { spec } = job;
+    const { queueOrder } = pass;
+    this.isService = spec.kind === 'service';
+    this.isBalanced = spec.spread || this.isService;
+    this.maxPerZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
+    this.queueCount = pass.queues.length;
+    this.estimates = pass.estimates;
+    this.preferenceRanks = queueOrder.preferenceRanks;
+    this.queuesByPreference = queueOrder.queuesByPreference;
+    this.zoneIndexes = queueOrder.zoneIndexes;
+    this.tasksByZone = countTasksByZone(job, queueOrder.zones);
+    this.minRunS = this.isService ? 0 : Math.max(job.estimateS, MIN_RUN_S) * pass.leastSlowness;
+    const zones = zone !== null ? [zone] : this.isBalanced ? queueOrder.zones : [null];
+    this.searches = zones.map((searchedZone) => ({
+      heap: new NumberHeap(),
+      startIndex: pass.startIndex(spec, searchedZone),
+      nextPosition: 0,
+    }));
   }
-  const zoneMost = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
-  const n = g.queues.length;
-  const { taskCounts: uses, preferenceRanks: place } = g;
-  // Cost, use and rank in one number, so that comparing machines is comparing numbers.
-  const key = (at: number): number =>
-    ((g.costBuckets[at] as number) * USES + (balanced ? (uses[at] as number) : 0)) * n +
-    (place[at] as number);
-  // One heap of machines for each zone where the zones are to be balanced, otherwise one for all.
-  const zones = zone !== null ? [zone] : balanced ? g.zones : [null];
-  const fronts = zones.map((z) => ({ heap: new NumberHeap(), order: g.startIndex(spec, z), next: 0 }));
-  const frontOf = (at: number): Front =>
-    fronts[zones.length > 1 ? (g.zoneIndexes[at] as number) : 0] as Front;
-  const leastRunS = service ? 0 : Math.max(job.estimateS, 0.5) * g.leastSlowness;
-  // Queues come into the heap only as far as their lower bound is no worse than what is on top of it.
-  const fill = (f: Front): void => {
-    const { heap, order } = f;
-    while (f.next < order.size) {
-      const top = heap.peek();
-      const at = order.queueIndexes[f.next] as number;
-      const least =
-        Math.floor(((order.earliestStartsS[f.next] as number) + leastRunS) / COST_GRAIN_S) * USES * n;
-      // The plain plan looks at all of them.
-      if (top !== undefined && least + (place[at] as number) > top && g.options.exhaustive !== true) return;
-      const q = g.queues[at] as MachineQueue;
-      order.recordVisit(f.next, q);
-      f.next += 1;
-      const m = q.machine;
-      if (!isMachineAllowed(job, m) || (job.excludedMachines.size > 0 && job.excludedMachines.has(m.id)))
-        continue;
-      uses[at] = 0;
-      if (estimate(g, job, at, q)) heap.push(key(at));
+
+  evaluate(): JobEvaluation {
+    const { job, assignments } = this;
+    for (const task of job.pendingTasks) {
+      const queueIndex = this.findBestQueue();
+      if (queueIndex === NO_QUEUE) break;
+      this.assign(task, queueIndex);
     }
-  };
-  const choices: TaskAssignment[] = [];
-  let completionS = 0;
-  for (const task of job.pendingTasks) {
-    let best = -1;
-    let least = Infinity;
-    for (const [i, f] of fronts.entries()) {
-      // A zone that may take no more need not be looked at.
-      if (balanced && zone === null && (perZone[i] as number) >= zoneMost) continue;
-      fill(f);
-      const top = f.heap.peek();
-      if (top === undefined) continue;
-      const at = g.queuesByPreference[top % n] as number;
-      const inZone = perZone[g.zoneIndexes[at] as number] as number;
-      if (inZone >= zoneMost) continue;
-      if (best >= 0 && balanced) {
-        const costs = Math.floor(top / (USES * n)) - Math.floor(least / (USES * n));
-        const byZone = inZone - (perZone[g.zoneIndexes[best] as number] as number);
-        if ((costs || byZone || top - least) >= 0) continue;
+    const unplacedCount = job.pendingTasks.length - assignments.length;
+    return {
+      job,
+      completionS: this.estimateCompletionS(unplacedCount),
+      assignments,
+      changedQueues: this.changedQueues,
+      unplacedCount,
+      passRevision: this.pass.revision,
+    };
+  }
+
+  /** The last end of the assigned tasks, extrapolated to all that are pending. */
+  private estimateCompletionS(unplacedCount: number): number {
+    const { pendingCount, pendingTasks } = this.job;
+    if (unplacedCount > 0) return Infinity;
+    if (pendingCount <= pendingTasks.length) return this.completionS;
+    return this.completionS * (pendingCount / pendingTasks.length);
+  }
+
+  private findBestQueue(): number {
+    const { searches, tasksByZone, zoneIndexes, maxPerZone, isBalanced } = this;
+    const isSearchPerZone = isBalanced && this.zone === null;
+    let bestQueue = NO_QUEUE;
+    let bestKey = Infinity;
+    for (let searchIndex = 0; searchIndex < searches.length; searchIndex += 1) {
+      if (isSearchPerZone && (tasksByZone[searchIndex] as number) >= maxPerZone) continue;
+      const search = searches[searchIndex] as QueueSearch;
+      this.advance(search);
+      const key = search.heap.peek();
+      if (key === undefined) continue;
+      const queueIndex = this.queuesByPreference[key % this.queueCount] as number;
+      const tasksInZone = tasksByZone[zoneIndexes[queueIndex] as number] as number;
+      if (tasksInZone >= maxPerZone) continue;
+      if (isBalanced && bestQueue !== NO_QUEUE) {
+        const bestTasksInZone = tasksByZone[zoneIndexes[bestQueue] as number] as number;
+        if (this.compareBalanced(key, tasksInZone, bestKey, bestTasksInZone) >= 0) continue;
       }
-      best = at;
-      least = top;
+      bestQueue = queueIndex;
+      bestKey = key;
     }
-    if (best < 0) break;
-    let q = changed.get(best);
-    if (q === undefined) {
-      const before = g.queues[best] as MachineQueue;
-      q = { before, after: before.copy() };
-      changed.set(best, q);
+    return bestQueue;
+  }
+
+  /** Compares by cost, then by tasks in the zone, then by the rest of the rank key; negative where the first is better. */
+  private compareBalanced(key: number, tasksInZone: number, otherKey: number, otherTasks: number): number {
+    const keysPerCost = MAX_TASKS_PER_QUEUE * this.queueCount;
+    const byCost = Math.floor(key / keysPerCost) - Math.floor(otherKey / keysPerCost);
+    return byCost || tasksInZone - otherTasks || key - otherKey;
+  }
+
+  /** Estimates further queues of a search, until their lower bound shows that none of the others can be the best. */
+  private advance(search: QueueSearch): void {
+    const { pass, job, estimates } = this;
+    const { heap, startIndex } = search;
+    const isExhaustive = pass.options.exhaustive === true;
+    while (search.nextPosition < startIndex.size) {
+      const position = search.nextPosition;
+      const queueIndex = startIndex.queueIndexes[position] as number;
+      const bestKey = heap.peek();
+      if (bestKey !== undefined && !isExhaustive && this.lowerBoundKey(startIndex, position) > bestKey)
+        return;
+      const queue = pass.queues[queueIndex] as MachineQueue;
+      startIndex.recordVisit(position, queue);
+      search.nextPosition += 1;
+      const { machine } = queue;
+      if (!isMachineAllowed(job, machine)) continue;
+      if (job.excludedMachines.size > 0 && job.excludedMachines.has(machine.id)) continue;
+      estimates.taskCounts[queueIndex] = 0;
+      if (estimateTask(pass, job, queueIndex, queue)) heap.push(this.rankKey(queueIndex));
     }
-    const startS = g.startsS[best] as number;
-    const endS = g.endsS[best] as number;
-    choices.push({ task, queueIndex: best, startS, endS });
-    completionS = Math.max(completionS, endS);
-    q.after.add(spec, startS, service ? Infinity : endS);
-    uses[best] = (uses[best] as number) + 1;
-    const z = g.zoneIndexes[best] as number;
-    perZone[z] = (perZone[z] as number) + 1;
-    const { heap } = frontOf(best);
-    if (estimate(g, job, best, q.after)) heap.replaceTop(key(best));
+  }
+
+  /** The cost, the tasks of the job and the preference of a queue in one number, so that comparing queues is comparing numbers. */
+  private rankKey(queueIndex: number): number {
+    const { costBuckets, taskCounts } = this.estimates;
+    const taskCount = this.isBalanced ? (taskCounts[queueIndex] as number) : 0;
+    return (
+      ((costBuckets[queueIndex] as number) * MAX_TASKS_PER_QUEUE + taskCount) * this.queueCount +
+      (this.preferenceRanks[queueIndex] as number)
+    );
+  }
+
+  /** No rank key of the queue at this position of the index can be lower. */
+  private lowerBoundKey(startIndex: EarliestStartIndex, position: number): number {
+    const endS = (startIndex.earliestStartsS[position] as number) + this.minRunS;
+    const queueIndex = startIndex.queueIndexes[position] as number;
+    return (
+      Math.floor(endS / COST_GRAIN_S) * MAX_TASKS_PER_QUEUE * this.queueCount +
+      (this.preferenceRanks[queueIndex] as number)
+    );
+  }
+
+  private assign(task: number, queueIndex: number): void {
+    const { pass, job, estimates, zoneIndexes, tasksByZone } = this;
+    const { after } = this.changeOf(queueIndex);
+    const startS = estimates.startsS[queueIndex] as number;
+    const endS = estimates.endsS[queueIndex] as number;
+    this.assignments.push({ task, queueIndex, startS, endS });
+    this.completionS = Math.max(this.completionS, endS);
+    after.add(job.spec, startS, this.isService ? Infinity : endS);
+    estimates.taskCounts[queueIndex] = (estimates.taskCounts[queueIndex] as number) + 1;
+    const zoneIndex = zoneIndexes[queueIndex] as number;
+    tasksByZone[zoneIndex] = (tasksByZone[zoneIndex] as number) + 1;
+    const { heap } = this.searches[this.searches.length > 1 ? zoneIndex : 0] as QueueSearch;
+    if (estimateTask(pass, job, queueIndex, after)) heap.replaceTop(this.rankKey(queueIndex));
     else heap.pop();
   }
-  const unplaced = job.pendingTasks.length - choices.length;
-  if (unplaced > 0) completionS = Infinity;
-  else if (job.pendingCount > job.pendingTasks.length)
-    completionS *= job.pendingCount / job.pendingTasks.length;
-  return {
-    job,
-    completionS,
-    assignments: choices,
-    changedQueues: changed,
-    unplacedCount: unplaced,
-    passRevision: g.revision,
-  };
+
+  private changeOf(queueIndex: number): QueueChange {
+    let change = this.changedQueues.get(queueIndex);
+    if (change === undefined) {
+      const before = this.pass.queues[queueIndex] as MachineQueue;
+      change = { before, after: before.copy() };
+      this.changedQueues.set(queueIndex, change);
+    }
+    return change;
+  }
+}
+
+/** The tasks that the job has in each zone already, by the index of the zone. */
+function countTasksByZone(job: JobView, zones: readonly string[]): Int32Array {
+  const counts = new Int32Array(zones.length);
+  for (const zone of job.placedZones) {
+    const index = zones.indexOf(zone);
+    if (index >= 0) counts[index] = (counts[index] as number) + 1;
+  }
+  return counts;
 }
--- a/packages/planner/src/scheduling/machine-queue.ts
+++ b/packages/planner/src/scheduling/machine-queue.ts
@@ -1,38 +1,43 @@
-import type { MachineView } from '../cluster-snapshot.js';
+/**
+ * The queue of one machine, as the scheduling pass fills it.
+ *
+ * @module
+ */
+
 import { EPSILON } from '@spurbridge/model';
+import type { MachineView } from '../cluster-snapshot.js';
+import type { ResourceDimension, ResourceRequest } from './resources.js';
 
-/** What bounds when a job can be done, beside memory. */
-export type ResourceDimension = 'cpus' | 'gpus';
+/** A task that may be there counts as being there until it is proven gone, for at least this long, however late it is. */
+const MIN_REMAINING_S = 0.2;
 
+/** Resources that are in use until some time. */
 interface ResourceHold {
-  cpus: number;
-  gpus: number;
-  memoryGb: number;
-  endS: number;
-}
-
-export interface ResourceRequest {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
+  readonly endS: number;
 }
 
 /**
- * The queue of one machine as the plan sees it: what occupies it and until when. Tasks start in the
- * order of the queue, so nothing is placed to start before `lastStartS`. What ends before that is
- * forgotten, and what is free then is kept summed up.
+ * The queue of one machine: what uses its resources, and until when. Tasks start in the order of the queue, so nothing is placed
+ * to start before `lastStartS`. What ends before that is dropped, and what is free then is kept as a sum.
  */
 export class MachineQueue {
-  lastStartS = 0;
-  cpus: number;
-  gpus: number;
+  /** When the last task of the queue starts, in seconds from now. */
+  private lastStartS = 0;
+  /** What is free at `lastStartS`; negative while more is placed than there is. */
+  private cpus: number;
+  private gpus: number;
   private memoryGb: number;
+  /** What services use, which never comes free. */
   private serviceCpus = 0;
   private serviceGpus = 0;
   private serviceMemoryGb = 0;
 
   private constructor(
     readonly machine: MachineView,
+    /** In the order of their ends. */
     private readonly holds: ResourceHold[],
   ) {
     this.cpus = machine.type.cpus;
@@ -40,30 +45,21 @@
     this.memoryGb = machine.type.memoryGb;
   }
 
+  /** The queue of a machine with what is on it now. */
   static of(machine: MachineView): MachineQueue {
-    const loads = machine.occupants.map((o) => ({
-      cpus: o.cpus,
-      gpus: o.gpus,
-      memoryGb: o.memoryGb,
-      // What is there is there until proven gone, however late it is.
-      endS: Math.max(o.remainingS, 0.2),
+    const holds = machine.occupants.map((occupant) => ({
+      cpus: occupant.cpus,
+      gpus: occupant.gpus,
+      memoryGb: occupant.memoryGb,
+      endS: Math.max(occupant.remainingS, MIN_REMAINING_S),
     }));
-    loads.sort((a, b) => a.endS - b.endS);
-    const queue = new MachineQueue(machine, loads);
-    for (const l of loads) queue.occupy(l, l.endS);
+    holds.sort((first, second) => first.endS - second.endS);
+    const queue = new MachineQueue(machine, holds);
+    for (const hold of holds) queue.occupy(hold, hold.endS);
     return queue;
   }
 
-  private occupy(need: ResourceRequest, endS: number): void {
-    this.cpus -= need.cpus;
-    this.gpus -= need.gpus;
-    this.memoryGb -= need.memoryGb;
-    if (endS < Infinity) return;
-    this.serviceCpus += need.cpus;
-    this.serviceGpus += need.gpus;
-    this.serviceMemoryGb += need.memoryGb;
-  }
-
+  /** A copy that can be filled by itself. */
   copy(): MachineQueue {
     const copy = new MachineQueue(this.machine, [...this.holds]);
     copy.lastStartS = this.lastStartS;
@@ -76,69 +72,97 @@
     return copy;
   }
 
-  /** Earliest start of a task of this size, or Infinity. */
-  earliestStart(need: ResourceRequest): number {
-    const t = this.machine.type;
-    if (need.cpus > t.cpus + EPSILON || need.gpus > t.gpus + EPSILON || need.memoryGb > t.memoryGb + EPSILON)
+  /** The earliest start of a task of this size, in seconds from now; Infinity where it never fits. */
+  earliestStart(request: ResourceRequest): number {
+    const { type } = this.machine;
+    if (
+      request.cpus > type.cpus + EPSILON ||
+      request.gpus > type.gpus + EPSILON ||
+      request.memoryGb > type.memoryGb + EPSILON
+    )
       return Infinity;
-    let cpus = this.cpus - need.cpus;
-    let gpus = this.gpus - need.gpus;
-    let memory = this.memoryGb - need.memoryGb;
-    if (cpus >= -EPSILON && gpus >= -EPSILON && memory >= -EPSILON) return this.lastStartS;
-    for (const l of this.holds) {
-      cpus += l.cpus;
-      gpus += l.gpus;
-      memory += l.memoryGb;
-      if (cpus >= -EPSILON && gpus >= -EPSILON && memory >= -EPSILON) return l.endS;
+    let cpus = this.cpus - request.cpus;
+    let gpus = this.gpus - request.gpus;
+    let memoryGb = this.memoryGb - request.memoryGb;
+    if (cpus >= -EPSILON && gpus >= -EPSILON && memoryGb >= -EPSILON) return this.lastStartS;
+    for (const hold of this.holds) {
+      cpus += hold.cpus;
+      gpus += hold.gpus;
+      memoryGb += hold.memoryGb;
+      if (cpus >= -EPSILON && gpus >= -EPSILON && memoryGb >= -EPSILON) return hold.endS;
     }
     return Infinity;
   }
 
-  add(need: ResourceRequest, startS: number, endS: number): void {
+  /** Appends a task. */
+  add(request: ResourceRequest, startS: number, endS: number): void {
     if (startS > this.lastStartS) {
       this.lastStartS = startS;
-      let over = 0;
-      for (const l of this.holds) {
-        if (l.endS > startS) break;
-        over += 1;
-        this.cpus += l.cpus;
-        this.gpus += l.gpus;
-        this.memoryGb += l.memoryGb;
-      }
-      if (over > 0) this.holds.splice(0, over);
+      this.dropEnded(startS);
     }
-    this.occupy(need, endS);
-    let at = this.holds.length;
-    while (at > 0 && (this.holds[at - 1] as ResourceHold).endS > endS) at -= 1;
-    this.holds.splice(at, 0, { cpus: need.cpus, gpus: need.gpus, memoryGb: need.memoryGb, endS });
+    this.occupy(request, endS);
+    let position = this.holds.length;
+    while (position > 0 && (this.holds[position - 1] as ResourceHold).endS > endS) position -= 1;
+    const { cpus, gpus, memoryGb } = request;
+    this.holds.splice(position, 0, { cpus, gpus, memoryGb, endS });
   }
 
-  /** What comes free of a resource, by time: what is free at the queue's end counts from there. */
-  addReleasesTo(of: ResourceDimension, into: Float64Array, grainS: number): void {
-    if (this[of] > 0) addToBucket(into, this.lastStartS / grainS, this[of]);
-    for (const l of this.holds) if (l.endS < Infinity && l[of] > 0) addToBucket(into, l.endS / grainS, l[of]);
+  /**
+   * Adds what comes free of a resource to buckets of time, each `grainS` long. What is free at the queue's end counts from there;
+   * what comes free later than the last bucket is counted there.
+   */
+  addReleasesTo(buckets: Float64Array, dimension: ResourceDimension, grainS: number): void {
+    const free = this[dimension];
+    if (free > 0) addToBucket(buckets, this.lastStartS / grainS, free);
+    for (const hold of this.holds)
+      if (hold.endS < Infinity && hold[dimension] > 0)
+        addToBucket(buckets, hold.endS / grainS, hold[dimension]);
   }
 
-  /** How many tasks of a size fit beside services alone, now and with one more service. */
+  /** How many tasks of a size fit less beside the services alone when there is one more service. */
   slotsLost(service: ResourceRequest, task: ResourceRequest): number {
-    const cpus = this.machine.type.cpus - this.serviceCpus;
-    const gpus = this.machine.type.gpus - this.serviceGpus;
-    const memory = this.machine.type.memoryGb - this.serviceMemoryGb;
-    const before = countTaskSlots(task, cpus, gpus, memory);
-    return before - countTaskSlots(task, cpus - service.cpus, gpus - service.gpus, memory - service.memoryGb);
+    const { type } = this.machine;
+    const cpus = type.cpus - this.serviceCpus;
+    const gpus = type.gpus - this.serviceGpus;
+    const memoryGb = type.memoryGb - this.serviceMemoryGb;
+    const slotsBefore = countTaskSlots(task, cpus, gpus, memoryGb);
+    return (
+      slotsBefore -
+      countTaskSlots(task, cpus - service.cpus, gpus - service.gpus, memoryGb - service.memoryGb)
+    );
+  }
+
+  private occupy(request: ResourceRequest, endS: number): void {
+    this.cpus -= request.cpus;
+    this.gpus -= request.gpus;
+    this.memoryGb -= request.memoryGb;
+    if (endS < Infinity) return;
+    this.serviceCpus += request.cpus;
+    this.serviceGpus += request.gpus;
+    this.serviceMemoryGb += request.memoryGb;
+  }
+
+  /** Drops what has ended by this time and counts it as free. */
+  private dropEnded(atS: number): void {
+    let ended = 0;
+    for (const hold of this.holds) {
+      if (hold.endS > atS) break;
+      ended += 1;
+      this.cpus += hold.cpus;
+      this.gpus += hold.gpus;
+      this.memoryGb += hold.memoryGb;
+    }
+    if (ended > 0) this.holds.splice(0, ended);
   }
 }
 
-/** Adds an amount at a place, rounded down; what is beyond the last one is counted there. */
-function addToBucket(into: Float64Array, at: number, amount: number): void {
-  const i = Math.min(into.length - 1, Math.floor(at));
-  into[i] = (into[i] as number) + amount;
+function addToBucket(buckets: Float64Array, position: number, amount: number): void {
+  const bucket = Math.min(buckets.length - 1, Math.floor(position));
+  buckets[bucket] = (buckets[bucket] as number) + amount;
 }
 
 function countTaskSlots(task: ResourceRequest, cpus: number, gpus: number, memoryGb: number): number {
-  const byGpus = task.gpus > 0 ? gpus / task.gpus : Infinity;
-  const least = Math.min(cpus / task.cpus, byGpus, memoryGb / Math.max(task.memoryGb, EPSILON));
-  return Math.max(0, Math.floor(least + EPSILON));
+  const slotsByGpus = task.gpus > 0 ? gpus / task.gpus : Infinity;
+  const slots = Math.min(cpus / task.cpus, slotsByGpus, memoryGb / Math.max(task.memoryGb, EPSILON));
+  return Math.max(0, Math.floor(slots + EPSILON));
 }
-
-/** A resource that is pooled: the scarcer of the two bounds what a job can get. */
--- a/packages/planner/src/scheduling/preemption.ts
+++ b/packages/planner/src/scheduling/preemption.ts
@@ -1,159 +1,153 @@
-import type { JobView, MachineView, Occupant } from '../cluster-snapshot.js';
-import { PRIORITY_RANK } from '../cluster-snapshot.js';
-import type { SchedulingPass } from './scheduling-pass.js';
+/**
+ * Preempts running tasks in favour of a job's waiting ones.
+ *
+ * @module
+ */
+
 import { EPSILON } from '@spurbridge/model';
-import { isMachineAllowed, imageFetchS } from './types.js';
+import type { JobView, Occupant } from '../cluster-snapshot.js';
+import type { PreemptionCandidate } from './preemption-index.js';
+import type { SchedulingPass } from './scheduling-pass.js';
+import { imageFetchS, isMachineAllowed } from './types.js';
 
-/** Stopping a task and starting another in its place takes about this long. */
+/** Stopping a task and starting another one in its place takes about so long. */
 const TASK_SWITCH_S = 0.3;
-/** Less than this gained is not worth stopping a task for. */
-const MIN_PREEMPTION_GAIN_S = 0.7;
+/** Ending sooner by less than this is not worth preempting a task for. */
+const MIN_GAIN_S = 0.7;
+/** What each second of fetching an image weighs against lost work, in CPU seconds. */
+const FETCH_COST = 4;
+/** Stands for the CPUs of a task that requests none. */
+const MIN_TASK_CPUS = 0.01;
 
-/** Whether anything runs that this job might be made room from. */
-export function canPreempt(g: SchedulingPass, job: JobView, guaranteed: boolean): boolean {
-  const order = PRIORITY_RANK[job.spec.priority];
-  if (g.lowestPreemptibleRank > order) return true;
-  if (!guaranteed) return false;
-  for (const [team, lowest] of g.lowestRankBeyondGuarantee)
-    if (team !== job.spec.team && lowest >= order) return true;
-  return false;
+/** Tasks on one machine whose preemption makes room for one task of the job. */
+interface PreemptionOption {
+  readonly victims: readonly Occupant[];
+  /** The work that would be lost in CPU seconds, and what fetching the image costs. */
+  readonly cost: number;
+  /** When the task would end there, in seconds from now. */
+  readonly endS: number;
+  readonly zone: string;
 }
 
-/** A machine on which something may be stopped, or is being stopped, for jobs of some kind. */
-interface PreemptionCandidate {
-  readonly machine: MachineView;
-  /** What may be stopped, that which loses least first. */
-  readonly victims: readonly Occupant[];
-  readonly stopping: boolean;
-  /** Free but for what is being stopped. */
-  readonly cpus: number;
-  readonly gpus: number;
-  readonly memoryGb: number;
+/** What a job could preempt. */
+interface PreemptionOptions {
+  readonly options: PreemptionOption[];
+  /** Tasks for which room is being made already by what is stopping. */
+  roomBeingMade: number;
 }
 
-/** Sites by what their victims depend on, kept for one plan: many jobs of a kind look for room. */
-export type PreemptionCandidates = Map<string, readonly PreemptionCandidate[]>;
+/**
+ * Makes room for tasks of a job by preempting what the rules allow, the least lost work first, and only where a task ends sooner by
+ * it than by waiting: room made elsewhere would be taken by others and made again, over and over. For a gang, room is made for all
+ * of the tasks or for none.
+ *
+ * @param endsS - when the waiting tasks would end without preemption, in seconds from now.
+ * @param zone - the only zone to preempt in; null for all.
+ * @returns for how many of the tasks room is being made.
+ */
+export function preemptFor(
+  pass: SchedulingPass,
+  job: JobView,
+  endsS: readonly number[],
+  zone: string | null = null,
+): number {
+  const latestFirst = [...endsS].sort((first, second) => second - first);
+  const { options, roomBeingMade } = collectOptions(pass, job, zone);
+  options.sort((first, second) => first.cost - second.cost);
+  const chosen = chooseOptions(job, options, latestFirst, roomBeingMade);
+  const taskCount = roomBeingMade + chosen.length;
+  if (job.spec.kind === 'gang' && taskCount < latestFirst.length) return 0;
+  for (const option of chosen) for (const victim of option.victims) pass.preempt(victim, job.spec.id);
+  return Math.min(taskCount, latestFirst.length);
+}
 
-function candidatesFor(g: SchedulingPass, job: JobView, guaranteed: boolean): readonly PreemptionCandidate[] {
-  const rank = PRIORITY_RANK[job.spec.priority];
-  const key = guaranteed ? `${rank}/${job.spec.team}` : `${rank}`;
-  let sites = g.preemptionCandidates.get(key);
-  if (sites === undefined) {
-    sites = findCandidates(g, rank, guaranteed ? job.spec.team : null);
-    g.preemptionCandidates.set(key, sites);
+function collectOptions(pass: SchedulingPass, job: JobView, zone: string | null): PreemptionOptions {
+  const collected: PreemptionOptions = { options: [], roomBeingMade: 0 };
+  const isGuaranteed = pass.guaranteedJobs.has(job);
+  for (const candidate of pass.preemptionIndex.candidatesFor(job, isGuaranteed)) {
+    const { machine } = candidate;
+    pass.queueVisits += 1;
+    if (!isMachineAllowed(job, machine) || job.excludedMachines.has(machine.id)) continue;
+    if (zone !== null && machine.zone !== zone) continue;
+    if (candidate.isStopping && fitsOnceStopped(job, candidate))
+      collected.roomBeingMade += countRoomBeingMade(job, candidate);
+    else addOptions(pass, job, candidate, collected.options);
   }
-  return sites;
+  return collected;
 }
 
-function findCandidates(
-  g: SchedulingPass,
-  rank: number,
-  guaranteedTeam: string | null,
-): PreemptionCandidate[] {
-  const sites: PreemptionCandidate[] = [];
-  for (const m of g.snapshot.machines) {
-    g.queueVisits += 1;
-    if (!m.isSchedulable) continue;
-    let { cpus, gpus, memoryGb } = m.type;
-    let stopping = false;
-    const victims: Occupant[] = [];
-    for (const o of m.occupants) {
-      if (o.isStopping) {
-        stopping = true;
-        continue;
-      }
-      cpus -= o.cpus;
-      gpus -= o.gpus;
-      memoryGb -= o.memoryGb;
-      const order = PRIORITY_RANK[o.priority];
-      const isBeyond =
-        guaranteedTeam !== null && o.team !== guaranteedTeam && g.jobsBeyondGuarantee.has(o.job);
-      if (o.isPreemptible && (order > rank || (isBeyond && order >= rank))) victims.push(o);
-    }
-    if (victims.length === 0 && !stopping) continue;
-    victims.sort((a, b) => a.lostWorkS - b.lostWorkS);
-    sites.push({ machine: m, victims, stopping, cpus, gpus, memoryGb });
-  }
-  return sites;
+/** Whether a task fits once everything that is being stopped on the machine has stopped. */
+function fitsOnceStopped({ spec }: JobView, { cpus, gpus, memoryGb }: PreemptionCandidate): boolean {
+  return cpus >= spec.cpus && gpus >= spec.gpus && memoryGb >= spec.memoryGb;
 }
 
-interface PreemptionOption {
-  readonly stops: readonly Occupant[];
-  readonly lostS: number;
-  readonly endS: number;
-  readonly zone: string;
+function countRoomBeingMade({ spec }: JobView, { cpus, gpus }: PreemptionCandidate): number {
+  const tasksByGpus = spec.gpus > 0 ? Math.floor(gpus / spec.gpus) : Infinity;
+  const tasksByCpus = Math.floor(cpus / Math.max(spec.cpus, MIN_TASK_CPUS));
+  return Math.max(1, Math.min(tasksByGpus, tasksByCpus));
 }
 
-/**
- * Makes room by stopping what the rules of preemption allow, the least lost work first, and only
- * where it lets a task end sooner than by waiting: room freed elsewhere would be filled by others
- * and freed again, over and over. For a gang room is made for all that wait, or for none. Returns for
- * how many tasks room is being made.
- */
-export function preempt(
-  g: SchedulingPass,
+/** Adds an option for each task of the job that fits in the place of victims on the machine. */
+function addOptions(
+  pass: SchedulingPass,
   job: JobView,
-  ends: readonly number[],
-  guaranteed: boolean,
-  zone: string | null = null,
-): number {
-  const spec = job.spec;
-  // Room that stops under way will free counts already.
-  const waits = [...ends].sort((a, b) => b - a);
-  let next = 0;
-  const perZone = new Map<string, number>();
-  for (const z of job.placedZones) perZone.set(z, (perZone.get(z) ?? 0) + 1);
-  const zoneMost = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
-  const options: PreemptionOption[] = [];
+  candidate: PreemptionCandidate,
+  options: PreemptionOption[],
+): void {
+  const { spec } = job;
+  const { machine, victims } = candidate;
+  let { cpus, gpus, memoryGb } = candidate;
+  const fetchS = imageFetchS(job, machine);
   const runS = spec.kind === 'service' ? 0 : job.estimateS;
-  for (const site of candidatesFor(g, job, guaranteed)) {
-    const m = site.machine;
-    g.queueVisits += 1;
-    if (!isMachineAllowed(job, m) || job.excludedMachines.has(m.id)) continue;
-    if (zone !== null && m.zone !== zone) continue;
-    let { cpus, gpus, memoryGb } = site;
-    if (site.stopping && cpus >= spec.cpus && gpus >= spec.gpus && memoryGb >= spec.memoryGb) {
-      const byGpus = spec.gpus > 0 ? Math.floor(gpus / spec.gpus) : Infinity;
-      next += Math.max(1, Math.min(byGpus, Math.floor(cpus / Math.max(spec.cpus, 0.01))));
+  const endS = TASK_SWITCH_S + fetchS + runS * machine.slowness;
+  let firstVictim = 0;
+  let lostWork = 0;
+  for (const [index, victim] of victims.entries()) {
+    if (pass.preempted.has(victim)) {
+      if (firstVictim === index) firstVictim += 1;
       continue;
     }
-    if (site.victims.length === 0) continue;
-    const fetchS = imageFetchS(job, m);
-    const endS = TASK_SWITCH_S + fetchS + runS * m.slowness;
-    let from = 0;
-    let lostS = 0;
-    for (const [i, v] of site.victims.entries()) {
-      if (g.preempted.has(v)) {
-        if (from === i) from += 1;
-        continue;
-      }
-      lostS += v.lostWorkS * v.cpus;
-      cpus += v.cpus;
-      gpus += v.gpus;
-      memoryGb += v.memoryGb;
-      if (cpus + EPSILON < spec.cpus || gpus + EPSILON < spec.gpus || memoryGb + EPSILON < spec.memoryGb)
-        continue;
-      const stops = site.victims.slice(from, i + 1).filter((x) => !g.preempted.has(x));
-      options.push({ stops, lostS: lostS + fetchS * 4, endS, zone: m.zone });
-      from = i + 1;
-      lostS = 0;
-      cpus -= spec.cpus;
-      gpus -= spec.gpus;
-      memoryGb -= spec.memoryGb;
-    }
+    lostWork += victim.lostWorkS * victim.cpus;
+    cpus += victim.cpus;
+    gpus += victim.gpus;
+    memoryGb += victim.memoryGb;
+    const fits =
+      cpus + EPSILON >= spec.cpus && gpus + EPSILON >= spec.gpus && memoryGb + EPSILON >= spec.memoryGb;
+    if (!fits) continue;
+    options.push({
+      victims: victims.slice(firstVictim, index + 1).filter((other) => !pass.preempted.has(other)),
+      cost: lostWork + fetchS * FETCH_COST,
+      endS,
+      zone: machine.zone,
+    });
+    firstVictim = index + 1;
+    lostWork = 0;
+    cpus -= spec.cpus;
+    gpus -= spec.gpus;
+    memoryGb -= spec.memoryGb;
   }
-  options.sort((a, b) => a.lostS - b.lostS);
-  const stopped: Occupant[] = [];
+}
+
+/** The options to take, by cost, for the tasks that would end last; the first `skippedTasks` of these have room already. */
+function chooseOptions(
+  job: JobView,
+  options: readonly PreemptionOption[],
+  latestFirst: readonly number[],
+  skippedTasks: number,
+): PreemptionOption[] {
+  const { spec, placedZones } = job;
+  const maxPerZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
+  const tasksByZone = new Map<string, number>();
+  for (const zone of placedZones) tasksByZone.set(zone, (tasksByZone.get(zone) ?? 0) + 1);
+  const chosen: PreemptionOption[] = [];
   for (const option of options) {
-    const waitS = waits[next];
-    if (waitS === undefined) break;
-    if (option.endS + MIN_PREEMPTION_GAIN_S > waitS) continue;
-    if ((perZone.get(option.zone) ?? 0) >= zoneMost) continue;
-    perZone.set(option.zone, (perZone.get(option.zone) ?? 0) + 1);
-    stopped.push(...option.stops);
-    next += 1;
+    const waitingEndS = latestFirst[skippedTasks + chosen.length];
+    if (waitingEndS === undefined) break;
+    if (option.endS + MIN_GAIN_S > waitingEndS) continue;
+    const tasksInZone = tasksByZone.get(option.zone) ?? 0;
+    if (tasksInZone >= maxPerZone) continue;
+    tasksByZone.set(option.zone, tasksInZone + 1);
+    chosen.push(option);
   }
-  if (spec.kind === 'gang' && next < waits.length) return 0;
-  for (const o of stopped) g.preempt(o, spec.id);
-  return Math.min(next, waits.length);
+  return chosen;
 }
--- a/packages/planner/src/scheduling/quota-guarantee.ts
+++ b/packages/planner/src/scheduling/quota-guarantee.ts
@@ -1,34 +1,46 @@
-import type { JobView, ClusterSnapshot } from '../cluster-snapshot.js';
-import { OVERDUE_FACTOR } from './job-order.js';
-import { EPSILON } from '@spurbridge/model';
+/**
+ * Which jobs are within the guaranteed quota of their team.
+ *
+ * @module
+ */
 
-/** How many of its milestones a job cannot meet any more, even if all of it started now. */
-function countMissedMilestones(j: JobView): number {
-  const last = j.completionMilestonesS.at(-1);
-  if (last === undefined || j.pendingTasks.length === 0 || j.ageS > last * OVERDUE_FACTOR) return 0;
-  return j.completionMilestonesS.filter(
-    (m, i) => j.ageS + j.estimateS > m && j.ageS > (j.startMilestonesS[i] ?? -1),
-  ).length;
-}
+import { EPSILON } from '@spurbridge/model';
+import type { ClusterSnapshot, JobView } from '../cluster-snapshot.js';
+import { isLongOverdue } from './job-order.js';
+import type { Quota } from './resources.js';
 
 /**
- * Jobs that fit in their team's guarantee along with the team's earlier unfinished jobs. Among a team's
- * own jobs it is not for the late ones: its oldest jobs, all late already in a burst, went ahead of every
- * job that could still be in time.
+ * The jobs that fit into their team's guarantee along with the team's earlier unfinished jobs. Among the jobs of a team, the
+ * guarantee is for those that can still be in time first: when it was for the oldest jobs, all late already in a burst, these went
+ * ahead of every job that could still be in time.
  */
-export function jobsWithinGuarantee(s: ClusterSnapshot): Set<JobView> {
-  const used = new Map<string, { cpus: number; gpus: number }>();
-  const inside = new Set<JobView>();
-  const ranked = s.jobs.map((job) => ({ job, late: countMissedMilestones(job) }));
-  ranked.sort((a, b) => a.late - b.late || a.job.submissionOrder - b.job.submissionOrder);
-  for (const { job: j } of ranked) {
-    const team = s.teams.find((t) => t.name === j.spec.team);
+export function jobsWithinGuarantee({ jobs, teams }: ClusterSnapshot): Set<JobView> {
+  const usedByTeam = new Map<string, Quota>();
+  const guaranteed = new Set<JobView>();
+  const ranked = jobs.map((job) => ({ job, missedMilestones: countMissedMilestones(job) }));
+  ranked.sort(
+    (first, second) =>
+      first.missedMilestones - second.missedMilestones ||
+      first.job.submissionOrder - second.job.submissionOrder,
+  );
+  for (const { job } of ranked) {
+    const { spec, unfinishedCount } = job;
+    const team = teams.find(({ name }) => name === spec.team);
     if (team === undefined) continue;
-    const sum = used.get(team.name) ?? { cpus: 0, gpus: 0 };
-    sum.cpus += j.spec.cpus * j.unfinishedCount;
-    sum.gpus += j.spec.gpus * j.unfinishedCount;
-    used.set(team.name, sum);
-    if (sum.cpus <= team.cpus + EPSILON && sum.gpus <= team.gpus + EPSILON) inside.add(j);
+    const used = usedByTeam.get(team.name) ?? { cpus: 0, gpus: 0 };
+    used.cpus += spec.cpus * unfinishedCount;
+    used.gpus += spec.gpus * unfinishedCount;
+    usedByTeam.set(team.name, used);
+    if (used.cpus <= team.cpus + EPSILON && used.gpus <= team.gpus + EPSILON) guaranteed.add(job);
   }
-  return inside;
+  return guaranteed;
+}
+
+/** How many of its milestones a job misses even if all of it starts now. */
+function countMissedMilestones(job: JobView): number {
+  const { ageS, estimateS, completionMilestonesS, startMilestonesS } = job;
+  if (completionMilestonesS.length === 0 || job.pendingTasks.length === 0 || isLongOverdue(job)) return 0;
+  return completionMilestonesS.filter(
+    (milestoneS, level) => ageS + estimateS > milestoneS && ageS > (startMilestonesS[level] ?? -1),
+  ).length;
 }
--- a/packages/planner/src/scheduling/scheduling-pass.ts
+++ b/packages/planner/src/scheduling/scheduling-pass.ts
@@ -1,205 +1,211 @@
+/**
+ * The state of one scheduling pass: the queues as they fill, what remains of the teams' limits, and what was decided so far.
+ *
+ * @module
+ */
+
 import type { JobId, JobSpec } from '@spurbridge/wire';
-import type { JobView, Occupant, ClusterSnapshot } from '../cluster-snapshot.js';
-import { PRIORITY_RANK } from '../cluster-snapshot.js';
-import { jobsWithinGuarantee } from './quota-guarantee.js';
-import type { ResourcePool } from './resource-pool.js';
-import type { PreemptionCandidates } from './preemption.js';
-import type { ResourceDimension } from './machine-queue.js';
+import type { ClusterSnapshot, JobView, MachineView, Occupant } from '../cluster-snapshot.js';
+import { EarliestStartIndex, sizeClassOf } from './earliest-start-index.js';
 import { MachineQueue } from './machine-queue.js';
-import { EarliestStartIndex, sizeClass } from './earliest-start-index.js';
+import { PreemptionIndex } from './preemption-index.js';
+import { QueueOrder } from './queue-order.js';
+import { jobsWithinGuarantee } from './quota-guarantee.js';
+import { ResourcePool } from './resource-pool.js';
+import type { Quota, ResourceDimension } from './resources.js';
+import { takeQuota } from './resources.js';
 import type {
-  TaskAssignment,
   JobEvaluation,
   JobShape,
   PlanOptions,
-  TaskStart,
+  SchedulingPlan,
+  TaskAssignment,
   TaskPreemption,
+  TaskStart,
   UnplacedDemand,
 } from './types.js';
 
 /** Differences in completion below this are no reason to prefer one machine to another. */
 export const COST_GRAIN_S = 0.5;
 
-/** What the steps of one plan share: the queues as they fill, what the teams have left, and what was decided. */
+/** Estimates for the next task of the job that is being evaluated, by queue; reused by every evaluation. */
+export class QueueEstimates {
+  readonly startsS: Float64Array;
+  readonly endsS: Float64Array;
+  /** The cost of each queue as a multiple of `COST_GRAIN_S`. */
+  readonly costBuckets: Float64Array;
+  /** How many of the job's tasks each queue was given by the evaluation. */
+  readonly taskCounts: Int32Array;
+
+  constructor(queueCount: number) {
+    this.startsS = new Float64Array(queueCount);
+    this.endsS = new Float64Array(queueCount);
+    this.costBuckets = new Float64Array(queueCount);
+    this.taskCounts = new Int32Array(queueCount);
+  }
+}
+
+/** The state that the steps of one scheduling pass share. */
 export class SchedulingPass {
+  /** The queues of the schedulable machines; a queue is replaced by a copy whenever it changes. */
   readonly queues: MachineQueue[];
-  readonly remainingQuota: Map<string, { cpus: number; gpus: number }>;
-  readonly starts: TaskStart[] = [];
-  readonly queuedStarts: TaskStart[] = [];
-  readonly preemptions: TaskPreemption[] = [];
-  /** What these stop. */
+  readonly queueOrder: QueueOrder;
+  readonly estimates: QueueEstimates;
+  /** The least slowness of any machine. */
+  readonly leastSlowness: number;
+  readonly guaranteedJobs: ReadonlySet<JobView>;
+  readonly preemptionIndex: PreemptionIndex;
+  /** What is being preempted by this pass. */
   readonly preempted = new Set<Occupant>();
-  readonly preemptionCandidates: PreemptionCandidates = new Map();
-  readonly unplacedDemand: UnplacedDemand[] = [];
-  readonly guaranteedJobs: Set<JobView>;
-  readonly jobsBeyondGuarantee: ReadonlySet<JobId>;
-  /** Lowest priority of what may be stopped: of all, and of what each team runs beyond its guarantee. */
-  lowestPreemptibleRank = -1;
-  readonly lowestRankBeyondGuarantee = new Map<string, number>();
+  /** The shapes of the jobs that still wait, by what they are alike in. */
   readonly jobShapes = new Map<string, JobShape>();
   readonly shapeOf = new Map<JobView, JobShape>();
-  readonly resourcePools = new Map<ResourceDimension, ResourcePool>();
-  revision = 0;
-  /** A job whose tasks have waited for longer on average goes first. */
+  /** A job whose tasks have waited for longer than this on average goes first. */
   starvationThresholdS: number;
-  /** Queues looked at: what a plan costs, whatever the machine it runs on. */
+  /** Queues looked at so far. */
   queueVisits = 0;
-  // Scratch of one evaluation, by queue index.
-  readonly startsS: Float64Array;
-  readonly endsS: Float64Array;
-  readonly costBuckets: Float64Array;
-  readonly taskCounts: Int32Array;
-  /** Place of each queue in the order of preference among equals, and the queue at each place. */
-  readonly preferenceRanks: Int32Array;
-  readonly queuesByPreference: number[];
-  readonly zoneIndexes: Int32Array;
-  readonly zones: string[] = [];
-  /** The fastest that any machine was seen to be. */
-  readonly leastSlowness: number;
+  private currentRevision = 0;
+  private readonly remainingQuotas: ReadonlyMap<string, Quota>;
+  private readonly resourcePools = new Map<ResourceDimension, ResourcePool>();
   private readonly startIndexes = new Map<string, EarliestStartIndex>();
-  private readonly queuesByZone = new Map<string | null, readonly number[]>();
+  private readonly starts: TaskStart[] = [];
+  private readonly queuedStarts: TaskStart[] = [];
+  private readonly preemptions: TaskPreemption[] = [];
+  private readonly unplacedDemand: UnplacedDemand[] = [];
 
   constructor(
     readonly snapshot: ClusterSnapshot,
     readonly options: PlanOptions,
   ) {
     this.starvationThresholdS = snapshot.starvationThresholdS;
-    this.queues = snapshot.machines.filter((m) => m.isSchedulable).map((m) => MachineQueue.of(m));
-    const n = this.queues.length;
-    this.startsS = new Float64Array(n);
-    this.endsS = new Float64Array(n);
-    this.costBuckets = new Float64Array(n);
-    this.taskCounts = new Int32Array(n);
-    const rank = new Float64Array(n);
-    this.zoneIndexes = new Int32Array(n);
-    this.queues.forEach((q, i) => {
-      const m = q.machine;
-      const price = (m.spot ? m.type.spotPrice : m.type.price) / Math.max(m.type.cpus, 1);
-      // Among equals the cheaper machine, then the fuller one, so that others empty and can go back.
-      let cpus = 0;
-      let gpus = 0;
-      for (const o of m.occupants) {
-        cpus += o.cpus;
-        gpus += o.gpus;
-      }
-      // How full a machine is goes by what runs out first.
-      const used = Math.max(cpus / Math.max(m.type.cpus, 1), m.type.gpus > 0 ? gpus / m.type.gpus : 0);
-      rank[i] = price * 10 - used / 10;
-      let zone = this.zones.indexOf(m.zone);
-      if (zone < 0) zone = this.zones.push(m.zone) - 1;
-      this.zoneIndexes[i] = zone;
-    });
-    this.leastSlowness = this.queues.reduce((least, q) => Math.min(least, q.machine.slowness), 1);
-    this.queuesByPreference = this.queues.map((_, i) => i);
-    this.queuesByPreference.sort((a, b) => (rank[a] as number) - (rank[b] as number) || a - b);
-    this.preferenceRanks = new Int32Array(n);
-    this.queuesByPreference.forEach((at, p) => (this.preferenceRanks[at] = p));
-    this.queuesByZone.set(null, this.queuesByPreference);
-    for (const [z, name] of this.zones.entries())
-      this.queuesByZone.set(
-        name,
-        this.queuesByPreference.filter((i) => this.zoneIndexes[i] === z),
-      );
-    this.remainingQuota = new Map(snapshot.teams.map((t) => [t.name, { cpus: t.cpusMax, gpus: t.gpusMax }]));
+    this.queues = snapshot.machines
+      .filter((machine) => machine.isSchedulable)
+      .map((machine) => MachineQueue.of(machine));
+    this.queueOrder = new QueueOrder(this.queues);
+    this.estimates = new QueueEstimates(this.queues.length);
+    this.leastSlowness = this.queues.reduce((least, { machine }) => Math.min(least, machine.slowness), 1);
     this.guaranteedJobs = jobsWithinGuarantee(snapshot);
-    this.jobsBeyondGuarantee = new Set(
-      snapshot.jobs.filter((j) => !this.guaranteedJobs.has(j)).map((j) => j.spec.id),
+    const beyondGuarantee = snapshot.jobs.filter((job) => !this.guaranteedJobs.has(job));
+    this.preemptionIndex = new PreemptionIndex(
+      snapshot.machines,
+      new Set(beyondGuarantee.map((job) => job.spec.id)),
     );
-    for (const m of snapshot.machines)
-      for (const o of m.occupants) {
-        const room = this.remainingQuota.get(o.team);
-        if (room !== undefined) {
-          room.cpus -= o.cpus;
-          room.gpus -= o.gpus;
-        }
-        if (!o.isPreemptible || o.isStopping) continue;
-        const order = PRIORITY_RANK[o.priority];
-        this.lowestPreemptibleRank = Math.max(this.lowestPreemptibleRank, order);
-        if (this.jobsBeyondGuarantee.has(o.job))
-          this.lowestRankBeyondGuarantee.set(
-            o.team,
-            Math.max(this.lowestRankBeyondGuarantee.get(o.team) ?? -1, order),
-          );
-      }
+    this.remainingQuotas = new Map(
+      snapshot.teams.map(({ name, cpusMax, gpusMax }) => [name, { cpus: cpusMax, gpus: gpusMax }]),
+    );
+    for (const machine of snapshot.machines) this.countOccupants(machine);
   }
 
-  /** Queues, of one zone or of all, in the order of when a task as small as any of this class could start. */
-  startIndex(spec: JobSpec, zone: string | null): EarliestStartIndex {
-    const { key, cpus, gpus } = sizeClass(spec);
-    const name = zone === null ? key : `${key}/${zone}`;
-    let order = this.startIndexes.get(name);
-    if (order === undefined || order.isStale) {
-      order = new EarliestStartIndex(
-        this.queues,
-        cpus,
-        gpus,
-        this.queuesByZone.get(zone) ?? [],
-        COST_GRAIN_S,
-      );
-      this.startIndexes.set(name, order);
-    }
-    return order;
+  /** Changes with every assignment. */
+  get revision(): number {
+    return this.currentRevision;
   }
 
-  recordUnplaced(
-    job: JobView,
-    tasks: number,
-    startsInS: number,
-    withinLimit: boolean,
-    zone: string | null = null,
-  ): void {
-    const guaranteed = this.guaranteedJobs.has(job);
-    if (tasks > 0)
-      this.unplacedDemand.push({
-        job,
-        taskCount: tasks,
-        startsInS,
-        isWithinLimit: withinLimit,
-        isGuaranteed: guaranteed,
-        zone,
-      });
+  /** Everything decided so far. */
+  get plan(): SchedulingPlan {
+    return {
+      starts: this.starts,
+      queuedStarts: this.queuedStarts,
+      preemptions: this.preemptions,
+      unplacedDemand: this.unplacedDemand,
+      queueVisits: this.queueVisits + this.preemptionIndex.machineVisits,
+    };
+  }
+
+  /** What remains of a team's limit; undefined for an unknown team. */
+  findQuota(team: string): Quota | undefined {
+    return this.remainingQuotas.get(team);
   }
 
-  zoneOfQueue(at: number): string {
-    return this.zones[this.zoneIndexes[at] as number] as string;
+  /** What remains of a team's limit; nothing for an unknown team. */
+  remainingQuota(team: string): Quota {
+    return this.remainingQuotas.get(team) ?? { cpus: 0, gpus: 0 };
+  }
+
+  /** All queues as one pool of a resource, as they were when it was first asked for. */
+  resourcePool(dimension: ResourceDimension): ResourcePool {
+    let pool = this.resourcePools.get(dimension);
+    if (pool === undefined) {
+      pool = new ResourcePool(this.queues, dimension);
+      this.resourcePools.set(dimension, pool);
+    }
+    return pool;
+  }
+
+  /** The queues of one zone, or of all for null, by when they could start the smallest task of the job's size class. */
+  startIndex(spec: JobSpec, zone: string | null): EarliestStartIndex {
+    const { key: sizeKey, request } = sizeClassOf(spec);
+    const key = zone === null ? sizeKey : `${sizeKey}/${zone}`;
+    let index = this.startIndexes.get(key);
+    if (index === undefined || index.isStale) {
+      index = new EarliestStartIndex(this.queues, request, this.queueOrder.inZone(zone), COST_GRAIN_S);
+      this.startIndexes.set(key, index);
+    }
+    return index;
   }
 
   /**
-   * Within this a replica may be placed ahead of its room. A gang's tasks all start at once. Tasks of arrays took the room that
-   * was being freed for a service, were stopped for it and took it again; and placed ahead by estimates they waited behind
-   * longer ones while others found room (docs/results.md).
+   * Within so many seconds a task of the job may be placed ahead of free resources; only replicas are. The tasks of a gang all start
+   * together. Tasks of arrays took what was being freed for a service, were preempted for it and took it again; and placed ahead by
+   * estimates they waited behind longer ones while others found free machines (docs/results.md).
    */
   placeAheadS(job: JobView): number {
     return job.spec.kind === 'service' ? this.snapshot.placeAheadS : 0;
   }
 
-  start(job: JobView, c: TaskAssignment, room: { cpus: number; gpus: number }): void {
-    room.cpus -= job.spec.cpus;
-    room.gpus -= job.spec.gpus;
-    (c.startS <= 0 ? this.starts : this.queuedStarts).push({
-      job: job.spec.id,
-      task: c.task,
-      machine: (this.queues[c.queueIndex] as MachineQueue).machine.id,
-    });
+  /** Starts a task, or queues it ahead, and takes it from what remains of its team's limit. */
+  start(job: JobView, assignment: TaskAssignment, quota: Quota): void {
+    takeQuota(job.spec, quota);
+    const { machine } = this.queues[assignment.queueIndex] as MachineQueue;
+    const starts = assignment.startS <= 0 ? this.starts : this.queuedStarts;
+    starts.push({ job: job.spec.id, task: assignment.task, machine: machine.id });
+  }
+
+  /** Preempts a task. */
+  preempt(victim: Occupant, preemptor: JobId): void {
+    this.preempted.add(victim);
+    this.preemptions.push({ job: victim.job, task: victim.task, preemptor });
+  }
+
+  /** Records tasks of a job that cannot start now, if there are any. */
+  recordUnplaced(
+    job: JobView,
+    taskCount: number,
+    startsInS: number,
+    isWithinLimit: boolean,
+    zone: string | null = null,
+  ): void {
+    if (taskCount <= 0) return;
+    const isGuaranteed = this.guaranteedJobs.has(job);
+    this.unplacedDemand.push({ job, taskCount, startsInS, isWithinLimit, isGuaranteed, zone });
   }
 
-  preempt(o: Occupant, inFavourOf: JobId): void {
-    this.preempted.add(o);
-    this.preemptions.push({ job: o.job, task: o.task, preemptor: inFavourOf });
+  /** Fills the queues with all assignments of an evaluation. */
+  applyEvaluation(evaluation: JobEvaluation): void {
+    this.currentRevision += 1;
+    for (const [queueIndex, change] of evaluation.changedQueues) this.queues[queueIndex] = change.after;
   }
 
-  applyEvaluation(e: JobEvaluation): void {
-    this.revision += 1;
-    for (const [at, q] of e.changedQueues) this.queues[at] = q.after;
+  /** Fills the queues with the assignments of an evaluation but for the last ones. */
+  applyAllButLast({ job, assignments }: JobEvaluation, omittedCount: number): void {
+    this.currentRevision += 1;
+    for (const { queueIndex, startS, endS } of assignments.slice(0, assignments.length - omittedCount)) {
+      // A copy, so that evaluations made from the queue before are known to be out of date.
+      const queue = (this.queues[queueIndex] as MachineQueue).copy();
+      queue.add(job.spec, startS, job.spec.kind === 'service' ? Infinity : endS);
+      this.queues[queueIndex] = queue;
+    }
   }
 
-  applyStartedAssignments(e: JobEvaluation, limited: number): void {
-    this.revision += 1;
-    for (const c of e.assignments.slice(0, e.assignments.length - limited)) {
-      // A copy, so that evaluations made from the queue before can be told to be old.
-      const q = (this.queues[c.queueIndex] as MachineQueue).copy();
-      q.add(e.job.spec, c.startS, e.job.spec.kind === 'service' ? Infinity : c.endS);
-      this.queues[c.queueIndex] = q;
+  /** Takes what is on a machine from the teams' limits, and into account for preemption. */
+  private countOccupants({ occupants }: MachineView): void {
+    for (const occupant of occupants) {
+      const quota = this.remainingQuotas.get(occupant.team);
+      if (quota !== undefined) {
+        quota.cpus -= occupant.cpus;
+        quota.gpus -= occupant.gpus;
+      }
+      this.preemptionIndex.addOccupant(occupant);
     }
   }
 }
--- a/packages/planner/src/scheduling/types.ts
+++ b/packages/planner/src/scheduling/types.ts
@@ -1,95 +1,115 @@
+/**
+ * What a scheduling pass decides, and what its steps hand to one another.
+ *
+ * @module
+ */
+
 import type { JobId, MachineId } from '@spurbridge/wire';
 import type { JobView, MachineView } from '../cluster-snapshot.js';
-import type { MachineQueue } from './machine-queue.js';
 import type { EarliestStartIndex } from './earliest-start-index.js';
+import type { MachineQueue } from './machine-queue.js';
 
+/** A task to be placed on a machine. */
 export interface TaskStart {
   readonly job: JobId;
   readonly task: number;
   readonly machine: MachineId;
 }
 
+/** A task to be preempted. */
 export interface TaskPreemption {
   readonly job: JobId;
   readonly task: number;
-  /** The job that room is made for. */
+  /** The job that it is preempted for. */
   readonly preemptor: JobId;
 }
 
-/** Work that no machine can take at once: the fleet is sized by it. */
+/** Work that no machine can take at once; the fleet is sized by it. */
 export interface UnplacedDemand {
   readonly job: JobView;
   readonly taskCount: number;
-  /** Seconds until the last of these tasks would start on the machines there are. */
+  /** Seconds until the last of these tasks would start on the machines that there are; Infinity for never. */
   readonly startsInS: number;
-  /** Whether the team's limit lets it start at all now. */
+  /** Whether the team's limit lets the tasks start now. */
   readonly isWithinLimit: boolean;
   readonly isGuaranteed: boolean;
-  /** Where the rest of a job bound to one zone has its places, or null. */
+  /** The zone that the rest of a job bound to one zone is assigned to, or null. */
   readonly zone: string | null;
 }
 
+/** The decisions of one scheduling pass. */
 export interface SchedulingPlan {
+  /** Tasks that start at once. */
   readonly starts: readonly TaskStart[];
-  /** Tasks for the heads of machines' queues: they start once what runs there has ended, within `headS` by the estimates. */
+  /** Tasks for the heads of machines' queues: they start when what runs there ends, within `placeAheadS` by the estimates. */
   readonly queuedStarts: readonly TaskStart[];
   readonly preemptions: readonly TaskPreemption[];
   readonly unplacedDemand: readonly UnplacedDemand[];
-  /** How many times a queue was looked at. */
+  /** How many times a queue was looked at: the cost of the plan, independent of the computer. */
   readonly queueVisits: number;
 }
 
+/** How a plan is computed. */
 export interface PlanOptions {
   /**
-   * Recompute every job's completion after every placement, as the paper does, instead of only those
-   * that can have changed. The result is the same; tests compare the two.
+   * Evaluates every job anew after every placement, as the paper does, instead of only those that can have changed. The plan is the
+   * same; tests compare the two.
    */
   readonly exhaustive?: boolean;
 }
 
+/** Where one task would go. */
 export interface TaskAssignment {
   readonly task: number;
-  /** Index of the machine's queue. */
   readonly queueIndex: number;
+  /** Estimated seconds until it starts and ends. */
   readonly startS: number;
   readonly endS: number;
 }
 
+/** A queue that an evaluation would change. */
+export interface QueueChange {
+  readonly before: MachineQueue;
+  readonly after: MachineQueue;
+}
+
+/** Where the tasks of one job would go, and when the job would complete. */
 export interface JobEvaluation {
   readonly job: JobView;
+  /** Estimated seconds until the job completes; Infinity where some task has no machine. */
   readonly completionS: number;
   readonly assignments: readonly TaskAssignment[];
-  /** The queues as they would become, by index, and what they were made from. */
-  readonly changedQueues: ReadonlyMap<
-    number,
-    { readonly before: MachineQueue; readonly after: MachineQueue }
-  >;
+  /** The queues that would change, by index. */
+  readonly changedQueues: ReadonlyMap<number, QueueChange>;
+  /** Pending tasks without an assignment. */
   readonly unplacedCount: number;
-  /** How many placements the plan had made. */
+  /** The revision of the pass that it was evaluated at. */
   readonly passRevision: number;
 }
 
-/** Waiting jobs that are alike in what decides whether any of their tasks could start now. */
+/** Waiting jobs that are alike in everything that decides whether any of their tasks could start now. */
 export interface JobShape {
+  /** Any of these jobs. */
   readonly exampleJob: JobView;
-  /** Jobs of the kind that are still to be settled. */
+  /** How many of them are still to be assigned. */
   waitingCount: number;
-  /** Queues in the order of when the smallest task of its class could start. */
+  /** The queues by when they could start the smallest task of the size class. */
   readonly startIndex: EarliestStartIndex;
-  /** Every queue before this place is known not to take such a task now. */
+  /** No queue before this position can start such a task now. */
   startIndexCursor: number;
   readonly canPreempt: boolean;
 }
 
-export function imageFetchS(job: JobView, machine: MachineView): number {
-  return machine.images.has(job.spec.image) ? 0 : job.spec.imageGb / machine.type.fetchGbPerS;
+/** Seconds that the machine needs to fetch the job's image. */
+export function imageFetchS({ spec }: JobView, machine: MachineView): number {
+  return machine.images.has(spec.image) ? 0 : spec.imageGb / machine.type.fetchGbPerS;
 }
 
-export function isMachineAllowed(job: JobView, m: MachineView): boolean {
-  const s = job.spec;
+/** Whether the job's tasks may be on the machine, by its type, its zone and whether it is a spot machine. */
+export function isMachineAllowed({ spec }: JobView, machine: MachineView): boolean {
   return (
-    (s.types === null || s.types.includes(m.type.name)) &&
-    (s.zone === null || s.zone === m.zone) &&
-    (!m.spot || s.spot)
+    (spec.types === null || spec.types.includes(machine.type.name)) &&
+    (spec.zone === null || spec.zone === machine.zone) &&
+    (!machine.spot || spec.spot)
   );
 }
