--- a/packages/planner/src/cluster-snapshot.ts
+++ b/packages/planner/src/cluster-snapshot.ts
@@ -1,74 +1,92 @@
+/**
+ * The snapshot of the cluster that a scheduling pass plans from.
+ *
+ * @module
+ */
+
 import type { Team } from '@spurbridge/model';
-import type { JobId, JobSpec, MachineId, MachineType, JobPriority } from '@spurbridge/wire';
+import type { JobId, JobPriority, JobSpec, MachineId, MachineType } from '@spurbridge/wire';
 
-/** Something that may be on a machine. */
+/** A task that may be on a machine. */
 export interface Occupant {
   readonly job: JobId;
   readonly task: number;
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  /** Estimated seconds until it ends; Infinity for a service. */
+  /** Estimated seconds until it ends; Infinity for a replica of a service. */
   readonly remainingS: number;
-  /** Seconds of work that a stop would throw away. */
+  /** Seconds of work that preempting it would lose. */
   readonly lostWorkS: number;
   readonly priority: JobPriority;
   readonly team: string;
   readonly isStopping: boolean;
-  /** Whether a single task may be stopped alone (not so in a gang). */
+  /** Whether it may be preempted by itself; a task of a gang may not. */
   readonly isPreemptible: boolean;
 }
 
+/** A machine. */
 export interface MachineView {
   readonly id: MachineId;
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
   readonly isSchedulable: boolean;
+  /** The images in its cache with their sizes in GB. */
   readonly images: ReadonlyMap<string, number>;
+  /** Observed run time over expected run time, at least 1. */
   readonly slowness: number;
+  /** Everything that may be on it. */
   readonly occupants: readonly Occupant[];
 }
 
+/** A job with pending tasks or tasks on machines. */
 export interface JobView {
   readonly spec: JobSpec;
-  /** Tasks that may be placed now, at most a plan's worth. */
+  /** The tasks that may be placed now, as many as one plan looks at. */
   readonly pendingTasks: readonly number[];
+  /** The number of all pending tasks. */
   readonly pendingCount: number;
-  /** Whether this is the first task of a job that has to begin: planned by itself, as one that is starved. */
+  /** Whether this is the first task of a job with an overdue start; it is planned by itself, as a starved one. */
   readonly isOverdueFirstTask?: boolean;
+  /** The number of tasks that are not done. */
   readonly unfinishedCount: number;
-  /** Zone of every task that may be on a machine. */
+  /** The zone of each task that may be on a machine. */
   readonly placedZones: readonly string[];
-  /** Summed waiting time of its waiting tasks. */
+  /** The waits of the pending tasks in seconds, added up. */
   readonly totalWaitS: number;
+  /** Seconds since the submission. */
   readonly ageS: number;
-  /** The owner's estimate, corrected by what its class was seen to take. */
+  /** The estimate of a task's run time in seconds, corrected by what tasks of the job's class have taken. */
   readonly estimateS: number;
-  /** Ages, in order, by which its class's aims want it complete. */
+  /** Ages in seconds, rising, by which the objectives of its class want the job to be complete. */
   readonly completionMilestonesS: readonly number[];
-  /** Ages, in order, by which its class's aims want all of it started. */
+  /** Ages in seconds, rising, by which the objectives of its class want all tasks to have started. */
   readonly startMilestonesS: readonly number[];
-  /** Seconds that it can still wait without anybody minding. */
+  /** Seconds that the job can still wait without missing an objective. */
   readonly toleratedWaitS: number;
+  /** Machines on which the job is not placed, after failures. */
   readonly excludedMachines: ReadonlySet<MachineId>;
-  /** Order of submission. */
+  /** The position in the order of submission. */
   readonly submissionOrder: number;
-  /** Whether its tasks may be placed at this moment (not while it backs off after failures). */
+  /** Whether its tasks may be placed now; not so while it backs off after failures. */
   readonly isStartable: boolean;
 }
 
+/** The state that a scheduling pass plans from. */
 export interface ClusterSnapshot {
   readonly jobs: readonly JobView[];
   readonly machines: readonly MachineView[];
   readonly teams: readonly Team[];
+  /** A job is starved when its tasks have waited for longer than this on average, in seconds. */
   readonly starvationThresholdS: number;
-  /** Tasks are placed ahead on machines whose room is expected to come free within this; 0: none are. */
+  /** Replicas are placed ahead on machines where room is expected to come free within so many seconds; 0: none are. */
   readonly placeAheadS: number;
-  /** Whether money is weighed against speed. */
+  /** Whether cost is weighed against speed. */
   readonly isCostAware: boolean;
-  /** The size of task that machines should keep room for, or null while none is known. */
+  /** The size of task that machines should keep room for; null while none is known. */
   readonly typicalTask: { readonly cpus: number; readonly gpus: number; readonly memoryGb: number } | null;
 }
 
+/** The rank of each priority; the highest priority has the lowest rank. */
 export const PRIORITY_RANK: Record<JobPriority, number> = { production: 0, high: 1, normal: 2, low: 3 };
--- a/packages/planner/src/heap.ts
+++ b/packages/planner/src/heap.ts
@@ -1,97 +1,116 @@
-/** A binary heap: the least element by `compare` is on top. */
-export class BinaryHeap<T> {
-  private readonly items: T[] = [];
+/**
+ * Binary heaps.
+ *
+ * @module
+ */
 
-  constructor(private readonly compare: (a: T, b: T) => number) {}
+/** A binary heap; the least element by `compare` is on top. */
+export class BinaryHeap<Element> {
+  private readonly elements: Element[] = [];
 
-  isBefore(a: T, b: T): boolean {
-    return this.compare(a, b) < 0;
+  constructor(private readonly compare: (first: Element, second: Element) => number) {}
+
+  /** Whether the first element is less than the second. */
+  isBefore(first: Element, second: Element): boolean {
+    return this.compare(first, second) < 0;
   }
 
-  peek(): T | undefined {
-    return this.items[0];
+  /** The least element; undefined when the heap is empty. */
+  peek(): Element | undefined {
+    return this.elements[0];
   }
 
-  push(item: T): void {
-    let at = this.items.push(item) - 1;
-    while (at > 0) {
-      const parent = (at - 1) >> 1;
-      const above = this.items[parent] as T;
-      if (this.compare(item, above) >= 0) break;
-      this.items[at] = above;
-      at = parent;
+  /** Adds an element. */
+  push(element: Element): void {
+    const { elements } = this;
+    let index = elements.push(element) - 1;
+    while (index > 0) {
+      const parentIndex = (index - 1) >> 1;
+      const parent = elements[parentIndex] as Element;
+      if (this.compare(element, parent) >= 0) break;
+      elements[index] = parent;
+      index = parentIndex;
     }
-    this.items[at] = item;
+    elements[index] = element;
+  }
+
+  /** Removes and returns the least element; undefined when the heap is empty. */
+  pop(): Element | undefined {
+    const { elements } = this;
+    const top = elements[0];
+    const last = elements.pop();
+    if (last !== undefined && elements.length > 0) this.sink(last);
+    return top;
   }
 
-  pop(): T | undefined {
-    const { items } = this;
-    const top = items[0];
-    const item = items.pop();
-    if (item === undefined || items.length === 0) return top;
-    let at = 0;
+  /** Puts an element in place of the top one. */
+  private sink(element: Element): void {
+    const { elements } = this;
+    let index = 0;
     for (;;) {
-      let child = at * 2 + 1;
-      if (child >= items.length) break;
-      if (child + 1 < items.length && this.compare(items[child + 1] as T, items[child] as T) < 0) child += 1;
-      if (this.compare(items[child] as T, item) >= 0) break;
-      items[at] = items[child] as T;
-      at = child;
+      let childIndex = index * 2 + 1;
+      if (childIndex >= elements.length) break;
+      const rightIndex = childIndex + 1;
+      const isRightLess =
+        rightIndex < elements.length &&
+        this.compare(elements[rightIndex] as Element, elements[childIndex] as Element) < 0;
+      if (isRightLess) childIndex = rightIndex;
+      const child = elements[childIndex] as Element;
+      if (this.compare(child, element) >= 0) break;
+      elements[index] = child;
+      index = childIndex;
     }
-    items[at] = item;
-    return top;
+    elements[index] = element;
   }
 }
 
-/** The same for numbers alone: the planner makes one for every job that it looks at. */
+/** A binary heap of numbers, without the calls of a comparison: the planner makes one for every job that it evaluates. */
 export class NumberHeap {
-  private readonly items: number[] = [];
+  private readonly values: number[] = [];
 
+  /** The least number; undefined when the heap is empty. */
   peek(): number | undefined {
-    return this.items[0];
+    return this.values[0];
   }
 
-  push(item: number): void {
-    const { items } = this;
-    let at = items.push(item) - 1;
-    while (at > 0) {
-      const parent = (at - 1) >> 1;
-      const above = items[parent] as number;
-      if (item >= above) break;
-      items[at] = above;
-      at = parent;
+  /** Adds a number. */
+  push(value: number): void {
+    const { values } = this;
+    let index = values.push(value) - 1;
+    while (index > 0) {
+      const parentIndex = (index - 1) >> 1;
+      const parent = values[parentIndex] as number;
+      if (value >= parent) break;
+      values[index] = parent;
+      index = parentIndex;
     }
-    items[at] = item;
-  }
-
-  replaceTop(item: number): void {
-    this.items[0] = item;
-    this.sink(0);
+    values[index] = value;
   }
 
-  pop(): void {
-    const last = this.items.pop();
-    if (last !== undefined && this.items.length > 0) this.replaceTop(last);
-  }
-
-  private sink(from: number): void {
-    const { items } = this;
-    const item = items[from] as number;
-    const size = items.length;
-    let at = from;
+  /** Puts a number in place of the least one. */
+  replaceTop(value: number): void {
+    const { values } = this;
+    const size = values.length;
+    let index = 0;
     for (;;) {
-      let child = at * 2 + 1;
-      if (child >= size) break;
-      let least = items[child] as number;
-      const right = items[child + 1];
-      if (right !== undefined && right < least) {
-        child += 1;
-        least = right;
+      let childIndex = index * 2 + 1;
+      if (childIndex >= size) break;
+      let child = values[childIndex] as number;
+      const right = values[childIndex + 1];
+      if (right !== undefined && right < child) {
+        childIndex += 1;
+        child = right;
       }
-      if (least >= item) break;
-      items[at] = least;
-      at = child;
+      if (child >= value) break;
+      values[index] = child;
+      index = childIndex;
     }
-    items[at] = item;
+    values[index] = value;
+  }
+
+  /** Removes the least number; an empty heap stays empty. */
+  pop(): void {
+    const last = this.values.pop();
+    if (last !== undefined && this.values.length > 0) this.replaceTop(last);
   }
 }
