--- a/packages/scale/src/region.ts
+++ b/packages/scale/src/region.ts
@@ -272,7 +272,12 @@
   }
 }
 
-function workerTimes(): { heartbeatIntervalMs: number; leaseMs: number; gangWaitMs: number; gangPeerMs: number } {
+function workerTimes(): {
+  heartbeatIntervalMs: number;
+  leaseMs: number;
+  gangWaitMs: number;
+  gangPeerMs: number;
+} {
   const { report_s, lease_s, gang_wait_s, gang_peer_s } = RUN_SETTINGS.workers;
   return {
     heartbeatIntervalMs: report_s * 1000,
--- a/packages/scale/src/worker-host.ts
+++ b/packages/scale/src/worker-host.ts
@@ -1,6 +1,11 @@
 import type { Server } from 'node:http';
 import { createServer } from 'node:http';
-import type { HeartbeatResult, TaskObserver, WorkerHost } from '@spurbridge/simulated-worker';
+import type {
+  HeartbeatResult,
+  HeartbeatSender,
+  TaskObserver,
+  WorkerHost,
+} from '@spurbridge/simulated-worker';
 import { GangRegistry, SimulatedWorker, MonotonicTimeline } from '@spurbridge/simulated-worker';
 import { JsonClient, NoResponseError } from '@spurbridge/net';
 import type { JobId, MachineId, Heartbeat } from '@spurbridge/wire';
@@ -182,7 +187,7 @@
   }
 
   private async report(
-    worker: SimulatedWorker,
+    worker: HeartbeatSender,
     node: string,
     report: Heartbeat,
   ): Promise<HeartbeatResult | null> {
--- a/packages/simulated-worker/src/index.ts
+++ b/packages/simulated-worker/src/index.ts
@@ -1,3 +1,10 @@
+/**
+ * Workers without real tasks, for simulated worlds and for runs with real processes.
+ *
+ * @module
+ */
 export * from './gangs.js';
 export * from './timeline.js';
 export * from './worker.js';
+export * from './worker-host.js';
+export type { WorkerTask } from './worker-task.js';
--- /dev/null
+++ b/packages/simulated-worker/src/task-runner.ts
@@ -0,0 +1,193 @@
+/**
+ * The tasks of a simulated worker: they are timers that fetch an image, run, save and exit as the protocol says.
+ *
+ * @module
+ */
+import { EPSILON } from '@spurbridge/model';
+import type { Attempt, ExitCause, JobId, JobSpec, MachineType, WorkerCommand } from '@spurbridge/wire';
+import type { AgentState } from './agent-state.js';
+import { GangTaskRunner } from './gang-task-runner.js';
+import type { TaskPlacement, WorkerHost } from './worker-host.js';
+import type { WorkerTask } from './worker-task.js';
+import { taskKey } from './worker-task.js';
+
+/** Time to start from an image that is on the machine already. */
+const CACHED_IMAGE_MS = 5;
+
+/** What the tasks need of their worker. */
+export interface TaskRunnerOptions {
+  readonly host: WorkerHost;
+  readonly agent: AgentState;
+  readonly type: MachineType;
+  readonly placement: TaskPlacement;
+  /** A task changed: the controllers should know soon. */
+  readonly onChange: () => void;
+}
+
+/** Starts, runs and stops tasks, at most one attempt of each. */
+export class TaskRunner {
+  /** While set, every task that starts here fails. */
+  failsAllTasks = false;
+  private readonly tasks = new Map<string, WorkerTask>();
+  private readonly images = new Set<string>();
+  private readonly gangTasks: GangTaskRunner;
+
+  constructor(private readonly options: TaskRunnerOptions) {
+    const { host, agent } = options;
+    this.gangTasks = new GangTaskRunner({
+      host,
+      agent,
+      end: (task, cause, isSaved) => {
+        this.end(task, cause, isSaved);
+      },
+    });
+  }
+
+  /** All tasks, also those that exited and are not forgotten. */
+  get all(): readonly WorkerTask[] {
+    return [...this.tasks.values()];
+  }
+
+  /** The tasks that take resources, also those that fetch their image. */
+  get occupying(): readonly WorkerTask[] {
+    return this.all.filter((task) => task.phase !== 'exited');
+  }
+
+  /** The attempt at a task that is here. */
+  find(job: JobId, task: number): WorkerTask | undefined {
+    return this.tasks.get(taskKey(job, task));
+  }
+
+  /** Kills and forgets everything; how many tasks had not exited. */
+  clear(atMs: number): number {
+    const { host, placement } = this.options;
+    const killed = this.occupying;
+    for (const { job, task } of killed)
+      host.observer.taskStopped(job.id, task, placement.machine, false, atMs);
+    this.tasks.clear();
+    return killed.length;
+  }
+
+  /** Carries commands out, in their order. */
+  execute(commands: readonly WorkerCommand[]): void {
+    for (const command of commands) {
+      const { job, task: index, attempt } = command;
+      const task = this.find(job, index);
+      if (command.op === 'start') this.start(job, index, attempt);
+      else if (task === undefined || task.attempt !== attempt) continue;
+      else if (command.op === 'stop') this.stop(task, command.graceS);
+      else if (task.phase === 'exited') this.tasks.delete(taskKey(job, index));
+    }
+  }
+
+  /** The task's run begins. */
+  run(job: JobSpec, index: number): void {
+    const task = this.find(job.id, index);
+    if (task === undefined || task.phase === 'exited') return;
+    const { host, agent, onChange } = this.options;
+    const isGang = job.kind === 'gang';
+    task.phase = 'running';
+    onChange();
+    if (job.kind === 'service') return;
+    agent.actAfter(host.taskRunMs(job, isGang ? 0 : index), () => {
+      // What was cleared with an earlier epoch completes nothing.
+      if (task.phase !== 'running' || this.find(job.id, index) !== task) return;
+      this.finishRun(task);
+    });
+    if (isGang) this.gangTasks.watchPeers(task);
+  }
+
+  /** All tasks of the gang have saved: their progress is safe, and this one exits. */
+  finishCheckpoint(job: JobSpec, index: number): void {
+    const task = this.find(job.id, index);
+    if (task?.phase === 'saving') this.end(task, 'stopped', true);
+  }
+
+  private start(id: JobId, index: number, attempt: Attempt): void {
+    const { host, agent, type, onChange } = this.options;
+    const job = host.findJob(id);
+    const old = this.find(id, index);
+    if (old?.attempt === attempt || job === undefined) return;
+    if (old !== undefined && old.phase !== 'exited') return;
+    const task: WorkerTask = { job, task: index, attempt, phase: 'fetching', cause: null, saved: false };
+    const hasRoom = this.hasRoomFor(job);
+    this.tasks.set(taskKey(id, index), task);
+    if (job.kind === 'gang') host.gangs.attempt(job, attempt);
+    onChange();
+    if (!hasRoom) {
+      task.phase = 'exited';
+      task.cause = 'no_room';
+      return;
+    }
+    const fetchMs = this.images.has(job.image) ? CACHED_IMAGE_MS : (job.imageGb / type.fetchGbPerS) * 1000;
+    agent.actAfter(fetchMs, () => {
+      if (this.find(id, index) === task && task.phase === 'fetching') this.begin(task);
+    });
+  }
+
+  private hasRoomFor(job: JobSpec): boolean {
+    const { type } = this.options;
+    let { cpus, gpus, memoryGb } = job;
+    for (const other of this.occupying) {
+      cpus += other.job.cpus;
+      gpus += other.job.gpus;
+      memoryGb += other.job.memoryGb;
+    }
+    return cpus <= type.cpus + EPSILON && gpus <= type.gpus + EPSILON && memoryGb <= type.memoryGb + EPSILON;
+  }
+
+  /** The image is there. */
+  private begin(task: WorkerTask): void {
+    const { host, placement, onChange } = this.options;
+    const { job, task: index, attempt } = task;
+    this.images.add(job.image);
+    host.observer.taskStarted(job, index, attempt, placement);
+    if (this.failsAllTasks) this.end(task, 'error');
+    else if (host.observer.isTaskDone(job.id, index)) this.end(task, 'done');
+    else if (job.kind === 'gang') {
+      task.phase = 'waiting';
+      onChange();
+      this.gangTasks.awaitPeers(task);
+    } else this.run(job, index);
+  }
+
+  private finishRun(task: WorkerTask): void {
+    const { host } = this.options;
+    const { job, task: index } = task;
+    if (job.kind === 'gang' && !this.gangTasks.complete(task)) this.end(task, 'peers');
+    else this.end(task, host.taskFails(job, index) ? 'error' : 'done');
+  }
+
+  private stop(task: WorkerTask, graceS: number): void {
+    const { agent, onChange } = this.options;
+    const { job, phase } = task;
+    if (phase === 'exited') return;
+    const canSave = phase === 'running' && job.checkpointS > 0 && graceS >= job.saveS;
+    if (!canSave) {
+      if (phase === 'saving' && graceS > 0) return;
+      this.end(task, 'stopped');
+      return;
+    }
+    task.phase = 'saving';
+    onChange();
+    if (job.kind === 'gang') {
+      this.gangTasks.save(task);
+      return;
+    }
+    agent.actAfter(job.saveS * 1000, () => {
+      if (task.phase === 'saving') this.end(task, 'stopped', true);
+    });
+  }
+
+  private end(task: WorkerTask, cause: ExitCause, isSaved = false): void {
+    const { host, placement, onChange } = this.options;
+    const { job, task: index } = task;
+    // What was cleared with an earlier epoch has ended already.
+    if (this.find(job.id, index) !== task || task.phase === 'exited') return;
+    task.phase = 'exited';
+    task.cause = cause;
+    task.saved = isSaved;
+    host.observer.taskStopped(job.id, index, placement.machine, cause === 'done');
+    onChange();
+  }
+}
--- a/packages/simulated-worker/src/timeline.ts
+++ b/packages/simulated-worker/src/timeline.ts
@@ -1,16 +1,23 @@
+/**
+ * Time as a stand-in sees it: simulated, or that of this machine.
+ *
+ * @module
+ */
 import { performance } from 'node:perf_hooks';
 
-/** Time as a stand-in sees it: simulated, or that of this machine. */
+const NANOSECONDS_PER_MS = 1e6;
+
+/** A monotonic clock with timers. */
 export interface Timeline {
   /** Milliseconds on a clock that never goes back. */
   readonly now: number;
-  /** Runs the callback once, so many milliseconds from now. */
+  /** Runs the callback once, this many milliseconds from now. */
   after(ms: number, run: () => void): void;
 }
 
 /** The machine's monotonic clock: the same for all of its processes, so that their events can be put in order. */
 export class MonotonicTimeline implements Timeline {
-  private readonly originMs = Number(process.hrtime.bigint()) / 1e6 - performance.now();
+  private readonly originMs = Number(process.hrtime.bigint()) / NANOSECONDS_PER_MS - performance.now();
 
   get now(): number {
     return this.originMs + performance.now();
--- a/packages/testkit/src/worker-transport.ts
+++ b/packages/testkit/src/worker-transport.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { CommandOutcome, WorkerClient } from '@spurbridge/controller';
-import type { HeartbeatResult, SimulatedWorker } from '@spurbridge/simulated-worker';
+import type { HeartbeatResult, HeartbeatSender, SimulatedWorker } from '@spurbridge/simulated-worker';
 import type { AgentEpoch, FencingToken, Heartbeat, MachineId, WorkerCommand } from '@spurbridge/wire';
 import { formatDirectCommands, formatHeartbeat, formatHeartbeatResponse } from '@spurbridge/wire';
 import type { SimTime } from './clock.js';
@@ -38,7 +38,7 @@
 
   /** Sends a worker's heartbeat to a node; null: no response in time. */
   sendHeartbeat(
-    worker: SimulatedWorker,
+    worker: HeartbeatSender,
     node: string,
     heartbeat: Heartbeat,
   ): Promise<HeartbeatResult | null> {
