--- a/packages/testkit/src/clock.ts
+++ b/packages/testkit/src/clock.ts
@@ -1,3 +1,8 @@
+/**
+ * Simulated time, and the clocks of the processes in it.
+ *
+ * @module
+ */
 import type { Clock, MonotonicMs } from '@spurbridge/net';
 import { BinaryHeap } from '@spurbridge/planner';
 
@@ -7,20 +12,27 @@
   readonly run: () => void;
 }
 
+function byTime(a: Timer, b: Timer): number {
+  return a.at - b.at || a.order - b.order;
+}
+
 /** True time of a simulated world: timers run in order, and the code between them takes no time. */
 export class SimTime {
   private nowMs = 0;
   private order = 0;
-  private readonly timers = new BinaryHeap<Timer>((a, b) => a.at - b.at || a.order - b.order);
+  private readonly timers = new BinaryHeap<Timer>(byTime);
 
+  /** Milliseconds since the simulation began. */
   get now(): number {
     return this.nowMs;
   }
 
+  /** Calls back once, this many milliseconds from now; timers for the same moment run in the order of these calls. */
   after(ms: number, run: () => void): void {
     this.timers.push({ at: this.nowMs + Math.max(0, ms), order: this.order++, run });
   }
 
+  /** Runs everything that is due until then; promises settle after each timer. */
   async runUntil(untilMs: number): Promise<void> {
     for (;;) {
       const next = this.timers.peek();
@@ -34,8 +46,9 @@
   }
 }
 
-/** The steady clock of one process, a little fast; a dead process never wakes. */
+/** The monotonic clock of one process, a little fast; a process that has ended never wakes. */
 export class ProcessClock implements Clock {
+  /** False once the process has ended. */
   alive = true;
   /** Until then the process stands still, though its clock runs on. */
   private frozenUntil = 0;
@@ -46,14 +59,17 @@
     private readonly offset: number,
   ) {}
 
+  /** Milliseconds on this clock. */
   now(): MonotonicMs {
     return (this.time.now * this.rate + this.offset) as MonotonicMs;
   }
 
+  /** The process does nothing until then; its timers go off late. */
   freeze(untilMs: number): void {
     this.frozenUntil = Math.max(this.frozenUntil, untilMs);
   }
 
+  /** Resolves after this long on this clock, or never where the process has ended. */
   sleep(ms: number): Promise<void> {
     return new Promise((resolve) => {
       const wake = (): void => {
--- a/packages/testkit/src/cloud.ts
+++ b/packages/testkit/src/cloud.ts
@@ -1,18 +1,26 @@
+/**
+ * A stand-in of the cloud provider: rentals by name, lists that lag, and machines that boot.
+ *
+ * @module
+ */
 import type { RentalOutcome } from '@spurbridge/cloud';
 import type { Timeline } from '@spurbridge/simulated-worker';
 import type { ListedMachine, MachineId, MachineType, RentalRequest } from '@spurbridge/wire';
 
 /** Lists of machines are this late, and up to twice as late, in milliseconds. */
 export const LIST_LAG_MS = 4000;
-/** A machine that failed by itself goes on being listed as running for so long, in milliseconds. */
-const FAILURE_SEEN_MS = 30_000;
+/** A machine that failed by itself is listed as running for this long. */
+const FAILURE_DETECTION_MS = 30_000;
+const ID_DIGITS = 6;
 
+/** What a cloud is made of, and whom it tells of its machines. */
 export interface SimCloudOptions {
   readonly types: readonly MachineType[];
-  /** Machines of each type, zone and kind. */
+  /** How many machines there are of each type, zone and kind (spot or not). */
   readonly capacity: number;
   /** Lists are this late, and up to twice as late, in milliseconds. */
   readonly listLagMs: number;
+  /** A random whole number from 0 up to `below`, without it. */
   readonly random: (below: number) => number;
   /** How long a machine of the type boots, in milliseconds. */
   readonly bootMs: (type: MachineType) => number;
@@ -23,78 +31,57 @@
   readonly isMachineUp: (id: MachineId) => boolean;
 }
 
-interface Rented {
-  readonly at: number;
+interface RentedMachine {
+  readonly atMs: number;
   readonly id: MachineId;
   readonly machine: Omit<ListedMachine, 'ageS' | 'phase'>;
 }
 
-/** Stand-in of the cloud: rentals by name, lists that lag, and machines that boot. */
+interface FulfilledRequest {
+  readonly requester: string;
+  readonly machines: readonly MachineId[];
+}
+
+/** The cloud itself; controllers reach it through a cloud client. */
 export class SimCloud {
-  private readonly requests = new Map<string, readonly MachineId[]>();
-  private readonly requesters = new Map<string, string>();
   /** Names of rental requests that one process took after another had used them. */
   readonly reusedRequestNames: string[] = [];
-  private readonly rented: Rented[] = [];
+  private readonly requests = new Map<string, FulfilledRequest>();
+  private readonly rented: RentedMachine[] = [];
   private readonly goneAt = new Map<MachineId, number>();
   private readonly failedAt = new Map<MachineId, number>();
-  private machines = 0;
+  private machineCount = 0;
 
   constructor(
     private readonly time: Timeline,
-    private readonly o: SimCloudOptions,
+    private readonly options: SimCloudOptions,
   ) {}
 
+  /** The machine types that can be rented. */
   get types(): readonly MachineType[] {
-    return this.o.types;
+    return this.options.types;
   }
 
-  private add(type: MachineType, zone: string, spot: boolean): MachineId {
-    const id = `n-${String(this.machines++).padStart(6, '0')}` as MachineId;
-    this.rented.push({
-      at: this.time.now,
-      id,
-      machine: { id, address: id, type: type.name, zone, spot },
-    });
-    return id;
-  }
-
-  /** A machine that stands there from the start, up at once. */
+  /** Adds a machine of the initial fleet, up at once. */
   addRunningMachine(type: MachineType, zone: string): MachineId {
-    const id = this.add(type, zone, false);
-    this.o.onMachineUp(id, type, zone, false);
+    const id = this.addMachine(type, zone, false);
+    this.options.onMachineUp(id, type, zone, false);
     return id;
   }
 
-  /** Carries out a rental request of the process called `by`. */
-  rent(q: RentalRequest, by: string): RentalOutcome {
-    const before = this.requests.get(q.request);
-    if (before !== undefined) {
-      if (this.requesters.get(q.request) !== by) this.reusedRequestNames.push(q.request);
-      return { outcome: 'rented', machines: before };
+  /** Carries a rental request out; a repeated one gets the machines of the first. */
+  rent(request: RentalRequest, requester: string): RentalOutcome {
+    const fulfilled = this.requests.get(request.request);
+    if (fulfilled !== undefined) {
+      if (fulfilled.requester !== requester) this.reusedRequestNames.push(request.request);
+      return { outcome: 'rented', machines: fulfilled.machines };
     }
-    const type = this.o.types.find((t) => t.name === q.type);
+    const type = this.types.find((candidate) => candidate.name === request.type);
     if (type === undefined) return { outcome: 'no_capacity' };
-    const held = this.rented.filter(
-      (r) =>
-        !this.goneAt.has(r.id) &&
-        !this.failedAt.has(r.id) &&
-        r.machine.type === q.type &&
-        r.machine.zone === q.zone &&
-        r.machine.spot === q.spot,
-    ).length;
-    const count = Math.min(q.count, this.o.capacity - held);
+    const count = Math.min(request.count, this.options.capacity - this.countInUse(request));
     if (count <= 0) return { outcome: 'no_capacity' };
-    const machines: MachineId[] = [];
-    for (let i = 0; i < count; i += 1) {
-      const id = this.add(type, q.zone, q.spot);
-      machines.push(id);
-      this.time.after(this.o.bootMs(type), () => {
-        if (!this.goneAt.has(id)) this.o.onMachineUp(id, type, q.zone, q.spot);
-      });
-    }
-    this.requests.set(q.request, machines);
-    this.requesters.set(q.request, by);
+    const machines = Array.from({ length: count }, () => this.bootMachine(type, request.zone, request.spot));
+    this.requests.set(request.request, { requester, machines });
     return { outcome: 'rented', machines };
   }
 
@@ -102,7 +89,7 @@
   release(ids: readonly MachineId[]): true {
     for (const id of ids) {
       if (!this.goneAt.has(id)) this.goneAt.set(id, this.time.now);
-      this.o.onMachineEnded(id);
+      this.options.onMachineEnded(id);
     }
     return true;
   }
@@ -110,20 +97,55 @@
   /** A machine stops by itself: the list shows it only later. */
   failMachine(id: MachineId): void {
     if (!this.failedAt.has(id)) this.failedAt.set(id, this.time.now);
-    this.o.onMachineEnded(id);
+    this.options.onMachineEnded(id);
   }
 
   /** All machines as they were when the list was made, some time ago. */
   list(): ListedMachine[] {
-    const seen = this.time.now - this.o.listLagMs - this.o.random(this.o.listLagMs);
+    const { listLagMs, random } = this.options;
+    const asOfMs = this.time.now - listLagMs - random(listLagMs);
     return this.rented
-      .filter((r) => r.at <= seen && (this.goneAt.get(r.id) ?? Infinity) > seen)
-      .map((r) => ({ ...r.machine, phase: this.phaseOf(r.id, seen), ageS: (seen - r.at) / 1000 }));
+      .filter(({ atMs, id }) => atMs <= asOfMs && (this.goneAt.get(id) ?? Infinity) > asOfMs)
+      .map(({ atMs, id, machine }) => ({
+        ...machine,
+        phase: this.phaseOf(id, asOfMs),
+        ageS: (asOfMs - atMs) / 1000,
+      }));
+  }
+
+  private addMachine(type: MachineType, zone: string, spot: boolean): MachineId {
+    const id = `n-${String(this.machineCount).padStart(ID_DIGITS, '0')}` as MachineId;
+    this.machineCount += 1;
+    this.rented.push({
+      atMs: this.time.now,
+      id,
+      machine: { id, address: id, type: type.name, zone, spot },
+    });
+    return id;
+  }
+
+  private bootMachine(type: MachineType, zone: string, spot: boolean): MachineId {
+    const id = this.addMachine(type, zone, spot);
+    this.time.after(this.options.bootMs(type), () => {
+      if (!this.goneAt.has(id)) this.options.onMachineUp(id, type, zone, spot);
+    });
+    return id;
+  }
+
+  private countInUse({ type, zone, spot }: RentalRequest): number {
+    return this.rented.filter(
+      ({ id, machine }) =>
+        !this.goneAt.has(id) &&
+        !this.failedAt.has(id) &&
+        machine.type === type &&
+        machine.zone === zone &&
+        machine.spot === spot,
+    ).length;
   }
 
-  private phaseOf(id: MachineId, seen: number): ListedMachine['phase'] {
+  private phaseOf(id: MachineId, asOfMs: number): ListedMachine['phase'] {
     const failedAt = this.failedAt.get(id);
-    if (failedAt !== undefined && failedAt + FAILURE_SEEN_MS <= seen) return 'failed';
-    return this.o.isMachineUp(id) || failedAt !== undefined ? 'running' : 'booting';
+    if (failedAt !== undefined && failedAt + FAILURE_DETECTION_MS <= asOfMs) return 'failed';
+    return this.options.isMachineUp(id) || failedAt !== undefined ? 'running' : 'booting';
   }
 }
--- a/packages/testkit/src/combined-faults.ts
+++ b/packages/testkit/src/combined-faults.ts
@@ -1,195 +1,254 @@
+/**
+ * Faults that come together: two or more that begin within a few seconds of each other, drawn from a world's seed. Rules
+ * were once broken where two of these met.
+ *
+ * @module
+ */
 import type { MachineId } from '@spurbridge/wire';
-import { FAULTS_END_MS, randomRestartMs } from './generated-days.js';
-import { jobId } from './fixtures.js';
-import type { FaultInjector } from './fault-injector.js';
-import { jobSpec } from './fixtures.js';
-import { leaderIndex } from './data-loss.js';
+import type { CountedFault } from './fault-injector.js';
+import { jobId, jobSpec } from './fixtures.js';
 import { STORE_HOST } from './hosts.js';
+import { leaderIndex } from './leadership.js';
+import { FAULTS_END_MS, randomRestartMs } from './random-faults.js';
+import { nodeName } from './sim-node.js';
 import type { World } from './world.js';
 
-const ONE_TASK_EVERY_MS = 250;
-const ODD_EVERY_MS = 400;
-const ONE_TASK_MOST_MS = 30_000;
+const SINGLE_TASK_JOB_INTERVAL_MS = 250;
+const MAX_SINGLE_TASK_JOBS_MS = 30_000;
+const FIRST_SINGLE_TASK_JOB = 500_000;
+const SINGLE_TASK_JOBS_EACH = 1000;
+const MALFORMED_REQUEST_INTERVAL_MS = 400;
+const MAX_FAILOVERS_MS = 8000;
+const MIN_FAILOVER_GAP_MS = 400;
+const FAILOVER_GAP_SPREAD_MS = 1200;
+const QUICK_RESTARTS_MS = [50, 200, 900] as const;
+const FIRST_RESTART_MS = 200;
+const MIN_LATER_RESTART_MS = 2000;
+const LATER_RESTART_SPREAD_MS = 6000;
+const MIN_CANCELLED_JOBS = 2;
+const CANCELLED_JOBS_SPREAD = 6;
 
-/** A trouble that begins now and is over after so long. */
-type Trouble = (w: World, forMs: number) => void;
+const FAULT_SHARES = [0.1, 0.3, 0.7] as const;
+const DEFAULT_FAULT_SHARE = 0.3;
+const STORE_LATENCIES_MS = [200, 500, 1000] as const;
+const DEFAULT_STORE_LATENCY_MS = 500;
+const LINK_LATENCIES_MS = [100, 300, 700] as const;
+const DEFAULT_LINK_LATENCY_MS = 300;
 
-function heal(w: World, forMs: number, run: () => void): void {
-  w.time.after(forMs, run);
+const FIRST_FAULT_MS = 20_000;
+const FIRST_FAULT_SPREAD_MS = 35_000;
+const TOGETHER_WITHIN_MS = 10_000;
+const MIN_FAULT_MS = 2000;
+const FAULT_LENGTH_SPREAD_MS = 40_000;
+
+/** A fault that begins now and is over after this many milliseconds. */
+type CombinableFault = (world: World, forMs: number) => void;
+
+/** The faults that are combined, by their names; the position is what the seed draws. */
+export const COMBINABLE_FAULTS: Readonly<Record<string, CombinableFault>> = {
+  'delayed writes': shareOfMessages('delayedWrites'),
+  'duplicate heartbeats': shareOfMessages('duplicateHeartbeats'),
+  'delayed commands': shareOfMessages('delayedCommands'),
+  'lost responses': shareOfMessages('lostResponses'),
+  'heartbeats replayed for the next leader': shareOfMessages('replayedHeartbeats'),
+  'cancelled at completion': shareOfMessages('cancellationsAtCompletion'),
+  'poll bursts': shareOfMessages('pollBursts'),
+  'slow store': slowStore,
+  'slow links': slowLinks,
+  'machines up at once': replaceMachines,
+  'outbound-partitioned machines': partitionMachinesOneWay('outboundPartitioned'),
+  'cancelled at once, some machines hang': cancelAndHang,
+  'malformed requests': (world, forMs) => {
+    repeat(world, MALFORMED_REQUEST_INTERVAL_MS, forMs, () => {
+      world.users.sendMalformedRequest();
+    });
+  },
+  'single-task jobs': (world, forMs) => {
+    startSingleTaskJobs(world, Math.min(forMs, MAX_SINGLE_TASK_JOBS_MS));
+  },
+  'inbound-partitioned machines': partitionMachinesOneWay('inboundPartitioned'),
+  'unreachable machines': partitionMachines,
+  'hanging machines': hangMachines,
+  'leader refused by the store': refuseLeader,
+  'store outage': storeOutage,
+  'leader cut off from store and peers': (world, forMs) => {
+    const node = leaderOrAny(world);
+    partitionNode(world, node, [STORE_HOST, ...otherNodes(world, node)], forMs);
+  },
+  'leader cut off from machines': (world, forMs) => {
+    partitionNode(world, leaderOrAny(world), [...world.workers.keys()], forMs);
+  },
+  'leader frozen': (world, forMs) => {
+    world.freeze(leaderOrAny(world), forMs);
+  },
+  'leader ends': (world) => {
+    world.crash(leaderOrAny(world), randomRestartMs(world));
+  },
+  'all nodes end, one returns first': crashAllNodes,
+  'repeated failovers': failOverRepeatedly,
+};
+
+/**
+ * Draws two faults, or up to `max`, that begin within a few seconds of each other and are over by `FAULTS_END_MS`.
+ * Returns their names.
+ */
+export function injectCombinedFaults(world: World, max = 3): string[] {
+  const names = Object.keys(COMBINABLE_FAULTS);
+  const drawn: string[] = [];
+  const firstMs = FIRST_FAULT_MS + world.random(FIRST_FAULT_SPREAD_MS);
+  for (let n = 2 + world.random(max - 1); n > 0; n -= 1) {
+    const name = names.splice(world.random(names.length), 1)[0] ?? '';
+    drawn.push(name);
+    const atMs = firstMs + world.random(TOGETHER_WITHIN_MS);
+    const forMs = Math.min(FAULTS_END_MS - atMs, MIN_FAULT_MS + world.random(FAULT_LENGTH_SPREAD_MS));
+    world.time.after(atMs, () => COMBINABLE_FAULTS[name]?.(world, forMs));
+  }
+  return drawn;
 }
 
-function share(of: keyof FaultInjector['counts']): Trouble {
-  return (w, forMs) => {
-    w.faults[of] = [0.1, 0.3, 0.7][w.random(3)] ?? 0.3;
-    heal(w, forMs, () => {
-      w.faults[of] = 0;
+/** Jobs of one task, four a second, a quarter of them cancelled soon after. */
+export function startSingleTaskJobs(world: World, forMs: number): void {
+  const first = world.checker.submitted.size;
+  let count = 0;
+  repeat(world, SINGLE_TASK_JOB_INTERVAL_MS, forMs, () => {
+    const id = jobId(FIRST_SINGLE_TASK_JOB + first * SINGLE_TASK_JOBS_EACH + (count += 1));
+    const spec = jobSpec({ id, class: 'one-task', tasks: 1, cpus: 1, estimateS: 1 + world.random(4) });
+    world.startUser(spec, world.random(4) === 0 ? world.time.now + world.random(4000) : null);
+  });
+}
+
+function shareOfMessages(kind: CountedFault): CombinableFault {
+  return (world, forMs) => {
+    world.faults[kind] = FAULT_SHARES[world.random(FAULT_SHARES.length)] ?? DEFAULT_FAULT_SHARE;
+    world.time.after(forMs, () => {
+      world.faults[kind] = 0;
     });
   };
 }
 
-function someMachines(w: World): MachineId[] {
-  const up = [...w.workers.values()].filter((x) => x.alive).map((x) => x.id);
-  return up.filter(() => w.random(2) === 0);
+function slowStore(world: World, forMs: number): void {
+  const latency = STORE_LATENCIES_MS[world.random(STORE_LATENCIES_MS.length)];
+  world.faults.storeLatencyMs = latency ?? DEFAULT_STORE_LATENCY_MS;
+  world.time.after(forMs, () => {
+    world.faults.storeLatencyMs = 0;
+  });
+}
+
+function slowLinks(world: World, forMs: number): void {
+  const latency = LINK_LATENCIES_MS[world.random(LINK_LATENCIES_MS.length)];
+  world.network.extraLatencyMs = latency ?? DEFAULT_LINK_LATENCY_MS;
+  world.time.after(forMs, () => {
+    world.network.extraLatencyMs = 0;
+  });
 }
 
-/** Some machines count among these for so long. */
-function among(kind: 'outboundPartitioned' | 'inboundPartitioned'): Trouble {
-  return (w, forMs) => {
-    const machines = someMachines(w);
-    for (const id of machines) w.faults[kind].add(id);
-    heal(w, forMs, () => {
-      for (const id of machines) w.faults[kind].delete(id);
+/** Machines are taken away, and new ones are up at once. */
+function replaceMachines(world: World, forMs: number): void {
+  world.faults.fastBoots = true;
+  for (const id of someMachines(world)) world.reclaimMachine(id);
+  world.time.after(forMs, () => {
+    world.faults.fastBoots = false;
+  });
+}
+
+function partitionMachinesOneWay(kind: 'inboundPartitioned' | 'outboundPartitioned'): CombinableFault {
+  return (world, forMs) => {
+    const machines = someMachines(world);
+    for (const id of machines) world.faults[kind].add(id);
+    world.time.after(forMs, () => {
+      for (const id of machines) world.faults[kind].delete(id);
     });
   };
 }
 
-/** The leader, or any node where nobody leads. */
-function leaderOrAny(w: World): number {
-  const leader = leaderIndex(w);
-  return leader < 0 ? w.random(w.nodes.length) : leader;
+function partitionMachines(world: World, forMs: number): void {
+  const machines = someMachines(world);
+  const mode = world.random(2) === 0 ? 'hold' : 'drop';
+  for (const id of machines) for (const node of world.nodes) world.network.partition(node.name, id, mode);
+  world.time.after(forMs, () => {
+    for (const id of machines) for (const node of world.nodes) world.network.heal(node.name, id);
+  });
 }
 
-function cutNode(w: World, node: number, hosts: readonly string[], forMs: number): void {
-  const name = `spur-${node}`;
-  const mode = w.random(2) === 0 ? 'hold' : 'drop';
-  for (const host of hosts) w.network.partition(name, host, mode);
-  heal(w, forMs, () => {
-    for (const host of hosts) w.network.heal(name, host);
+/** Running jobs are cancelled, and some of the machines that they are on hang. */
+function cancelAndHang(world: World, forMs: number): void {
+  const count = MIN_CANCELLED_JOBS + world.random(CANCELLED_JOBS_SPREAD);
+  const cancelled = new Set(world.users.cancelRunningJobs(count).map((spec) => spec.id));
+  const hanging = [...world.workers.values()].filter(
+    (worker) =>
+      worker.alive &&
+      worker.occupyingTasks().some((task) => cancelled.has(task.job.id)) &&
+      world.random(2) === 0,
+  );
+  for (const worker of hanging) worker.hang();
+  world.time.after(forMs, () => {
+    for (const worker of hanging) worker.resume();
   });
 }
 
-function othersOf(w: World, node: number): string[] {
-  return w.nodes.filter((_, i) => i !== node).map((n) => n.name as string);
+function hangMachines(world: World, forMs: number): void {
+  const machines = someMachines(world);
+  for (const id of machines) world.workers.get(id)?.hang();
+  world.time.after(forMs, () => {
+    for (const id of machines) world.workers.get(id)?.resume();
+  });
 }
 
-/** Again and again, until so much later. */
-function every(w: World, ms: number, forMs: number, run: () => void): void {
-  for (let at = 0; at < forMs; at += ms) w.time.after(at, run);
+function refuseLeader(world: World, forMs: number): void {
+  const node = world.nodes[leaderOrAny(world)];
+  if (node === undefined) return;
+  node.store.isRefused = true;
+  world.time.after(forMs, () => {
+    node.store.isRefused = false;
+  });
 }
 
-/** Jobs of one task, four a second, a quarter of them cancelled soon after. */
-export function startSingleTaskJobs(w: World, forMs: number): void {
-  const first = w.checker.submitted.size;
-  let n = 0;
-  every(w, ONE_TASK_EVERY_MS, forMs, () => {
-    const id = jobId(500_000 + first * 1000 + (n += 1));
-    const spec = jobSpec({ id, class: 'one-task', tasks: 1, cpus: 1, estimateS: 1 + w.random(4) });
-    w.startUser(spec, w.random(4) === 0 ? w.time.now + w.random(4000) : null);
+function storeOutage(world: World, forMs: number): void {
+  world.store.setOutage(true);
+  world.time.after(forMs, () => {
+    world.store.setOutage(false);
   });
 }
 
-/** Where two of these meet, rules have broken: what the operators' letters name. */
-export const COMBINABLE_FAULTS: Readonly<Record<string, Trouble>> = {
-  'late writes': share('delayedWrites'),
-  'late reports': share('duplicateHeartbeats'),
-  'held commands': share('delayedCommands'),
-  'lost answers': share('lostResponses'),
-  'reports kept for the next leader': share('replayedHeartbeats'),
-  'cancelled at the end': share('cancellationsAtCompletion'),
-  'close looks': share('pollBursts'),
-  'slow state service': (w, forMs) => {
-    w.faults.storeLatencyMs = [200, 500, 1000][w.random(3)] ?? 500;
-    heal(w, forMs, () => {
-      w.faults.storeLatencyMs = 0;
-    });
-  },
-  'slow links': (w, forMs) => {
-    w.network.extraLatencyMs = [100, 300, 700][w.random(3)] ?? 300;
-    heal(w, forMs, () => {
-      w.network.extraLatencyMs = 0;
-    });
-  },
-  'machines up at once': (w, forMs) => {
-    w.faults.fastBoots = true;
-    for (const id of someMachines(w)) w.reclaimMachine(id);
-    heal(w, forMs, () => {
-      w.faults.fastBoots = false;
-    });
-  },
-  'mute machines': among('outboundPartitioned'),
-  'called off at once, some hang': (w, forMs) => {
-    const called = new Set(w.users.cancelRunningJobs(2 + w.random(6)).map((s) => s.id));
-    const on = [...w.workers.values()].filter(
-      (x) => x.alive && x.occupyingTasks().some((t) => called.has(t.job.id)) && w.random(2) === 0,
-    );
-    for (const x of on) x.hang();
-    heal(w, forMs, () => {
-      for (const x of on) x.resume();
-    });
-  },
-  'odd requests': (w, forMs) => {
-    every(w, ODD_EVERY_MS, forMs, () => {
-      w.users.sendMalformedRequest();
-    });
-  },
-  'one-task jobs': (w, forMs) => {
-    startSingleTaskJobs(w, Math.min(forMs, ONE_TASK_MOST_MS));
-  },
-  'deaf machines': among('inboundPartitioned'),
-  'unreachable machines': (w, forMs) => {
-    const machines = someMachines(w);
-    const mode = w.random(2) === 0 ? 'hold' : 'drop';
-    for (const id of machines) for (const n of w.nodes) w.network.partition(n.name, id, mode);
-    heal(w, forMs, () => {
-      for (const id of machines) for (const n of w.nodes) w.network.heal(n.name, id);
-    });
-  },
-  'hung machines': (w, forMs) => {
-    const machines = someMachines(w);
-    for (const id of machines) w.workers.get(id)?.hang();
-    heal(w, forMs, () => {
-      for (const id of machines) w.workers.get(id)?.resume();
-    });
-  },
-  'leader refused alone': (w, forMs) => {
-    const node = w.nodes[leaderOrAny(w)];
-    if (node === undefined) return;
-    node.store.isRefused = true;
-    heal(w, forMs, () => {
-      node.store.isRefused = false;
-    });
-  },
-  outage: (w, forMs) => {
-    w.store.setOutage(true);
-    heal(w, forMs, () => {
-      w.store.setOutage(false);
+function partitionNode(world: World, node: number, hosts: readonly string[], forMs: number): void {
+  const name = nodeName(node);
+  const mode = world.random(2) === 0 ? 'hold' : 'drop';
+  for (const host of hosts) world.network.partition(name, host, mode);
+  world.time.after(forMs, () => {
+    for (const host of hosts) world.network.heal(name, host);
+  });
+}
+
+function crashAllNodes(world: World): void {
+  for (let i = 0; i < world.nodes.length; i += 1)
+    world.crash(i, i === 0 ? FIRST_RESTART_MS : MIN_LATER_RESTART_MS + world.random(LATER_RESTART_SPREAD_MS));
+}
+
+function failOverRepeatedly(world: World, forMs: number): void {
+  const untilMs = Math.min(forMs, MAX_FAILOVERS_MS);
+  for (let ms = 0; ms < untilMs; ms += MIN_FAILOVER_GAP_MS + world.random(FAILOVER_GAP_SPREAD_MS))
+    world.time.after(ms, () => {
+      world.crash(leaderOrAny(world), QUICK_RESTARTS_MS[world.random(QUICK_RESTARTS_MS.length)]);
     });
-  },
-  'leader cut from service and peers': (w, forMs) => {
-    const node = leaderOrAny(w);
-    cutNode(w, node, [STORE_HOST, ...othersOf(w, node)], forMs);
-  },
-  'leader cut from machines': (w, forMs) => {
-    cutNode(w, leaderOrAny(w), [...w.workers.keys()], forMs);
-  },
-  'leader frozen': (w, forMs) => {
-    w.freeze(leaderOrAny(w), forMs);
-  },
-  'leader ends': (w) => {
-    w.crash(leaderOrAny(w), randomRestartMs(w));
-  },
-  'all end, one returns first': (w) => {
-    for (let i = 0; i < w.nodes.length; i += 1) w.crash(i, i === 0 ? 200 : 2000 + w.random(6000));
-  },
-  'hand-overs back and forth': (w, forMs) => {
-    for (let ms = 0; ms < Math.min(forMs, 8000); ms += 400 + w.random(1200))
-      w.time.after(ms, () => {
-        w.crash(leaderOrAny(w), [50, 200, 900][w.random(3)]);
-      });
-  },
-};
+}
 
-/** Two troubles that meet, or up to `most`, drawn from the seed: they begin within a few seconds of each other. */
-export function injectCombinedFaults(w: World, most = 3): string[] {
-  const names = Object.keys(COMBINABLE_FAULTS);
-  const drawn: string[] = [];
-  const first = 20_000 + w.random(35_000);
-  for (let n = 2 + w.random(most - 1); n > 0; n -= 1) {
-    const name = names.splice(w.random(names.length), 1)[0] ?? '';
-    drawn.push(name);
-    const at = first + w.random(10_000);
-    const forMs = Math.min(FAULTS_END_MS - at, 2000 + w.random(40_000));
-    w.time.after(at, () => COMBINABLE_FAULTS[name]?.(w, forMs));
-  }
-  return drawn;
+/** Each machine that is up, with a chance of one half. */
+function someMachines(world: World): MachineId[] {
+  const up = [...world.workers.values()].filter((worker) => worker.alive).map((worker) => worker.id);
+  return up.filter(() => world.random(2) === 0);
+}
+
+/** The leader, or any node where none leads. */
+function leaderOrAny(world: World): number {
+  const leader = leaderIndex(world);
+  return leader < 0 ? world.random(world.nodes.length) : leader;
+}
+
+function otherNodes(world: World, node: number): string[] {
+  return world.nodes.filter((_, index) => index !== node).map(({ name }) => name);
+}
+
+/** Runs at these intervals, the first time now, for this long. */
+function repeat(world: World, intervalMs: number, forMs: number, run: () => void): void {
+  for (let ms = 0; ms < forMs; ms += intervalMs) world.time.after(ms, run);
 }
--- a/packages/testkit/src/configuration.ts
+++ b/packages/testkit/src/configuration.ts
@@ -1,75 +1,98 @@
+/**
+ * Changes of the configuration in a simulated world.
+ *
+ * @module
+ */
 import type { ConfigurationChange, ProposalOutcome } from '@spurbridge/configuration';
 import {
   ConfigurationEditor,
   UNBOUNDED_GUARANTEES,
   configurationFromSettings,
 } from '@spurbridge/configuration';
+import { SpurbridgeError } from '@spurbridge/wire';
 import type { World } from './world.js';
 
-let ids = 0;
+const CHECK_INTERVAL_MS = 25;
+/** A proposal that got no response after this many checks never gets one. */
+const MAX_CHECKS = 200;
 
-/** An author at one node of a simulated world: what a request to that node's program does. */
-export function editorAt(w: World, index: number): ConfigurationEditor {
-  const node = w.nodes[index];
-  if (node === undefined) throw new Error(`there is no node ${index}`);
+let changeCount = 0;
+
+/** A node was named that the world does not have. */
+export class NoSuchNodeError extends SpurbridgeError {
+  constructor(readonly index: number) {
+    super('NO_SUCH_NODE', `there is no node ${index}`);
+  }
+}
+
+/**
+ * An author at one node: does what a request to that node's program does.
+ *
+ * @throws NoSuchNodeError
+ */
+export function editorAt(world: World, index: number): ConfigurationEditor {
+  const node = world.nodes[index];
+  if (node === undefined) throw new NoSuchNodeError(index);
   return new ConfigurationEditor({
     store: node.recoverableStore,
     clock: node.clock,
-    wallNow: () => w.wallClockStartMs + w.time.now,
-    limits: w.storeLimits,
-    settingsFile: configurationFromSettings(w.teams, []),
+    wallNow: () => world.wallClockStartMs + world.time.now,
+    limits: world.storeLimits,
+    settingsFile: configurationFromSettings(world.teams, []),
     guaranteeBound: UNBOUNDED_GUARANTEES,
   });
 }
 
+/** A change id that was not used in this process. */
 export function nextChangeId(): string {
-  ids += 1;
-  return `change-${ids}`;
+  changeCount += 1;
+  return `change-${changeCount}`;
 }
 
-/** Asks a node for changes on top of the version that it goes by; the answer, once simulated time has brought it. */
+/** Asks a node for changes on top of `baseVersion`, or of the version that it goes by; lets time pass until it answers. */
 export async function proposeChanges(
-  w: World,
+  world: World,
   index: number,
   changes: readonly ConfigurationChange[],
   changeId = nextChangeId(),
-  base?: number,
+  baseVersion?: number,
 ): Promise<ProposalOutcome> {
   let answer: ProposalOutcome | null = null;
-  const node = w.nodes[index];
-  const version = base ?? node?.controller.configurationStatus()[0]?.version ?? 0;
-  void editorAt(w, index)
+  const version = baseVersion ?? world.nodes[index]?.controller.configurationStatus()[0]?.version ?? 0;
+  void editorAt(world, index)
     .propose({ baseVersion: version as never, changeId, author: 'test', changes, isDryRun: false })
     .then((outcome) => {
       answer = outcome;
     });
-  for (let n = 0; n < MOST_LOOKS && answer === null; n += 1) await w.runUntil(w.time.now + LOOK_MS);
-  // A process that ended answers nobody.
+  for (let checks = 0; checks < MAX_CHECKS && answer === null; checks += 1)
+    await world.runUntil(world.time.now + CHECK_INTERVAL_MS);
+  // A process that has ended answers nobody.
   return answer ?? { outcome: 'unsure' };
 }
 
-const MOST_LOOKS = 200;
-const LOOK_MS = 25;
-
-/** The version in force on each node that is up; null where a node was never heard. */
-export function configurationVersions(w: World): (number | null)[] {
-  return w.nodes
-    .filter((n) => n.clock.alive)
-    .map((n) => n.controller.configurationStatus()[0]?.version ?? null);
+/** The version in force on each running node; null where a node has none. */
+export function configurationVersions(world: World): (number | null)[] {
+  return world.nodes
+    .filter((node) => node.clock.alive)
+    .map((node) => node.controller.configurationStatus()[0]?.version ?? null);
 }
 
 /** Whether the version is in force on every node, the leader's plans included. */
-export function isInForceEverywhere(w: World, version: number): boolean {
-  const all = configurationVersions(w);
-  return all.length === w.nodes.length && all.every((v) => v !== null && v >= version);
+export function isInForceEverywhere(world: World, version: number): boolean {
+  const all = configurationVersions(world);
+  return all.length === world.nodes.length && all.every((found) => found !== null && found >= version);
 }
 
-/** Runs until the version is in force everywhere; how long that took in simulated milliseconds, or null. */
-export async function runUntilInForce(w: World, version: number, mostMs: number): Promise<number | null> {
-  const began = w.time.now;
-  while (!isInForceEverywhere(w, version)) {
-    if (w.time.now - began >= mostMs) return null;
-    await w.runUntil(w.time.now + LOOK_MS);
+/** Runs until the version is in force everywhere; how long that took in milliseconds, or null after `timeoutMs`. */
+export async function runUntilInForce(
+  world: World,
+  version: number,
+  timeoutMs: number,
+): Promise<number | null> {
+  const beganMs = world.time.now;
+  while (!isInForceEverywhere(world, version)) {
+    if (world.time.now - beganMs >= timeoutMs) return null;
+    await world.runUntil(world.time.now + CHECK_INTERVAL_MS);
   }
-  return w.time.now - began;
+  return world.time.now - beganMs;
 }
--- a/packages/testkit/src/data-loss.ts
+++ b/packages/testkit/src/data-loss.ts
@@ -1,12 +1,17 @@
-import type { SnapshotDirectory } from '@spurbridge/snapshot';
-import type { MachineId } from '@spurbridge/wire';
-import { FAULTS_END_MS } from './generated-days.js';
+/**
+ * Losses of the key-value store's data, and what else goes wrong around them.
+ *
+ * @module
+ */
 import type { StoreCheckpoint } from './key-value-store.js';
 import { SimKeyValueStore } from './key-value-store.js';
+import { leaderOrFirst } from './leadership.js';
+import { FAULTS_END_MS } from './random-faults.js';
+import { AMPLE_STORE_LIMITS } from './world-options.js';
 import type { World } from './world.js';
-import { CLOUD_HOST, STORE_HOST } from './hosts.js';
+import { partitionZone } from './zone-partition.js';
 
-/** What a state service can lose. */
+/** What a key-value store can lose. */
 export const DATA_LOSSES = [
   'rolled back 20 s',
   'rolled back 2 s',
@@ -17,9 +22,11 @@
   'count set back',
   'fills up again',
 ] as const;
+
+/** One of the losses. */
 export type DataLoss = (typeof DATA_LOSSES)[number];
 
-/** What else happens around it. */
+/** What else happens around a loss. */
 export const ACCOMPANYING_FAULTS = [
   'nothing',
   'leader crashes',
@@ -28,142 +35,109 @@
   'during the rebuild',
   'a zone cut off',
 ] as const;
+
+/** One of the faults around a loss. */
 export type AccompanyingFault = (typeof ACCOMPANYING_FAULTS)[number];
 
-const FAR_MS = 20_000;
-const NEAR_MS = 2000;
-const ONE_IN = 3;
-const LOOK_MS = 200;
+const LONG_ROLLBACK_MS = 20_000;
+const SHORT_ROLLBACK_MS = 2000;
+/** One record in so many is lost or unreadable. */
+const LOST_ONE_IN = 3;
+const ROLLED_BACK_REVISION = 3;
+const RESTORED_KEYS_AT_ONCE = 3;
+const RESTORE_INTERVAL_MS = 200;
+const JOB_PREFIX = 'j/';
+const TASK_PREFIX = 't/';
 
-/** Has the state service lose data at a time, and again for some companions. */
-export function injectDataLoss(w: World, loss: DataLoss, atMs: number): void {
-  const { store: state } = w;
-  let point: StoreCheckpoint | null = null;
-  const backMs = loss === 'rolled back 2 s' ? NEAR_MS : FAR_MS;
+/** When, relative to the loss, each accompanying fault comes, in milliseconds. */
+const CRASH_AFTER_LOSS_MS = 1;
+const FAILOVER_BEFORE_LOSS_MS = 500;
+const SECOND_LOSS_AFTER_MS = 9000;
+const LOSS_DURING_RECOVERY_MS = 350;
+const ZONE_CUT_BEFORE_MS = 4000;
+const CUT_ZONE = 'b';
+
+/** Has the key-value store lose data at this time, in milliseconds since the begin. */
+export function injectDataLoss(world: World, loss: DataLoss, atMs: number): void {
+  let checkpoint: StoreCheckpoint | null = null;
+  const rollbackMs = loss === 'rolled back 2 s' ? SHORT_ROLLBACK_MS : LONG_ROLLBACK_MS;
   if (loss.startsWith('rolled back') || loss === 'fills up again')
-    w.time.after(atMs - w.time.now - backMs, () => {
-      point = state.checkpoint();
+    runAt(world, atMs - rollbackMs, () => {
+      checkpoint = world.store.checkpoint();
     });
-  w.time.after(atMs - w.time.now, () => {
-    switch (loss) {
-      case 'emptied':
-        return state.clear();
-      case 'tasks gone':
-        return void state.dropKeys((key) => key.startsWith('t/'));
-      case 'some jobs gone':
-        return void state.dropKeys((key) => key.startsWith('j/') && w.random(ONE_IN) === 0);
-      case 'unreadable':
-        return void state.corruptValues(() => w.random(ONE_IN) === 0);
-      case 'count set back':
-        return state.rollBackRevision(ONE_IN);
-      default:
-        if (point === null) return;
-        if (loss === 'fills up again') state.restoreGradually(point, ONE_IN, 200);
-        else state.restore(point);
-    }
+  runAt(world, atMs, () => {
+    loseData(world, loss, checkpoint);
   });
 }
 
-/** Index of the node that holds the lease surely; -1: none does. */
-export function leaderIndex(w: World): number {
-  return w.nodes.findIndex((n) => n.clock.alive && n.controller.leadership.holdsValidLease());
-}
-
-/** The same, or the first node where none leads. */
-export function leaderOrFirst(w: World): number {
-  return Math.max(0, leaderIndex(w));
-}
-
+/** Has something else go wrong around a loss at this time. */
 export function injectAccompanyingFault(
-  w: World,
-  companion: AccompanyingFault,
+  world: World,
+  fault: AccompanyingFault,
   loss: DataLoss,
   atMs: number,
 ): void {
-  const at = (ms: number, run: () => void): void => {
-    w.time.after(ms - w.time.now, run);
-  };
-  switch (companion) {
+  switch (fault) {
     case 'nothing':
       return;
     case 'leader crashes':
-      return at(atMs + 1, () => {
-        w.crash(leaderOrFirst(w));
-      });
+      return crashLeaderAt(world, atMs + CRASH_AFTER_LOSS_MS);
     case 'takeover in the middle':
-      at(atMs - 500, () => {
-        w.crash(leaderOrFirst(w));
-      });
-      return;
+      return crashLeaderAt(world, atMs - FAILOVER_BEFORE_LOSS_MS);
     case 'twice':
-      return injectDataLoss(w, loss, atMs + 9000);
+      return injectDataLoss(world, loss, atMs + SECOND_LOSS_AFTER_MS);
     case 'during the rebuild':
-      return at(atMs + 350, () => {
-        w.store.clear();
+      return runAt(world, atMs + LOSS_DURING_RECOVERY_MS, () => {
+        world.store.clear();
       });
     case 'a zone cut off':
-      return partitionZone(w, 'b', atMs - 4000, FAULTS_END_MS);
+      return partitionZone(world, CUT_ZONE, atMs - ZONE_CUT_BEFORE_MS, FAULTS_END_MS);
   }
 }
 
-/** Cuts a zone's machines, also those that come up meanwhile, and its node off from everything else. */
-export function partitionZone(w: World, zone: string, fromMs: number, untilMs: number): void {
-  const inZone = (): string[] => [
-    ...[...w.workers.values()].filter((x) => x.zone === zone).map((x) => x.id as string),
-    ...w.nodes.filter((n) => n.zone === zone).map((n) => n.name as string),
-  ];
-  const pairs = new Map<string, readonly [string, string]>();
-  const cut = (): void => {
-    const inside = new Set(inZone());
-    const all = [STORE_HOST, CLOUD_HOST, ...w.workers.keys(), ...w.nodes.map((n) => n.name)].map(String);
-    for (const a of inside)
-      for (const b of all) {
-        if (inside.has(b) || pairs.has(`${a} ${b}`)) continue;
-        pairs.set(`${a} ${b}`, [a, b]);
-        w.network.partition(a, b, 'hold');
-      }
-    if (w.time.now + LOOK_MS < untilMs) w.time.after(LOOK_MS, cut);
-  };
-  w.time.after(fromMs - w.time.now, cut);
-  w.time.after(untilMs - w.time.now, () => {
-    for (const [a, b] of pairs.values()) w.network.heal(a, b);
-  });
+/** From now on a node reads a store of its own, as it was at the checkpoint. */
+export function forkStore(world: World, index: number, checkpoint: StoreCheckpoint): SimKeyValueStore {
+  const fork = new SimKeyValueStore(world.time, AMPLE_STORE_LIMITS);
+  fork.restore(checkpoint);
+  const node = world.nodes[index];
+  if (node !== undefined) node.store.backend = fork;
+  return fork;
 }
 
-/** From now on a node reads a store of its own, as it was at the point. */
-export function forkStore(w: World, index: number, point: StoreCheckpoint): SimKeyValueStore {
-  const other = new SimKeyValueStore(w.time, { rps: 1000, writeRps: 1000, valueKb: 16, txnOps: 12 });
-  other.restore(point);
-  const node = w.nodes[index];
-  if (node !== undefined) node.store.backend = other;
-  return other;
+function runAt(world: World, atMs: number, run: () => void): void {
+  world.time.after(atMs - world.time.now, run);
 }
 
-/** A directory that outlives the nodes. */
-export class InMemorySnapshotDirectory implements SnapshotDirectory {
-  private readonly files = new Map<string, Buffer>();
-
-  listNames(): Promise<readonly string[]> {
-    return Promise.resolve([...this.files.keys()].sort());
-  }
-
-  read(name: string): Promise<Buffer> {
-    const bytes = this.files.get(name);
-    return bytes === undefined ? Promise.reject(new Error(`${name} is not there`)) : Promise.resolve(bytes);
-  }
-
-  write(name: string, bytes: Buffer): Promise<void> {
-    this.files.set(name, bytes);
-    return Promise.resolve();
-  }
-
-  remove(name: string): Promise<void> {
-    this.files.delete(name);
-    return Promise.resolve();
-  }
+function crashLeaderAt(world: World, atMs: number): void {
+  runAt(world, atMs, () => {
+    world.crash(leaderOrFirst(world));
+  });
 }
 
-/** Machines that are up in a zone. */
-export function machinesInZone(w: World, zone: string): MachineId[] {
-  return [...w.workers.values()].filter((x) => x.alive && x.zone === zone).map((x) => x.id);
+function loseData(world: World, loss: DataLoss, checkpoint: StoreCheckpoint | null): void {
+  const { store } = world;
+  const isLost = (): boolean => world.random(LOST_ONE_IN) === 0;
+  switch (loss) {
+    case 'emptied':
+      store.clear();
+      return;
+    case 'tasks gone':
+      store.dropKeys((key) => key.startsWith(TASK_PREFIX));
+      return;
+    case 'some jobs gone':
+      store.dropKeys((key) => key.startsWith(JOB_PREFIX) && isLost());
+      return;
+    case 'unreadable':
+      store.corruptValues(isLost);
+      return;
+    case 'count set back':
+      store.rollBackRevision(ROLLED_BACK_REVISION);
+      return;
+    case 'fills up again':
+      if (checkpoint !== null) store.restoreGradually(checkpoint, RESTORED_KEYS_AT_ONCE, RESTORE_INTERVAL_MS);
+      return;
+    case 'rolled back 20 s':
+    case 'rolled back 2 s':
+      if (checkpoint !== null) store.restore(checkpoint);
+  }
 }
--- /dev/null
+++ b/packages/testkit/src/leadership.ts
@@ -0,0 +1,38 @@
+/**
+ * Which node of a simulated world leads, and a watch for two that do.
+ *
+ * @module
+ */
+import { SpurbridgeError } from '@spurbridge/wire';
+import type { World } from './world.js';
+
+const WATCH_INTERVAL_MS = 50;
+
+/** Two nodes held the leader's lease surely at the same moment. */
+export class TwoLeadersError extends SpurbridgeError {
+  constructor(readonly atMs: number) {
+    super('TWO_LEADERS', `two leaders at ${atMs}`);
+  }
+}
+
+/** Index of the running node that holds the leader's lease surely; -1: none does. */
+export function leaderIndex(world: World): number {
+  return world.nodes.findIndex((node) => node.clock.alive && node.controller.leadership.holdsValidLease());
+}
+
+/** The same, or the first node where none leads. */
+export function leaderOrFirst(world: World): number {
+  return Math.max(0, leaderIndex(world));
+}
+
+/** Calls back whenever two nodes hold the lease surely at the same moment; looks every 50 ms. */
+export function watchForTwoLeaders(world: World, onTwoLeaders: (atMs: number) => void): void {
+  const watch = (): void => {
+    const leaders = world.nodes.filter(
+      (node) => node.clock.alive && node.controller.leadership.holdsValidLease(),
+    );
+    if (leaders.length > 1) onTwoLeaders(world.time.now);
+    world.time.after(WATCH_INTERVAL_MS, watch);
+  };
+  watch();
+}
--- a/packages/testkit/src/starvation.ts
+++ b/packages/testkit/src/starvation.ts
@@ -1,77 +1,104 @@
+/**
+ * A watch for jobs that are left waiting although they could run.
+ *
+ * @module
+ */
 import { EPSILON } from '@spurbridge/model';
-import type { JobId, JobSpec } from '@spurbridge/wire';
 import type { SimulatedWorker } from '@spurbridge/simulated-worker';
+import type { JobId, JobSpec } from '@spurbridge/wire';
 import type { World } from './world.js';
 
-/** Once all troubles are over no job waits for so long though it could run, in milliseconds. */
+/** Once all faults are over no job waits for this long though it could run, in milliseconds. */
 export const STARVATION_LIMIT_MS = 90_000;
-const LOOK_MS = 1000;
+const CHECK_INTERVAL_MS = 1000;
 
-/** How many tasks of the job still fit on the machine, by what is taken of it. */
-function roomOn(x: SimulatedWorker, spec: JobSpec): number {
-  const isAllowed =
-    x.alive &&
-    !x.isHanging &&
-    (spec.types === null || spec.types.includes(x.type.name)) &&
-    (spec.zone === null || spec.zone === x.zone) &&
-    (spec.spot || !x.spot);
-  if (!isAllowed) return 0;
-  const { cpus, gpus, memoryGb } = x.type;
-  let [c, g, m] = [cpus, gpus, memoryGb];
-  for (const { job } of x.occupyingTasks()) {
-    c -= job.cpus;
-    g -= job.gpus;
-    m -= job.memoryGb;
+/** Whether the job could begin at once: one task of an array or a service, all tasks of a gang. */
+export function couldStart(world: World, spec: JobSpec): boolean {
+  const leastTasks = spec.kind === 'gang' ? spec.tasks : 1;
+  if (!hasQuota(world, spec, leastTasks)) return false;
+  const workers = [...world.workers.values()];
+  const zones = spec.oneZone ? [...new Set(workers.map((worker) => worker.zone))] : [null];
+  return zones.some((zone) => {
+    const inZone = workers.filter((worker) => zone === null || worker.zone === zone);
+    return inZone.reduce((sum, worker) => sum + fittingTasks(worker, spec), 0) >= leastTasks;
+  });
+}
+
+/** From the end of all faults on, reports every job that is left waiting; looks once a second. */
+export function watchForStarvation(world: World): void {
+  const waitingSince = new Map<JobId, number>();
+  const check = (): void => {
+    for (const spec of world.checker.submitted.values()) checkJob(world, spec, waitingSince);
+    world.time.after(CHECK_INTERVAL_MS, check);
+  };
+  world.time.after(world.checker.faultsEndMs - world.time.now, check);
+}
+
+function checkJob(world: World, spec: JobSpec, waitingSince: Map<JobId, number>): void {
+  const { checker, time } = world;
+  const { id } = spec;
+  if (!isWaiting(world, spec)) {
+    waitingSince.delete(id);
+    return;
   }
-  const times = (free: number, each: number): number =>
-    each <= 0 ? Infinity : Math.floor((free + EPSILON) / each);
-  return Math.max(0, Math.min(times(c, spec.cpus), times(g, spec.gpus), times(m, spec.memoryGb)));
+  const sinceMs = waitingSince.get(id) ?? time.now;
+  waitingSince.set(id, sinceMs);
+  if (time.now - sinceMs < STARVATION_LIMIT_MS) return;
+  checker.jobStarved(id, time.now - sinceMs);
+  waitingSince.set(id, time.now);
 }
 
-/** Whether the job could begin at once: one task of an array or a service, all tasks of a gang. */
-export function couldStart(w: World, spec: JobSpec): boolean {
-  const least = spec.kind === 'gang' ? spec.tasks : 1;
-  const team = w.teams.find((t) => t.name === spec.team);
+function isWaiting(world: World, spec: JobSpec): boolean {
+  const { checker } = world;
+  const { id } = spec;
+  return (
+    checker.isAccepted(id) &&
+    !checker.isCancellationRequested(id) &&
+    !checker.isCompleted(id) &&
+    checker.runningTasksOf(id) === 0 &&
+    couldStart(world, spec)
+  );
+}
+
+/** Whether this many tasks of the job are within its team's limits, beside what the team has on machines. */
+function hasQuota(world: World, spec: JobSpec, tasks: number): boolean {
+  const team = world.teams.find((candidate) => candidate.name === spec.team);
   if (team === undefined) return false;
-  const workers = [...w.workers.values()];
-  let [cpus, gpus] = [least * spec.cpus, least * spec.gpus];
-  for (const x of workers)
-    for (const { job } of x.occupyingTasks())
+  let cpus = tasks * spec.cpus;
+  let gpus = tasks * spec.gpus;
+  for (const worker of world.workers.values())
+    for (const { job } of worker.occupyingTasks())
       if (job.team === spec.team) {
         cpus += job.cpus;
         gpus += job.gpus;
       }
-  if (cpus > team.cpusMax + EPSILON || gpus > team.gpusMax + EPSILON) return false;
-  const zones = spec.oneZone ? [...new Set(workers.map((x) => x.zone))] : [null];
-  return zones.some((zone) => {
-    const within = workers.filter((x) => zone === null || x.zone === zone);
-    return within.reduce((sum, x) => sum + roomOn(x, spec), 0) >= least;
-  });
+  return cpus <= team.cpusMax + EPSILON && gpus <= team.gpusMax + EPSILON;
 }
 
-/** Looks once a second, as soon as all troubles are over, whether a job is left waiting though it could begin. */
-export function watchForStarvation(w: World): void {
-  const since = new Map<JobId, number>();
-  const look = (): void => {
-    for (const spec of w.checker.submitted.values()) {
-      const { id } = spec;
-      const waits =
-        w.checker.isAccepted(id) &&
-        !w.checker.isCancellationRequested(id) &&
-        !w.checker.isCompleted(id) &&
-        w.checker.runningTasksOf(id) === 0 &&
-        couldStart(w, spec);
-      if (!waits) {
-        since.delete(id);
-        continue;
-      }
-      const from = since.get(id) ?? w.time.now;
-      since.set(id, from);
-      if (w.time.now - from < STARVATION_LIMIT_MS) continue;
-      w.checker.jobStarved(id, w.time.now - from);
-      since.set(id, w.time.now);
-    }
-    w.time.after(LOOK_MS, look);
-  };
-  w.time.after(w.checker.faultsEndMs - w.time.now, look);
+/** How many tasks of the job still fit on the machine. */
+function fittingTasks(worker: SimulatedWorker, spec: JobSpec): number {
+  if (!isAllowedOn(worker, spec)) return 0;
+  let { cpus, gpus, memoryGb } = worker.type;
+  for (const { job } of worker.occupyingTasks()) {
+    cpus -= job.cpus;
+    gpus -= job.gpus;
+    memoryGb -= job.memoryGb;
+  }
+  const fitting = Math.min(
+    timesIn(cpus, spec.cpus),
+    timesIn(gpus, spec.gpus),
+    timesIn(memoryGb, spec.memoryGb),
+  );
+  return Math.max(0, fitting);
+}
+
+function isAllowedOn(worker: SimulatedWorker, spec: JobSpec): boolean {
+  if (!worker.alive || worker.isHanging) return false;
+  if (spec.types !== null && !spec.types.includes(worker.type.name)) return false;
+  if (spec.zone !== null && spec.zone !== worker.zone) return false;
+  return spec.spot || !worker.spot;
+}
+
+function timesIn(free: number, each: number): number {
+  return each <= 0 ? Infinity : Math.floor((free + EPSILON) / each);
 }
--- a/packages/testkit/src/tariff-feed.ts
+++ b/packages/testkit/src/tariff-feed.ts
@@ -1,51 +1,60 @@
+/**
+ * A stand-in tariff feed of a simulated world.
+ *
+ * @module
+ */
 import type { FeedResponse, TariffFeedSource } from '@spurbridge/tariff';
 import type { TariffDocument } from '@spurbridge/wire';
 import { formatTariff } from '@spurbridge/wire';
+import { FEED_HOST } from './hosts.js';
 import type { SimNetwork } from './network.js';
 
-const FEED_HOST = 'feed';
-const ANSWER_MS = 5000;
+const RESPONSE_TIMEOUT_MS = 5000;
 
-/** A stand-in tariff feed in a simulated world: publishes, falls silent, answers nonsense on demand. */
+/** Publishes documents, falls silent, and serves malformed ones on demand. */
 export class SimTariffFeed {
-  /** Anything, so that what is malformed can be published, too. */
-  private body: unknown = null;
-  private edition = 0;
+  /** While set, requests get no response. */
   isSilent = false;
+  /** Requests that arrived. */
   requests = 0;
+  /** Responses that said that the document is unchanged. */
   unchangedResponses = 0;
+  /** Of any type, so that what is malformed can be published, too. */
+  private body: unknown = null;
+  private edition = 0;
 
   constructor(private readonly network: SimNetwork) {}
 
+  /** Publishes a document. */
   publish(document: TariffDocument): void {
     this.publishRaw(formatTariff(document));
   }
 
+  /** Publishes anything as the body of the document. */
   publishRaw(body: unknown): void {
     this.body = body;
     this.edition += 1;
   }
 
+  /** The feed as a process on this host reaches it. */
   source(host: string): TariffFeedSource {
     return {
-      fetch: async (tag) =>
-        (await this.network.call<FeedResponse>(host, FEED_HOST, ANSWER_MS, () => this.answer(tag))) ?? {
-          outcome: 'failed',
-          why: 'no answer',
-          retryAfterS: null,
-        },
+      fetch: async (tag) => {
+        const response = await this.network.call<FeedResponse>(host, FEED_HOST, RESPONSE_TIMEOUT_MS, () =>
+          this.respond(tag),
+        );
+        return response ?? { outcome: 'failed', why: 'no answer', retryAfterS: null };
+      },
     };
   }
 
-  private answer(tag: string | null): FeedResponse | null {
+  private respond(tag: string | null): FeedResponse | null {
     this.requests += 1;
     if (this.isSilent) return null;
     if (this.body === null) return { outcome: 'failed', why: 'status 404', retryAfterS: null };
-    const current = `"${this.edition}"`;
-    if (tag === current) {
-      this.unchangedResponses += 1;
-      return { outcome: 'unchanged' };
-    }
-    return { outcome: 'document', body: this.body, tag: current };
+    const currentTag = `"${this.edition}"`;
+    if (tag !== currentTag) return { outcome: 'document', body: this.body, tag: currentTag };
+    this.unchangedResponses += 1;
+    return { outcome: 'unchanged' };
   }
 }
--- a/packages/testkit/src/unit.ts
+++ b/packages/testkit/src/unit.ts
@@ -1,25 +1,41 @@
+/**
+ * The program behind `npm run unit`: runs the tests of all packages. Those listed in `KNOWN-RED.txt` are run and printed,
+ * and only they may fail.
+ *
+ * @module
+ */
 import { existsSync, readFileSync, readdirSync } from 'node:fs';
 import { join } from 'node:path';
 import { run } from 'node:test';
 import { tap } from 'node:test/reporters';
+import type { KnownFailure } from './known-failures.js';
 import { judgeRun, parseKnownFailures } from './known-failures.js';
 
-/** Runs all tests; those listed in `KNOWN-RED.txt` are run and printed, and only they may fail. */
-const KNOWN_RED = 'KNOWN-RED.txt';
+const KNOWN_FAILURES_FILE = 'KNOWN-RED.txt';
+const PACKAGES_FOLDER = 'packages';
+const TEST_SUFFIX = '.test.ts';
 
-const red = existsSync(KNOWN_RED) ? parseKnownFailures(readFileSync(KNOWN_RED, 'utf8')) : [];
-const files = readdirSync('packages')
-  .map((p) => join('packages', p, 'test'))
-  .filter((d) => existsSync(d))
-  .flatMap((d) => readdirSync(d).map((f) => join(d, f)))
-  .filter((f) => f.endsWith('.test.ts'));
+function readKnownFailures(): KnownFailure[] {
+  if (!existsSync(KNOWN_FAILURES_FILE)) return [];
+  return parseKnownFailures(readFileSync(KNOWN_FAILURES_FILE, 'utf8'));
+}
+
+function findTestFiles(): string[] {
+  return readdirSync(PACKAGES_FOLDER)
+    .map((name) => join(PACKAGES_FOLDER, name, 'test'))
+    .filter((folder) => existsSync(folder))
+    .flatMap((folder) => readdirSync(folder).map((file) => join(folder, file)))
+    .filter((file) => file.endsWith(TEST_SUFFIX));
+}
+
+const knownFailures = readKnownFailures();
 const passed = new Set<string>();
 const failed = new Set<string>();
-const stream = run({ files, concurrency: true });
+const stream = run({ files: findTestFiles(), concurrency: true });
 stream.on('test:pass', ({ name }) => passed.add(name));
 stream.on('test:fail', ({ name }) => failed.add(name));
 stream.once('end', () => {
-  const { faults, said } = judgeRun(red, { passed, failed });
+  const { faults, said } = judgeRun(knownFailures, { passed, failed });
   for (const line of [...said, ...faults]) process.stdout.write(`# ${line}\n`);
   process.exitCode = faults.length > 0 || passed.size === 0 ? 1 : 0;
 });
