--- a/packages/daemon/src/main-tariff.ts
+++ b/packages/daemon/src/main-tariff.ts
@@ -45,15 +45,21 @@
       numberFlag(
         'tariff-pattern-h',
         'hours for which windows outlive their tariff',
-        d.patternS / 3600,
+        d.windowExtensionS / 3600,
         0,
         720,
       ),
     )
     .addOption(numberFlag('tariff-silent-s', 'seconds after which a feed counts as silent', 3600, 1, 604_800))
-    .addOption(numberFlag('tariff-saving', 'share of its cost that a wait must save', d.leastSaving, 0, 1))
+    .addOption(numberFlag('tariff-saving', 'share of its cost that a wait must save', d.minSaving, 0, 1))
     .addOption(
-      numberFlag('tariff-probability', 'share of run times to be safe against', d.probability, 0.5, 0.9999),
+      numberFlag(
+        'tariff-probability',
+        'share of run times to be safe against',
+        d.runTimeQuantile,
+        0.5,
+        0.9999,
+      ),
     )
     .addOption(numberFlag('tariff-spare-runs', 'lost runs of a task to be safe against', d.spareRuns, 0, 10));
 }
@@ -99,9 +105,9 @@
         document: file === null ? null : readTariff(file),
         feed: url === null ? null : feedOf(url, f.tariffSilentS),
         carbonShare: f.tariffCarbon,
-        patternS: f.tariffPatternH * 3600,
-        leastSaving: f.tariffSaving,
-        probability: f.tariffProbability,
+        windowExtensionS: f.tariffPatternH * 3600,
+        minSaving: f.tariffSaving,
+        runTimeQuantile: f.tariffProbability,
         spareRuns: f.tariffSpareRuns,
         classes,
       }),
--- a/packages/tariff/src/calendar.ts
+++ b/packages/tariff/src/calendar.ts
@@ -1,11 +1,17 @@
+/**
+ * Prices of a tariff over time: local times and weekdays are resolved to instants by the calendar of the
+ * tariff's zone.
+ *
+ * @module
+ */
 import type { WallClockMs } from '@spurbridge/model';
-import type { RecurringWindow, TariffDocument, Weekday } from '@spurbridge/wire';
+import type { TariffRate, RecurringWindow, TariffDocument, Weekday } from '@spurbridge/wire';
 import { ValidationError, WEEKDAYS } from '@spurbridge/wire';
 import { Temporal } from 'temporal-polyfill';
 
 /**
- * How sure a price is: `known` while the document states it, `pattern` when only its recurring windows go on
- * beyond its validity, `unsure` once nothing says anything.
+ * How certain a price is: `known` while the document states it, `pattern` when only its recurring windows
+ * continue beyond its validity, `unsure` once nothing says anything.
  */
 export type PriceCertainty = 'known' | 'pattern' | 'unsure';
 
@@ -19,106 +25,175 @@
   readonly carbon: readonly Float64Array[];
 }
 
-const DAY_MIN = 1440;
+/** A span of time; both ends are whole milliseconds. */
+interface Span {
+  readonly from: WallClockMs;
+  readonly until: WallClockMs;
+}
+
+/** What the clocks of the tariff's time zone show at an instant. */
+interface LocalTime {
+  /** Minutes after midnight. */
+  readonly minute: number;
+  readonly today: Weekday;
+  readonly yesterday: Weekday;
+}
+
+const MINUTES_PER_DAY = 1440;
+const NO_RATE: TariffRate = { price: NaN, carbon: NaN };
 
-/** Refuses a tariff whose time zone this machine's calendar does not know. */
-export function validateCalendar(t: TariffDocument): void {
+/**
+ * Refuses a tariff whose time zone or holidays this machine's calendar does not know.
+ *
+ * @throws MalformedError naming the field
+ */
+export function validateCalendar(tariff: TariffDocument): void {
   try {
-    Temporal.Instant.fromEpochMilliseconds(t.issuedAt).toZonedDateTimeISO(t.timeZone);
+    zonedTime(tariff.issuedAt, tariff.timeZone);
   } catch {
+    // The calendar throws a RangeError for a zone that it does not know.
     throw new ValidationError('timeZone', 'an IANA time zone such as Europe/Riga');
   }
-  t.holidays.forEach((h, i) => {
+  tariff.holidays.forEach((holiday, index) => {
     try {
-      Temporal.PlainDate.from(h.date, { overflow: 'reject' });
+      Temporal.PlainDate.from(holiday.date, { overflow: 'reject' });
     } catch {
-      throw new ValidationError(`holidays[${i}].date`, 'a date of the calendar');
+      // The calendar throws a RangeError for a date that it does not have.
+      throw new ValidationError(`holidays[${index}].date`, 'a date of the calendar');
     }
   });
 }
 
-/** Both instants that a local time may mean: in a doubled hour two, in a missing one those beside it. */
-function instants(date: Temporal.PlainDate, minute: number, timeZone: string): number[] {
-  const day = minute === DAY_MIN ? date.add({ days: 1 }) : date;
-  const m = minute % DAY_MIN;
-  const local = day.toPlainDateTime({ hour: Math.floor(m / 60), minute: m % 60 });
-  const earlier = local.toZonedDateTime(timeZone, { disambiguation: 'earlier' }).epochMilliseconds;
-  const later = local.toZonedDateTime(timeZone, { disambiguation: 'later' }).epochMilliseconds;
-  return earlier === later ? [earlier] : [earlier, later];
-}
-
-function inForce(w: RecurringWindow, today: Weekday, yesterday: Weekday, minute: number): boolean {
-  if (w.from < w.to) return w.days.includes(today) && minute >= w.from && minute < w.to;
-  // Past midnight it belongs to the day on which it began.
-  return (w.days.includes(today) && minute >= w.from) || (w.days.includes(yesterday) && minute < w.to);
-}
-
 /**
- * Prices from `from` to `until` in each zone. Windows are local times: an instant belongs to a window exactly
- * when the clock on the wall says so, so a missing hour is in none and a doubled hour in both its turns.
+ * Prices in each zone over a span of time. Windows are local times: an instant is in a window exactly when
+ * local clocks say so, so that a missing hour is in none and a doubled hour in both its turns.
  *
- * @param patternS seconds beyond `validUntil` for which the recurring windows are believed
+ * @param windowExtensionS seconds beyond `validUntil` for which the recurring windows still count
  */
 export function expandTariff(
-  t: TariffDocument,
+  tariff: TariffDocument,
   zones: readonly string[],
   fromMs: WallClockMs,
   untilMs: WallClockMs,
-  patternS: number,
+  windowExtensionS: number,
 ): PriceSeries {
-  // A calendar knows whole milliseconds alone.
-  const from = Math.floor(fromMs) as WallClockMs;
-  const until = Math.ceil(untilMs) as WallClockMs;
-  const patternUntil = t.validUntil === null ? Infinity : t.validUntil + patternS * 1000;
-  const cuts = new Set<number>([from]);
-  const cut = (ms: number): void => {
-    if (ms > from && ms < until) cuts.add(ms);
-  };
-  const holidays = new Map(t.holidays.map((h) => [h.date, h.like]));
-  const first = Temporal.Instant.fromEpochMilliseconds(from).toZonedDateTimeISO(t.timeZone);
-  const last = Temporal.Instant.fromEpochMilliseconds(until).toZonedDateTimeISO(t.timeZone);
-  const lastDate = last.toPlainDate();
-  const times = new Set(t.windows.flatMap((w) => [w.from, w.to]));
-  times.add(0);
-  for (let d = first.toPlainDate(); Temporal.PlainDate.compare(d, lastDate) <= 0; d = d.add({ days: 1 }))
-    for (const m of times) for (const ms of instants(d, m, t.timeZone)) cut(ms);
-  for (let z = first.getTimeZoneTransition('next'); z !== null; z = z.getTimeZoneTransition('next')) {
-    if (z.epochMilliseconds >= until) break;
-    cut(z.epochMilliseconds);
-  }
-  for (const s of t.slots) {
-    cut(s.from);
-    cut(s.until);
-  }
-  if (t.validUntil !== null) {
-    cut(t.validUntil);
-    cut(patternUntil);
-  }
-  const starts = [...cuts].sort((a, b) => a - b) as WallClockMs[];
+  // The calendar takes whole milliseconds only.
+  const span: Span = { from: Math.floor(fromMs) as WallClockMs, until: Math.ceil(untilMs) as WallClockMs };
+  const extensionEnd = tariff.validUntil === null ? Infinity : tariff.validUntil + windowExtensionS * 1000;
+  const starts = pieceStarts(tariff, span, extensionEnd);
   const price = zones.map(() => new Float64Array(starts.length));
   const carbon = zones.map(() => new Float64Array(starts.length));
-  const certainty: PriceCertainty[] = [];
-  starts.forEach((at, i) => {
-    const sure: PriceCertainty =
-      at < (t.validUntil ?? Infinity) ? 'known' : at < patternUntil ? 'pattern' : 'unsure';
-    certainty.push(sure);
-    const local = Temporal.Instant.fromEpochMilliseconds(at).toZonedDateTimeISO(t.timeZone);
-    const minute = local.hour * 60 + local.minute + local.second / 60;
-    const date = local.toPlainDate();
-    const today = weekday(date, holidays);
-    const yesterday = weekday(date.subtract({ days: 1 }), holidays);
-    const windows = t.windows.filter((w) => inForce(w, today, yesterday, minute));
-    const slots = t.slots.filter((s) => at >= s.from && at < s.until);
-    zones.forEach((zone, z) => {
-      const here = (x: { zones: readonly string[] | null }): boolean => x.zones?.includes(zone) ?? true;
-      const rate = sure === 'unsure' ? null : (slots.find(here) ?? windows.find(here) ?? t.base);
-      (price[z] as Float64Array)[i] = rate?.price ?? NaN;
-      (carbon[z] as Float64Array)[i] = rate?.carbon ?? NaN;
+  const rates = new RateTable(tariff);
+  const certainty = starts.map((start) => certaintyAt(tariff, start, extensionEnd));
+  starts.forEach((start, piece) => {
+    const rateOf = certainty[piece] === 'unsure' ? () => NO_RATE : rates.at(start);
+    zones.forEach((zone, index) => {
+      const rate = rateOf(zone);
+      (price[index] as Float64Array)[piece] = rate.price;
+      (carbon[index] as Float64Array)[piece] = rate.carbon;
     });
   });
-  return { starts, until, certainty, price, carbon };
+  return { starts, until: span.until, certainty, price, carbon };
+}
+
+function certaintyAt(tariff: TariffDocument, at: WallClockMs, extensionEnd: number): PriceCertainty {
+  if (at < (tariff.validUntil ?? Infinity)) return 'known';
+  return at < extensionEnd ? 'pattern' : 'unsure';
+}
+
+// --- where prices can change -------------------------------------------------------------------
+
+/** All instants of a span at which a price may change, beginning with its start, in order. */
+function pieceStarts(tariff: TariffDocument, span: Span, extensionEnd: number): WallClockMs[] {
+  const candidates = [
+    ...windowChanges(tariff, span),
+    ...clockChanges(tariff, span),
+    ...tariff.slots.flatMap((slot) => [slot.from, slot.until]),
+    ...(tariff.validUntil === null ? [] : [tariff.validUntil, extensionEnd]),
+  ];
+  const inside = candidates.filter((instant) => instant > span.from && instant < span.until);
+  return [...new Set([span.from, ...inside])].sort((left, right) => left - right) as WallClockMs[];
+}
+
+/** Instants at which a window may begin or end, or a weekday begins. */
+function windowChanges(tariff: TariffDocument, span: Span): number[] {
+  const { timeZone } = tariff;
+  const minutes = new Set([0, ...tariff.windows.flatMap((window) => [window.from, window.to])]);
+  const lastDate = zonedTime(span.until, timeZone).toPlainDate();
+  const changes: number[] = [];
+  let date = zonedTime(span.from, timeZone).toPlainDate();
+  while (Temporal.PlainDate.compare(date, lastDate) <= 0) {
+    for (const minute of minutes) changes.push(...instantsOf(date, minute, timeZone));
+    date = date.add({ days: 1 });
+  }
+  return changes;
+}
+
+/** Instants at which the clocks of the tariff's time zone leap. */
+function clockChanges(tariff: TariffDocument, span: Span): number[] {
+  const changes: number[] = [];
+  let change = zonedTime(span.from, tariff.timeZone).getTimeZoneTransition('next');
+  while (change !== null && change.epochMilliseconds < span.until) {
+    changes.push(change.epochMilliseconds);
+    change = change.getTimeZoneTransition('next');
+  }
+  return changes;
+}
+
+function zonedTime(instant: number, timeZone: string): Temporal.ZonedDateTime {
+  return Temporal.Instant.fromEpochMilliseconds(instant).toZonedDateTimeISO(timeZone);
+}
+
+/** Both instants that a local time may mean: in a doubled hour two, in a missing one those beside it. */
+function instantsOf(date: Temporal.PlainDate, minute: number, timeZone: string): number[] {
+  const day = minute === MINUTES_PER_DAY ? date.add({ days: 1 }) : date;
+  const minuteOfDay = minute % MINUTES_PER_DAY;
+  const local = day.toPlainDateTime({ hour: Math.floor(minuteOfDay / 60), minute: minuteOfDay % 60 });
+  const earlier = local.toZonedDateTime(timeZone, { disambiguation: 'earlier' }).epochMilliseconds;
+  const later = local.toZonedDateTime(timeZone, { disambiguation: 'later' }).epochMilliseconds;
+  return earlier === later ? [earlier] : [earlier, later];
+}
+
+// --- rates -------------------------------------------------------------------------------------
+
+/** Finds the rate that applies at an instant: a slot's, else the first window's, else the base rate. */
+class RateTable {
+  private readonly holidays: ReadonlyMap<string, Weekday>;
+
+  constructor(private readonly tariff: TariffDocument) {
+    this.holidays = new Map(tariff.holidays.map((holiday) => [holiday.date, holiday.like]));
+  }
+
+  /** Rates at an instant, by zone. */
+  at(instant: WallClockMs): (zone: string) => TariffRate {
+    const local = this.localTime(instant);
+    const slots = this.tariff.slots.filter((slot) => instant >= slot.from && instant < slot.until);
+    const windows = this.tariff.windows.filter((window) => isInForce(window, local));
+    return (zone) => {
+      const appliesHere = ({ zones }: { readonly zones: readonly string[] | null }): boolean =>
+        zones?.includes(zone) ?? true;
+      return slots.find(appliesHere) ?? windows.find(appliesHere) ?? this.tariff.base;
+    };
+  }
+
+  private localTime(instant: WallClockMs): LocalTime {
+    const local = zonedTime(instant, this.tariff.timeZone);
+    const date = local.toPlainDate();
+    return {
+      minute: local.hour * 60 + local.minute + local.second / 60,
+      today: this.weekday(date),
+      yesterday: this.weekday(date.subtract({ days: 1 })),
+    };
+  }
+
+  /** The weekday that a date is treated as. */
+  private weekday(date: Temporal.PlainDate): Weekday {
+    return this.holidays.get(date.toString()) ?? (WEEKDAYS[date.dayOfWeek - 1] as Weekday);
+  }
 }
 
-function weekday(date: Temporal.PlainDate, holidays: ReadonlyMap<string, Weekday>): Weekday {
-  return holidays.get(date.toString()) ?? (WEEKDAYS[date.dayOfWeek - 1] as Weekday);
+function isInForce({ days, from, to }: RecurringWindow, { minute, today, yesterday }: LocalTime): boolean {
+  if (from < to) return days.includes(today) && minute >= from && minute < to;
+  // A window past midnight belongs to the day on which it began.
+  return (days.includes(today) && minute >= from) || (days.includes(yesterday) && minute < to);
 }
--- a/packages/tariff/src/capacity.ts
+++ b/packages/tariff/src/capacity.ts
@@ -1,28 +1,36 @@
+/**
+ * How much capacity deferred work can count on.
+ *
+ * @module
+ */
 import type { Team } from '@spurbridge/model';
 import { read } from '@spurbridge/wire';
 
-/** How fast what was seen is forgotten. */
+/** After this time an observed peak counts half. */
 const PEAK_HALF_LIFE_MS = 12 * 3600 * 1000;
-const USE_HALF_LIFE_MS = 20 * 60 * 1000;
-/** Of what is there, kept free for what nobody foresees. */
-const HEADROOM = 0.85;
+/** After this time an observed usage counts half. */
+const USAGE_HALF_LIFE_MS = 20 * 60 * 1000;
+/** Share of the capacity that is counted on; the rest is left to what nobody foresees. */
+const USABLE_SHARE = 0.85;
 
-/** CPUs that a team's work takes that is never deferred. */
-interface Use {
+/** CPUs taken by a team's work that is never deferred. */
+interface TeamUsage {
   readonly services: number;
-  /** Of urgent work that ends, on average over the last while. */
+  /** Urgent work that ends, as a running mean. */
   readonly urgent: number;
 }
 
-/** What deferred work may count on, learned from what was seen: capacity that never was there is not. */
+/** Estimates capacity from what was observed: machines that never were there are not counted on. */
 export class CapacityEstimator {
   private peakCpus = 0;
-  private at: number | null = null;
-  private readonly uses = new Map<string, Use>();
+  private observedAtMs: number | null = null;
+  private readonly usageByTeam = new Map<string, TeamUsage>();
 
   /**
-   * @param atMs steady time
-   * @param cpus of all machines that take tasks
+   * Takes an observation into account.
+   *
+   * @param atMs monotonic time
+   * @param cpus CPUs of all machines that take tasks
    * @param services CPUs that each team's services take or wait for
    * @param urgent CPUs that each team's other work that is never deferred takes now
    */
@@ -32,47 +40,54 @@
     services: ReadonlyMap<string, number>,
     urgent: ReadonlyMap<string, number>,
   ): void {
-    const tookMs = this.at === null ? 0 : atMs - this.at;
-    this.peakCpus = Math.max(cpus, this.peakCpus * 0.5 ** (tookMs / PEAK_HALF_LIFE_MS));
-    const keep = 0.5 ** (tookMs / USE_HALF_LIFE_MS);
-    this.at = atMs;
-    for (const name of new Set([...this.uses.keys(), ...services.keys(), ...urgent.keys()])) {
-      const before = this.uses.get(name)?.urgent ?? 0;
-      this.uses.set(name, {
-        services: services.get(name) ?? 0,
-        urgent: before * keep + (urgent.get(name) ?? 0) * (1 - keep),
+    const elapsedMs = this.observedAtMs === null ? 0 : atMs - this.observedAtMs;
+    this.observedAtMs = atMs;
+    this.peakCpus = Math.max(cpus, this.peakCpus * 0.5 ** (elapsedMs / PEAK_HALF_LIFE_MS));
+    const oldWeight = 0.5 ** (elapsedMs / USAGE_HALF_LIFE_MS);
+    for (const team of new Set([...this.usageByTeam.keys(), ...services.keys(), ...urgent.keys()])) {
+      const before = this.usageByTeam.get(team)?.urgent ?? 0;
+      this.usageByTeam.set(team, {
+        services: services.get(team) ?? 0,
+        urgent: before * oldWeight + (urgent.get(team) ?? 0) * (1 - oldWeight),
       });
     }
   }
 
-  private used(name: string): number {
-    const u = this.uses.get(name);
-    return u === undefined ? 0 : u.services + u.urgent;
+  private usedBy(team: string): number {
+    const usage = this.usageByTeam.get(team);
+    return usage === undefined ? 0 : usage.services + usage.urgent;
   }
 
-  /** The most CPUs that were seen, as far as that is not forgotten. */
+  /** The most CPUs that were observed, less the longer ago that was. */
   get peak(): number {
     return this.peakCpus;
   }
 
-  get pool(): number {
+  /** CPUs for deferred work of all teams together. */
+  get totalCpus(): number {
     let used = 0;
-    for (const name of this.uses.keys()) used += this.used(name);
-    return Math.max(0, this.peakCpus * HEADROOM - used);
+    for (const team of this.usageByTeam.keys()) used += this.usedBy(team);
+    return Math.max(0, this.peakCpus * USABLE_SHARE - used);
   }
 
-  /** CPUs for a team's deferred work: its guarantee, or what the others leave, up to its limit. */
-  of(team: Team): number {
-    let others = 0;
-    for (const name of this.uses.keys()) if (name !== team.name) others += this.used(name);
-    const there = Math.max(Math.min(team.cpus, this.peakCpus), this.peakCpus - others);
-    return Math.max(0, Math.min(team.cpusMax, there) * HEADROOM - this.used(team.name));
+  /** CPUs for a team's deferred work: what it is guaranteed, or what the others leave, up to its limit. */
+  cpusFor(team: Team): number {
+    let usedByOthers = 0;
+    for (const name of this.usageByTeam.keys()) if (name !== team.name) usedByOthers += this.usedBy(name);
+    const available = Math.max(Math.min(team.cpus, this.peakCpus), this.peakCpus - usedByOthers);
+    return Math.max(0, Math.min(team.cpusMax, available) * USABLE_SHARE - this.usedBy(team.name));
   }
 
+  /** What the next leader needs to know. */
   encode(): Record<string, unknown> {
     return { peakCpus: this.peakCpus };
   }
 
+  /**
+   * Takes over what an earlier leader observed.
+   *
+   * @throws MalformedError naming the field
+   */
   restore(value: unknown): void {
     this.peakCpus = Math.max(this.peakCpus, read.amount(read.asObject(value, 'capacity'), 'peakCpus'));
   }
--- /dev/null
+++ b/packages/tariff/src/job-estimates.ts
@@ -0,0 +1,108 @@
+/**
+ * What a deferrable job needs, and by when.
+ *
+ * @module
+ */
+import type { ClusterState, LeaderTerm } from '@spurbridge/controller';
+import { heartbeatTimeoutMs } from '@spurbridge/controller';
+import type { Job, WallClockMs } from '@spurbridge/model';
+import { fitsMachineType } from '@spurbridge/model';
+import { effectiveCpus } from '@spurbridge/planner';
+import type { JobSpec } from '@spurbridge/wire';
+import type { TariffOptions } from './options.js';
+import type { DeferrableJob } from './release-decision.js';
+import type { TariffRepository } from './tariff-repository.js';
+
+/** Nearly all boots and image fetches take up to this many times their nominal time. */
+const SLOW_START_FACTOR = 1.6;
+/** From the release of a job until it is planned, in seconds. */
+const PLANNING_S = 2;
+/** A failover takes up to this time, in seconds. */
+const FAILOVER_S = 12;
+/** Boot time of a machine where no fitting type states one, in seconds. */
+const ASSUMED_BOOT_S = 60;
+
+/** What a job is estimated for. */
+export interface EstimateContext {
+  /** Whether the job was deferred before. */
+  readonly isWaiting: boolean;
+  /** Index of the job's team. */
+  readonly team: number;
+  /** All zones, in the order of the prices. */
+  readonly zones: readonly string[];
+  readonly deadlineS: number;
+}
+
+/** Estimates jobs by what was observed of their classes and by what operators state. */
+export class JobEstimator {
+  constructor(
+    private readonly term: LeaderTerm,
+    private readonly cluster: ClusterState,
+    private readonly repository: TariffRepository,
+    private readonly options: TariffOptions,
+  ) {}
+
+  /** The job as the release decision sees it. */
+  estimate(job: Job, { isWaiting, team, zones, deadlineS }: EstimateContext): DeferrableJob {
+    const { spec } = job;
+    const runTimes = this.repository.runTimes(spec.class);
+    const taskRunTimeS = runTimes.quantileS(spec.estimateS, this.options.runTimeQuantile);
+    const leadTimeS = this.leadTimeS(spec);
+    const cpus = spec.tasks * effectiveCpus(spec, this.term.context.machineTypes());
+    const lostRunS = taskRunTimeS + leadTimeS + heartbeatTimeoutMs(this.term.context.settings) / 1000;
+    return {
+      id: spec.id,
+      deferred: isWaiting,
+      team,
+      priceIndex: spec.zone === null ? 0 : zones.indexOf(spec.zone) + 1,
+      cpus,
+      workCpuS: cpus * runTimes.meanS(spec.estimateS),
+      taskRunTimeS,
+      leadTimeS,
+      marginS: FAILOVER_S + lostRunS * this.options.spareRuns,
+      finishBy: this.finishBy(job, deadlineS),
+      startBy: this.startBy(job),
+    };
+  }
+
+  private submittedAt(job: Job): WallClockMs {
+    const { wallNow, clock } = this.term.context;
+    return (wallNow() - (clock.now() - job.submittedAt)) as WallClockMs;
+  }
+
+  /**
+   * By when the job must be complete: its deadline, or what an objective of its class says if that is sooner.
+   */
+  private finishBy(job: Job, deadlineS: number): WallClockMs {
+    let withinS = deadlineS;
+    for (const objective of this.term.context.configuration().objectives) {
+      if (objective.class !== job.spec.class) continue;
+      if (objective.kind === 'deadline' && objective.times !== null)
+        withinS = Math.min(withinS, deadlineS * objective.times);
+      if (objective.kind === 'finished' && objective.withinS !== null)
+        withinS = Math.min(withinS, objective.withinS);
+    }
+    return (this.submittedAt(job) + withinS * 1000) as WallClockMs;
+  }
+
+  /** By when the job must start, if an objective of its class says so. */
+  private startBy(job: Job): WallClockMs | null {
+    let withinS = Infinity;
+    for (const objective of this.term.context.configuration().objectives)
+      if (objective.class === job.spec.class && objective.kind === 'wait')
+        withinS = Math.min(withinS, objective.withinS ?? Infinity);
+    return withinS === Infinity ? null : ((this.submittedAt(job) + withinS * 1000) as WallClockMs);
+  }
+
+  /** Seconds from a job's release until its first task runs. */
+  private leadTimeS(spec: JobSpec): number {
+    const types = this.term.context.machineTypes().filter((type) => fitsMachineType(spec, type));
+    // Machines boot for a job only where the fleet is scaled with the demand.
+    const bootS = this.cluster.minimizesCost
+      ? Math.max(...types.map((type) => type.bootS), 0) || ASSUMED_BOOT_S
+      : 0;
+    const fetchGbPerS = Math.min(...types.map((type) => type.fetchGbPerS), Infinity);
+    const fetchS = fetchGbPerS > 0 && fetchGbPerS < Infinity ? spec.imageGb / fetchGbPerS : 0;
+    return PLANNING_S + (bootS + fetchS) * SLOW_START_FACTOR;
+  }
+}
--- a/packages/tariff/src/tariff-repository.ts
+++ b/packages/tariff/src/tariff-repository.ts
@@ -1,209 +1,254 @@
-import { brotliCompressSync, brotliDecompressSync } from 'node:zlib';
+/**
+ * What deferral knows beyond the jobs' own records, kept in the key-value store for the next leader.
+ *
+ * @module
+ */
 import type { LeaderTerm } from '@spurbridge/controller';
 import type { CommitOutcome } from '@spurbridge/store';
 import type { Mutation, Compare, KeyValue, TariffDocument, Version } from '@spurbridge/wire';
-import { KEY_ABSENT, formatTariff, parseTariff, read } from '@spurbridge/wire';
+import { KEY_ABSENT } from '@spurbridge/wire';
 import { CapacityEstimator } from './capacity.js';
-import type { DeferralPage } from './deferral.js';
-import { DEFERRAL_PREFIX, DeferralTable, deferralPageKey } from './deferral.js';
+import type { DeferralPage } from './deferral-table.js';
+import { DEFERRAL_PREFIX, DeferralTable, deferralPageKey, parseDeferralPageKey } from './deferral-table.js';
+import { packDocument, unpackDocument } from './document-record.js';
 import { RunTimeEstimator } from './run-times.js';
 
-const PREFIX = 'tariff/';
-const HEAD = `${PREFIX}head`;
-const CAPACITY = `${PREFIX}capacity`;
-const PART = `${PREFIX}part/`;
-const CLASS = `${PREFIX}class/`;
-/** What was learned can wait; a release is the start of work. */
-const URGENCY = 2;
-const RELEASE_URGENCY = 1;
-const MOST_COMMIT_BYTES = 48 * 1024;
-const MOST_KEY_BYTES = 200;
-const RETRY_MS = 300;
-
-/** What deferring knows beyond the jobs' own records, and keeps in the state service for the next leader. */
+const TARIFF_PREFIX = 'tariff/';
+const DOCUMENT_KEY = `${TARIFF_PREFIX}head`;
+const CAPACITY_KEY = `${TARIFF_PREFIX}capacity`;
+const DOCUMENT_PART_PREFIX = `${TARIFF_PREFIX}part/`;
+const RUN_TIMES_PREFIX = `${TARIFF_PREFIX}class/`;
+/** Priority of reads at a leader's start, and of releases: they are the start of work. */
+const RELEASE_PRIORITY = 1;
+/** Priority of what was observed: it can wait. */
+const OBSERVATION_PRIORITY = 2;
+const MAX_COMMIT_BYTES = 48 * 1024;
+/** What a page's key, its version and the JSON around them take of a commit. */
+const PAGE_OVERHEAD_BYTES = 100;
+const MAX_KEY_BYTES = 200;
+/** Pause before a request that failed is sent again, in milliseconds. */
+const RETRY_DELAY_MS = 300;
+/** The capacity is stored when it changed by more than this share. */
+const MIN_PEAK_CHANGE = 0.02;
+
+/** A page as it is being written. */
+interface PageWrite {
+  readonly page: DeferralPage;
+  /** The page's generation when the write began. */
+  readonly generation: number;
+  readonly mutation: Mutation;
+}
+
+/**
+ * Holds the tariff, the deferrals and what was observed, and writes them on condition that this node still
+ * leads.
+ */
 export class TariffRepository {
-  readonly book: DeferralTable;
+  readonly deferrals: DeferralTable;
   readonly capacity = new CapacityEstimator();
-  readonly classes = new Map<string, RunTimeEstimator>();
+  /** The tariff that decisions go by. */
   document: TariffDocument | null = null;
+  private readonly runTimesByClass = new Map<string, RunTimeEstimator>();
   private readonly versions = new Map<string, Version>();
-  private keptPeak = 0;
+  private storedPeak = 0;
 
   constructor(private readonly term: LeaderTerm) {
-    this.book = new DeferralTable(term.context.settings.storeLimits.valueKb);
+    this.deferrals = new DeferralTable(term.context.settings.storeLimits.valueKb);
+  }
+
+  /** Run times of a class. */
+  runTimes(name: string): RunTimeEstimator {
+    let runTimes = this.runTimesByClass.get(name);
+    if (runTimes === undefined) {
+      runTimes = new RunTimeEstimator();
+      this.runTimesByClass.set(name, runTimes);
+    }
+    return runTimes;
   }
 
-  /** Reads all of it; returns early when deposed. */
+  // --- loading ---------------------------------------------------------------------------------
+
+  /** Reads all records; resolves early when this node leads no more. */
   async load(): Promise<void> {
     const { store, clock, log } = this.term.context;
     while (this.term.isActive) {
-      const kept = await store.list(PREFIX, 1);
-      const pages = kept.outcome === 'listed' ? await store.list(DEFERRAL_PREFIX, 1) : kept;
-      if (kept.outcome === 'listed' && pages.outcome === 'listed') {
-        for (const item of kept.items) this.versions.set(item.key, item.version);
-        this.restore(kept.items);
-        for (const item of pages.items)
-          this.guard(item.key, () => {
-            const index = Number(item.key.slice(DEFERRAL_PREFIX.length));
-            this.book.restore(index, item.value, item.version);
-          });
-        log.info(
-          { revision: this.document?.revision ?? null, deferred: [...this.book.all()].length },
-          'tariff restored',
-        );
+      const records = await store.list(TARIFF_PREFIX, RELEASE_PRIORITY);
+      const pages =
+        records.outcome === 'listed' ? await store.list(DEFERRAL_PREFIX, RELEASE_PRIORITY) : records;
+      if (records.outcome === 'listed' && pages.outcome === 'listed') {
+        this.restoreRecords(records.items);
+        this.restorePages(pages.items);
+        const deferred = [...this.deferrals.all()].length;
+        log.info({ revision: this.document?.revision ?? null, deferred }, 'tariff restored');
         return;
       }
-      await clock.sleep(RETRY_MS);
-    }
-  }
-
-  private guard(key: string, run: () => void): void {
-    try {
-      run();
-    } catch (e) {
-      this.term.context.log.error({ key, error: String(e) }, 'tariff record cannot be read');
+      await clock.sleep(RETRY_DELAY_MS);
     }
   }
 
-  private restore(items: readonly KeyValue[]): void {
-    const byKey = new Map(items.map((i) => [i.key, i.value]));
-    const head = byKey.get(HEAD);
-    if (head !== undefined)
-      this.guard(HEAD, () => {
-        const parts: string[] = [];
-        for (let i = 0; i < read.count(read.asObject(head, 'head'), 'parts'); i += 1)
-          parts.push(read.string(read.asObject(byKey.get(PART + String(i)), 'part'), 'text'));
-        const text = brotliDecompressSync(Buffer.from(parts.join(''), 'base64')).toString('utf8');
-        this.document = parseTariff(JSON.parse(text));
-      });
+  private restoreRecords(items: readonly KeyValue[]): void {
+    for (const { key, version } of items) this.versions.set(key, version);
+    this.restoreDocument(new Map(items.map(({ key, value }) => [key, value])));
     for (const { key, value } of items)
-      if (key === CAPACITY)
-        this.guard(key, () => {
+      if (key === CAPACITY_KEY)
+        this.tryRestore(key, () => {
           this.capacity.restore(value);
         });
-      else if (key.startsWith(CLASS))
-        this.guard(key, () => {
-          this.classes.set(decodeURIComponent(key.slice(CLASS.length)), RunTimeEstimator.decode(value));
+      else if (key.startsWith(RUN_TIMES_PREFIX))
+        this.tryRestore(key, () => {
+          const name = decodeURIComponent(key.slice(RUN_TIMES_PREFIX.length));
+          this.runTimesByClass.set(name, RunTimeEstimator.decode(value));
         });
   }
 
-  runTimes(name: string): RunTimeEstimator {
-    let r = this.classes.get(name);
-    if (r === undefined) {
-      r = new RunTimeEstimator();
-      this.classes.set(name, r);
+  private restoreDocument(values: ReadonlyMap<string, unknown>): void {
+    const head = values.get(DOCUMENT_KEY);
+    if (head === undefined) return;
+    this.tryRestore(DOCUMENT_KEY, () => {
+      this.document = unpackDocument(head, (index) => values.get(documentPartKey(index)));
+    });
+  }
+
+  private restorePages(items: readonly KeyValue[]): void {
+    for (const { key, value, version } of items)
+      this.tryRestore(key, () => {
+        this.deferrals.restore(parseDeferralPageKey(key), value, version);
+      });
+  }
+
+  /** A record that cannot be read is logged and passed over. */
+  private tryRestore(key: string, restore: () => void): void {
+    try {
+      restore();
+    } catch (error) {
+      this.term.context.log.error({ key, error: String(error) }, 'tariff record cannot be read');
     }
-    return r;
   }
 
-  /** Replaces the tariff, all parts at once; false where it is too large to be kept or could not be written. */
-  async keepDocument(t: TariffDocument): Promise<boolean> {
+  // --- the tariff and observations -------------------------------------------------------------
+
+  /** Replaces the tariff, all parts at once; false where it is too large or could not be written. */
+  async storeDocument(document: TariffDocument): Promise<boolean> {
     const { settings, log } = this.term.context;
-    const text = brotliCompressSync(JSON.stringify(formatTariff(t))).toString('base64');
-    const partBytes = settings.storeLimits.valueKb * 1024 - 64;
-    const parts: string[] = [];
-    for (let at = 0; at < text.length; at += partBytes) parts.push(text.slice(at, at + partBytes));
-    if (parts.length + 1 > settings.storeLimits.txnOps || text.length > MOST_COMMIT_BYTES) {
-      log.error({ refused: `slots: expected fewer (${text.length} bytes packed)` }, 'tariff is too large');
+    const packed = packDocument(document, settings.storeLimits.valueKb);
+    if (packed.parts.length + 1 > settings.storeLimits.txnOps || packed.bytes > MAX_COMMIT_BYTES) {
+      log.error({ refused: `slots: expected fewer (${packed.bytes} bytes packed)` }, 'tariff is too large');
       return false;
     }
-    const changes: Mutation[] = [
-      { put: HEAD, value: { revision: t.revision, parts: parts.length } },
-      ...parts.map((part, i) => ({ put: PART + String(i), value: { text: part } })),
-    ];
-    const kept = await this.write(changes);
-    if (kept) this.document = t;
-    return kept;
+    const isStored = await this.write([
+      { put: DOCUMENT_KEY, value: packed.head },
+      ...packed.parts.map((value, index) => ({ put: documentPartKey(index), value })),
+    ]);
+    if (isStored) this.document = document;
+    return isStored;
   }
 
-  /** Writes what was learned and has changed. */
-  async keepLearned(): Promise<void> {
-    const { settings } = this.term.context;
-    const changes: Mutation[] = [];
-    const done: RunTimeEstimator[] = [];
-    for (const [name, times] of this.classes) {
-      const key = CLASS + encodeURIComponent(name);
-      if (!times.isDirty || key.length > MOST_KEY_BYTES || changes.length >= settings.storeLimits.txnOps - 1)
-        continue;
-      changes.push({ put: key, value: times.encode() });
-      done.push(times);
+  /** Writes what was observed since it was last written. */
+  async storeObservations(): Promise<void> {
+    const mutations: Mutation[] = [];
+    const written: RunTimeEstimator[] = [];
+    const maxRunTimes = this.term.context.settings.storeLimits.txnOps - 1;
+    for (const [name, runTimes] of this.runTimesByClass) {
+      const key = RUN_TIMES_PREFIX + encodeURIComponent(name);
+      if (!runTimes.isDirty || key.length > MAX_KEY_BYTES || mutations.length >= maxRunTimes) continue;
+      mutations.push({ put: key, value: runTimes.encode() });
+      written.push(runTimes);
     }
     const { peak } = this.capacity;
-    if (Math.abs(peak - this.keptPeak) > this.keptPeak * 0.02)
-      changes.push({ put: CAPACITY, value: this.capacity.encode() });
-    if (changes.length === 0) return;
-    for (const times of done) times.isDirty = false;
-    if (await this.write(changes)) this.keptPeak = peak;
-    else for (const times of done) times.isDirty = true;
+    if (Math.abs(peak - this.storedPeak) > this.storedPeak * MIN_PEAK_CHANGE)
+      mutations.push({ put: CAPACITY_KEY, value: this.capacity.encode() });
+    if (mutations.length === 0) return;
+    for (const runTimes of written) runTimes.isDirty = false;
+    if (await this.write(mutations)) this.storedPeak = peak;
+    else for (const runTimes of written) runTimes.isDirty = true;
   }
 
-  private async write(changes: readonly Mutation[]): Promise<boolean> {
+  private async write(mutations: readonly Mutation[]): Promise<boolean> {
     const { store, leadership } = this.term.context;
-    const conditions: Compare[] = [leadership.leadershipCompare()];
-    for (const c of changes)
-      if ('put' in c) conditions.push({ key: c.put, version: this.versions.get(c.put) ?? KEY_ABSENT });
-    const outcome = await store.commit(conditions, changes, URGENCY);
+    const keys = mutations.flatMap((mutation) => ('put' in mutation ? [mutation.put] : []));
+    const compares: Compare[] = [
+      leadership.leadershipCompare(),
+      ...keys.map((key) => ({ key, version: this.versions.get(key) ?? KEY_ABSENT })),
+    ];
+    const outcome = await store.commit(compares, mutations, OBSERVATION_PRIORITY);
     if (outcome.outcome === 'committed') {
-      for (const c of changes)
-        if ('put' in c) this.versions.set(c.put, outcome.revision as number as Version);
+      for (const key of keys) this.versions.set(key, outcome.revision as number as Version);
       return true;
     }
-    await this.reread(outcome, (key, version) => this.versions.set(key, version));
+    await this.recover(outcome, (key, version) => this.versions.set(key, version));
     return false;
   }
 
+  // --- deferrals -------------------------------------------------------------------------------
+
   /** Writes pages that changed, as many as one commit takes; true when nothing is left to write. */
   async flush(): Promise<boolean> {
-    const { store, leadership, settings } = this.term.context;
-    const due: { page: DeferralPage; edition: number; change: Mutation }[] = [];
-    let bytes = 0;
-    for (const page of this.book.pages) {
-      if (page.generation === page.durableGeneration) continue;
-      const value = this.book.encode(page);
-      bytes += JSON.stringify(value).length + 100;
-      if (due.length > 0 && (due.length >= settings.storeLimits.txnOps || bytes > MOST_COMMIT_BYTES)) break;
-      const key = deferralPageKey(page.index);
-      if (page.entries.size === 0 && page.version === KEY_ABSENT) {
-        page.durableGeneration = page.generation;
-        continue;
-      }
-      const change: Mutation = page.entries.size === 0 ? { delete: key } : { put: key, value };
-      due.push({ page, edition: page.generation, change });
-    }
-    if (due.length === 0) return true;
-    const conditions: Compare[] = [
-      leadership.leadershipCompare(),
-      ...due.map((d) => ({ key: deferralPageKey(d.page.index), version: d.page.version })),
-    ];
+    const { store, leadership } = this.term.context;
+    const writes = this.pageWrites();
+    if (writes.length === 0) return true;
     const outcome = await store.commit(
-      conditions,
-      due.map((d) => d.change),
-      RELEASE_URGENCY,
+      [
+        leadership.leadershipCompare(),
+        ...writes.map(({ page }) => ({ key: deferralPageKey(page.index), version: page.version })),
+      ],
+      writes.map(({ mutation }) => mutation),
+      RELEASE_PRIORITY,
     );
     if (!this.term.isActive) return false;
     if (outcome.outcome === 'committed')
-      for (const d of due) {
-        d.page.version = 'delete' in d.change ? KEY_ABSENT : (outcome.revision as number as Version);
-        d.page.durableGeneration = d.edition;
+      for (const { page, generation, mutation } of writes) {
+        page.version = 'delete' in mutation ? KEY_ABSENT : (outcome.revision as number as Version);
+        page.durableGeneration = generation;
       }
     else
-      await this.reread(outcome, (key, version) => {
-        const page = this.book.pages[Number(key.slice(DEFERRAL_PREFIX.length))];
+      await this.recover(outcome, (key, version) => {
+        const page = this.deferrals.pages[parseDeferralPageKey(key)];
         if (page !== undefined) page.version = version;
       });
     return false;
   }
 
-  /** A conflict: an earlier write whose answer was lost may have been executed, so versions are read again. */
-  private async reread(outcome: CommitOutcome, set: (key: string, version: Version) => void): Promise<void> {
+  private pageWrites(): PageWrite[] {
+    const { txnOps } = this.term.context.settings.storeLimits;
+    const writes: PageWrite[] = [];
+    let bytes = 0;
+    for (const page of this.deferrals.pages) {
+      if (page.generation === page.durableGeneration) continue;
+      const value = this.deferrals.encode(page);
+      bytes += JSON.stringify(value).length + PAGE_OVERHEAD_BYTES;
+      if (writes.length > 0 && (writes.length >= txnOps || bytes > MAX_COMMIT_BYTES)) break;
+      const key = deferralPageKey(page.index);
+      const isEmpty = page.entries.size === 0;
+      if (isEmpty && page.version === KEY_ABSENT) {
+        page.durableGeneration = page.generation;
+        continue;
+      }
+      const mutation: Mutation = isEmpty ? { delete: key } : { put: key, value };
+      writes.push({ page, generation: page.generation, mutation });
+    }
+    return writes;
+  }
+
+  /**
+   * After a conflict, reads the versions again: an earlier commit without a response may have been executed.
+   * After any other failure, waits before the next attempt.
+   */
+  private async recover(
+    outcome: CommitOutcome,
+    setVersion: (key: string, version: Version) => void,
+  ): Promise<void> {
     const { store, leadership, clock } = this.term.context;
     if (leadership.stepDownOnConflict(outcome)) return;
     if (outcome.outcome === 'conflict')
       for (const key of outcome.failed) {
-        const found = await store.read(key, URGENCY);
-        if (found.outcome === 'found') set(key, found.item.version);
-        else if (found.outcome === 'absent') set(key, KEY_ABSENT);
+        const found = await store.read(key, OBSERVATION_PRIORITY);
+        if (found.outcome === 'found') setVersion(key, found.item.version);
+        else if (found.outcome === 'absent') setVersion(key, KEY_ABSENT);
       }
-    else await clock.sleep(RETRY_MS);
+    else await clock.sleep(RETRY_DELAY_MS);
   }
 }
+
+function documentPartKey(index: number): string {
+  return DOCUMENT_PART_PREFIX + String(index);
+}
--- a/packages/tariff/test/calendar.test.ts
+++ b/packages/tariff/test/calendar.test.ts
@@ -39,7 +39,7 @@
 }
 
 // Riga leaps from 03:00 to 04:00 on 29 March 2026 and falls back from 04:00 to 03:00 on 25 October.
-test('a missing hour is in no window, and a doubled one in both its turns', () => {
+test('a skipped hour is in no window, and a repeated hour is in a window both times', () => {
   const spring = ['2026-03-28T20:00:00Z', '2026-03-29T12:00:00Z'] as const;
   const autumn = ['2026-10-24T20:00:00Z', '2026-10-25T12:00:00Z'] as const;
   assert.equal(hours(tariff({ windows: [window(3 * 60, 4 * 60)] }), ...spring), 0);
@@ -64,7 +64,7 @@
   assert.equal(hours(tariff({ windows: [sunday], holidays }), day, after), 12);
 });
 
-test('slots win over windows, zones have prices of their own, and validity ends in two steps', () => {
+test('slots take precedence over windows, zones have their own prices, and validity ends in two steps', () => {
   const t = tariff({
     validUntil: 10 * HOUR,
     windows: [window(0, 1440, { zones: ['b'], price: 7 })],
@@ -82,7 +82,7 @@
   assert.ok(Number.isNaN(priceOf(0, 16 * HOUR)));
 });
 
-test('a time zone or a date that no calendar knows is refused', () => {
+test('an unknown time zone or an impossible date is refused', () => {
   assert.throws(() => {
     validateCalendar(tariff({ timeZone: 'Mars/Olympus' }));
   }, ValidationError);
@@ -108,7 +108,7 @@
   };
 }
 
-test('an instant is in a window exactly when the clock on the wall says so, in every zone and season', () => {
+test('an instant is in a window exactly when the local time is, in every zone and season', () => {
   fc.assert(
     fc.property(
       fc.constantFrom(
--- a/packages/tariff/test/room.test.ts
+++ b/packages/tariff/test/deferral-controller.test.ts
@@ -112,7 +112,7 @@
   return w.nodes.findIndex((n) => n.clock.alive && n.controller.leadership.holdsValidLease());
 }
 
-test('work with time waits for the window; services, urgent work and work without a deadline never do', async () => {
+test('jobs with time wait for the window; services, urgent jobs and jobs without a deadline never do', async () => {
   const n = night();
   n.feed.publish(tariff(1, 300, 700));
   const patient = n.submit(1, 60);
@@ -137,7 +137,7 @@
   assert.equal(n.book().size, 0);
 });
 
-test('a takeover between decision and release: the same jobs wait, and none is deferred anew once released', async () => {
+test('after a failover between decision and release the same jobs wait, and no released job is deferred again', async () => {
   const n = night();
   n.feed.publish(tariff(1, 300, 700));
   const ids = Array.from({ length: 12 }, (_, i) => n.submit(i, 60 + i));
@@ -171,7 +171,7 @@
   ['during', 320, 900],
   ['just after', 710, 1100],
 ] as const)
-  test(`a feed that falls silent ${when} the window changes nothing that is known`, async () => {
+  test(`a feed that becomes silent ${when} the window changes nothing that is known`, async () => {
     const n = night();
     n.feed.publish(tariff(1, 300, 700));
     const ids = Array.from({ length: 6 }, (_, i) => n.submit(i, 60 + i * 30));
@@ -186,8 +186,8 @@
     assert.deepEqual(n.w.checker.violations, []);
   });
 
-test('once no window is sure, work waits for news as long as that is safe, and no longer', async () => {
-  const n = night({ patternS: 0 });
+test('once no window is certain, jobs wait for news as long as that is safe, and no longer', async () => {
+  const n = night({ windowExtensionS: 0 });
   n.feed.publish(tariff(1, 300, 700, 120));
   const id = n.submit(1, 140, { deadlineS: 600 });
   await n.w.runUntil(1_000_000);
@@ -197,7 +197,7 @@
   between(n.doneAt.get(id), 400, 740, id);
 });
 
-test('the window closes early while jobs wait for it: all are done in time all the same', async () => {
+test('jobs finish in time although the window that they wait for closes early', async () => {
   const n = night();
   n.feed.publish(tariff(1, 300, 700));
   const ids = Array.from({ length: 10 }, (_, i) => n.submit(i, 60 + i, { deadlineS: 500 + i * 10 }));
@@ -211,7 +211,7 @@
   assert.ok(n.seen.some((x) => x.what === 'tariff taken' && x.fields['revision'] === 311));
 });
 
-test('a price revised to a nearer window releases sooner, and a refused one changes nothing', async () => {
+test('a tariff revised to a nearer window releases sooner, and a refused one changes nothing', async () => {
   const n = night();
   n.feed.publish(tariff(1, 500, 900));
   const id = n.submit(1, 60);
@@ -230,7 +230,7 @@
   );
 });
 
-test('a burst that fills the window, with estimates too short by half all night: nobody is late for it', async () => {
+test('a burst fills the window and all estimates are half the run time: no job misses its deadline for it', async () => {
   const runs = (job: JobSpec, task: number): number => job.estimateS * (1800 + ((task * 7919) % 400));
   const play = async (deferral: boolean): Promise<{ late: string[]; inWindow: number }> => {
     const n = night(
@@ -272,7 +272,7 @@
   );
 });
 
-test("a quota full of the team's other work is no room to wait for: jobs go in time", async () => {
+test("jobs are released in time where the team's quota is taken by its other work", async () => {
   const n = night();
   n.feed.publish(tariff(1, 300, 700));
   // Twenty CPU minutes for each of the team's 24 CPUs.
@@ -287,7 +287,7 @@
   assert.deepEqual(n.w.checker.violations, []);
 });
 
-test('a job cancelled while deferred never starts, and is forgotten here', async () => {
+test('a job cancelled while deferred never starts, and its deferral is dropped', async () => {
   const n = night();
   n.feed.publish(tariff(1, 300, 700));
   const id = n.submit(1, 60, {}, 120);
@@ -299,7 +299,7 @@
   assert.equal(n.book().size, 0);
 });
 
-test('crashes, outages and cuts while jobs wait break no rule, and every job ends', async () => {
+test('crashes, outages and partitions while jobs wait violate no invariant, and every job ends', async () => {
   for (const seed of [1, 2, 3]) {
     const n = night({}, { seed });
     n.feed.publish(tariff(1, 200, 500));
@@ -332,7 +332,7 @@
 });
 
 // A time that the calendar refused deposed one leader after the other.
-test('whatever fails in deferring, the leader goes on and everything runs', async () => {
+test('an error in deferral does not stop the leader, and all jobs run', async () => {
   const n = night({ carbonShare: 0 });
   n.feed.publish(tariff(1, 300, 700));
   const before = n.submit(1, 60);
--- a/packages/tariff/test/deferral.test.ts
+++ b/packages/tariff/test/deferral.test.ts
@@ -16,7 +16,7 @@
   );
 }
 
-test('a deferral ends once, and never begins anew', () => {
+test('a deferral ends once, and cannot change afterwards', () => {
   for (const end of ['released', 'forced'] as const) {
     const d = deferral(1);
     d.change('deferred', 3 as WallClockMs, 'blind', 2);
@@ -34,7 +34,7 @@
 
 class Step implements fc.Command<Model, { book: DeferralTable; kept: Map<string, unknown> }> {
   constructor(
-    private readonly kind: 'add' | 'release' | 'remove' | 'flush' | 'takeover',
+    private readonly kind: 'add' | 'release' | 'remove' | 'flush' | 'failover',
     private readonly n: number,
   ) {}
   check = (): boolean => true;
@@ -53,7 +53,7 @@
       real.book.remove(id);
       model.delete(id);
     }
-    if (this.kind === 'flush' || this.kind === 'takeover')
+    if (this.kind === 'flush' || this.kind === 'failover')
       for (const page of real.book.pages) {
         if (page.generation === page.durableGeneration) continue;
         const value = real.book.encode(page);
@@ -61,7 +61,7 @@
         real.kept.set(deferralPageKey(page.index), JSON.parse(JSON.stringify(value)));
         page.durableGeneration = page.generation;
       }
-    if (this.kind === 'takeover') {
+    if (this.kind === 'failover') {
       real.book = new DeferralTable(1);
       for (const [key, value] of real.kept) real.book.restore(Number(key.slice(2)), value, 7 as Version);
     }
@@ -72,8 +72,8 @@
   }
 }
 
-test('the book is what a plain list says, over many pages, writes and takeovers', () => {
-  const kinds = ['add', 'add', 'release', 'remove', 'flush', 'takeover'] as const;
+test('the table agrees with a plain list over many pages, writes and failovers', () => {
+  const kinds = ['add', 'add', 'release', 'remove', 'flush', 'failover'] as const;
   const step = fc.tuple(fc.constantFrom(...kinds), fc.nat({ max: 25 })).map(([k, n]) => new Step(k, n));
   fc.assert(
     fc.property(fc.commands([step], { maxCommands: 80, size: 'max' }), (commands) => {
--- a/packages/tariff/test/feed.test.ts
+++ b/packages/tariff/test/feed-poller.test.ts
@@ -59,11 +59,11 @@
 const sent = (t: TariffDocument, tag = '"a"'): FeedResponse => ({
   outcome: 'document',
   body: formatTariff(t),
-  tag,
+  etag: tag,
 });
 const failed: FeedResponse = { outcome: 'failed', why: 'status 500', retryAfterS: null };
 
-test('it asks as often as the document says, spread, and an unchanged one is not sent again', async () => {
+test('the poller asks at the interval of the document, with jitter, and an unchanged document is not sent again', async () => {
   const r = await play([sent(tariff(1)), { outcome: 'unchanged' }], 600_000);
   assert.deepEqual(r.tags.slice(0, 3), [null, '"a"', '"a"']);
   const gaps = r.asked.slice(1).map((at, i) => at - (r.asked[i] as number));
@@ -75,7 +75,7 @@
   assert.deepEqual(r.states, ['fresh']);
 });
 
-test('a feed that fails is asked ever more rarely, counts as silent in time, and is heard again', async () => {
+test('a failing feed is polled with backoff, becomes silent in time, and becomes fresh again', async () => {
   const down = await play([sent(tariff(1)), failed], 3_600_000);
   assert.deepEqual(down.states, ['fresh', 'failing', 'silent']);
   assert.equal(down.held?.revision, 1);
@@ -89,7 +89,7 @@
   assert.ok((told.asked[1] as number) >= 150_000, 'Retry-After is obeyed');
 });
 
-test('what is malformed, absurd or backdated is refused whole with its field, and the last good one stays', async () => {
+test('a malformed, absurd or backdated document is refused with its field, and the last good one stays', async () => {
   const good = tariff(5);
   const window = { name: 'w', from: '01:00', to: '02:00', price: 1 };
   const bad: readonly [RegExp, unknown][] = [
@@ -105,7 +105,7 @@
     [/^revision: expected a new number/, { ...formatTariff(good), base: { price: 2 } }],
   ];
   for (const [why, body] of bad) {
-    const r = await play([{ outcome: 'document', body, tag: null }], 1000, good);
+    const r = await play([{ outcome: 'document', body, etag: null }], 1000, good);
     assert.equal(r.errors.length, 1);
     assert.match(r.errors[0] as string, why);
     assert.deepEqual(r.held, good);
@@ -114,7 +114,7 @@
   assert.equal(rejectionReason(good, good), null);
 });
 
-test('the HTTP feed: tags, Retry-After, bodies too large, silence', async () => {
+test('the HTTP feed handles entity tags, Retry-After, oversized bodies and no response', async () => {
   let mode: 'good' | 'busy' | 'huge' | 'text' = 'good';
   const server = createServer((q, a) => {
     if (mode === 'busy') a.writeHead(503, { 'retry-after': '7' }).end();
@@ -127,7 +127,7 @@
   const feed = new HttpTariffFeed(`http://127.0.0.1:${(server.address() as AddressInfo).port}/tariff`);
   try {
     const first = await feed.fetch(null);
-    assert.ok(first.outcome === 'document' && first.tag === '"v1"');
+    assert.ok(first.outcome === 'document' && first.etag === '"v1"');
     assert.equal(parseTariff(first.body).revision, 1);
     assert.deepEqual(await feed.fetch('"v1"'), { outcome: 'unchanged' });
     mode = 'busy';
--- a/packages/tariff/test/release.test.ts
+++ b/packages/tariff/test/release.test.ts
@@ -13,11 +13,11 @@
     id: `wk-${String(n).padStart(4, '0')}` as JobId,
     deferred: false,
     team: 0,
-    prices: 0,
+    priceIndex: 0,
     cpus: 4,
-    work: 120,
-    taskS: 30,
-    leadS: 0,
+    workCpuS: 120,
+    taskRunTimeS: 30,
+    leadTimeS: 0,
     marginS: 0,
     finishBy: (60 * MIN) as WallClockMs,
     startBy: null,
@@ -33,13 +33,13 @@
   return {
     now: 0 as WallClockMs,
     jobs,
-    teams: [{ cpus: 100, ahead: 0, wanted: 0 }],
-    pool: { cpus: 100, ahead: 0, wanted: 0 },
+    teams: [{ cpus: 100, backlogCpuS: 0, demandCpus: 0 }],
+    pool: { cpus: 100, backlogCpuS: 0, demandCpus: 0 },
     // One piece for every ten minutes.
     starts: prices.map((_, i) => (i * 10 * MIN) as WallClockMs),
     until: (prices.length * 10 * MIN) as WallClockMs,
     prices: [Float64Array.from(prices)],
-    leastSaving: 0.05,
+    minSaving: 0.05,
     ...over,
   };
 }
@@ -52,13 +52,13 @@
   return d;
 }
 
-test('a job waits for the cheap window, and its boot and fetch happen before that', () => {
+test('a job waits for the cheap window, less its lead time for boot and fetch', () => {
   assert.deepEqual(only(input([job(1)], CHEAP_AT_30)).at, 30 * MIN);
-  const early = only(input([job(1, { leadS: 90 })], CHEAP_AT_30));
+  const early = only(input([job(1, { leadTimeS: 90 })], CHEAP_AT_30));
   assert.deepEqual([early.at, early.reason], [28.5 * MIN, 'cheaper']);
 });
 
-test('where no cheaper moment is safe, or worth it, the job goes now', () => {
+test('a job is released now where no cheaper moment is safe or worth waiting for', () => {
   const late = only(input([job(1, { finishBy: (30.4 * MIN) as WallClockMs })], CHEAP_AT_30));
   assert.deepEqual([late.at, late.reason], [0, 'latest']);
   const aim = only(input([job(1, { startBy: (29 * MIN) as WallClockMs })], CHEAP_AT_30));
@@ -67,16 +67,19 @@
   assert.equal(margin.at, 0);
   assert.equal(only(input([job(1)], [3, 3, 2.9, 2.9])).reason, 'no-saving');
   assert.equal(only(input([job(1)], [1, 1, 3, 3])).reason, 'cheapest');
-  const none = only(input([job(1)], CHEAP_AT_30, { pool: { cpus: 0, ahead: 0, wanted: 0 } }));
+  const none = only(input([job(1)], CHEAP_AT_30, { pool: { cpus: 0, backlogCpuS: 0, demandCpus: 0 } }));
   assert.deepEqual([none.at, none.reason], [0, 'no-room']);
 });
 
-test('what fills the window sends the others elsewhere, those with least time first', () => {
+test('jobs with the earliest finish times fill the window, and the others are released elsewhere', () => {
   // The window carries 20 minutes of 4 CPUs: 40 jobs.
   const jobs = Array.from({ length: 60 }, (_, i) =>
     job(i, { finishBy: ((50 + i / 10) * MIN) as WallClockMs }),
   );
-  const few = { teams: [{ cpus: 4, ahead: 0, wanted: 0 }], pool: { cpus: 100, ahead: 0, wanted: 0 } };
+  const few = {
+    teams: [{ cpus: 4, backlogCpuS: 0, demandCpus: 0 }],
+    pool: { cpus: 100, backlogCpuS: 0, demandCpus: 0 },
+  };
   const made = decideReleases(input(jobs, CHEAP_AT_30, few));
   const inWindow = made.filter((d) => d.at >= 30 * MIN && d.at < 50 * MIN);
   assert.ok(inWindow.length >= 38 && inWindow.length <= 41, `${inWindow.length}`);
@@ -85,20 +88,23 @@
   for (const d of made) assert.ok(d.at <= 50 * MIN);
 });
 
-test("a team's quota full of other work leaves no room to count on", () => {
-  const busy = { teams: [{ cpus: 4, ahead: 4 * 3000, wanted: 0 }], pool: { cpus: 100, ahead: 0, wanted: 0 } };
+test("a team's capacity that is taken by other work is not counted on", () => {
+  const busy = {
+    teams: [{ cpus: 4, backlogCpuS: 4 * 3000, demandCpus: 0 }],
+    pool: { cpus: 100, backlogCpuS: 0, demandCpus: 0 },
+  };
   const d = only(input([job(1, { finishBy: (45 * MIN) as WallClockMs })], CHEAP_AT_30, busy));
   assert.deepEqual([d.at, d.reason], [0, 'no-room']);
   // Less of it ends while the window is still open: one that waits for it goes on waiting, and for a new one
   // there is nothing to gain, since it would stand behind the others anyway.
-  const less = { teams: [{ cpus: 4, ahead: 4 * 2000, wanted: 0 }] };
+  const less = { teams: [{ cpus: 4, backlogCpuS: 4 * 2000, demandCpus: 0 }] };
   const d2 = only(input([job(1, { deferred: true })], CHEAP_AT_30, less));
   assert.ok(d2.at >= 33 * MIN && d2.at < 50 * MIN, `${d2.at / MIN}`);
   assert.equal(only(input([job(1)], CHEAP_AT_30, less)).reason, 'no-saving');
 });
 
-test('jobs whose turn has come join one after the other, and new ones behind those that wait', () => {
-  const crowd = { cpus: 8, ahead: 100, wanted: 6 };
+test('jobs whose turn has come are released one after another, and new ones after those that wait', () => {
+  const crowd = { cpus: 8, backlogCpuS: 100, demandCpus: 6 };
   const i = input([job(1, { deferred: true, finishBy: (5 * MIN) as WallClockMs }), job(2)], [1, 1, 1], {
     teams: [crowd],
   });
@@ -106,14 +112,14 @@
   // With nobody waiting there is nobody to stand behind.
   assert.equal(only({ ...i, jobs: [job(2)] }).at, 0);
   // With no second to spare it goes, crowded or not.
-  const hurried = job(1, { deferred: true, taskS: 30, work: 4, finishBy: 30_500 as WallClockMs });
+  const hurried = job(1, { deferred: true, taskRunTimeS: 30, workCpuS: 4, finishBy: 30_500 as WallClockMs });
   const d = only({ ...i, jobs: [hurried] });
   assert.equal(d.at, 0);
   // As soon as there is room, so does the next.
-  assert.equal(only({ ...i, teams: [{ ...crowd, wanted: 4 }] }).at, 0);
+  assert.equal(only({ ...i, teams: [{ ...crowd, demandCpus: 4 }] }).at, 0);
 });
 
-test('with no price known at all it waits as long as that is safe, and what is unknown is not thought cheap', () => {
+test('without any known price a job waits as long as that is safe, and an unknown price is not taken for cheap', () => {
   const blind = only(input([job(1)], [NaN, NaN, NaN, NaN, NaN, NaN]));
   assert.equal(blind.reason, 'blind');
   assert.ok(blind.at > 50 * MIN && blind.at <= 59.5 * MIN, `${blind.at / MIN}`);
@@ -124,11 +130,11 @@
 const jobsArb = fc.array(
   fc.record({
     deferred: fc.boolean(),
-    prices: fc.nat({ max: 1 }),
+    priceIndex: fc.nat({ max: 1 }),
     team: fc.nat({ max: 1 }),
     cpus: fc.integer({ min: 1, max: 12 }),
-    taskS: fc.integer({ min: 5, max: 400 }),
-    leadS: fc.integer({ min: 0, max: 120 }),
+    taskRunTimeS: fc.integer({ min: 5, max: 400 }),
+    leadTimeS: fc.integer({ min: 0, max: 120 }),
     marginS: fc.integer({ min: 0, max: 120 }),
     dueMin: fc.integer({ min: 1, max: 100 }),
     startMin: fc.option(fc.integer({ min: 0, max: 60 })),
@@ -151,7 +157,7 @@
       jobs.map((j, i) =>
         job(i, {
           ...j,
-          work: j.cpus * j.taskS,
+          workCpuS: j.cpus * j.taskRunTimeS,
           finishBy: (j.dueMin * MIN) as WallClockMs,
           startBy: j.startMin === null ? null : ((j.startMin * MIN) as WallClockMs),
         }),
@@ -160,15 +166,15 @@
       {
         prices: [Float64Array.from(a), Float64Array.from(b)],
         teams: [
-          { cpus: cpus[0], ahead, wanted: 0 },
-          { cpus: cpus[1], ahead: 0, wanted: 0 },
+          { cpus: cpus[0], backlogCpuS: ahead, demandCpus: 0 },
+          { cpus: cpus[1], backlogCpuS: 0, demandCpus: 0 },
         ],
-        pool: { cpus: cpus[2], ahead, wanted: 0 },
+        pool: { cpus: cpus[2], backlogCpuS: ahead, demandCpus: 0 },
       },
     ),
   );
 
-test('whoever waits can still be complete in time, by itself and together with all that wait with it', () => {
+test('every waiting job can still finish in time, alone and together with all others that wait', () => {
   let waiting = 0;
   fc.assert(
     fc.property(inputArb, (i) => {
@@ -180,8 +186,12 @@
       for (const d of waits) {
         const j = byId.get(d.id);
         assert.ok(j !== undefined);
-        assert.ok(d.at + (j.leadS + j.taskS + j.marginS) * 1000 <= j.finishBy + 1, `${d.id} too late`);
-        if (j.startBy !== null) assert.ok(d.at + j.leadS * 1000 <= j.startBy + 1, `${d.id} starts too late`);
+        assert.ok(
+          d.at + (j.leadTimeS + j.taskRunTimeS + j.marginS) * 1000 <= j.finishBy + 1,
+          `${d.id} too late`,
+        );
+        if (j.startBy !== null)
+          assert.ok(d.at + j.leadTimeS * 1000 <= j.startBy + 1, `${d.id} starts too late`);
       }
       // Demand bound: what must be done by a time fits into what is there until then.
       for (const due of new Set(waits.map((d) => byId.get(d.id)?.finishBy ?? 0)))
@@ -189,8 +199,9 @@
           const work = waits
             .map((d) => byId.get(d.id) as DeferrableJob)
             .filter((j) => j.finishBy <= due && (team < 0 || j.team === team))
-            .reduce((sum, j) => sum + j.work, 0);
-          if (work > 0) assert.ok(work + c.ahead <= c.cpus * (due / 1000) + 1, `more than fits by ${due}`);
+            .reduce((sum, j) => sum + j.workCpuS, 0);
+          if (work > 0)
+            assert.ok(work + c.backlogCpuS <= c.cpus * (due / 1000) + 1, `more than fits by ${due}`);
         }
     }),
     { numRuns: 1500, seed: 5 },
@@ -198,7 +209,7 @@
   assert.ok(waiting > 2000, `${waiting} waits looked at`);
 });
 
-test('the decision is the same on any node, in whatever order the jobs are known', () => {
+test('the decision does not depend on the order in which the jobs are known', () => {
   fc.assert(
     fc.property(inputArb, (i) => {
       const again = decideReleases({ ...i, jobs: [...i.jobs].reverse() });
--- a/packages/tariff/test/run-times.test.ts
+++ b/packages/tariff/test/run-times.test.ts
@@ -8,13 +8,13 @@
   return jobSpec({ id: `wk-${n}` as JobId, tasks, estimateS: 100 });
 }
 
-test('before anything was seen the prior holds: estimates may be too short by half', () => {
+test('without observations the prior holds: estimates may be half the run time', () => {
   const r = new RunTimeEstimator();
   assert.ok(r.quantileS(100, 0.98) >= 190);
   assert.ok(Math.abs(r.meanS(100) - 115) < 15, `${r.meanS(100)}`);
 });
 
-test('a class whose owners are right is soon trusted, one whose owners err is believed to take longer', () => {
+test('accurate estimates of a class are soon trusted, and inaccurate ones are corrected', () => {
   const right = new RunTimeEstimator();
   const wrong = new RunTimeEstimator();
   for (let i = 0; i < 200; i += 1) {
@@ -25,14 +25,14 @@
   assert.ok(wrong.quantileS(100, 0.5) > 180 && wrong.meanS(100) > 170);
 });
 
-test("one job's thousand tasks weigh as much as another job's one", () => {
+test('a job counts once, however many tasks it has', () => {
   const r = new RunTimeEstimator();
   for (let i = 0; i < 1000; i += 1) r.observe(spec(1, 1000), 900);
   for (let i = 2; i < 40; i += 1) r.observe(spec(i), 100);
   assert.ok(r.quantileS(100, 0.9) < 260, `${r.quantileS(100, 0.9)}`);
 });
 
-test('what was learned long ago is let go', () => {
+test('old observations are dropped', () => {
   const r = new RunTimeEstimator();
   for (let i = 0; i < 300; i += 1) r.observe(spec(i), 400);
   assert.ok(r.quantileS(100, 0.5) > 350);
@@ -40,7 +40,7 @@
   assert.ok(r.quantileS(100, 0.9) < 260, `${r.quantileS(100, 0.9)}`);
 });
 
-test('it is kept in a small record and read back as it was', () => {
+test('an estimator is stored in a small record and restored from it', () => {
   const r = new RunTimeEstimator();
   for (let i = 0; i < 500; i += 1) r.observe(spec(i), 20 + ((i * 37) % 400));
   const text = JSON.stringify(r.encode());
@@ -51,21 +51,21 @@
   assert.throws(() => RunTimeEstimator.decode({ older: 'x' }));
 });
 
-test('capacity is what was seen, less what others use, and never more than a limit', () => {
+test('capacity is the observed peak less the usage of others, within the limit', () => {
   const team = { name: 'red', cpus: 40, cpusMax: 80, gpus: 0, gpusMax: 0 };
   const c = new CapacityEstimator();
-  assert.equal(c.of(team), 0);
+  assert.equal(c.cpusFor(team), 0);
   c.observe(0, 100, new Map([['blue', 30]]), new Map());
-  assert.ok(c.of(team) > 55 && c.of(team) <= 60, `${c.of(team)}`);
+  assert.ok(c.cpusFor(team) > 55 && c.cpusFor(team) <= 60, `${c.cpusFor(team)}`);
   // One burst of urgent work is no use for good.
   c.observe(5000, 100, new Map([['blue', 30]]), new Map([['red', 50]]));
-  assert.ok(c.of(team) > 55, `${c.of(team)}`);
+  assert.ok(c.cpusFor(team) > 55, `${c.cpusFor(team)}`);
   // The machines went back: they can be had again, the less surely the longer ago.
   c.observe(3_600_000, 0, new Map(), new Map());
-  assert.ok(c.pool > 75, `${c.pool}`);
+  assert.ok(c.totalCpus > 75, `${c.totalCpus}`);
   c.observe(100 * 3_600_000, 0, new Map(), new Map());
-  assert.ok(c.pool < 2, `${c.pool}`);
+  assert.ok(c.totalCpus < 2, `${c.totalCpus}`);
   const next = new CapacityEstimator();
   next.restore({ peakCpus: 200 });
-  assert.ok(next.of(team) <= 80 && next.of(team) > 60);
+  assert.ok(next.cpusFor(team) <= 80 && next.cpusFor(team) > 60);
 });
--- a/packages/testkit/src/tariff-feed.ts
+++ b/packages/testkit/src/tariff-feed.ts
@@ -46,6 +46,6 @@
       this.unchangedResponses += 1;
       return { outcome: 'unchanged' };
     }
-    return { outcome: 'document', body: this.body, tag: current };
+    return { outcome: 'document', body: this.body, etag: current };
   }
 }
