--- a/packages/testkit/src/tariff-feed.ts
+++ b/packages/testkit/src/tariff-feed.ts
@@ -53,7 +53,7 @@
     if (this.isSilent) return null;
     if (this.body === null) return { outcome: 'failed', why: 'status 404', retryAfterS: null };
     const currentTag = `"${this.edition}"`;
-    if (tag !== currentTag) return { outcome: 'document', body: this.body, tag: currentTag };
+    if (tag !== currentTag) return { outcome: 'document', body: this.body, etag: currentTag };
     this.unchangedResponses += 1;
     return { outcome: 'unchanged' };
   }
