--- a/packages/daemon/src/config-file.ts
+++ b/packages/daemon/src/config-file.ts
@@ -1,10 +1,17 @@
+/**
+ * Reads a file of configuration changes (TOML), whose fields are named as in the platform's settings file.
+ *
+ * @module
+ */
 import type { ConfigurationChange } from '@spurbridge/configuration';
 import { parseChange } from '@spurbridge/configuration';
 import { ValidationError, read } from '@spurbridge/wire';
 import { parse } from 'smol-toml';
 
-/** Fields of a file, as the platform's settings name them, and what they are called in a change. */
-const TEAM_FIELDS: Readonly<Record<string, string>> = {
+/** Names of the file's fields, each with the name of the request's field that it becomes. */
+type FieldNames = Readonly<Record<string, string>>;
+
+const TEAM_FIELDS: FieldNames = {
   name: 'team',
   cpus: 'cpus',
   cpus_max: 'cpusMax',
@@ -12,37 +19,44 @@
   gpus_max: 'gpusMax',
   retired: 'retired',
 };
-const OBJECTIVE_FIELDS: Readonly<Record<string, string>> = {
+const OBJECTIVE_FIELDS: FieldNames = {
   kind: 'kind',
   class: 'class',
   within_s: 'withinS',
   share: 'share',
   times: 'times',
 };
-/** As in the platform's settings, a limit of 0 is none. */
-const LIMITS: ReadonlySet<string> = new Set(['cpus_max', 'gpus_max']);
+/** As in the platform's settings file, 0 stands for no limit. */
+const LIMIT_FIELDS: ReadonlySet<string> = new Set(['cpus_max', 'gpus_max']);
+const TOP_LEVEL_FIELDS: ReadonlySet<string> = new Set(['teams', 'objectives']);
 
-function renamed(entry: unknown, fields: Readonly<Record<string, string>>, path: string): read.JsonObject {
-  const out: Record<string, unknown> = {};
+function toRequestFields(entry: unknown, fieldNames: FieldNames, path: string): read.JsonObject {
+  const requestFields: Record<string, unknown> = {};
   for (const [field, value] of Object.entries(read.asObject(entry, path))) {
-    const name = fields[field];
-    if (name === undefined) throw new ValidationError(`${path}.${field}`, 'no such field');
-    out[name] = LIMITS.has(field) && value === 0 ? null : value;
+    const requestField = fieldNames[field];
+    if (requestField === undefined) throw new ValidationError(`${path}.${field}`, 'no such field');
+    const isUnlimited = LIMIT_FIELDS.has(field) && value === 0;
+    requestFields[requestField] = isUnlimited ? null : value;
   }
-  return out;
+  return requestFields;
 }
 
-/** Reads a file of changes (TOML): teams that are left out stay as they are; objectives are replaced as a whole. */
+/**
+ * Parses a file of changes. Teams that it leaves out stay as they are; objectives are replaced as a whole.
+ *
+ * @throws `ValidationError` which names the malformed or unknown field, or the TOML parser's error
+ */
 export function parseConfigFile(text: string): ConfigurationChange[] {
-  const o = parse(text) as read.JsonObject;
-  for (const field of Object.keys(o))
-    if (field !== 'teams' && field !== 'objectives') throw new ValidationError(field, 'teams or objectives');
-  const changes = read
-    .asArray(o['teams'] ?? [], 'teams')
-    .map((team, n) => parseChange(renamed(team, TEAM_FIELDS, `teams[${n}]`), `teams[${n}]`));
-  if (o['objectives'] === undefined) return changes;
+  const file = parse(text) as read.JsonObject;
+  for (const field of Object.keys(file))
+    if (!TOP_LEVEL_FIELDS.has(field)) throw new ValidationError(field, 'teams or objectives');
+  const changes = read.asArray(file['teams'] ?? [], 'teams').map((team, index) => {
+    const path = `teams[${index}]`;
+    return parseChange(toRequestFields(team, TEAM_FIELDS, path), path);
+  });
+  if (file['objectives'] === undefined) return changes;
   const objectives = read
-    .asArray(o['objectives'], 'objectives')
-    .map((objective, n) => renamed(objective, OBJECTIVE_FIELDS, `objectives[${n}]`));
+    .asArray(file['objectives'], 'objectives')
+    .map((objective, index) => toRequestFields(objective, OBJECTIVE_FIELDS, `objectives[${index}]`));
   return [...changes, parseChange({ objectives }, 'objectives')];
 }
--- a/packages/daemon/src/configuration-routes.ts
+++ b/packages/daemon/src/configuration-routes.ts
@@ -1,46 +1,62 @@
+/**
+ * The operators' HTTP API for the configuration.
+ *
+ * @module
+ */
 import type { Configuration, ConfigurationEditor, ProposalOutcome } from '@spurbridge/configuration';
 import { CONFIGURATION_PATHS, parseProposal } from '@spurbridge/configuration';
 import type { NodeConfigurationStatus } from '@spurbridge/controller';
 import type { FastifyInstance, FastifyReply } from 'fastify';
 
+const HTTP_OK = 200;
+const HTTP_CONFLICT = 409;
+const HTTP_UNPROCESSABLE = 422;
+const HTTP_UNAVAILABLE = 503;
+const RETRY_AFTER_S = '1';
+
+/** What the routes work with. */
 export interface ConfigurationRouteOptions {
   readonly editor: ConfigurationEditor;
-  /** Which version each node goes by. */
+  /** The version of the configuration on each node. */
   readonly nodeStatuses: () => readonly NodeConfigurationStatus[];
-  /** What holds where no change was ever made. */
+  /** The configuration of the settings file, which applies until the first change is committed. */
   readonly settingsFile: Configuration;
 }
 
-function unsure(reply: FastifyReply): FastifyReply {
-  return reply.code(503).header('retry-after', '1').send({ error: 'the state service did not confirm' });
+function sendUnavailable(reply: FastifyReply): FastifyReply {
+  return reply
+    .code(HTTP_UNAVAILABLE)
+    .header('retry-after', RETRY_AFTER_S)
+    .send({ error: 'the state service did not confirm' });
 }
 
-function answer(reply: FastifyReply, outcome: ProposalOutcome): FastifyReply {
+function sendOutcome(reply: FastifyReply, outcome: ProposalOutcome): FastifyReply {
   switch (outcome.outcome) {
     case 'conflict':
-      return reply.code(409).send({ error: 'not the newest version', version: outcome.version });
+      return reply.code(HTTP_CONFLICT).send({ error: 'not the newest version', version: outcome.version });
     case 'refused':
-      return reply.code(422).send({ error: outcome.reason, field: outcome.field });
+      return reply.code(HTTP_UNPROCESSABLE).send({ error: outcome.reason, field: outcome.field });
     case 'unsure':
-      return unsure(reply);
+      return sendUnavailable(reply);
     default:
-      return reply.code(200).send(outcome);
+      return reply.code(HTTP_OK).send(outcome);
   }
 }
 
-/** The operators' calls: show, change, history and status. JSON has no infinity: null stands for no limit. */
-export function registerConfigurationRoutes(app: FastifyInstance, p: ConfigurationRouteOptions): void {
+/** Registers the routes: show, change, history and status. JSON has no infinity: null stands for no limit. */
+export function registerConfigurationRoutes(app: FastifyInstance, options: ConfigurationRouteOptions): void {
+  const { editor, nodeStatuses, settingsFile } = options;
   app.get(CONFIGURATION_PATHS.current, async (_request, reply) => {
-    const loaded = await p.editor.load();
-    if (loaded === null) return unsure(reply);
-    return reply.send(loaded.stored?.configuration ?? p.settingsFile);
+    const loaded = await editor.load();
+    if (loaded === null) return sendUnavailable(reply);
+    return reply.send(loaded.stored?.configuration ?? settingsFile);
   });
   app.post(CONFIGURATION_PATHS.changes, async (request, reply) =>
-    answer(reply, await p.editor.propose(parseProposal(request.body))),
+    sendOutcome(reply, await editor.propose(parseProposal(request.body))),
   );
   app.get(CONFIGURATION_PATHS.history, async (_request, reply) => {
-    const loaded = await p.editor.load();
-    return loaded === null ? unsure(reply) : reply.send({ entries: loaded.history });
+    const loaded = await editor.load();
+    return loaded === null ? sendUnavailable(reply) : reply.send({ entries: loaded.history });
   });
-  app.get(CONFIGURATION_PATHS.status, (_request, reply) => reply.send({ nodes: p.nodeStatuses() }));
+  app.get(CONFIGURATION_PATHS.status, (_request, reply) => reply.send({ nodes: nodeStatuses() }));
 }
--- a/packages/daemon/src/heap.ts
+++ b/packages/daemon/src/heap.ts
@@ -1,64 +1,76 @@
+/**
+ * Keeps the process within the memory that the settings file states. V8's own heap limit is fixed when the process
+ * starts, before the settings are read; how far the heap may grow between collections can be set at any time.
+ *
+ * @module
+ */
 import { getHeapStatistics, setFlagsFromString } from 'node:v8';
 
-/** What a controller holds beside its heap: code, stacks, socket buffers. An estimate, on the safe side; not measured apart. */
-const BESIDE_HEAP_MB = 46;
-/** The young generation, by `--max-semi-space-size=6` of the start line: three halves. */
-const YOUNG_MB = 18;
-/** V8 lets the old generation grow by at least this share before it collects, and by no more than it doubles. */
-const LEAST_GROWTH = 5;
-const MOST_GROWTH = 100;
-/** Growth is not set anew for less than this many percent of difference. */
-const WORTH_SETTING = 3;
-const SAMPLE_MS = 1000;
-/** What lives is the least that was used within this many samples: a collection lies between them. */
-const SAMPLES = 20;
-const MB = 1e6;
+/** Memory of the process outside the heap: code, stacks, socket buffers. A conservative estimate, not measured. */
+const NON_HEAP_MB = 46;
+/** Size of the young generation: three semi-spaces, by `--max-semi-space-size=6` of the start command. */
+const YOUNG_GENERATION_MB = 18;
+/** V8 lets the old generation grow by at least this much before it collects it. */
+const MIN_GROWTH_PERCENT = 5;
+/** V8 collects the old generation at the latest when it has doubled. */
+const MAX_GROWTH_PERCENT = 100;
+/** Smaller changes of the growth are not set. */
+const MIN_GROWTH_CHANGE_PERCENT = 3;
+const SAMPLE_INTERVAL_MS = 1000;
+/** Enough samples that one of them was taken shortly after a collection. */
+const SAMPLE_COUNT = 20;
+const BYTES_PER_MB = 1e6;
 
 /**
- * By how many percent the old generation may grow over what lives before it is collected, so that the whole process
- * stays within `memoryMb`.
+ * By how many percent the old generation may grow over the live objects before it is collected, so that the whole
+ * process stays within its memory.
+ *
+ * @param liveMb - size of the live objects, in megabytes
+ * @param memoryMb - memory of the process, in megabytes
  */
 export function heapGrowth(liveMb: number, memoryMb: number): number {
-  const oldMb = memoryMb - BESIDE_HEAP_MB - YOUNG_MB;
-  const growth = Math.floor((oldMb / Math.max(1, liveMb) - 1) * 100);
-  return Math.max(LEAST_GROWTH, Math.min(MOST_GROWTH, growth));
+  const oldGenerationMb = memoryMb - NON_HEAP_MB - YOUNG_GENERATION_MB;
+  const growthPercent = Math.floor((oldGenerationMb / Math.max(1, liveMb) - 1) * 100);
+  return Math.max(MIN_GROWTH_PERCENT, Math.min(MAX_GROWTH_PERCENT, growthPercent));
 }
 
-/**
- * Keeps the process within the memory that the platform gives it, and uses what there is: V8's own limit is fixed when a
- * process starts, before the settings are read, while its growth between collections can be set at any time.
- */
+/** Adjusts how far the heap may grow between collections to the size of the live objects. */
 export class HeapGovernor {
-  private readonly used: number[] = [];
-  private growth = 0;
+  /** Megabytes in use at the last samples. */
+  private readonly samplesMb: number[] = [];
+  private growthPercent = 0;
 
+  /**
+   * @param memoryMb - memory of the process, in megabytes
+   * @param setGrowth - sets V8's growth, in percent
+   * @param usedBytes - bytes of the heap in use
+   */
   constructor(
     private readonly memoryMb: number,
-    /** Sets V8's growth, in percent. */
-    private readonly set: (percent: number) => void = setGrowth,
-    /** Bytes of the heap in use. */
+    private readonly setGrowth: (percent: number) => void = setHeapGrowingPercent,
     private readonly usedBytes: () => number = () => getHeapStatistics().used_heap_size,
   ) {}
 
-  /** Looks once, and sets the growth where it has changed. */
+  /** Takes a sample, and sets the growth where it has changed. */
   sample(): void {
-    this.used.push(this.usedBytes() / MB);
-    if (this.used.length > SAMPLES) this.used.shift();
-    const growth = heapGrowth(Math.min(...this.used), this.memoryMb);
-    if (Math.abs(growth - this.growth) < WORTH_SETTING) return;
-    this.growth = growth;
-    this.set(growth);
+    this.samplesMb.push(this.usedBytes() / BYTES_PER_MB);
+    if (this.samplesMb.length > SAMPLE_COUNT) this.samplesMb.shift();
+    const liveMb = Math.min(...this.samplesMb);
+    const growthPercent = heapGrowth(liveMb, this.memoryMb);
+    if (Math.abs(growthPercent - this.growthPercent) < MIN_GROWTH_CHANGE_PERCENT) return;
+    this.growthPercent = growthPercent;
+    this.setGrowth(growthPercent);
   }
 
-  /** Looks every second, for as long as the process runs. */
+  /** Takes a sample now and every second, for as long as the process runs. */
   start(): void {
     this.sample();
     setInterval(() => {
       this.sample();
-    }, SAMPLE_MS).unref();
+    }, SAMPLE_INTERVAL_MS).unref();
   }
 }
 
-function setGrowth(percent: number): void {
+function setHeapGrowingPercent(percent: number): void {
   setFlagsFromString(`--heap-growing-percent=${percent}`);
 }
--- a/packages/daemon/src/main-graphs.ts
+++ b/packages/daemon/src/main-graphs.ts
@@ -1,3 +1,8 @@
+/**
+ * The controller node with task graphs (`target/graphs.js`).
+ *
+ * @module
+ */
 import {
   DEFAULT_GRAPH_LIMITS,
   GraphService,
@@ -6,38 +11,36 @@
 } from '@spurbridge/graph-service';
 import type { Option } from 'commander';
 import { runDaemon } from './daemon.js';
-import { numberFlag } from './flags.js';
+import { numberOption } from './number-option.js';
 
-function limit(name: string, what: string, byDefault: number): Option {
-  return numberFlag(name, what, byDefault, 1, Infinity, true);
+interface GraphFlags {
+  readonly graphsOpen: number;
+  readonly graphTasks: number;
+  readonly graphDepth: number;
+  readonly graphReferences: number;
 }
 
-let limits = DEFAULT_GRAPH_LIMITS;
+function limitOption(name: string, description: string, defaultValue: number): Option {
+  return numberOption({ name, description, defaultValue, min: 1, max: Infinity, integer: true });
+}
 
-runDaemon({
+runDaemon<GraphFlags>({
   addOptions: (program) => {
+    const { openPerTeam, tasks, depth, references } = DEFAULT_GRAPH_LIMITS;
     program
-      .addOption(limit('graphs-open', 'open graphs of one team', DEFAULT_GRAPH_LIMITS.openPerTeam))
-      .addOption(limit('graph-tasks', 'tasks of one graph', DEFAULT_GRAPH_LIMITS.tasks))
-      .addOption(limit('graph-depth', 'how deep tasks may spawn tasks', DEFAULT_GRAPH_LIMITS.depth))
-      .addOption(
-        limit('graph-references', 'other batches that a batch refers to', DEFAULT_GRAPH_LIMITS.references),
-      );
+      .addOption(limitOption('graphs-open', 'open graphs of one team', openPerTeam))
+      .addOption(limitOption('graph-tasks', 'tasks of one graph', tasks))
+      .addOption(limitOption('graph-depth', 'how deep tasks may spawn tasks', depth))
+      .addOption(limitOption('graph-references', 'other batches that a batch refers to', references));
   },
-  createLeaderComponents: (given) => {
-    const f = given as unknown as Record<
-      'graphsOpen' | 'graphTasks' | 'graphDepth' | 'graphReferences',
-      number
-    >;
-    limits = {
-      openPerTeam: f.graphsOpen,
-      tasks: f.graphTasks,
-      depth: f.graphDepth,
-      references: f.graphReferences,
+  createLeaderComponents: () => [graphControllerFactory()],
+  registerRoutes: (app, flags, { settings, store, machineTypes }) => {
+    const limits = {
+      openPerTeam: flags.graphsOpen,
+      tasks: flags.graphTasks,
+      depth: flags.graphDepth,
+      references: flags.graphReferences,
     };
-    return [graphControllerFactory()];
-  },
-  registerRoutes: (app, { settings, store, machineTypes: types }) => {
-    registerGraphRoutes(app, new GraphService(settings, store, types, limits));
+    registerGraphRoutes(app, new GraphService(settings, store, machineTypes, limits));
   },
 });
--- a/packages/daemon/src/main-live-configuration.ts
+++ b/packages/daemon/src/main-live-configuration.ts
@@ -1,39 +1,42 @@
+/**
+ * The controller node that also accepts changes of teams and objectives while jobs run
+ * (`target/live-configuration.js`).
+ *
+ * @module
+ */
 import { ConfigurationEditor, configurationFromSettings } from '@spurbridge/configuration';
 import { monotonicClock } from '@spurbridge/net';
+import type { Option } from 'commander';
 import { registerConfigurationRoutes } from './configuration-routes.js';
 import { runDaemon } from './daemon.js';
-import { numberFlag } from './flags.js';
+import { numberOption } from './number-option.js';
 
-const MOST = Number.MAX_SAFE_INTEGER;
-let bound = { cpus: Infinity, gpus: Infinity };
+const UNBOUNDED = Number.MAX_SAFE_INTEGER;
 
-interface BoundFlags {
+interface GuaranteeFlags {
   readonly guaranteedCpusMost: number;
   readonly guaranteedGpusMost: number;
 }
 
-/** The usual program, which also takes changes of teams and objectives while jobs run. */
-runDaemon({
+function boundOption(name: string): Option {
+  const description = 'bound of all guarantees together';
+  return numberOption({ name, description, defaultValue: UNBOUNDED, min: 0, max: UNBOUNDED });
+}
+
+runDaemon<GuaranteeFlags>({
   addOptions: (program) => {
-    program
-      .addOption(numberFlag('guaranteed-cpus-most', 'bound of all guarantees together', MOST, 0, MOST))
-      .addOption(numberFlag('guaranteed-gpus-most', 'bound of all guarantees together', MOST, 0, MOST));
-  },
-  createLeaderComponents: (flags) => {
-    const given = flags as unknown as BoundFlags;
-    bound = { cpus: given.guaranteedCpusMost, gpus: given.guaranteedGpusMost };
-    return [];
+    program.addOption(boundOption('guaranteed-cpus-most')).addOption(boundOption('guaranteed-gpus-most'));
   },
-  registerRoutes: (app, { settings, store, configurationStatus }) => {
-    const file = configurationFromSettings(settings.teams, settings.objectives);
+  registerRoutes: (app, flags, { settings, store, configurationStatus }) => {
+    const settingsFile = configurationFromSettings(settings.teams, settings.objectives);
     const editor = new ConfigurationEditor({
       store,
       clock: monotonicClock,
       wallNow: () => Date.now(),
       limits: settings.storeLimits,
-      settingsFile: file,
-      guaranteeBound: bound,
+      settingsFile,
+      guaranteeBound: { cpus: flags.guaranteedCpusMost, gpus: flags.guaranteedGpusMost },
     });
-    registerConfigurationRoutes(app, { editor, nodeStatuses: configurationStatus, settingsFile: file });
+    registerConfigurationRoutes(app, { editor, nodeStatuses: configurationStatus, settingsFile });
   },
 });
--- a/packages/daemon/src/main-snapshots.ts
+++ b/packages/daemon/src/main-snapshots.ts
@@ -1,13 +1,35 @@
+/**
+ * The controller node that also saves snapshots in a directory, and recovers the key-value store from them
+ * (`target/snapshots.js`).
+ *
+ * @module
+ */
+import type { Logger } from '@spurbridge/controller';
 import type { WallClockMs } from '@spurbridge/model';
 import { monotonicClock } from '@spurbridge/net';
 import { FileSystemSnapshotDirectory, SnapshotRepository, runSnapshotter } from '@spurbridge/snapshot';
 import { Option } from 'commander';
 import { runDaemon } from './daemon.js';
-import { numberFlag } from './flags.js';
-import { SettingsError } from './settings.js';
+import { SettingsError } from './errors.js';
+import { numberOption } from './number-option.js';
 
-const EVERY_S = 30;
-const MOST = 20;
+const MS_PER_S = 1000;
+
+const INTERVAL_OPTION = numberOption({
+  name: 'snapshot-every-s',
+  description: 'seconds between two snapshots',
+  defaultValue: 30,
+  min: 1,
+  max: 86_400,
+});
+
+const MAX_SNAPSHOTS_OPTION = numberOption({
+  name: 'snapshot-keep',
+  description: 'snapshots kept, of all nodes',
+  defaultValue: 20,
+  min: 1,
+  max: 100_000,
+});
 
 interface SnapshotFlags {
   readonly snapshotDir?: string;
@@ -15,49 +37,44 @@
   readonly snapshotKeep: number;
 }
 
-function directoryOf(f: SnapshotFlags): string {
-  if (f.snapshotDir === undefined || f.snapshotDir === '')
+function directoryPath({ snapshotDir }: SnapshotFlags): string {
+  if (snapshotDir === undefined || snapshotDir === '')
     throw new SettingsError('--snapshot-dir: expected a directory');
-  return f.snapshotDir;
+  return snapshotDir;
 }
 
-function shelfOf(flags: unknown, log: { info(fields: object, message: string): void }): SnapshotRepository {
-  return new SnapshotRepository(
-    new FileSystemSnapshotDirectory(directoryOf(flags as SnapshotFlags)),
-    (name, reason) => {
-      log.info({ name, reason }, 'snapshot refused');
-    },
-  );
+function openRepository(flags: SnapshotFlags, log: Logger): SnapshotRepository {
+  const directory = new FileSystemSnapshotDirectory(directoryPath(flags));
+  return new SnapshotRepository(directory, (name, reason) => {
+    log.info({ name, reason }, 'snapshot refused');
+  });
 }
 
-/** The usual program, which also keeps snapshots in a directory and looks there when the state service lost data. */
-runDaemon({
+runDaemon<SnapshotFlags>({
   addOptions: (program) => {
     program
       .addOption(
         new Option('--snapshot-dir <directory>', 'where snapshots are kept').env('SPURBRIDGE_SNAPSHOT_DIR'),
       )
-      .addOption(numberFlag('snapshot-every-s', 'seconds between two snapshots', EVERY_S, 1, 86_400))
-      .addOption(numberFlag('snapshot-keep', 'snapshots kept, of all nodes', MOST, 1, 100_000));
+      .addOption(INTERVAL_OPTION)
+      .addOption(MAX_SNAPSHOTS_OPTION);
   },
-  createLeaderComponents: (flags) => {
-    directoryOf(flags as unknown as SnapshotFlags);
-    return [];
+  validate: (flags) => {
+    directoryPath(flags);
   },
-  openSnapshotRepository: (flags, log) => shelfOf(flags, log),
+  openSnapshotRepository: openRepository,
   startBackgroundTask: (flags, { settings, store, log }) => {
-    const f = flags as unknown as SnapshotFlags;
     runSnapshotter({
-      store: store,
-      repository: shelfOf(flags, log),
+      store,
+      repository: openRepository(flags, log),
       node: settings.node,
-      intervalMs: f.snapshotEveryS * 1000,
-      maxSnapshots: Math.round(f.snapshotKeep),
+      intervalMs: flags.snapshotEveryS * MS_PER_S,
+      maxSnapshots: Math.round(flags.snapshotKeep),
       clock: monotonicClock,
       wallNow: () => Date.now() as WallClockMs,
       log,
-    }).catch((e: unknown) => {
-      log.error({ error: String(e) }, 'snapshots ended');
+    }).catch((error: unknown) => {
+      log.error({ error: String(error) }, 'snapshots ended');
     });
   },
 });
--- /dev/null
+++ b/packages/daemon/src/number-option.ts
@@ -0,0 +1,42 @@
+/**
+ * Options of the command line that are numbers within bounds.
+ *
+ * @module
+ */
+import { InvalidArgumentError, Option } from 'commander';
+
+/** An option that is a number. */
+export interface NumberOptionSpec {
+  /** Name of the flag without its dashes, such as `some-limit`. */
+  readonly name: string;
+  readonly description: string;
+  readonly defaultValue: number;
+  readonly min: number;
+  /** Infinity: no upper bound. */
+  readonly max: number;
+  /** Rejects fractions; they are accepted by default. */
+  readonly integer?: boolean;
+}
+
+function describeExpected({ min, max, integer }: NumberOptionSpec): string {
+  const kind = integer === true ? 'whole number' : 'number';
+  const range = max === Infinity ? `of at least ${min}` : `from ${min} to ${max}`;
+  return `a ${kind} ${range} is expected`;
+}
+
+function parseNumber(text: string, spec: NumberOptionSpec): number {
+  const value = Number(text);
+  const isInRange = text.trim() !== '' && value >= spec.min && value <= spec.max;
+  if (!isInRange || (spec.integer === true && !Number.isInteger(value)))
+    throw new InvalidArgumentError(describeExpected(spec));
+  return value;
+}
+
+/** Creates an option that is also read from the environment: `--some-limit` from `SPURBRIDGE_SOME_LIMIT`. */
+export function numberOption(spec: NumberOptionSpec): Option {
+  const variable = `SPURBRIDGE_${spec.name.toUpperCase().replaceAll('-', '_')}`;
+  return new Option(`--${spec.name} <number>`, spec.description)
+    .argParser((text: string) => parseNumber(text, spec))
+    .default(spec.defaultValue)
+    .env(variable);
+}
--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -1,91 +1,130 @@
+/**
+ * Reads the platform's settings file (TOML). The names of its fields belong to the platform; unknown ones are ignored.
+ *
+ * @module
+ */
 import { readFileSync } from 'node:fs';
 import type { Settings } from '@spurbridge/controller';
+import type { Objective, Team } from '@spurbridge/model';
 import type { NodeId } from '@spurbridge/wire';
 import { ValidationError, read } from '@spurbridge/wire';
 import { parse } from 'smol-toml';
+import { SettingsError, firstLineOf } from './errors.js';
+import { SOCKET_ADDRESS_FORM, isSocketAddress } from './socket-address.js';
 
-/** What is wrong with a settings file, in one line. */
-export class SettingsError extends Error {}
-
-function section(o: read.JsonObject, field: string): read.JsonObject {
-  return read.asObject(o[field], field);
+function section(fields: read.JsonObject, field: string): read.JsonObject {
+  return read.asObject(fields[field], field);
 }
 
-function address(o: read.JsonObject, field: string): string {
-  const text = read.string(o, field);
-  if (!/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/.test(text)) throw new ValidationError(field, 'IPv4:port');
+function address(fields: read.JsonObject, field: string): string {
+  const text = read.string(fields, field);
+  if (!isSocketAddress(text)) throw new ValidationError(field, SOCKET_ADDRESS_FORM);
   return text;
 }
 
-function list(o: read.JsonObject, field: string): read.JsonObject[] {
-  const v = o[field];
-  return v === undefined ? [] : read.asArray(v, field).map((e) => read.asObject(e, field));
+function optionalList(fields: read.JsonObject, field: string): read.JsonObject[] {
+  const value = fields[field];
+  if (value === undefined) return [];
+  return read.asArray(value, field).map((entry) => read.asObject(entry, field));
+}
+
+/** The platform writes 0 for a limit that it does not set. Taken as a limit of nothing, it made every job be refused. */
+function limitOf(amount: number): number {
+  return amount === 0 ? Infinity : amount;
+}
+
+function parsePeer(fields: read.JsonObject): Settings['peers'][number] {
+  return {
+    node: read.name(fields, 'label') as NodeId,
+    zone: read.name(fields, 'domain'),
+    address: address(fields, 'address'),
+  };
+}
+
+function parseTeam(fields: read.JsonObject): Team {
+  return {
+    name: read.name(fields, 'name'),
+    cpus: read.amount(fields, 'cpus'),
+    cpusMax: limitOf(read.amount(fields, 'cpus_max')),
+    gpus: read.optionalAmount(fields, 'gpus') ?? 0,
+    gpusMax: limitOf(read.optionalAmount(fields, 'gpus_max') ?? 0),
+  };
+}
+
+function parseObjective(fields: read.JsonObject): Objective {
+  return {
+    kind: read.string(fields, 'kind'),
+    class: read.optionalString(fields, 'class'),
+    withinS: read.optionalAmount(fields, 'within_s'),
+    share: read.optionalAmount(fields, 'share'),
+    times: read.optionalAmount(fields, 'times'),
+  };
+}
+
+function parseWorkers(fields: read.JsonObject): Settings['workers'] {
+  return {
+    reportS: read.amount(fields, 'report_s'),
+    leaseS: read.amount(fields, 'lease_s'),
+    gangWaitS: read.amount(fields, 'gang_wait_s'),
+    gangPeerS: read.amount(fields, 'gang_peer_s'),
+    cancelS: read.amount(fields, 'cancel_s'),
+  };
+}
+
+function parseStoreLimits(fields: read.JsonObject): Settings['storeLimits'] {
+  return {
+    rps: read.amount(fields, 'rps', 1),
+    writeRps: read.amount(fields, 'write_rps', 1),
+    valueKb: read.amount(fields, 'value_kb', 1),
+    txnOps: read.count(fields, 'txn_ops', 2),
+  };
 }
 
-/** The platform writes 0 for a limit that it does not set: read as a limit of nothing, it refused every job. */
-function limit(stated: number): number {
-  return stated === 0 ? Infinity : stated;
+function parseCloudLimits(fields: read.JsonObject): Settings['cloudLimits'] {
+  return { rps: read.amount(fields, 'rps'), listLagS: read.amount(fields, 'list_lag_s') };
 }
 
+/**
+ * Parses the text of a settings file.
+ *
+ * @throws `ValidationError` which names the missing or malformed field, or the TOML parser's error
+ */
 export function parseSettings(text: string): Settings {
-  const o = parse(text) as read.JsonObject;
-  const services = section(o, 'services');
-  const cluster = section(o, 'cluster');
+  const file = parse(text) as read.JsonObject;
+  const services = section(file, 'services');
+  const cluster = section(file, 'cluster');
   const workers = section(cluster, 'workers');
   const state = section(cluster, 'state');
   const cloud = section(cluster, 'cloud');
   const resources = section(cluster, 'resources');
   return {
-    node: read.name(o, 'label') as NodeId,
-    zone: read.name(o, 'domain'),
-    listen: address(o, 'listen'),
-    peerListen: address(o, 'back'),
-    peers: list(o, 'peers').map((p) => ({
-      node: read.name(p, 'label') as NodeId,
-      zone: read.name(p, 'domain'),
-      address: address(p, 'address'),
-    })),
+    node: read.name(file, 'label') as NodeId,
+    zone: read.name(file, 'domain'),
+    listen: address(file, 'listen'),
+    peerListen: address(file, 'back'),
+    peers: optionalList(file, 'peers').map(parsePeer),
     cloudAddress: address(services, 'cloud'),
     storeAddress: address(services, 'state'),
-    teams: list(cluster, 'teams').map((t) => ({
-      name: read.name(t, 'name'),
-      cpus: read.amount(t, 'cpus'),
-      cpusMax: limit(read.amount(t, 'cpus_max')),
-      gpus: read.optionalAmount(t, 'gpus') ?? 0,
-      gpusMax: limit(read.optionalAmount(t, 'gpus_max') ?? 0),
-    })),
-    objectives: list(cluster, 'objectives').map((t) => ({
-      kind: read.string(t, 'kind'),
-      class: read.optionalString(t, 'class'),
-      withinS: read.optionalAmount(t, 'within_s'),
-      share: read.optionalAmount(t, 'share'),
-      times: read.optionalAmount(t, 'times'),
-    })),
-    workers: {
-      reportS: read.amount(workers, 'report_s'),
-      leaseS: read.amount(workers, 'lease_s'),
-      gangWaitS: read.amount(workers, 'gang_wait_s'),
-      gangPeerS: read.amount(workers, 'gang_peer_s'),
-      cancelS: read.amount(workers, 'cancel_s'),
-    },
-    storeLimits: {
-      rps: read.amount(state, 'rps', 1),
-      writeRps: read.amount(state, 'write_rps', 1),
-      valueKb: read.amount(state, 'value_kb', 1),
-      txnOps: read.count(state, 'txn_ops', 2),
-    },
-    cloudLimits: { rps: read.amount(cloud, 'rps'), listLagS: read.amount(cloud, 'list_lag_s') },
+    teams: optionalList(cluster, 'teams').map(parseTeam),
+    objectives: optionalList(cluster, 'objectives').map(parseObjective),
+    workers: parseWorkers(workers),
+    storeLimits: parseStoreLimits(state),
+    cloudLimits: parseCloudLimits(cloud),
     maxSockets: read.count(resources, 'sockets', 1),
     memoryMb: read.optionalAmount(resources, 'mem_mb'),
     cpuShare: read.optionalAmount(resources, 'cpu') ?? 1,
   };
 }
 
+/**
+ * Reads a settings file.
+ *
+ * @throws {@link SettingsError} with the path of the file and what is wrong with it
+ */
 export function readSettings(path: string): Settings {
   try {
     return parseSettings(readFileSync(path, 'utf8'));
-  } catch (e) {
-    const first = (e instanceof Error ? e.message : String(e)).split('\n')[0] ?? '';
-    throw new SettingsError(`settings ${path}: ${first}`);
+  } catch (error) {
+    throw new SettingsError(`settings ${path}: ${firstLineOf(error)}`, { cause: error });
   }
 }
--- a/packages/daemon/test/snapshot-flags.test.ts
+++ b/packages/daemon/test/snapshot-flags.test.ts
@@ -31,18 +31,18 @@
     const file = join(folder, snapshotName(head, 'spur-0'));
     const bytes = encodeSnapshot(head, [['j/wk-1', { version: 3 as Version, text: '{}' }]]);
     writeFileSync(file, bytes);
-    assert.deepEqual([run('main-shelf', 'verify', '--dir', folder).code], [0]);
+    assert.deepEqual([run('main-snapshot-tool', 'verify', '--dir', folder).code], [0]);
     writeFileSync(
       join(folder, snapshotName({ epoch: 1, revision: 9 as Revision }, 'x')),
       bytes.subarray(0, bytes.length - 2),
     );
-    const verified = run('main-shelf', 'verify', '--dir', folder);
+    const verified = run('main-snapshot-tool', 'verify', '--dir', folder);
     assert.equal(verified.code, 1);
     assert.match(verified.says, /1 records.*whole\n.*unusable: the checksum[^]*1 usable, 1 unusable/);
-    const missing = run('main-shelf', 'restore', join(folder, 'none'), '--config', config);
+    const missing = run('main-snapshot-tool', 'restore', join(folder, 'none'), '--config', config);
     assert.deepEqual([missing.code, /^none: /.test(missing.says)], [2, true]);
     // Nothing listens where the settings say that the state service is.
-    const unanswered = run('main-shelf', 'write', '--config', config, '--dir', folder);
+    const unanswered = run('main-snapshot-tool', 'write', '--config', config, '--dir', folder);
     assert.deepEqual(unanswered, { code: 1, says: 'the state service does not answer\n' });
   } finally {
     rmSync(folder, { recursive: true });
