--- a/packages/configuration/test/change.test.ts
+++ b/packages/configuration/test/apply-changes.test.ts
@@ -27,9 +27,9 @@
 ): string {
   try {
     applyChanges(before, [change], bound);
-  } catch (e) {
-    assert.ok(e instanceof InvalidChangeError);
-    return e.field;
+  } catch (error) {
+    assert.ok(error instanceof InvalidChangeError);
+    return error.field;
   }
   return '';
 }
@@ -46,7 +46,7 @@
   assert.equal(next.version, 1);
   assert.deepEqual(next.teams[0], { ...FILE.teams[0], cpusMax: 15 });
   assert.deepEqual(
-    diffConfigurations(FILE, next).map((d) => `${d.path} ${d.from} ${d.to}`),
+    diffConfigurations(FILE, next).map(({ path, from, to }) => `${path} ${from} ${to}`),
     [
       'teams.red.cpusMax 20 15',
       'teams.blue.cpus - 3',
@@ -83,7 +83,7 @@
   assert.throws(() => parseChange({ objectives }, 'changes[0]'), /changes\[0\]\.objectives\[0\]\.within/);
 });
 
-const amount = fc.integer({ min: 0, max: 1000 }).map((n) => n / 4);
+const amount = fc.integer({ min: 0, max: 1000 }).map((quarters) => quarters / 4);
 const team = fc.record(
   {
     name: fc.string({ minLength: 1, maxLength: 20 }),
--- a/packages/configuration/test/replica.test.ts
+++ b/packages/configuration/test/replica.test.ts
@@ -24,7 +24,7 @@
   return { name: `team-${page}`, cpus: version, cpusMax: version, gpus: 0, gpusMax: 0, isRetired: false };
 }
 
-/** The records after so many changes; change number n writes page n modulo the number of pages. */
+/** The records after `version` changes, of which number n writes page n modulo the number of pages. */
 function recordsAt(version: number): Map<string, KeyValue> {
   const written = Array.from({ length: PAGES }, (_, page) => {
     const last = version - ((version - page + PAGES) % PAGES);
@@ -39,7 +39,13 @@
   return new Map([
     item(HEAD_KEY, encodeHead(head as never), version),
     item(OBJECTIVES_KEY, encodeObjectives({ version: first, objectives: [] }), 1),
-    ...written.map((v, page) => item(pageKey(page), encodePage({ version: v, teams: [teamOf(page, v)] }), v)),
+    ...written.map((pageVersion, page) =>
+      item(
+        pageKey(page),
+        encodePage({ version: pageVersion, teams: [teamOf(page, pageVersion)] }),
+        pageVersion,
+      ),
+    ),
   ]);
 }
 
@@ -49,17 +55,17 @@
       fc.integer({ min: 2, max: 30 }),
       fc.integer({ min: 2, max: 30 }),
       fc.array(fc.boolean(), { minLength: PAGES + 2, maxLength: PAGES + 2 }),
-      (a, b, fromOther) => {
-        const [one, other] = [recordsAt(a), recordsAt(b)];
+      (oneVersion, otherVersion, fromOther) => {
+        const [one, other] = [recordsAt(oneVersion), recordsAt(otherVersion)];
         const keys = [...one.keys()];
-        const seen = new Map(
-          keys.map((key, n) => [key, (fromOther[n] === true ? other : one).get(key) as KeyValue]),
+        const mixed = new Map(
+          keys.map((key, index) => [key, (fromOther[index] === true ? other : one).get(key) as KeyValue]),
         );
         let read: Configuration | null = null;
         try {
-          read = readConfiguration((key) => seen.get(key))?.configuration ?? null;
-        } catch (e) {
-          assert.ok(e instanceof InconsistentRecordsError);
+          read = readConfiguration((key) => mixed.get(key))?.configuration ?? null;
+        } catch (error) {
+          assert.ok(error instanceof InconsistentRecordsError);
         }
         if (read === null) return;
         const whole = readConfiguration((key) => recordsAt(read.version).get(key))?.configuration;
@@ -71,34 +77,37 @@
 
 test('a node holds the version before until it has seen the whole of the next one', () => {
   const changed: number[] = [];
-  const live = new ConfigurationReplica(FILE, { log: SILENT, onChange: (c) => changed.push(c.version) });
-  assert.equal(live.state, 'file');
-  live.refresh((key) => recordsAt(4).get(key));
+  const replica = new ConfigurationReplica(FILE, {
+    log: SILENT,
+    onChange: (configuration) => changed.push(configuration.version),
+  });
+  assert.equal(replica.state, 'file');
+  replica.refresh((key) => recordsAt(4).get(key));
   const mixed = new Map([...recordsAt(4), [HEAD_KEY, recordsAt(5).get(HEAD_KEY) as KeyValue]]);
-  live.refresh((key) => mixed.get(key));
-  assert.deepEqual([live.state, live.version], ['mixed', 4]);
-  live.refresh((key) => recordsAt(5).get(key));
-  assert.deepEqual([live.state, live.version], ['following', 5]);
+  replica.refresh((key) => mixed.get(key));
+  assert.deepEqual([replica.state, replica.version], ['mixed', 4]);
+  replica.refresh((key) => recordsAt(5).get(key));
+  assert.deepEqual([replica.state, replica.version], ['following', 5]);
   assert.deepEqual(changed, [4, 5]);
 });
 
 test('a version that goes back, a record that is gone or cannot be read: said, and never a mixture', () => {
   const errors: string[] = [];
   const log = { info: () => undefined, error: (_fields: object, message: string) => errors.push(message) };
-  const live = new ConfigurationReplica(FILE, { log, onChange: () => undefined });
-  live.refresh((key) => recordsAt(9).get(key));
-  live.refresh((key) => recordsAt(7).get(key));
-  assert.equal(live.version, 7);
-  live.refresh(() => undefined);
-  assert.deepEqual([live.state, live.version], ['unreadable', 7]);
+  const replica = new ConfigurationReplica(FILE, { log, onChange: () => undefined });
+  replica.refresh((key) => recordsAt(9).get(key));
+  replica.refresh((key) => recordsAt(7).get(key));
+  assert.equal(replica.version, 7);
+  replica.refresh(() => undefined);
+  assert.deepEqual([replica.state, replica.version], ['unreadable', 7]);
   const broken = new Map([
     ...recordsAt(8),
     [pageKey(0), { key: pageKey(0), value: '?', version: 8 as never }],
   ]);
-  live.refresh((key) => broken.get(key));
-  assert.deepEqual([live.state, live.version], ['unreadable', 7]);
+  replica.refresh((key) => broken.get(key));
+  assert.deepEqual([replica.state, replica.version], ['unreadable', 7]);
   // The page is put back, and the head is as it was.
-  live.refresh((key) => recordsAt(8).get(key));
-  assert.deepEqual([live.state, live.version], ['following', 8]);
+  replica.refresh((key) => recordsAt(8).get(key));
+  assert.deepEqual([replica.state, replica.version], ['following', 8]);
   assert.deepEqual(errors, ['configuration went back', 'configuration is gone from the state service']);
 });
--- a/packages/daemon/test/settings.test.ts
+++ b/packages/daemon/test/settings.test.ts
@@ -4,11 +4,11 @@
 import { GOOD } from './good-settings.js';
 
 test('settings are read, unknown fields ignored', () => {
-  const s = parseSettings(GOOD);
-  assert.equal(s.node, 'spur-0');
-  assert.deepEqual(s.teams, [{ name: 'red', cpus: 10, cpusMax: 20, gpus: 0, gpusMax: Infinity }]);
-  assert.deepEqual(s.peers, [{ node: 'spur-1', zone: 'west', address: '10.0.0.2:8081' }]);
-  assert.equal(s.objectives[0]?.times, 1.75);
+  const settings = parseSettings(GOOD);
+  assert.equal(settings.node, 'spur-0');
+  assert.deepEqual(settings.teams, [{ name: 'red', cpus: 10, cpusMax: 20, gpus: 0, gpusMax: Infinity }]);
+  assert.deepEqual(settings.peers, [{ node: 'spur-1', zone: 'west', address: '10.0.0.2:8081' }]);
+  assert.equal(settings.objectives[0]?.times, 1.75);
 });
 
 test('a limit of 0 is none: a team without limits may use whatever there is', () => {
--- a/packages/daemon/test/tariff-flags.test.ts
+++ b/packages/daemon/test/tariff-flags.test.ts
@@ -1,26 +1,24 @@
 import assert from 'node:assert/strict';
-import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { GOOD } from './good-settings.js';
+import type { ProgramResult } from './run-program.js';
+import { runProgram } from './run-program.js';
 
 test('the tariff program checks its flags and its file as it does its settings, naming the field', () => {
-  const folder = mkdtempSync(join(tmpdir(), 'tariff-'));
+  const directory = mkdtempSync(join(tmpdir(), 'tariff-'));
   const file = (name: string, text: string): string => {
-    writeFileSync(join(folder, name), text);
-    return join(folder, name);
+    writeFileSync(join(directory, name), text);
+    return join(directory, name);
   };
   const config = file('settings.toml', GOOD);
-  const check = (...flags: string[]): { code: number | null; says: string } => {
-    const r = spawnSync(
-      process.execPath,
-      ['--import', 'tsx', 'packages/daemon/src/main-tariff.ts', '--check', '--config', config, ...flags],
-      { env: { ...process.env, SPURBRIDGE_TARIFF: '', SPURBRIDGE_TARIFF_FEED: '' } },
-    );
-    return { code: r.status, says: r.stdout.toString() + r.stderr.toString() };
-  };
+  const check = (...flags: string[]): ProgramResult =>
+    runProgram('main-tariff', ['--check', '--config', config, ...flags], {
+      SPURBRIDGE_TARIFF: '',
+      SPURBRIDGE_TARIFF_FEED: '',
+    });
   try {
     const good = check('--tariff', 'deploy/tariff-example.toml', '--tariff-feed', 'http://127.0.0.1:9/t');
     assert.deepEqual(good, { code: 0, says: 'settings of spur-0 are valid\n' });
@@ -35,6 +33,6 @@
     assert.match(check().says, /^--tariff or --tariff-feed: expected one of them/);
     assert.match(check('--tariff-carbon', '1.5').says, /--tariff-carbon.*a number from 0 to 1/);
   } finally {
-    rmSync(folder, { recursive: true });
+    rmSync(directory, { recursive: true });
   }
 });
--- a/packages/snapshot/test/snapshot.test.ts
+++ b/packages/snapshot/test/snapshot.test.ts
@@ -14,7 +14,7 @@
   snapshotName,
 } from '../src/index.js';
 
-const head = (revision: number, deployment = 'ours') => ({
+const origin = (revision: number, deployment = 'ours') => ({
   deployment,
   epoch: 2,
   revision: revision as Revision,
@@ -28,16 +28,16 @@
       fc.dictionary(fc.string({ minLength: 1 }), fc.record({ version: fc.nat(), text: fc.json() })),
       fc.nat(),
       fc.integer({ min: 1, max: 255 }),
-      (records, where, by) => {
+      (records, position, mask) => {
         const all = Object.entries(records).map(
-          ([key, r]) => [key, { version: r.version as Version, text: r.text }] as const,
+          ([key, { version, text }]) => [key, { version: version as Version, text }] as const,
         );
-        const bytes = encodeSnapshot(head(9), all);
+        const bytes = encodeSnapshot(origin(9), all);
         const found = decodeSnapshot(bytes);
-        assert.deepEqual(new Map([...found.keys()].map((k) => [k, found.get(k)])), new Map(all));
+        assert.deepEqual(new Map([...found.keys()].map((key) => [key, found.get(key)])), new Map(all));
         const damaged = Buffer.from(bytes);
-        const at = bytes.indexOf('\n') + 1 + (where % (bytes.length - bytes.indexOf('\n') - 1));
-        damaged[at] = (damaged[at] ?? 0) ^ by;
+        const at = bytes.indexOf('\n') + 1 + (position % (bytes.length - bytes.indexOf('\n') - 1));
+        damaged[at] = (damaged[at] ?? 0) ^ mask;
         assert.throws(() => decodeSnapshot(damaged), SnapshotFormatError);
         assert.throws(() => decodeSnapshot(bytes.subarray(0, bytes.length - 1)), SnapshotFormatError);
       },
@@ -47,7 +47,7 @@
 
 test('another format, a later version or a missing field is refused by its name', () => {
   const text = (over: Record<string, unknown>): Buffer => {
-    const bytes = encodeSnapshot(head(9), entries);
+    const bytes = encodeSnapshot(origin(9), entries);
     const end = bytes.indexOf('\n');
     const header = { ...(JSON.parse(bytes.subarray(0, end).toString()) as object), ...over };
     return Buffer.concat([Buffer.from(JSON.stringify(header)), bytes.subarray(end)]);
@@ -63,20 +63,28 @@
   const path = await mkdtemp(join(tmpdir(), 'snapshots-'));
   try {
     const refused: string[] = [];
-    const shelf = new SnapshotRepository(new FileSystemSnapshotDirectory(path), (name, reason) =>
+    const repository = new SnapshotRepository(new FileSystemSnapshotDirectory(path), (name, reason) =>
       refused.push(`${name}: ${reason}`),
     );
-    assert.equal(await shelf.latest(null), null);
+    assert.equal(await repository.latest(null), null);
     for (const revision of [5, 40, 300])
-      await shelf.save(snapshotName(head(revision), 'spur-0'), encodeSnapshot(head(revision), entries), 9);
-    await shelf.save(snapshotName(head(4000), 'x'), encodeSnapshot(head(4000, 'theirs'), entries), 9);
-    await writeFile(join(path, snapshotName(head(5000), 'y')), 'cut short');
-    assert.equal((await shelf.latest('ours'))?.revision, 300);
+      await repository.save(
+        snapshotName(origin(revision), 'spur-0'),
+        encodeSnapshot(origin(revision), entries),
+        9,
+      );
+    await repository.save(
+      snapshotName(origin(4000), 'x'),
+      encodeSnapshot(origin(4000, 'theirs'), entries),
+      9,
+    );
+    await writeFile(join(path, snapshotName(origin(5000), 'y')), 'cut short');
+    assert.equal((await repository.latest('ours'))?.revision, 300);
     assert.match(refused.join('\n'), /no header[^]*deployment theirs, not ours/);
-    assert.equal((await shelf.inspect(true)).filter((v) => 'wrong' in v).length, 1);
-    await shelf.save(snapshotName(head(6000), 'z'), encodeSnapshot(head(6000), entries), 2);
-    assert.equal((await shelf.inspect(false)).length, 2);
-    assert.equal((await shelf.latest('ours'))?.revision, 6000);
+    assert.equal((await repository.inspect(true)).filter((inspection) => 'wrong' in inspection).length, 1);
+    await repository.save(snapshotName(origin(6000), 'z'), encodeSnapshot(origin(6000), entries), 2);
+    assert.equal((await repository.inspect(false)).length, 2);
+    assert.equal((await repository.latest('ours'))?.revision, 6000);
   } finally {
     await rm(path, { recursive: true });
   }
