--- a/packages/configuration/src/history.ts
+++ b/packages/configuration/src/history.ts
@@ -8,7 +8,7 @@
 import { decodeHistory, encodeHistory, historyKey } from './records.js';
 
 /** Number of segments. At 1,300 changes a day and about sixty changes per segment they cover about a day. */
-export const HISTORY_SEGMENT_COUNT = 24;
+const HISTORY_SEGMENT_COUNT = 24;
 
 /** A segment is full at this share of the size limit of a value. */
 const MAX_SEGMENT_FILL_RATIO = 0.75;
--- a/packages/configuration/src/records.ts
+++ b/packages/configuration/src/records.ts
@@ -84,7 +84,7 @@
  */
 export function decodeHead(value: unknown): ConfigurationHead {
   const fields = read.asObject(value, 'head');
-  const pages = read.asArray(fields['pages'], 'pages').map((v) => decodeVersion({ v }, 'v'));
+  const pages = read.asArray(fields['pages'], 'pages').map((version) => decodeVersion({ v: version }, 'v'));
   return {
     version: decodeVersion(fields, 'version'),
     pages,
--- a/packages/configuration/src/stored-configuration.ts
+++ b/packages/configuration/src/stored-configuration.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { KeyValue, Version } from '@spurbridge/wire';
+import type { KeyValue } from '@spurbridge/wire';
 import { ValidationError } from '@spurbridge/wire';
 import { InconsistentRecordsError } from './errors.js';
 import type { ConfigurationHead, TeamPage } from './records.js';
@@ -17,28 +17,13 @@
 export interface StoredConfiguration {
   readonly head: ConfigurationHead;
   readonly configuration: Configuration;
-  /** Store versions of the records by key, which a commit compares. A missing key does not exist. */
-  readonly recordVersions: ReadonlyMap<string, Version>;
   readonly pages: readonly TeamPage[];
 }
 
-/** Looks up records and remembers the store version of each. */
-class RecordReader {
-  readonly recordVersions = new Map<string, Version>();
-
-  constructor(private readonly lookup: RecordLookup) {}
-
-  find(key: string): KeyValue | undefined {
-    const record = this.lookup(key);
-    if (record !== undefined) this.recordVersions.set(key, record.version);
-    return record;
-  }
-
-  require(key: string): KeyValue {
-    const record = this.find(key);
-    if (record === undefined) throw new ValidationError(key, 'a record');
-    return record;
-  }
+function requireRecord(lookup: RecordLookup, key: string): KeyValue {
+  const record = lookup(key);
+  if (record === undefined) throw new ValidationError(key, 'a record');
+  return record;
 }
 
 /**
@@ -48,23 +33,21 @@
  * @throws `ValidationError` where a record is missing or malformed
  */
 export function readConfiguration(lookup: RecordLookup): StoredConfiguration | null {
-  const reader = new RecordReader(lookup);
-  const headRecord = reader.find(HEAD_KEY);
+  const headRecord = lookup(HEAD_KEY);
   if (headRecord === undefined) return null;
   const head = decodeHead(headRecord.value);
   const pages = head.pages.map((version, pageIndex) => {
     const key = pageKey(pageIndex);
-    const page = decodePage(reader.require(key).value);
+    const page = decodePage(requireRecord(lookup, key).value);
     if (page.version !== version) throw new InconsistentRecordsError(key);
     return page;
   });
-  const { version, objectives } = decodeObjectives(reader.require(OBJECTIVES_KEY).value);
+  const { version, objectives } = decodeObjectives(requireRecord(lookup, OBJECTIVES_KEY).value);
   if (version !== head.objectives) throw new InconsistentRecordsError(OBJECTIVES_KEY);
   const teams = pages.flatMap((page) => page.teams);
   return {
     head,
     configuration: { version: head.version, teams, objectives },
-    recordVersions: reader.recordVersions,
     pages,
   };
 }
--- a/packages/daemon/src/config-actions.ts
+++ b/packages/daemon/src/config-actions.ts
@@ -10,7 +10,7 @@
 import { printFieldChanges, printHistoryEntry, printNodeVersions, printRollout } from './config-output.js';
 
 /** Exit codes of the command (docs/configuration.md). */
-export const EXIT_CODE = { inForce: 0, unreachable: 1, refused: 2, lagging: 3, stale: 4 } as const;
+const EXIT_CODE = { inForce: 0, unreachable: 1, refused: 2, lagging: 3, stale: 4 } as const;
 
 const JSON_INDENT = 1;
 
--- a/packages/snapshot/src/format.ts
+++ b/packages/snapshot/src/format.ts
@@ -12,7 +12,7 @@
 
 const FORMAT_NAME = 'spurbridge-snapshot';
 /** Version of the file format, raised by every change that older programs could not read. */
-export const SNAPSHOT_FORMAT_VERSION = 1;
+const SNAPSHOT_FORMAT_VERSION = 1;
 const MAX_HEADER_BYTES = 4096;
 const HEADER_END = '\n';
 
--- a/packages/snapshot/src/snapshotter.ts
+++ b/packages/snapshot/src/snapshotter.ts
@@ -48,7 +48,7 @@
 }
 
 /** Saves one snapshot and returns its name; null while the integrity of the key-value store is in doubt. */
-export async function saveSnapshot(options: SnapshotterOptions): Promise<string | null> {
+async function saveSnapshot(options: SnapshotterOptions): Promise<string | null> {
   const { clock, log, node, repository, store, wallNow } = options;
   const replicaSnapshot = store.replicaSnapshot();
   if (replicaSnapshot === null) return null;
