--- a/packages/daemon/src/extension.ts
+++ b/packages/daemon/src/extension.ts
@@ -20,9 +20,9 @@
   readonly settings: Settings;
   readonly store: KeyValueStore;
   /** The machine types that this node knows now. */
-  machineTypes(): readonly MachineType[];
+  readonly machineTypes: () => readonly MachineType[];
   /** The version of the configuration on each node. */
-  configurationStatus(): readonly NodeConfigurationStatus[];
+  readonly configurationStatus: () => readonly NodeConfigurationStatus[];
 }
 
 /** What the background task of an extension works with. */
