--- a/packages/controller/src/machines/failure-detector.ts
+++ b/packages/controller/src/machines/failure-detector.ts
@@ -3,19 +3,20 @@
  *
  * @module
  */
-import type { Job, Machine, Placement } from '@spurbridge/model';
+import type { Machine } from '@spurbridge/model';
 import type { MonotonicMs } from '@spurbridge/net';
 import { addMs } from '@spurbridge/net';
 import type { Heartbeat } from '@spurbridge/wire';
-import { startCommandKey } from '../heartbeats/command-dispatcher.js';
 import { CHECKPOINT_MARGIN_S } from '../heartbeats/heartbeat-handler.js';
 import type { ClusterState } from '../jobs/cluster-state.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { MachineQueues } from '../placement/machine-queues.js';
 import { failoverDiscoveryTimeoutMs, heartbeatTimeoutMs, maxHeartbeatIntervalMs } from '../settings.js';
 import type { FleetController } from './fleet-controller.js';
+import { lateHeartbeatMs } from './heartbeat-lateness.js';
 import { LeaderIsolationDetector } from './leader-isolation.js';
 import { MachineProber, isUnreachable } from './machine-prober.js';
+import { OverdueCancellations } from './overdue-cancellations.js';
 import { ZoneReachability } from './zone-reachability.js';
 
 const CHECK_INTERVAL_MS = 500;
@@ -24,8 +25,6 @@
 const MAX_CLOCK_DRIFT = 0.0005;
 /** Added to a lease's length before it counts as expired. */
 const LEASE_MARGIN_MS = 500;
-/** A heartbeat that is late by this much is missed. */
-const HEARTBEAT_MARGIN_MS = 1000;
 
 /** A machine is released when it is not up after so many times its usual boot time, and a constant. */
 const BOOT_TIMEOUT_FACTOR = 3;
@@ -39,8 +38,6 @@
 /** A preempted machine counts as taken back this long after its deadline. */
 const PREEMPTION_MARGIN_MS = 1500;
 
-/** This share of the time between a lease's length and `cancel_s` is left for the release that proves a machine gone. */
-const RELEASE_TIME_SHARE = 0.3;
 /** Unconfirmed machines count as the last few up to this number, or this share of those that are heard of. */
 const LAST_UNCONFIRMED_COUNT = 2;
 const LAST_UNCONFIRMED_SHARE = 0.05;
@@ -72,6 +69,7 @@
   private readonly zones: ZoneReachability;
   private readonly prober: MachineProber;
   private readonly isolation: LeaderIsolationDetector;
+  private readonly cancellations: OverdueCancellations;
 
   constructor(
     private readonly term: LeaderTerm,
@@ -84,6 +82,7 @@
     });
     this.prober = new MachineProber(term, dependencies.onHeartbeat);
     this.isolation = new LeaderIsolationDetector(term);
+    this.cancellations = new OverdueCancellations(cluster, dependencies.fleet, settings);
   }
 
   /** Checks all machines at regular intervals until the leader's term ends. */
@@ -102,7 +101,7 @@
       this.cluster.isKnownToHaveRun(machine),
     );
     this.dependencies.queues.evictAllStale();
-    this.releaseForOverdueCancellations(now);
+    this.cancellations.check(now);
     for (const machine of [...machines.values()]) this.checkMachine(machine, now);
     this.checkFleet(now);
   }
@@ -136,7 +135,7 @@
     const silenceMs = now - Math.max(machine.lastHeartbeatAt ?? electedAt, electedAt);
     const wasHeard = machine.state === 'ready' || machine.state === 'draining';
     const isExpected = wasHeard || (machine.state === 'booting' && this.cluster.isKnownToHaveRun(machine));
-    const isLate = isExpected && silenceMs > maxHeartbeatIntervalMs(settings) + HEARTBEAT_MARGIN_MS;
+    const isLate = isExpected && silenceMs > lateHeartbeatMs(settings);
     if (!isLate && machine.isConfirmed) return;
     this.prober.probe(machine);
     if (!wasHeard || !isUnreachable(machine) || silenceMs <= heartbeatTimeoutMs(settings)) return;
@@ -163,44 +162,6 @@
     }
   }
 
-  // --- cancellations -----------------------------------------------------------------------------
-
-  /**
-   * Releases the machines of cancelled tasks that are not proven to be gone as `cancel_s` runs out, whatever explains
-   * a machine's silence. The end of its lease is no proof: a machine that hangs does not end its tasks, and may go on
-   * later (docs/incidents/hung-past-its-lease.md). By then a machine that is alive and cut off has ended them by itself.
-   */
-  private releaseForOverdueCancellations(now: MonotonicMs): void {
-    const { cancelS, leaseS } = this.term.context.settings.workers;
-    const timeoutMs = (cancelS - (cancelS - leaseS) * RELEASE_TIME_SHARE) * 1000;
-    for (const job of this.cluster.jobs.values()) {
-      if (job.state !== 'cancelled') continue;
-      for (const placement of job.placements.values()) {
-        const cancelledAt = job.cancelledAt ?? placement.stopRequest?.at ?? now;
-        if (now < addMs(cancelledAt, timeoutMs)) continue;
-        const machine = this.cluster.machines.get(placement.machine);
-        if (machine === undefined || machine.state === 'gone') continue;
-        if (this.isLeftToLeaseExpiry(machine, job, placement, now)) continue;
-        this.dependencies.fleet.releaseMachine(machine, 'a cancelled task does not end', true);
-      }
-    }
-  }
-
-  /**
-   * Whether the machine is heard of, has never shown the task, and is not renewed any more: its agent epoch ends in time
-   * (see `CommandDispatcher`, which sends no response that renews its lease).
-   */
-  private isLeftToLeaseExpiry(machine: Machine, job: Job, placement: Placement, now: MonotonicMs): boolean {
-    const { lastHeartbeatAt } = machine;
-    const maxSilenceMs = maxHeartbeatIntervalMs(this.term.context.settings) + HEARTBEAT_MARGIN_MS;
-    return (
-      lastHeartbeatAt !== null &&
-      now - lastHeartbeatAt < maxSilenceMs &&
-      placement.state === 'starting' &&
-      machine.unconfirmedStarts.has(startCommandKey(job.spec.id, placement.task, placement.attempt))
-    );
-  }
-
   // --- the fleet as a whole ----------------------------------------------------------------------
 
   /** Releases machines that never came up, are silent or have drained, unless this node itself is cut off. */
--- a/packages/controller/src/machines/fleet-view.ts
+++ b/packages/controller/src/machines/fleet-view.ts
@@ -7,7 +7,8 @@
 import type { MonotonicMs } from '@spurbridge/net';
 import type { FleetMachine, Replica, ZoneSpread } from '@spurbridge/planner';
 import type { MachineType } from '@spurbridge/wire';
-import type { ClusterState, PlacedTask } from '../jobs/cluster-state.js';
+import type { ClusterState } from '../jobs/cluster-state.js';
+import type { PlacedTask } from '../jobs/placement-index.js';
 
 /** A replica is not moved before it has run for this long: a start that is soon followed by a stop does not count. */
 const MIN_REPLICA_RUN_MS = 45_000;
--- a/packages/controller/src/machines/machine-lister.ts
+++ b/packages/controller/src/machines/machine-lister.ts
@@ -7,7 +7,7 @@
 import type { ListedMachine } from '@spurbridge/wire';
 import { KEY_ABSENT, read } from '@spurbridge/wire';
 import type { ClusterState } from '../jobs/cluster-state.js';
-import { compareMachineIds } from '../jobs/cluster-state.js';
+import { compareMachineIds } from './machine-registry.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { MachineReleaser } from './machine-releaser.js';
 
--- a/packages/controller/src/placement/gang-scheduling.ts
+++ b/packages/controller/src/placement/gang-scheduling.ts
@@ -7,15 +7,13 @@
 import type { MonotonicMs } from '@spurbridge/net';
 import type { JobSpec } from '@spurbridge/wire';
 import type { ClusterState } from '../jobs/cluster-state.js';
+import { lateHeartbeatMs } from '../machines/heartbeat-lateness.js';
 import type { Settings } from '../settings.js';
-import { maxHeartbeatIntervalMs } from '../settings.js';
 
 /** Fetching an image may take this many times its nominal time: on a slow machine, beside another image. */
 const SLOWEST_FETCH_FACTOR = 2.25;
 /** Kept back of the time that a gang's task waits for the others, in seconds. */
 const GANG_WAIT_MARGIN_S = 10;
-/** A heartbeat that is late by this much is missed. */
-const HEARTBEAT_MARGIN_MS = 1000;
 
 /**
  * Whether all tasks of the gang run on machines that can be told to stop now. A stop that reaches some of them too late
@@ -27,7 +25,7 @@
   job: Job,
   now: MonotonicMs,
 ): boolean {
-  const maxSilenceMs = maxHeartbeatIntervalMs(settings) + HEARTBEAT_MARGIN_MS;
+  const maxSilenceMs = lateHeartbeatMs(settings);
   return [...job.placements.values()].every(({ machine: id, state, stopRequest }) => {
     const machine = cluster.machines.get(id);
     if (machine === undefined || machine.lastHeartbeatAt === null) return false;
