--- a/packages/graph-service/test/graph-service.test.ts
+++ b/packages/graph-service/test/graph-service.test.ts
@@ -26,7 +26,7 @@
 }
 
 class Site {
-  readonly w: World;
+  readonly world: World;
   readonly ran: Ran[] = [];
   readonly deps = new Map<string, readonly string[]>();
   private readonly batches = new Set<string>();
@@ -38,7 +38,7 @@
     over: Partial<WorldOptions> = {},
     private readonly limits?: GraphLimits,
   ) {
-    this.w = new World({
+    this.world = new World({
       seed: 3,
       teams: TEAMS,
       types: TYPES,
@@ -56,7 +56,7 @@
       },
       ...over,
     });
-    this.w.checker.onRunEnded = (run) => {
+    this.world.checker.onRunEnded = (run) => {
       const task = this.taskOf(run.job, run.task);
       if (task !== null) this.ran.push({ task, since: run.sinceMs, until: run.untilMs, done: run.done });
     };
@@ -68,7 +68,7 @@
     const cotask = job.id.slice(job.id.lastIndexOf('.') + 1);
     for (const graph of this.graphs)
       for (const batch of this.batches) {
-        const value = this.w.store.peek(batchStateKey(graph, batch as BatchId));
+        const value = this.world.store.peek(batchStateKey(graph, batch as BatchId));
         const part =
           value === undefined
             ? undefined
@@ -79,7 +79,7 @@
   }
 
   service(node = 0): GraphService {
-    const n = this.w.nodes[node];
+    const n = this.world.nodes[node];
     assert.ok(n !== undefined);
     return new GraphService({ teams: TEAMS, storeLimits: STATE }, n.store, () => TYPES, this.limits);
   }
@@ -87,7 +87,7 @@
   /** What a client makes of a node that ended before it answered: after five seconds it asks again. */
   noAnswer(): Promise<{ readonly code: 503 }> {
     return new Promise((resolve) => {
-      this.w.time.after(5000, () => {
+      this.world.time.after(5000, () => {
         resolve({ code: 503 });
       });
     });
@@ -99,7 +99,7 @@
     void respond(() => call(this.service(node))).then((a) => got.push(a));
     for (let i = 0; got.length === 0 && i < 1000; i += 1) {
       await new Promise((resolve) => setImmediate(resolve));
-      await this.w.runUntil(this.w.time.now + 5);
+      await this.world.runUntil(this.world.time.now + 5);
     }
     assert.ok(got[0] !== undefined, 'no answer');
     return got[0];
@@ -116,7 +116,7 @@
     for (let n = 0; n < 40; n += 1) {
       const a = await this.ask((s) => s.addBatch(ID, { batch, parent, shapes, tasks }), n % 3);
       if (a.code !== 503) return a;
-      await this.w.runUntil(this.w.time.now + 500);
+      await this.world.runUntil(this.world.time.now + 500);
     }
     return assert.fail('never added');
   }
@@ -133,12 +133,12 @@
   }
 
   get phase(): unknown {
-    return (this.w.store.peek(graphKey(ID)) as { phase?: unknown } | undefined)?.phase;
+    return (this.world.store.peek(graphKey(ID)) as { phase?: unknown } | undefined)?.phase;
   }
 
   /** Every task was done once, and none began before all that it takes was done. */
   assertInOrder(all: boolean): void {
-    assert.deepEqual(this.w.checker.violations, []);
+    assert.deepEqual(this.world.checker.violations, []);
     const doneAt = new Map<string, number>();
     for (const r of this.ran)
       // Started again, a task that was done says so at once and does nothing: its result is kept.
@@ -158,14 +158,14 @@
 
   /** Of a graph that is over nothing is left but its head. */
   assertFolded(): void {
-    const left = this.w.store.keys().filter((k) => k.startsWith('g') || k.includes('/wk-.'));
+    const left = this.world.store.keys().filter((k) => k.startsWith('g') || k.includes('/wk-.'));
     assert.deepEqual(left, [graphKey(ID)]);
   }
 }
 
 async function begun(over: Partial<WorldOptions> = {}, limits?: GraphLimits): Promise<Site> {
   const site = new Site(over, limits);
-  await site.w.runUntil(3000);
+  await site.world.runUntil(3000);
   const a = await site.ask((s) => s.create(HEAD));
   assert.equal(a.code, 201);
   return site;
@@ -181,7 +181,7 @@
   const status = await site.ask((s) => s.status(ID), 1);
   assert.ok('body' in status && status.body['tasks'] === 34 && status.body['phase'] === 'open');
   await site.ask((s) => s.seal(ID));
-  await site.w.runUntil(200_000);
+  await site.world.runUntil(200_000);
   assert.equal(site.phase, 'done');
   site.assertInOrder(true);
   site.assertFolded();
@@ -196,7 +196,7 @@
     { ...SHAPE, image: 'broken', retries: 2 },
   ]);
   await site.ask((s) => s.seal(ID));
-  await site.w.runUntil(200_000);
+  await site.world.runUntil(200_000);
   assert.equal(site.ran.filter((r) => r.task === 'a:0').length, 3);
   const end = await site.ask((s) => s.status(ID));
   assert.ok('body' in end);
@@ -261,13 +261,13 @@
   assert.equal((await site.ask((s) => s.cancel(ID, { tasks: ['a:7'] }))).code, 400);
   await site.ask((s) => s.seal(ID));
   await refused({ batch: 'late', tasks: [[0]] }, 409, /^graph: gr-night is sealed/);
-  const pieces = site.w.store.keys().filter((k) => k.startsWith('j/wk-.'));
+  const pieces = site.world.store.keys().filter((k) => k.startsWith('j/wk-.'));
   assert.ok(pieces.length > 0);
-  const node = site.w.nodes[0];
+  const node = site.world.nodes[0];
   assert.ok(node !== undefined);
   const direct: number[] = [];
   void node.controller.jobs.cancel(pieces[0]?.slice(2) as never).then((a) => direct.push(a.code));
-  await site.w.runUntil(site.w.time.now + 1000);
+  await site.world.runUntil(site.world.time.now + 1000);
   assert.deepEqual(direct, [404]);
 });
 
@@ -279,7 +279,7 @@
     null,
     [{ ...SHAPE, estimateS: 30 }],
   );
-  await site.w.runUntil(20_000);
+  await site.world.runUntil(20_000);
   const before = site.ran.length;
   const [cancelled, spawned] = await Promise.all([
     site.ask((s) => s.cancel(ID, null), 0),
@@ -293,9 +293,9 @@
       return got[0];
     })(),
   ]);
-  const at = site.w.time.now;
+  const at = site.world.time.now;
   assert.ok('body' in cancelled && cancelled.body['phase'] === 'cancelled');
-  await site.w.runUntil(at + 60_000);
+  await site.world.runUntil(at + 60_000);
   assert.ok(site.ran.length > before);
   // Those whose start was under way when the answer was given are stopped; none is begun from there on.
   for (const r of site.ran) assert.ok(r.since <= at + 3000 && r.until <= at + 26_000, JSON.stringify(r));
@@ -303,7 +303,7 @@
   if (spawned !== undefined && spawned.code === 201)
     assert.ok(site.ran.every((r) => !r.task.startsWith('s:')));
   site.assertFolded();
-  assert.deepEqual(site.w.checker.violations, []);
+  assert.deepEqual(site.world.checker.violations, []);
 });
 
 test('a lost result makes its task run again once, also when the leader crashes right after the update', async () => {
@@ -311,34 +311,34 @@
   const site = await begun({ seed: 23 });
   await site.add('a', [[0], [1, [0]], [1, [0]]], null, [SHAPE, { ...SHAPE, estimateS: 20 }]);
   for (let at = 4; at < 60 && !site.ran.some((r) => r.task === 'a:0' && r.done); at += 1)
-    await site.w.runUntil(at * 1000);
+    await site.world.runUntil(at * 1000);
   const note = { note: 'n1', lost: ['a:0'] };
   assert.equal((await site.ask((s) => s.updateResults(ID, note))).code, 201);
   assert.equal((await site.ask((s) => s.updateResults(ID, note), 1)).code, 200);
   assert.equal((await site.ask((s) => s.updateResults(ID, { note: 'n2', lost: ['a:9'] }))).code, 400);
   for (let i = 0; i < 3; i += 1)
-    if (site.w.nodes[i]?.controller.leadership.holdsValidLease() === true) site.w.crash(i);
-  await site.w.runUntil(site.w.time.now + 90_000);
+    if (site.world.nodes[i]?.controller.leadership.holdsValidLease() === true) site.world.crash(i);
+  await site.world.runUntil(site.world.time.now + 90_000);
   await site.ask((s) => s.seal(ID));
-  await site.w.runUntil(site.w.time.now + 60_000);
+  await site.world.runUntil(site.world.time.now + 60_000);
   // Those that had started have what they need and go on; the parent ran once more, for what was still to start.
   const runs = site.ran.filter((r) => r.task === 'a:0' && r.done && r.until - r.since > 10).length;
   assert.ok(runs >= 1 && runs <= 2, `${runs} runs`);
   assert.equal(site.phase, 'done');
   site.assertFolded();
-  assert.deepEqual(site.w.checker.violations, []);
+  assert.deepEqual(site.world.checker.violations, []);
 });
 
 test('a subtree is cancelled with what it spawned; the rest of the graph completes', async () => {
   const site = await begun();
   await site.add('a', [[1], [0], [0, [1]]], null, [SHAPE, { ...SHAPE, estimateS: 60 }]);
-  await site.w.runUntil(8000);
+  await site.world.runUntil(8000);
   await site.add('s', [[0], [0, [0]]], 'a:0', [{ ...SHAPE, estimateS: 60 }]);
-  await site.w.runUntil(14_000);
+  await site.world.runUntil(14_000);
   const a = await site.ask((s) => s.cancel(ID, { tasks: ['a:0'] }), 2);
   assert.equal(a.code, 200);
   await site.ask((s) => s.seal(ID));
-  await site.w.runUntil(100_000);
+  await site.world.runUntil(100_000);
   const end = await site.ask((s) => s.status(ID));
   assert.ok('body' in end);
   assert.deepEqual([end.body['done'], end.body['cancelled']], [2, 3]);
@@ -358,7 +358,7 @@
       Promise.race([respond(() => site.service(n % 3).addBatch(ID, body)), site.noAnswer()]).then((a) =>
         a.code === 503
           ? new Promise((resolve) => {
-              site.w.time.after(300, () => {
+              site.world.time.after(300, () => {
                 resolve(again(n + 1));
               });
             })
@@ -368,13 +368,13 @@
   };
   await site.add('d0', [[0]]);
   for (let at = 12_000; at < 120_000; at += 25_000)
-    site.w.time.after(at, () => {
+    site.world.time.after(at, () => {
       for (let i = 0; i < 3; i += 1)
-        if (site.w.nodes[i]?.controller.leadership.holdsValidLease() === true) site.w.crash(i);
+        if (site.world.nodes[i]?.controller.leadership.holdsValidLease() === true) site.world.crash(i);
     });
-  await site.w.runUntil(300_000);
+  await site.world.runUntil(300_000);
   await site.ask((s) => s.seal(ID));
-  await site.w.runUntil(site.w.time.now + 30_000);
+  await site.world.runUntil(site.world.time.now + 30_000);
   assert.equal(site.phase, 'done');
   assert.equal(site.deps.size, 21);
   site.assertInOrder(true);
@@ -391,42 +391,42 @@
 for (const seed of seeds())
   test(`crashes, partitions, outages and machine losses with seed ${seed}: no task is lost, repeated or started early`, async () => {
     const site = await begun({ seed, storeLimits: { rps: 150, writeRps: 25, valueKb: 16, txnOps: 12 } });
-    const { w } = site;
-    const at = (): number => 5000 + w.random(80_000);
+    const { world } = site;
+    const at = (): number => 5000 + world.random(80_000);
     for (let k = 0; k < 4; k += 1)
-      w.time.after(at(), () => {
-        w.crash(w.random(3));
+      world.time.after(at(), () => {
+        world.crash(world.random(3));
       });
-    w.time.after(at(), () => {
-      for (let i = 0; i < 3; i += 1) w.crash(i);
+    world.time.after(at(), () => {
+      for (let i = 0; i < 3; i += 1) world.crash(i);
     });
-    w.time.after(at(), () => {
-      w.store.setOutage(true);
-      w.time.after(6000, () => {
-        w.store.setOutage(false);
+    world.time.after(at(), () => {
+      world.store.setOutage(true);
+      world.time.after(6000, () => {
+        world.store.setOutage(false);
       });
     });
-    w.time.after(at(), () => {
-      const up = [...w.workers.values()].filter((x) => x.alive);
-      up[w.random(up.length)]?.die();
+    world.time.after(at(), () => {
+      const up = [...world.workers.values()].filter((x) => x.alive);
+      up[world.random(up.length)]?.die();
     });
-    w.time.after(at(), () => {
-      const name = `spur-${w.random(3)}`;
-      w.network.partition(name, 'state', 'hold');
-      w.time.after(7000, () => {
-        w.network.heal(name, 'state');
+    world.time.after(at(), () => {
+      const name = `spur-${world.random(3)}`;
+      world.network.partition(name, 'state', 'hold');
+      world.time.after(7000, () => {
+        world.network.heal(name, 'state');
       });
     });
     for (let b = 0; b < 5; b += 1) {
       const tasks = Array.from({ length: 20 }, (_, i) => [
         0,
-        b === 0 ? [] : [...new Set([`b${b - 1}:${i}`, `b${b - 1}:${w.random(20)}`])],
+        b === 0 ? [] : [...new Set([`b${b - 1}:${i}`, `b${b - 1}:${world.random(20)}`])],
       ]);
       assert.ok((await site.add(`b${b}`, tasks)).code < 300);
     }
     for (let n = 0; n < 30 && (await site.ask((s) => s.seal(ID), n % 3)).code === 503; n += 1)
-      await w.runUntil(w.time.now + 1000);
-    await w.runUntil(400_000);
+      await world.runUntil(world.time.now + 1000);
+    await world.runUntil(400_000);
     site.assertInOrder(true);
     assert.equal(site.phase, 'done', `seed ${seed}`);
     site.assertFolded();
