--- /dev/null
+++ b/packages/controller/src/api/heartbeat-response.ts
@@ -0,0 +1,25 @@
+/**
+ * The HTTP status codes of heartbeat outcomes.
+ *
+ * @module
+ */
+import type { FencingToken, NodeId, WorkerCommand } from '@spurbridge/wire';
+import type { HeartbeatOutcome } from '../heartbeats/heartbeat-outcome.js';
+
+/** The outcome of a heartbeat as the worker sees it. */
+export type HeartbeatHttpResponse =
+  | { readonly code: 200; readonly token: FencingToken; readonly commands: readonly WorkerCommand[] }
+  | { readonly code: 421; readonly leader: NodeId }
+  | { readonly code: 503 };
+
+/** Maps an outcome to its status code. This is the only place that knows these codes. */
+export function toHeartbeatResponse(outcome: HeartbeatOutcome): HeartbeatHttpResponse {
+  switch (outcome.outcome) {
+    case 'accepted':
+      return { code: 200, token: outcome.fencingToken, commands: outcome.commands };
+    case 'redirected':
+      return { code: 421, leader: outcome.node };
+    case 'unavailable':
+      return { code: 503 };
+  }
+}
--- a/packages/controller/src/api/http-server.ts
+++ b/packages/controller/src/api/http-server.ts
@@ -1,3 +1,8 @@
+/**
+ * The HTTP server for users, workers and health probes.
+ *
+ * @module
+ */
 import Fastify from 'fastify';
 import type { FastifyInstance, FastifyReply } from 'fastify';
 import {
@@ -9,71 +14,105 @@
   isJobId,
   parseHeartbeat,
 } from '@spurbridge/wire';
+import type { HeartbeatOutcome } from '../heartbeats/heartbeat-outcome.js';
 import type { JobResponse } from '../jobs/job-service.js';
 import type { Controller } from '../leadership/controller.js';
 import type { Logger } from '../logger.js';
+import { toHeartbeatResponse } from './heartbeat-response.js';
 
-function send(reply: FastifyReply, a: JobResponse): FastifyReply {
-  if (a.code === 503)
-    return reply.code(503).header('retry-after', String(a.retryAfterS)).send({ error: a.error });
-  if ('status' in a) return reply.code(a.code).send(formatJobStatus(a.status));
-  return reply.code(a.code).send({ error: a.error });
+const KEEP_ALIVE_TIMEOUT_MS = 120_000;
+/** Seconds after which a client may try again what is unavailable at present. */
+const RETRY_AFTER_S = 1;
+const NO_SUCH_JOB: JobResponse = { code: 404, error: 'no such job' };
+
+interface JobRoute {
+  readonly Params: { readonly id: string };
 }
 
-/** The `listen` interface: users, workers and health probes. */
+/** Builds the server of the `listen` address; it does not listen yet. */
 export function buildHttpServer(controller: Controller, log: Logger): FastifyInstance {
   const app = Fastify({
     logger: false,
     bodyLimit: MAX_REQUEST_BODY_BYTES,
-    keepAliveTimeout: 120_000,
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     exposeHeadRoutes: false,
   });
-  // Bodies are JSON whatever their content type says; what is not JSON is malformed.
+  acceptJsonOfAnyContentType(app);
+  handleErrors(app, log);
+  registerHealthRoute(app, controller);
+  registerJobRoutes(app, controller);
+  registerHeartbeatRoute(app, controller);
+  return app;
+}
+
+/** Bodies are JSON, whatever their content type says; anything else is malformed. */
+function acceptJsonOfAnyContentType(app: FastifyInstance): void {
   app.removeAllContentTypeParsers();
   app.addContentTypeParser('*', { parseAs: 'buffer' }, (_request, body, done) => {
     try {
       const text = (body as Buffer).toString('utf8');
-      // A cancellation has no body, though some clients declare one: only what needs a body misses it.
+      // A cancellation has no body, though some clients declare one: only a route that needs a body rejects its absence.
       done(null, text === '' ? null : JSON.parse(text));
     } catch {
       done(new ValidationError('body', 'JSON'), undefined);
     }
   });
+}
+
+function handleErrors(app: FastifyInstance, log: Logger): void {
   app.setErrorHandler((error: Error & { statusCode?: number }, _request, reply) => {
     const status = error.statusCode ?? 500;
     if (error instanceof ValidationError || (status >= 400 && status < 500))
       return reply.code(400).send({ error: error.message });
     log.error({ error: error.stack ?? error.message }, 'request failed');
-    return reply.code(503).header('retry-after', '1').send({ error: 'internal error' });
+    return sendUnavailable(reply, { error: 'internal error' });
   });
   app.setNotFoundHandler((_request, reply) => reply.code(404).send({ error: 'no such resource' }));
+}
 
+function registerHealthRoute(app: FastifyInstance, controller: Controller): void {
   app.get(PATHS.health, (_request, reply) =>
-    controller.isHealthy()
-      ? reply.code(200).send({ ok: true })
-      : reply.code(503).header('retry-after', '1').send({ ok: false }),
+    controller.isHealthy() ? reply.code(200).send({ ok: true }) : sendUnavailable(reply, { ok: false }),
   );
-  app.post(PATHS.jobs, async (request, reply) => send(reply, await controller.jobs.submit(request.body)));
-  app.get<{ Params: { id: string } }>(`${PATHS.jobs}/:id`, async (request, reply) => {
+}
+
+function registerJobRoutes(app: FastifyInstance, controller: Controller): void {
+  const { jobs } = controller;
+  app.post(PATHS.jobs, async (request, reply) => sendJobResponse(reply, await jobs.submit(request.body)));
+  app.get<JobRoute>(`${PATHS.jobs}/:id`, async (request, reply) => {
     const { id } = request.params;
-    if (!isJobId(id)) return send(reply, { code: 404, error: 'no such job' });
-    return send(reply, await controller.jobs.status(id));
+    return sendJobResponse(reply, isJobId(id) ? await jobs.status(id) : NO_SUCH_JOB);
   });
-  app.post<{ Params: { id: string } }>(`${PATHS.jobs}/:id/cancel`, async (request, reply) => {
+  app.post<JobRoute>(`${PATHS.jobs}/:id/cancel`, async (request, reply) => {
     const { id } = request.params;
-    if (!isJobId(id)) return send(reply, { code: 404, error: 'no such job' });
-    return send(reply, await controller.jobs.cancel(id));
-  });
-  app.post(PATHS.heartbeat, async (request, reply) => {
-    const answer = await controller.handleHeartbeat(parseHeartbeat(request.body));
-    switch (answer.code) {
-      case 200:
-        return reply.code(200).send(formatHeartbeatResponse(answer.token, answer.commands));
-      case 421:
-        return reply.code(421).send({ foreman: answer.leader });
-      case 503:
-        return reply.code(503).header('retry-after', '1').send({ error: 'no leader is known' });
-    }
+    return sendJobResponse(reply, isJobId(id) ? await jobs.cancel(id) : NO_SUCH_JOB);
   });
-  return app;
+}
+
+function registerHeartbeatRoute(app: FastifyInstance, controller: Controller): void {
+  app.post(PATHS.heartbeat, async (request, reply) =>
+    sendHeartbeatResponse(reply, await controller.handleHeartbeat(parseHeartbeat(request.body))),
+  );
+}
+
+function sendJobResponse(reply: FastifyReply, response: JobResponse): FastifyReply {
+  if (response.code === 503) return sendUnavailable(reply, { error: response.error }, response.retryAfterS);
+  if ('status' in response) return reply.code(response.code).send(formatJobStatus(response.status));
+  return reply.code(response.code).send({ error: response.error });
+}
+
+function sendHeartbeatResponse(reply: FastifyReply, outcome: HeartbeatOutcome): FastifyReply {
+  const response = toHeartbeatResponse(outcome);
+  switch (response.code) {
+    case 200:
+      return reply.code(200).send(formatHeartbeatResponse(response.token, response.commands));
+    case 421:
+      return reply.code(421).send({ foreman: response.leader });
+    case 503:
+      return sendUnavailable(reply, { error: 'no leader is known' });
+  }
+}
+
+function sendUnavailable(reply: FastifyReply, body: object, retryAfterS = RETRY_AFTER_S): FastifyReply {
+  return reply.code(503).header('retry-after', String(retryAfterS)).send(body);
 }
--- a/packages/controller/src/heartbeats/command-dispatcher.ts
+++ b/packages/controller/src/heartbeats/command-dispatcher.ts
@@ -4,6 +4,7 @@
 import { formatTaskName } from '@spurbridge/wire';
 import type { ClusterState } from '../jobs/cluster-state.js';
 import { isGangStartDelayed } from '../placement/gang-scheduling.js';
+import { stopsForCancelledTasks } from './cancelled-tasks.js';
 import type { MachineQueues } from '../placement/machine-queues.js';
 import { maxRenewalStalenessMs } from '../settings.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
@@ -217,13 +218,6 @@
   }
 }
 
-/** Stops of the reported tasks whose jobs are cancelled. */
-export function stopsForCancelledTasks(r: Heartbeat, phaseOf: (id: JobId) => string | null): WorkerCommand[] {
-  return r.tasks
-    .filter((t) => t.phase !== 'exited' && phaseOf(t.job) === 'cancelled')
-    .map((t) => ({ op: 'stop' as const, job: t.job, task: t.task, attempt: t.attempt, graceS: 0 }));
-}
-
 /** How an unanswered start is remembered on its machine. */
 export function startCommandKey(job: JobId, task: number, attempt: Attempt): string {
   return `${formatTaskName(job, task)}#${attempt}`;
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -1,5 +1,13 @@
+/**
+ * The controller of the cluster scheduler: what every node runs, and the leader.
+ *
+ * @module
+ */
 export * from './leadership/controller.js';
+export type { ControllerOptions } from './leadership/controller-options.js';
+export type * from './heartbeats/heartbeat-outcome.js';
 export * from './api/http-server.js';
+export * from './api/heartbeat-response.js';
 export * from './settings.js';
 export * from './heartbeats/worker-client.js';
 export * from './jobs/job-service.js';
@@ -11,7 +19,8 @@
 export type { ClusterEvents, PlacedTask } from './jobs/cluster-state.js';
 export { RecordWatcher } from './jobs/record-watcher.js';
 export { LeaderTerm } from './leadership/leader-term.js';
-export type { LeaderContext, LeaderComponent, LeaderComponentFactory } from './leadership/leader-term.js';
+export type { LeaderContext } from './leadership/leader-term.js';
+export type { LeaderComponent, LeaderComponentFactory } from './leadership/leader-component.js';
 export { WakeSignal } from './wake-signal.js';
 export { TcpPeerTransport, decodePeerMessages } from './peers/peer-transport.js';
 export type { PeerTransport } from './peers/peer-transport.js';
--- a/packages/controller/src/leadership/leader-term.ts
+++ b/packages/controller/src/leadership/leader-term.ts
@@ -1,37 +1,46 @@
+/**
+ * One term of a leader, from its election until it is deposed.
+ *
+ * @module
+ */
 import type { CloudProvider } from '@spurbridge/cloud';
 import type { Configuration, ConfigurationVersion } from '@spurbridge/configuration';
-import type { Job, WallClockMs } from '@spurbridge/model';
+import type { WallClockMs } from '@spurbridge/model';
 import type { Clock, MonotonicMs } from '@spurbridge/net';
 import type { Leadership, KeyValueStore } from '@spurbridge/store';
 import type { JobId, JobProgress, MachineType } from '@spurbridge/wire';
-import type { ClusterState } from '../jobs/cluster-state.js';
 import type { Logger } from '../logger.js';
 import { WorkerReachability } from '../heartbeats/worker-reachability.js';
 import type { Settings } from '../settings.js';
 import type { WorkerClient } from '../heartbeats/worker-client.js';
+import type { LeaderComponentFactory } from './leader-component.js';
 
-/** What is known of the state service's own soundness (docs/state-loss.md). */
+/** What is known of the integrity of the key-value store (docs/state-loss.md). */
 export interface StoreIntegrityStatus {
-  /** Whether all that was ever written is known to have been read. */
+  /** Whether everything that was ever written is known to have been read. */
   readonly continuous: boolean;
-  /** Whether it has lost data that no copy held. */
+  /** Whether the store has lost data of which no replica had a copy. */
   readonly hasLost: boolean;
-  /** The leader knows what is on every machine, whatever the state service may have lost before. */
+  /** Called once the leader knows what runs on every machine, whatever the store may have lost before. */
   settled(): void;
-  /** Phase of a job by this node's copy of its record, also of one that is long over; null: no such record. */
+  /** The phase of a job by this controller's replica of its record, also of jobs that ended long ago; null without a record. */
   phaseOf(id: JobId): string | null;
-  /** How old that copy is, in milliseconds: a cancellation confirmed earlier is in it. Infinity: there is none. */
+  /** Milliseconds by which the replica is out of date: it contains every cancellation confirmed before. Infinity without one. */
   readonly copyAgeMs: number;
 }
 
-/** What a leader works with, and is given by its node. */
+/** The workers that send their heartbeats directly to this process. */
+export interface DirectWorkers {
+  /** The number of their machines. */
+  readonly size: number;
+  /** When any of them last did; null before the first heartbeat. */
+  readonly lastAt: MonotonicMs | null;
+}
+
+/** What a leader works with, provided by the controller it runs in. */
 export interface LeaderContext {
   readonly storeIntegrity: StoreIntegrityStatus;
   readonly settings: Settings;
-  /** What operators may change while jobs run: one whole version at a time. */
-  readonly configuration: () => Configuration;
-  /** A plan went by this version. */
-  readonly onPlanned: (version: ConfigurationVersion) => void;
   readonly store: KeyValueStore;
   readonly cloud: CloudProvider;
   readonly workerClient: WorkerClient;
@@ -39,51 +48,39 @@
   readonly clock: Clock;
   readonly wallNow: () => WallClockMs;
   readonly log: Logger;
+  /** The configuration that operators may change while jobs run, always one whole version. */
+  readonly configuration: () => Configuration;
   readonly machineTypes: () => readonly MachineType[];
-  readonly publishProgress: (progress: readonly JobProgress[]) => void;
-  /** Machines whose workers report to this node itself, and when any of them did, the last time. */
-  readonly directWorkers: () => { readonly size: number; readonly lastAt: MonotonicMs | null };
-  /** The records are read: holders may tell what they know of their machines. */
-  readonly onReady: () => void;
-  /** Concerns beyond the usual ones, switched on by the program that was started. */
+  readonly directWorkers: () => DirectWorkers;
+  /** Creates the components that the program adds to the leader. */
   readonly leaderComponents: readonly LeaderComponentFactory[];
+  /** Called after a scheduling pass that used this version of the configuration. */
+  readonly onPlanned: (version: ConfigurationVersion) => void;
+  /** Called once the records are read: other controllers may announce their shards. */
+  readonly onReady: () => void;
+  /** Sends the progress of jobs to the other controllers. */
+  readonly publishProgress: (progress: readonly JobProgress[]) => void;
 }
 
-/** One node's time as leader, from election to deposition: what every room of the leader shares. */
+/** What all components of one leader share during its term. */
 export class LeaderTerm {
   readonly electedAt: MonotonicMs;
-  /** What direct calls to machines say of this node's own network. */
+  /** Whether direct calls to workers succeed, which says something of this controller's own network. */
   readonly workerReachability: WorkerReachability;
-  private over = false;
+  private hasEnded = false;
 
   constructor(readonly context: LeaderContext) {
     this.electedAt = context.clock.now();
     this.workerReachability = new WorkerReachability(context.clock);
   }
 
+  /** Whether the term goes on; loops of the leader end when it does not. */
   get isActive(): boolean {
-    return !this.over;
+    return !this.hasEnded;
   }
 
+  /** Ends the term. */
   end(): void {
-    this.over = true;
+    this.hasEnded = true;
   }
 }
-
-/**
- * A concern of its own beside planning, recording, reports, fleet and sweeping. It takes the cluster's state,
- * is told of its changes (`Cluster` is an emitter), and lives as long as its leader.
- */
-export interface LeaderComponent {
-  /** Reads what an earlier leader left; the first plan comes after it. Resolves early when deposed. */
-  restore(): Promise<void>;
-  run(): Promise<void>;
-  /** Whether the job takes part in the order now: only what has joined is planned. */
-  isSchedulable(job: Job): boolean;
-  /** Whether a job whose tasks are all done may be closed, and its task records deleted. */
-  mayClose(job: Job): boolean;
-  /** Whether it knows all cancellations that a report's answer must not outlive (docs/design.md, "Renewals"). */
-  readonly isFresh: boolean;
-}
-
-export type LeaderComponentFactory = (term: LeaderTerm, cluster: ClusterState) => LeaderComponent;
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -1,3 +1,8 @@
+/**
+ * The leader: everything that runs during one term.
+ *
+ * @module
+ */
 import type { Job } from '@spurbridge/model';
 import { addMs } from '@spurbridge/net';
 import type { JobId, JobProgress, WorkerCommand, Heartbeat } from '@spurbridge/wire';
@@ -16,13 +21,15 @@
 import { ServiceLevelTracker } from '../jobs/service-level-tracker.js';
 import { Reconciliation } from '../reconciliation/reconciliation.js';
 import { FailureDetector } from '../machines/failure-detector.js';
-import type { LeaderContext, LeaderComponent } from './leader-term.js';
+import type { LeaderComponent } from './leader-component.js';
+import type { LeaderContext } from './leader-term.js';
 import { LeaderTerm } from './leader-term.js';
 
-/** What a report is answered with: orders, and so long its holder may answer the next ones without the leader (ms). */
+/** The renewal of a worker's lease, as the leader grants it. */
 export interface HeartbeatRenewal {
   readonly commands: WorkerCommand[];
-  readonly grantMs: number;
+  /** Milliseconds for which the controller that forwarded the heartbeat may renew the lease without the leader. */
+  readonly delegatedLeaseMs: number;
 }
 
 /**
@@ -186,9 +193,9 @@
     // A holder knows nothing of the stops in this answer, which its worker may never get: it asks again each time. Nor may
     // it stand in for a leader that has not read what may be on its way there.
     const mayGrant = forwarded && this.ready && !this.commands.hasCancelledTasks(r.machine, commands);
-    const grantMs = mayGrant ? Math.max(0, leftMs) : 0;
-    this.reports.recordResponse(r, grantMs);
-    return { commands, grantMs };
+    const delegatedLeaseMs = mayGrant ? Math.max(0, leftMs) : 0;
+    this.reports.recordResponse(r, delegatedLeaseMs);
+    return { commands, delegatedLeaseMs };
   }
 
   private take(r: Heartbeat, isOwn: boolean, ageMs = 0): void {
--- /dev/null
+++ b/packages/controller/src/peers/peer-directory.ts
@@ -0,0 +1,66 @@
+/**
+ * The latest status of each other controller.
+ *
+ * @module
+ */
+import type { Clock, MonotonicMs } from '@spurbridge/net';
+import type { LeaderCandidate } from '@spurbridge/store';
+import type { NodeId, PeerStatus } from '@spurbridge/wire';
+import type { ShardOwner } from '@spurbridge/worker-shards';
+import type { Settings } from '../settings.js';
+import type { PeerTransport } from './peer-transport.js';
+
+/** A status older than this is not relied on. */
+const MAX_STATUS_AGE_MS = 2500;
+
+interface KnownPeer {
+  readonly status: PeerStatus;
+  readonly receivedAt: MonotonicMs;
+}
+
+/** What the other controllers have said of themselves, and who of them can be reached. */
+export class PeerDirectory {
+  private readonly peers = new Map<NodeId, KnownPeer>();
+
+  constructor(
+    private readonly settings: Settings,
+    private readonly clock: Clock,
+    private readonly transport: PeerTransport,
+  ) {}
+
+  /** Records the status that a controller has sent. */
+  record(status: PeerStatus): void {
+    this.peers.set(status.node, { status, receivedAt: this.clock.now() });
+  }
+
+  /** The latest status of a controller, however old it is. */
+  statusOf(node: NodeId): PeerStatus | undefined {
+    return this.peers.get(node)?.status;
+  }
+
+  /** The connected controllers that may become leader, because the key-value store serves them. */
+  leaderCandidates(): LeaderCandidate[] {
+    return this.current()
+      .filter((status) => status.stateOk && this.transport.isConnected(status.node))
+      .map((status) => ({ node: status.node, penalty: status.burden }));
+  }
+
+  /** The connected controllers that can take over workers. */
+  shardOwners(): ShardOwner[] {
+    return this.current()
+      .filter((status) => status.holds && this.transport.isConnected(status.node))
+      .map((status) => ({
+        node: status.node,
+        machineCount: status.machines,
+        zone: this.settings.peers.find((peer) => peer.node === status.node)?.zone ?? '',
+        isLeader: status.takesReports,
+      }));
+  }
+
+  private current(): PeerStatus[] {
+    const now = this.clock.now();
+    return [...this.peers.values()]
+      .filter((peer) => now - peer.receivedAt < MAX_STATUS_AGE_MS)
+      .map((peer) => peer.status);
+  }
+}
--- /dev/null
+++ b/packages/controller/src/shards/heartbeat-forwarder.ts
@@ -0,0 +1,79 @@
+/**
+ * Forwards heartbeats of this controller's shard to the leader and matches the leader's responses to them.
+ *
+ * @module
+ */
+import type { Clock } from '@spurbridge/net';
+import type { ForwardedHeartbeat, ForwardedHeartbeatResponse, Heartbeat, NodeId } from '@spurbridge/wire';
+import type { RegisteredRequest } from '@spurbridge/worker-shards';
+import { PendingRequests } from '@spurbridge/worker-shards';
+import type { PeerTransport } from '../peers/peer-transport.js';
+
+/** The leader's response is awaited for no longer than this; the worker itself waits for 4 s. */
+const RESPONSE_TIMEOUT_MS = 2000;
+/** Heartbeats that arrive within this time are sent together. */
+export const BATCH_DELAY_MS = 8;
+/** Heartbeats in one frame: each has a few hundred bytes, rarely thousands. */
+export const MAX_HEARTBEATS_PER_FRAME = 100;
+
+/** The forwarding side: batches heartbeats, and completes each request by its response or by a timeout. */
+export class HeartbeatForwarder {
+  private readonly requests: PendingRequests<ForwardedHeartbeatResponse>;
+  private batch: ForwardedHeartbeat[] = [];
+
+  constructor(
+    private readonly self: NodeId,
+    private readonly clock: Clock,
+    private readonly transport: PeerTransport,
+  ) {
+    this.requests = new PendingRequests(clock, RESPONSE_TIMEOUT_MS);
+  }
+
+  /** Adds the heartbeat to the next batch for the leader. */
+  forward(leader: NodeId, heartbeat: Heartbeat): RegisteredRequest<ForwardedHeartbeatResponse> {
+    const request = this.requests.register(leader, requestKeyOf(heartbeat));
+    this.batch.push({ id: request.id, ageMs: 0, report: heartbeat });
+    if (this.batch.length === 1)
+      void this.clock.sleep(BATCH_DELAY_MS).then(() => {
+        this.sendBatch(leader);
+      });
+    return request;
+  }
+
+  /** Completes the requests that these responses of the leader belong to. */
+  receiveResponses(from: NodeId, responses: readonly ForwardedHeartbeatResponse[]): void {
+    for (const response of responses) {
+      const { id, machine, session: agentEpoch, seq: sequence } = response;
+      this.requests.complete(id, from, requestKeyOf({ machine, agentEpoch, sequence }), response);
+    }
+  }
+
+  /** Gives up the requests to a node whose connection has ended. */
+  abandon(node: NodeId): void {
+    this.requests.abandon(node);
+  }
+
+  /** Gives up the requests that have timed out; to be called periodically. */
+  expire(): void {
+    this.requests.expire();
+  }
+
+  private sendBatch(leader: NodeId): void {
+    const { batch } = this;
+    this.batch = [];
+    if (!this.sendFrames(leader, batch)) this.requests.abandon(leader);
+  }
+
+  private sendFrames(leader: NodeId, forwards: readonly ForwardedHeartbeat[]): boolean {
+    for (let first = 0; first < forwards.length; first += MAX_HEARTBEATS_PER_FRAME) {
+      const frame = forwards.slice(first, first + MAX_HEARTBEATS_PER_FRAME);
+      if (!this.transport.send(leader, { from: this.self, forwards: frame })) return false;
+    }
+    return true;
+  }
+}
+
+/** Identifies a heartbeat: its sequence number grows with each one, and its agent epoch with each restart of the sequence. */
+function requestKeyOf(heartbeat: Pick<Heartbeat, 'machine' | 'agentEpoch' | 'sequence'>): string {
+  return `${heartbeat.machine} ${heartbeat.agentEpoch} ${heartbeat.sequence}`;
+}
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -1,289 +1,233 @@
+/**
+ * The part of a controller that serves the workers of its own shard, whoever is the leader (docs/shares.md).
+ *
+ * @module
+ */
 import type { Clock, MonotonicMs } from '@spurbridge/net';
 import { addMs } from '@spurbridge/net';
-import type { ShardOwner } from '@spurbridge/worker-shards';
-import { ShardBalancer, PendingRequests, WorkerShard } from '@spurbridge/worker-shards';
 import type { LeaderCandidate, Leadership } from '@spurbridge/store';
 import type {
-  ForwardedHeartbeat,
-  ForwardedHeartbeatResponse,
+  FencingToken,
+  Heartbeat,
   NodeId,
   PeerMessage,
   PeerStatus,
-  FencingToken,
   WorkerCommand,
-  Heartbeat,
 } from '@spurbridge/wire';
-import type { LeaderHeartbeatOutcome, HeartbeatOutcome } from '../leadership/controller.js';
+import { ShardBalancer, WorkerShard } from '@spurbridge/worker-shards';
+import type {
+  HeartbeatAccepted,
+  HeartbeatOutcome,
+  HeartbeatRedirected,
+} from '../heartbeats/heartbeat-outcome.js';
+import { HEARTBEAT_UNAVAILABLE } from '../heartbeats/heartbeat-outcome.js';
+import type { LocalLeader } from '../leadership/local-leader.js';
+import { PeerDirectory } from '../peers/peer-directory.js';
 import type { PeerTransport } from '../peers/peer-transport.js';
 import type { Settings } from '../settings.js';
 import { maxHeartbeatIntervalMs } from '../settings.js';
+import { ForwardedHeartbeatHandler } from './forwarded-heartbeat-handler.js';
+import { HeartbeatForwarder } from './heartbeat-forwarder.js';
+import { ShardAnnouncer } from './shard-announcer.js';
 
-/** The leader's answer is waited for no longer than this: the worker itself waits 4 s. */
-const PATIENCE_MS = 2000;
-const SWEEP_MS = 200;
-/** Forwards of this long go out together. */
-const GATHER_MS = 8;
-/** What fits well into a frame of the link: reports are a few hundred bytes, seldom thousands. */
-const FORWARDS_A_FRAME = 100;
-/** With the link to a leader gone, its grant is used no longer than this: it may live, and should hear the workers. */
-const ALONE_MS = 4000;
-/** A worker that is this much later than its longest interval reports elsewhere, or not at all. */
-const AWAY_MS = 4000;
-/** A status older than this says nothing. */
-const PEER_MS = 2500;
-/** A node takes workers from others once it has been able to answer them for this long. */
-const SETTLED_MS = 5000;
-
-interface Peer {
-  readonly status: PeerStatus;
-  readonly at: MonotonicMs;
+const HOUSEKEEPING_INTERVAL_MS = 200;
+/**
+ * Without a connection to the known leader its delegated leases are used for no longer than this: the leader may be alive, and
+ * should receive the heartbeats.
+ */
+const MAX_DISCONNECTED_MS = 4000;
+/** A worker that is this much later than its longest interval uses another controller, or none. */
+const DEPARTURE_MARGIN_MS = 4000;
+/** A controller takes workers from others once it has been able to serve them for this long. */
+const STABLE_SERVICE_MS = 5000;
+
+/** Stops for tasks whose jobs are known to be cancelled, which need no leader. */
+export interface CancelledTaskStopper {
+  /** The stop commands for those tasks of the heartbeat that are known to be cancelled. */
+  stopsFor(heartbeat: Heartbeat): readonly WorkerCommand[];
 }
 
+/** What a shard controller works with. */
 export interface ShardControllerOptions {
   readonly settings: Settings;
   readonly clock: Clock;
   readonly leadership: Leadership;
   readonly peers: PeerTransport;
-  /** Whether this node leads and answers reports itself. */
-  readonly leads: () => boolean;
-  /** A forwarded report, answered as the leader answers its own. */
-  readonly answer: (r: Heartbeat, forwarded: boolean) => LeaderHeartbeatOutcome;
-  /** Stops of what the report shows and this node knows to be cancelled. */
-  readonly cancelled: (r: Heartbeat) => readonly WorkerCommand[];
-  /** A report whose worker was answered already. */
-  readonly hear: (r: Heartbeat, ageMs: number) => void;
+  readonly localLeader: LocalLeader;
+  readonly cancelledTasks: CancelledTaskStopper;
 }
 
 /**
- * The machines whose workers report to this node, whoever leads (docs/shares.md). A node that does not lead passes
- * their reports to the leader and its answers to them; while no leader answers it keeps the leases alive under the
- * last one's grant, with no orders but to stop what is cancelled. It decides nothing about them.
+ * Serves the machines whose workers send their heartbeats to this controller. A controller that does not lead forwards them to
+ * the leader and passes its responses on. While no leader responds, it renews the workers' leases as far as the last leader
+ * has delegated that, with no commands but to stop what is cancelled. It takes no decisions about the machines.
  */
 export class ShardController {
   readonly shard: WorkerShard;
-  private readonly balance: ShardBalancer;
-  private readonly pending: PendingRequests<ForwardedHeartbeatResponse>;
-  private readonly others = new Map<NodeId, Peer>();
-  private due: ForwardedHeartbeat[] = [];
-  /** Since when the link to the known leader is closed. */
-  private aloneSince: MonotonicMs | null = null;
-  /** Since when this node could answer workers without a break. */
-  private ableSince: MonotonicMs | null = null;
-  /** The leader that was told of this share whole. */
-  private toldTo = 0 as FencingToken;
-  private highest = 0 as FencingToken;
-
-  constructor(private readonly p: ShardControllerOptions) {
-    this.shard = new WorkerShard(p.clock, maxHeartbeatIntervalMs(p.settings) + AWAY_MS);
-    this.balance = new ShardBalancer(p.clock, p.settings.node);
-    this.pending = new PendingRequests(p.clock, PATIENCE_MS);
-  }
-
-  /** What others are told of this node as a holder. */
-  status(ready: boolean): Pick<PeerStatus, 'takesReports' | 'ready' | 'machines' | 'holds'> {
-    const leads = this.p.leads();
+  private readonly balancer: ShardBalancer;
+  private readonly directory: PeerDirectory;
+  private readonly forwarder: HeartbeatForwarder;
+  private readonly forwardedHeartbeats: ForwardedHeartbeatHandler;
+  private readonly announcer: ShardAnnouncer;
+  /** Since when the known leader has not been connected. */
+  private disconnectedSince: MonotonicMs | null = null;
+  /** Since when this controller has been able to serve workers without interruption. */
+  private servingSince: MonotonicMs | null = null;
+  private highestKnownToken = 0 as FencingToken;
+
+  constructor(private readonly options: ShardControllerOptions) {
+    const { settings, clock, peers, localLeader } = options;
+    const { node } = settings;
+    this.shard = new WorkerShard(clock, maxHeartbeatIntervalMs(settings) + DEPARTURE_MARGIN_MS);
+    this.balancer = new ShardBalancer(clock, node);
+    this.directory = new PeerDirectory(settings, clock, peers);
+    this.forwarder = new HeartbeatForwarder(node, clock, peers);
+    this.forwardedHeartbeats = new ForwardedHeartbeatHandler(node, peers, localLeader);
+    this.announcer = new ShardAnnouncer(node, clock, peers, this.shard);
+  }
+
+  /** The part of this controller's status that describes its shard; `isReady` if its leader has read the records. */
+  status(isReady: boolean): Pick<PeerStatus, 'takesReports' | 'ready' | 'machines' | 'holds'> {
+    const { isLeading } = this.options.localLeader;
     return {
-      takesReports: leads,
-      ready: leads && ready,
+      takesReports: isLeading,
+      ready: isLeading && isReady,
       machines: this.shard.size,
-      holds: this.isAble() && this.ableSince !== null && this.p.clock.now() - this.ableSince > SETTLED_MS,
+      holds: this.isStable(),
     };
   }
 
-  /** Nodes that may lead, as they said lately: served by the state service, and connected. */
+  /** The other controllers that may become leader at present. */
   leaderCandidates(): LeaderCandidate[] {
-    const now = this.p.clock.now();
-    const found: LeaderCandidate[] = [];
-    for (const [node, { status, at }] of this.others)
-      if (status.stateOk && now - at < PEER_MS && this.p.peers.isConnected(node))
-        found.push({ node, penalty: status.burden });
-    return found;
-  }
-
-  /** Whether a worker that reports here gets a real answer. */
-  private isAble(): boolean {
-    return this.p.leads() || this.leaderHere() !== null;
+    return this.directory.leaderCandidates();
   }
 
+  /** Runs the periodic housekeeping. */
   async run(): Promise<never> {
     for (;;) {
-      await this.p.clock.sleep(SWEEP_MS);
-      this.pending.expire();
+      await this.options.clock.sleep(HOUSEKEEPING_INTERVAL_MS);
+      this.forwarder.expire();
       this.shard.removeDeparted();
-      if (!this.isAble()) this.ableSince = null;
-      else this.ableSince ??= this.p.clock.now();
+      if (!this.canServe()) this.servingSince = null;
+      else this.servingSince ??= this.options.clock.now();
     }
   }
 
-  observeFencingToken(token: FencingToken): void {
-    if (token > this.highest) this.highest = token;
-  }
-
-  /** The leader, where it takes what others forward and its link is open. */
-  private leaderHere(): NodeId | null {
-    const known = this.p.leadership.knownLeader();
-    if (known === null || known.node === this.p.settings.node) return null;
-    const peer = this.others.get(known.node);
-    if (peer?.status.takesReports !== true || peer.status.token !== known.fencingToken) return null;
-    return this.p.peers.isConnected(known.node) ? known.node : null;
+  /** Takes note of a fencing token: leases that were delegated under a lower one are void. */
+  observeFencingToken(fencingToken: FencingToken): void {
+    if (fencingToken > this.highestKnownToken) this.highestKnownToken = fencingToken;
   }
 
-  /** A report of a worker that does not find the leader here. */
-  async handleHeartbeat(r: Heartbeat): Promise<HeartbeatOutcome> {
-    const answer = await this.answerFor(r);
-    // A worker that gets anything else goes on to another node.
-    if (answer.code === 200) this.shard.recordHeartbeat(r);
-    return answer;
+  /** Handles the heartbeat of a worker while another controller leads, or none. */
+  async handleHeartbeat(heartbeat: Heartbeat): Promise<HeartbeatOutcome> {
+    const outcome = await this.outcomeFor(heartbeat);
+    // With any other outcome the worker goes on to another controller.
+    if (outcome.outcome === 'accepted') this.shard.recordHeartbeat(heartbeat);
+    return outcome;
   }
 
-  private async answerFor(r: Heartbeat): Promise<HeartbeatOutcome> {
-    const leader = this.leaderHere();
-    if (leader !== null) {
-      this.aloneSince = null;
-      const away = this.redirectFor(r, false);
-      if (away !== null) return away;
-      const answered = await this.forward(leader, r);
-      if (answered !== null) return answered;
-      return this.underGrant(r) ?? { code: 503 };
-    }
-    const now = this.p.clock.now();
-    this.aloneSince ??= now;
-    const known = this.p.leadership.knownLeader();
-    // A leader whose link is closed may live all the same: its workers are to find it before long.
-    const isNear = known === null || now < addMs(this.aloneSince, ALONE_MS);
-    const granted = isNear ? this.underGrant(r) : null;
-    if (granted !== null) return granted;
-    if (known === null || known.node === this.p.settings.node) return { code: 503 };
-    return { code: 421, leader: known.node };
+  /** Handles the heartbeat of a worker while this controller leads. */
+  handleHeartbeatAsLeader(heartbeat: Heartbeat): HeartbeatOutcome {
+    const redirect = this.redirectFor(heartbeat, true);
+    if (redirect !== null) return redirect;
+    const outcome = this.options.localLeader.handleHeartbeat(heartbeat, false);
+    if (outcome.outcome === 'unavailable') return outcome;
+    this.shard.recordHeartbeat(heartbeat);
+    const { fencingToken, commands } = outcome;
+    return { outcome: 'accepted', fencingToken, commands };
   }
 
-  private underGrant(r: Heartbeat): HeartbeatOutcome | null {
-    const token = this.shard.delegatedToken(r.machine, this.highest);
-    // A durable cancellation is final, whoever leads: to stop it needs no more than a token that the worker takes.
-    return token === null ? null : { code: 200, token, commands: this.p.cancelled(r) };
-  }
-
-  private async forward(leader: NodeId, r: Heartbeat): Promise<HeartbeatOutcome | null> {
-    const { id, requestedAt: askedAt, response: answer } = this.pending.register(leader, nameOf(r));
-    this.due.push({ id, ageMs: 0, report: r });
-    if (this.due.length === 1)
-      void this.p.clock.sleep(GATHER_MS).then(() => {
-        this.flush(leader);
-      });
-    const a = await answer;
-    if (a === null) return null;
-    this.observeFencingToken(a.token);
-    if (a.code !== 200) return { code: 503 };
-    this.shard.recordHeartbeat(r);
-    this.shard.extendDelegation(r.machine, a.token, askedAt, a.grantMs);
-    return { code: 200, token: a.token, commands: a.commands };
-  }
-
-  private flush(leader: NodeId): void {
-    const { due } = this;
-    this.due = [];
-    if (!this.send(leader, due)) this.pending.abandon(leader);
-  }
-
-  private send(to: NodeId, forwards: readonly ForwardedHeartbeat[]): boolean {
-    const from = this.p.settings.node;
-    for (let i = 0; i < forwards.length; i += FORWARDS_A_FRAME)
-      if (!this.p.peers.send(to, { from, forwards: forwards.slice(i, i + FORWARDS_A_FRAME) })) return false;
-    return true;
-  }
-
-  /** The answer that sends this worker to a node that holds fewer, or null. */
-  redirectFor(r: Heartbeat, leads: boolean): { readonly code: 421; readonly leader: NodeId } | null {
-    const now = this.p.clock.now();
-    const others: ShardOwner[] = [];
-    for (const [node, peer] of this.others)
-      if (peer.status.holds && now - peer.at < PEER_MS && this.p.peers.isConnected(node))
-        others.push({
-          node,
-          machineCount: peer.status.machines,
-          zone: this.p.settings.peers.find((x) => x.node === node)?.zone ?? '',
-          isLeader: peer.status.takesReports,
-        });
-    const own = {
-      node: this.p.settings.node,
-      machineCount: this.shard.size,
-      zone: this.p.settings.zone,
-      isLeader: leads,
-    };
-    const target = this.balance.selectTarget(own, others, r.zone);
-    if (target === null) return null;
-    this.shard.markMoving(r.machine);
-    return { code: 421, leader: target };
-  }
-
-  /** A report that this node answers as the leader. */
-  handleHeartbeatAsLeader(r: Heartbeat): HeartbeatOutcome {
-    const away = this.redirectFor(r, true);
-    if (away !== null) return away;
-    const answer = this.p.answer(r, false);
-    if (answer.code !== 200) return answer;
-    this.shard.recordHeartbeat(r);
-    return { code: 200, token: answer.token, commands: answer.commands };
-  }
-
-  // --- what others say ---------------------------------------------------------------------------
-
+  /** Gives up what was asked of a node whose connection has ended. */
   onPeerDisconnected(node: NodeId): void {
-    this.pending.abandon(node);
+    this.forwarder.abandon(node);
   }
 
+  /** Takes in another controller's status; a new leader that is ready is sent this shard. */
   onPeerStatus(status: PeerStatus): void {
-    this.others.set(status.node, { status, at: this.p.clock.now() });
+    this.directory.record(status);
     this.observeFencingToken(status.token);
-    // A new leader knows what is on the machines at once, without waiting for hundreds of reports.
-    if (!status.ready || status.token <= this.toldTo || this.p.leads()) return;
-    if (!this.p.peers.isConnected(status.node)) return;
-    this.toldTo = status.token;
-    void this.tell(status.node, status.token);
-  }
-
-  /** Says what is known of every machine here, a frame at a time: all at once would be more than a link may queue. */
-  private async tell(leader: NodeId, token: FencingToken): Promise<void> {
-    const known = this.shard.latestHeartbeats();
-    const toldAt = this.p.clock.now();
-    for (let i = 0; i < known.length && this.toldTo === token; i += FORWARDS_A_FRAME) {
-      const sinceMs = this.p.clock.now() - toldAt;
-      const forwards = known
-        .slice(i, i + FORWARDS_A_FRAME)
-        .map(({ heartbeat: report, ageMs }) => ({ id: 0, ageMs: ageMs + sinceMs, report }));
-      if (!this.p.peers.send(leader, { from: this.p.settings.node, forwards })) return;
-      await this.p.clock.sleep(GATHER_MS);
-    }
+    if (!status.ready || !this.announcer.isNewLeader(status.token)) return;
+    if (this.options.localLeader.isLeading || !this.options.peers.isConnected(status.node)) return;
+    void this.announcer.announceTo(status.node, status.token);
   }
 
+  /** Takes in the forwarded heartbeats and the responses in a message of another controller. */
   onPeerMessage(message: PeerMessage): void {
     const { from, forwards, answers } = message;
     if (from === undefined) return;
-    for (const a of answers ?? [])
-      this.pending.complete(
-        a.id,
-        from,
-        nameOf({ machine: a.machine, agentEpoch: a.session, sequence: a.seq }),
-        a,
-      );
-    if (forwards === undefined) return;
-    const given: ForwardedHeartbeatResponse[] = [];
-    for (const f of forwards)
-      if (f.id === 0) this.p.hear(f.report, f.ageMs);
-      else given.push(this.answerTo(f));
-    if (given.length > 0) this.p.peers.send(from, { from: this.p.settings.node, answers: given });
-  }
-
-  private answerTo(f: ForwardedHeartbeat): ForwardedHeartbeatResponse {
-    const a = this.p.answer(f.report, true);
-    const { machine, agentEpoch: session, sequence: seq } = f.report;
-    const to = { id: f.id, machine, session, seq };
-    if (a.code !== 200) return { ...to, code: 503, token: 0 as FencingToken, grantMs: 0, commands: [] };
-    return { ...to, code: 200, token: a.token, grantMs: a.grantMs, commands: a.commands };
+    if (answers !== undefined) this.forwarder.receiveResponses(from, answers);
+    if (forwards !== undefined) this.forwardedHeartbeats.handle(from, forwards);
+  }
+
+  private isStable(): boolean {
+    if (!this.canServe() || this.servingSince === null) return false;
+    return this.options.clock.now() - this.servingSince > STABLE_SERVICE_MS;
+  }
+
+  /** Whether heartbeats sent to this controller reach a leader. */
+  private canServe(): boolean {
+    return this.options.localLeader.isLeading || this.connectedLeader() !== null;
+  }
+
+  /** The leader, if it is another controller that accepts forwarded heartbeats and is connected. */
+  private connectedLeader(): NodeId | null {
+    const known = this.options.leadership.knownLeader();
+    if (known === null || known.node === this.options.settings.node) return null;
+    const status = this.directory.statusOf(known.node);
+    if (status?.takesReports !== true || status.token !== known.fencingToken) return null;
+    return this.options.peers.isConnected(known.node) ? known.node : null;
+  }
+
+  private async outcomeFor(heartbeat: Heartbeat): Promise<HeartbeatOutcome> {
+    const leader = this.connectedLeader();
+    if (leader === null) return this.outcomeWithoutLeader(heartbeat);
+    this.disconnectedSince = null;
+    const redirect = this.redirectFor(heartbeat, false);
+    if (redirect !== null) return redirect;
+    const outcome = await this.forward(leader, heartbeat);
+    return outcome ?? this.acceptByDelegation(heartbeat) ?? HEARTBEAT_UNAVAILABLE;
+  }
+
+  private outcomeWithoutLeader(heartbeat: Heartbeat): HeartbeatOutcome {
+    const now = this.options.clock.now();
+    this.disconnectedSince ??= now;
+    const known = this.options.leadership.knownLeader();
+    // A leader that is not connected may be alive all the same: its workers are to find it before long.
+    const mayUseDelegation = known === null || now < addMs(this.disconnectedSince, MAX_DISCONNECTED_MS);
+    const accepted = mayUseDelegation ? this.acceptByDelegation(heartbeat) : null;
+    if (accepted !== null) return accepted;
+    if (known === null || known.node === this.options.settings.node) return HEARTBEAT_UNAVAILABLE;
+    return { outcome: 'redirected', node: known.node };
+  }
+
+  private acceptByDelegation(heartbeat: Heartbeat): HeartbeatAccepted | null {
+    const fencingToken = this.shard.delegatedToken(heartbeat.machine, this.highestKnownToken);
+    if (fencingToken === null) return null;
+    // A durable cancellation is final, whoever leads: a stop needs no more than a token that the worker accepts.
+    const commands = this.options.cancelledTasks.stopsFor(heartbeat);
+    return { outcome: 'accepted', fencingToken, commands };
+  }
+
+  /** The leader's outcome for a forwarded heartbeat, or null if no response came. */
+  private async forward(leader: NodeId, heartbeat: Heartbeat): Promise<HeartbeatOutcome | null> {
+    const request = this.forwarder.forward(leader, heartbeat);
+    const response = await request.response;
+    if (response === null) return null;
+    const { token: fencingToken, commands } = response;
+    this.observeFencingToken(fencingToken);
+    if (response.code !== 200) return HEARTBEAT_UNAVAILABLE;
+    this.shard.recordHeartbeat(heartbeat);
+    this.shard.extendDelegation(heartbeat.machine, fencingToken, request.requestedAt, response.grantMs);
+    return { outcome: 'accepted', fencingToken, commands };
+  }
+
+  /** Redirects the worker if a controller with a smaller shard is to serve it. */
+  private redirectFor(heartbeat: Heartbeat, isLeader: boolean): HeartbeatRedirected | null {
+    const { node, zone } = this.options.settings;
+    const own = { node, machineCount: this.shard.size, zone, isLeader };
+    const target = this.balancer.selectTarget(own, this.directory.shardOwners(), heartbeat.zone);
+    if (target === null) return null;
+    this.shard.markMoving(heartbeat.machine);
+    return { outcome: 'redirected', node: target };
   }
 }
-
-/** A report's own name: its count rises with every one, and its session with every count that begins anew. */
-function nameOf(r: Pick<Heartbeat, 'machine' | 'agentEpoch' | 'sequence'>): string {
-  return `${r.machine} ${r.agentEpoch} ${r.sequence}`;
-}
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -1,5 +1,5 @@
 import type { CloudProvider, RentalOutcome } from '@spurbridge/cloud';
-import { Controller } from '@spurbridge/controller';
+import { Controller, toHeartbeatResponse } from '@spurbridge/controller';
 import type {
   CommandOutcome,
   Logger,
@@ -478,7 +478,8 @@
       this.network.send(worker.id, node, () => {
         const target = this.alive(node);
         if (target === null) return;
-        void Promise.resolve(target.controller.handleHeartbeat(report)).then((answer) => {
+        void Promise.resolve(target.controller.handleHeartbeat(report)).then((outcome) => {
+          const answer = toHeartbeatResponse(outcome);
           this.observe('heartbeat-response', node, worker.id, heartbeatResponse(answer));
           if (!target.clock.alive || this.faults.inboundPartitioned.has(worker.id)) return;
           this.network.send(node, worker.id, () => {
--- a/packages/testkit/test/large-fleet.test.ts
+++ b/packages/testkit/test/large-fleet.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { toHeartbeatResponse } from '@spurbridge/controller';
 import type { JobId, MachineType } from '@spurbridge/wire';
 import { World, ZONES, jobSpec, machineType } from '../src/index.js';
 
@@ -83,14 +84,15 @@
   const leading = w.nodes.find((n) => n.controller.leadership.holdsValidLease());
   const worker = [...w.workers.values()].find((x) => x.alive);
   assert.ok(leading !== undefined && worker !== undefined);
-  assert.equal((await leading.controller.handleHeartbeat(worker.makeHeartbeat())).code, 200);
+  const first = toHeartbeatResponse(await leading.controller.handleHeartbeat(worker.makeHeartbeat()));
+  assert.equal(first.code, 200);
   // Its lease is renewed as ever, but its watch never answers.
   leading.store.watch = () => new Promise(() => undefined);
   const { fencingToken: token } = leading.controller.leadership;
   await w.runUntil(45_000);
   const answer = Promise.resolve(leading.controller.handleHeartbeat(worker.makeHeartbeat()));
   await w.runUntil(48_000);
-  const given = await answer;
+  const given = toHeartbeatResponse(await answer);
   assert.ok(given.code !== 200 || given.token > token, JSON.stringify(given));
 });
 
