--- a/packages/controller/src/api/http-server.ts
+++ b/packages/controller/src/api/http-server.ts
@@ -15,15 +15,16 @@
   parseHeartbeat,
 } from '@spurbridge/wire';
 import type { HeartbeatOutcome } from '../heartbeats/heartbeat-outcome.js';
-import type { JobResponse } from '../jobs/job-service.js';
+import type { JobOutcome } from '../jobs/job-outcome.js';
+import { JOB_NOT_FOUND } from '../jobs/job-outcome.js';
 import type { Controller } from '../leadership/controller.js';
 import type { Logger } from '../logger.js';
 import { toHeartbeatResponse } from './heartbeat-response.js';
+import { jobStatusCode } from './job-status-code.js';
 
 const KEEP_ALIVE_TIMEOUT_MS = 120_000;
 /** Seconds after which a client may try again what is unavailable at present. */
-const RETRY_AFTER_S = 1;
-const NO_SUCH_JOB: JobResponse = { code: 404, error: 'no such job' };
+const RETRY_AFTER_S = '1';
 
 interface JobRoute {
   readonly Params: { readonly id: string };
@@ -78,30 +79,31 @@
 
 function registerJobRoutes(app: FastifyInstance, controller: Controller): void {
   const { jobs } = controller;
-  app.post(PATHS.jobs, async (request, reply) => sendJobResponse(reply, await jobs.submit(request.body)));
+  app.post(PATHS.jobs, async (request, reply) => sendJobOutcome(reply, await jobs.submit(request.body)));
   app.get<JobRoute>(`${PATHS.jobs}/:id`, async (request, reply) => {
     const { id } = request.params;
-    return sendJobResponse(reply, isJobId(id) ? await jobs.status(id) : NO_SUCH_JOB);
+    return sendJobOutcome(reply, isJobId(id) ? await jobs.status(id) : JOB_NOT_FOUND);
   });
   app.post<JobRoute>(`${PATHS.jobs}/:id/cancel`, async (request, reply) => {
     const { id } = request.params;
-    return sendJobResponse(reply, isJobId(id) ? await jobs.cancel(id) : NO_SUCH_JOB);
+    return sendJobOutcome(reply, isJobId(id) ? await jobs.cancel(id) : JOB_NOT_FOUND);
   });
 }
 
 function registerHeartbeatRoute(app: FastifyInstance, controller: Controller): void {
   app.post(PATHS.heartbeat, async (request, reply) =>
-    sendHeartbeatResponse(reply, await controller.handleHeartbeat(parseHeartbeat(request.body))),
+    sendHeartbeatOutcome(reply, await controller.handleHeartbeat(parseHeartbeat(request.body))),
   );
 }
 
-function sendJobResponse(reply: FastifyReply, response: JobResponse): FastifyReply {
-  if (response.code === 503) return sendUnavailable(reply, { error: response.error }, response.retryAfterS);
-  if ('status' in response) return reply.code(response.code).send(formatJobStatus(response.status));
-  return reply.code(response.code).send({ error: response.error });
+function sendJobOutcome(reply: FastifyReply, outcome: JobOutcome): FastifyReply {
+  reply.code(jobStatusCode(outcome));
+  if ('status' in outcome) return reply.send(formatJobStatus(outcome.status));
+  if (outcome.outcome === 'unavailable') reply.header('retry-after', String(outcome.retryAfterS));
+  return reply.send({ error: outcome.error });
 }
 
-function sendHeartbeatResponse(reply: FastifyReply, outcome: HeartbeatOutcome): FastifyReply {
+function sendHeartbeatOutcome(reply: FastifyReply, outcome: HeartbeatOutcome): FastifyReply {
   const response = toHeartbeatResponse(outcome);
   switch (response.code) {
     case 200:
@@ -113,6 +115,6 @@
   }
 }
 
-function sendUnavailable(reply: FastifyReply, body: object, retryAfterS = RETRY_AFTER_S): FastifyReply {
-  return reply.code(503).header('retry-after', String(retryAfterS)).send(body);
+function sendUnavailable(reply: FastifyReply, body: object): FastifyReply {
+  return reply.code(503).header('retry-after', RETRY_AFTER_S).send(body);
 }
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -11,6 +11,8 @@
 export * from './settings.js';
 export * from './heartbeats/worker-client.js';
 export * from './jobs/job-service.js';
+export * from './jobs/job-outcome.js';
+export * from './api/job-status-code.js';
 export type { NodeConfigurationStatus } from './peers/configuration-rollout.js';
 export * from './leadership/leader.js';
 export * from './logger.js';
--- a/packages/controller/src/jobs/job-service.ts
+++ b/packages/controller/src/jobs/job-service.ts
@@ -9,15 +9,11 @@
   jobPhaseForUser,
 } from '@spurbridge/model';
 import type { KeyValueStore } from '@spurbridge/store';
-import type { JobId, JobPhase, JobSpec, JobStatus, MachineType, Version } from '@spurbridge/wire';
+import type { JobId, JobPhase, JobSpec, MachineType, Version } from '@spurbridge/wire';
 import { KEY_ABSENT, ValidationError, parseSubmission, parseSubmissionId } from '@spurbridge/wire';
 import type { Settings } from '../settings.js';
-
-export type JobResponse =
-  | { readonly code: 200 | 201; readonly status: JobStatus }
-  | { readonly code: 400 | 404 | 422; readonly error: string }
-  /** Cannot be decided now: asked again after `retryAfterS`. */
-  | { readonly code: 503; readonly error: string; readonly retryAfterS: number };
+import type { JobOutcome } from './job-outcome.js';
+import { JOB_NOT_FOUND, jobUnavailable } from './job-outcome.js';
 
 const TRIES = 3;
 
@@ -40,14 +36,15 @@
     private readonly progress: (id: JobId) => { done: number; running: number } | null,
   ) {}
 
-  async submit(body: unknown): Promise<JobResponse> {
+  async submit(body: unknown): Promise<JobOutcome> {
     let spec: JobSpec;
     try {
       spec = parseSubmission(body);
     } catch (e) {
       return this.malformed(body, e);
     }
-    if (this.types().length === 0) return this.statusOr(spec.id, unsure('machine types are not known yet'));
+    if (this.types().length === 0)
+      return this.statusOr(spec.id, jobUnavailable('machine types are not known yet'));
     const never = this.refusal(spec);
     // A retry of a known job is answered with its state even if the job would be refused now.
     if (never !== null) return this.statusOr(spec.id, await this.confirmRefusal(spec, never));
@@ -62,9 +59,10 @@
       [{ put: jobKey(spec.id), value: encodeJob(record) }],
       1,
     );
-    if (outcome.outcome === 'committed') return { code: 201, status: { id: spec.id, phase: 'queued' } };
-    if (outcome.outcome === 'conflict') return this.statusOr(spec.id, unsure('the id is in use'));
-    return unsure('the state service did not confirm');
+    if (outcome.outcome === 'committed')
+      return { outcome: 'created', status: { id: spec.id, phase: 'queued' } };
+    if (outcome.outcome === 'conflict') return this.statusOr(spec.id, jobUnavailable('the id is in use'));
+    return jobUnavailable('the state service did not confirm');
   }
 
   private refusal(spec: JobSpec): string | null {
@@ -77,17 +75,17 @@
    * A refusal is final for its user, so it is never given from an old configuration: the state service says first that
    * there is no later one.
    */
-  private async confirmRefusal(spec: JobSpec, never: string): Promise<JobResponse> {
+  private async confirmRefusal(spec: JobSpec, never: string): Promise<JobOutcome> {
     const version = await this.configuration.latestVersion();
-    if (version === null) return unsure('the configuration cannot be confirmed');
+    if (version === null) return jobUnavailable('the configuration cannot be confirmed');
     if (version === this.configuration.current().version)
-      return { code: 422, error: this.refusal(spec) ?? never };
-    return unsure('a later configuration is being taken in');
+      return { outcome: 'rejected', error: this.refusal(spec) ?? never };
+    return jobUnavailable('a later configuration is being taken in');
   }
 
-  private async malformed(body: unknown, e: unknown): Promise<JobResponse> {
+  private async malformed(body: unknown, e: unknown): Promise<JobOutcome> {
     if (!(e instanceof ValidationError)) throw e;
-    const refusal: JobResponse = { code: 400, error: e.message };
+    const refusal: JobOutcome = { outcome: 'malformed', error: e.message };
     let id: JobId;
     try {
       id = parseSubmissionId(body);
@@ -98,45 +96,45 @@
   }
 
   /** The state of a job that is known already; otherwise the given answer. */
-  private async statusOr(id: JobId, otherwise: JobResponse): Promise<JobResponse> {
+  private async statusOr(id: JobId, otherwise: JobOutcome): Promise<JobOutcome> {
     const status = await this.status(id);
-    return status.code === 404 ? otherwise : status;
+    return status.outcome === 'not-found' ? otherwise : status;
   }
 
-  async status(id: JobId): Promise<JobResponse> {
+  async status(id: JobId): Promise<JobOutcome> {
     const found = await this.store.read(jobKey(id), 1);
-    if (found.outcome === 'absent') return { code: 404, error: 'no such job' };
-    if (found.outcome !== 'found') return unsure('the state service does not answer');
+    if (found.outcome === 'absent') return JOB_NOT_FOUND;
+    if (found.outcome !== 'found') return jobUnavailable('the state service does not answer');
     const record = readable(found.item.value);
-    if (record === null) return unsure('the record cannot be read');
+    if (record === null) return jobUnavailable('the record cannot be read');
     // A part of a task graph is no job that anybody submitted: its graph is asked about, and cancelled.
-    if (record.graph !== undefined) return { code: 404, error: 'no such job' };
+    if (record.graph !== undefined) return JOB_NOT_FOUND;
     const p = this.progress(id) ?? { done: 0, running: 0 };
     const phase: JobPhase = jobPhaseForUser(record, p.running);
     const done = phase === 'done' ? record.spec.tasks : p.done;
     const running = record.phase === 'active' ? p.running : 0;
-    return { code: 200, status: { id, phase, done, running } };
+    return { outcome: 'known', status: { id, phase, done, running } };
   }
 
-  async cancel(id: JobId): Promise<JobResponse> {
+  async cancel(id: JobId): Promise<JobOutcome> {
     for (let n = 0; n < TRIES; n += 1) {
       const found = await this.store.read(jobKey(id), 1);
-      if (found.outcome === 'absent') return { code: 404, error: 'no such job' };
-      if (found.outcome !== 'found') return unsure('the state service does not answer');
+      if (found.outcome === 'absent') return JOB_NOT_FOUND;
+      if (found.outcome !== 'found') return jobUnavailable('the state service does not answer');
       const record = readable(found.item.value);
-      if (record === null) return unsure('the record cannot be read');
-      if (record.graph !== undefined) return { code: 404, error: 'no such job' };
-      if (record.phase !== 'active') return { code: 200, status: { id, phase: record.phase } };
+      if (record === null) return jobUnavailable('the record cannot be read');
+      if (record.graph !== undefined) return JOB_NOT_FOUND;
+      if (record.phase !== 'active') return { outcome: 'known', status: { id, phase: record.phase } };
       const cancelledAt = this.wallNow();
       const outcome = await this.store.commit(
         [{ key: jobKey(id), version: found.item.version satisfies Version }],
         [{ put: jobKey(id), value: encodeJob({ ...record, phase: 'cancelled', cancelledAt }) }],
         1,
       );
-      if (outcome.outcome === 'committed') return { code: 200, status: { id, phase: 'cancelled' } };
-      if (outcome.outcome !== 'conflict') return unsure('the state service did not confirm');
+      if (outcome.outcome === 'committed') return { outcome: 'known', status: { id, phase: 'cancelled' } };
+      if (outcome.outcome !== 'conflict') return jobUnavailable('the state service did not confirm');
     }
-    return unsure('the job keeps changing');
+    return jobUnavailable('the job keeps changing');
   }
 }
 
@@ -149,7 +147,3 @@
     throw e;
   }
 }
-
-function unsure(error: string): JobResponse {
-  return { code: 503, error, retryAfterS: 1 };
-}
--- a/packages/graph-service/test/service.test.ts
+++ b/packages/graph-service/test/service.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { jobStatusCode } from '@spurbridge/controller';
 import { TEAMS, TYPES, World, ZONES } from '@spurbridge/testkit';
 import type { WorldOptions } from '@spurbridge/testkit';
 import type { BatchId, GraphId, JobSpec } from '@spurbridge/wire';
@@ -266,7 +267,7 @@
   const node = site.w.nodes[0];
   assert.ok(node !== undefined);
   const direct: number[] = [];
-  void node.controller.jobs.cancel(pieces[0]?.slice(2) as never).then((a) => direct.push(a.code));
+  void node.controller.jobs.cancel(pieces[0]?.slice(2) as never).then((a) => direct.push(jobStatusCode(a)));
   await site.w.runUntil(site.w.time.now + 1000);
   assert.deepEqual(direct, [404]);
 });
--- a/packages/testkit/src/users.ts
+++ b/packages/testkit/src/users.ts
@@ -1,4 +1,5 @@
-import type { JobResponse } from '@spurbridge/controller';
+import { jobStatusCode } from '@spurbridge/controller';
+import type { JobOutcome } from '@spurbridge/controller';
 import type { JobId, JobSpec } from '@spurbridge/wire';
 import { formatJobStatus, formatSubmission } from '@spurbridge/wire';
 import { jobId } from './fixtures.js';
@@ -51,7 +52,7 @@
       const node = w.random(w.nodes.length);
       const cancelling = accepted && w.time.now >= (this.cancelAt.get(spec.id) ?? Infinity);
       this.sendRequest(node, !accepted ? 'submit' : cancelling ? 'cancel' : 'poll', spec, (a) => {
-        if (a.code === 200 || a.code === 201) accepted = true;
+        if (a.outcome === 'known' || a.outcome === 'created') accepted = true;
         // A final answer is asked for again once in a while: it must stay the same.
         if (isFinal(a)) over = w.random(4) === 0;
       });
@@ -66,7 +67,7 @@
     node: number,
     call: UserCall,
     spec: JobSpec,
-    answered: (a: JobResponse) => void = () => undefined,
+    answered: (a: JobOutcome) => void = () => undefined,
     body: Record<string, unknown> = formatSubmission(spec),
   ): void {
     const { w } = this;
@@ -78,13 +79,13 @@
     const answer =
       call === 'submit' ? jobs.submit(body) : call === 'cancel' ? jobs.cancel(spec.id) : jobs.status(spec.id);
     void answer.then((a) => {
-      w.observe('user-response', target.name, USER_HOST, [call, spec.id, a.code, bodyOf(a)]);
+      w.observe('user-response', target.name, USER_HOST, [call, spec.id, jobStatusCode(a), bodyOf(a)]);
       w.network.send(target.name, USER_HOST, () => {
         const knownAt = this.watched.has(spec.id) ? sentAt : w.time.now;
         const isNews = w.checker.responseReceived(
           spec.id,
           call,
-          a.code,
+          jobStatusCode(a),
           'status' in a ? a.status.phase : null,
           knownAt,
         );
@@ -160,17 +161,17 @@
     const target = w.nodes[w.random(w.nodes.length)];
     if (chosen === undefined || target?.clock.alive !== true) return;
     void target.controller.jobs.submit(chosen.body).then((a) => {
-      w.checker.invalidSubmissionAnswered(id, chosen.what, a.code);
+      w.checker.invalidSubmissionAnswered(id, chosen.what, jobStatusCode(a));
     });
   }
 }
 
 /** The body of an answer as it is sent; the texts of errors are for people and may change. */
-function bodyOf(a: JobResponse): unknown {
+function bodyOf(a: JobOutcome): unknown {
   return 'status' in a ? formatJobStatus(a.status) : null;
 }
 
-function isFinal(a: JobResponse): boolean {
+function isFinal(a: JobOutcome): boolean {
   return 'status' in a && (a.status.phase === 'cancelled' || a.status.phase === 'done');
 }
 
--- a/packages/testkit/test/cancellations.test.ts
+++ b/packages/testkit/test/cancellations.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { jobStatusCode } from '@spurbridge/controller';
 import type { JobId, MachineId } from '@spurbridge/wire';
 import type { SimulatedWorker } from '@spurbridge/simulated-worker';
 import type { World } from '../src/index.js';
@@ -30,8 +31,8 @@
   const ask = (): void => {
     w.checker.cancellationRequested(id);
     void w.nodes[node]?.controller.jobs.cancel(id).then((a) => {
-      w.checker.responseReceived(id, 'cancel', a.code, 'status' in a ? a.status.phase : null);
-      if (a.code >= 500) w.time.after(300, ask);
+      w.checker.responseReceived(id, 'cancel', jobStatusCode(a), 'status' in a ? a.status.phase : null);
+      if (jobStatusCode(a) >= 500) w.time.after(300, ask);
     });
   };
   ask();
--- a/packages/testkit/test/combined-fault-cases.test.ts
+++ b/packages/testkit/test/combined-fault-cases.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { jobStatusCode } from '@spurbridge/controller';
 import type { JobSpec } from '@spurbridge/wire';
 import { formatSubmission } from '@spurbridge/wire';
 import type { World } from '../src/index.js';
@@ -27,8 +28,8 @@
         ? jobs.status(spec.id)
         : jobs.cancel(spec.id);
   void answered.then((a) => {
-    code = a.code;
-    w.checker.responseReceived(spec.id, what, a.code, 'status' in a ? a.status.phase : null);
+    code = jobStatusCode(a);
+    w.checker.responseReceived(spec.id, what, jobStatusCode(a), 'status' in a ? a.status.phase : null);
   });
   for (let n = 0; n < 200 && code === null; n += 1) await w.runUntil(w.time.now + 50);
   assert.ok(code !== null, `${what} was never answered`);
--- a/packages/testkit/test/configuration.test.ts
+++ b/packages/testkit/test/configuration.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { jobStatusCode } from '@spurbridge/controller';
 import type { JobSpec } from '@spurbridge/wire';
 import { formatSubmission } from '@spurbridge/wire';
 import type { World } from '../src/index.js';
@@ -38,7 +39,7 @@
   let code: number | null = null;
   w.checker.jobSubmitted(spec);
   void w.nodes[node]?.controller.jobs.submit(formatSubmission(spec)).then((a) => {
-    code = a.code;
+    code = jobStatusCode(a);
   });
   for (let n = 0; n < 200 && code === null; n += 1) await w.runUntil(w.time.now + 10);
   assert.ok(code !== null, 'never answered');
--- a/packages/testkit/test/data-loss-cases.test.ts
+++ b/packages/testkit/test/data-loss-cases.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { jobStatusCode } from '@spurbridge/controller';
 import {
   SnapshotToolError,
   decodeSnapshot,
@@ -160,7 +161,7 @@
         w.checker.responseReceived(
           spec.id,
           'poll',
-          answer.code,
+          jobStatusCode(answer),
           'status' in answer ? answer.status.phase : null,
         );
       }
@@ -323,8 +324,9 @@
   const ask = (): void => {
     for (const n of w.nodes)
       void n.controller.jobs.status(id(77)).then((a) => {
-        w.checker.responseReceived(id(77), 'poll', a.code, null);
-        assert.ok(a.code === 404 || a.code === 503, String(a.code));
+        const code = jobStatusCode(a);
+        w.checker.responseReceived(id(77), 'poll', code, null);
+        assert.ok(code === 404 || code === 503, String(code));
       });
     w.time.after(300, ask);
   };
--- a/packages/testkit/test/fault-search-regressions.test.ts
+++ b/packages/testkit/test/fault-search-regressions.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { jobStatusCode } from '@spurbridge/controller';
 import type { JobId, JobSpec } from '@spurbridge/wire';
 import type { SimulatedWorker } from '@spurbridge/simulated-worker';
 import type { World } from '../src/index.js';
@@ -245,7 +246,7 @@
         const again = (): void => {
           if (over) return;
           w.users.sendRequest(by, 'cancel', spec, (a) => {
-            over = a.code === 200;
+            over = jobStatusCode(a) === 200;
           });
           after(w, 700, again);
         };
