--- /dev/null
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -0,0 +1,89 @@
+/**
+ * Decides how the leader responds to heartbeats, and with that which leases it renews.
+ *
+ * @module
+ */
+import type { Heartbeat, WorkerCommand } from '@spurbridge/wire';
+import type { LeaderTerm } from '../leadership/leader-term.js';
+import type { Reconciliation } from '../reconciliation/reconciliation.js';
+import { maxRenewalStalenessMs } from '../settings.js';
+import type { CommandDispatcher } from './command-dispatcher.js';
+import type { HeartbeatHandler } from './heartbeat-handler.js';
+
+/** The renewal of a worker's lease, as the leader grants it. */
+export interface HeartbeatRenewal {
+  readonly commands: WorkerCommand[];
+  /** Milliseconds for which the controller that forwarded the heartbeat may renew the lease without the leader. */
+  readonly delegatedLeaseMs: number;
+}
+
+/** How well the leader knows the cancellations that users were told of. */
+export interface CancellationKnowledge {
+  /** Milliseconds by which the knowledge is out of date; Infinity without any. */
+  stalenessMs(): number;
+}
+
+/** Takes in the heartbeats of one term and responds to them. */
+export class HeartbeatResponder {
+  private hasRecords = false;
+
+  constructor(
+    private readonly term: LeaderTerm,
+    private readonly handler: HeartbeatHandler,
+    private readonly commands: CommandDispatcher,
+    private readonly reconciliation: Reconciliation,
+    private readonly cancellations: CancellationKnowledge,
+  ) {}
+
+  /** Whether the records have been read. */
+  get isReady(): boolean {
+    return this.hasRecords;
+  }
+
+  /** Records that the records have been read: heartbeats are reconciled with them from now on. */
+  markReady(): void {
+    this.hasRecords = true;
+  }
+
+  /**
+   * Takes in a heartbeat, which the worker made by itself (`isOwn`) or in response to a direct call; `ageMs` is how long
+   * another controller has kept it.
+   */
+  receive(heartbeat: Heartbeat, isOwn: boolean, ageMs = 0): void {
+    this.handler.receive(heartbeat, isOwn, ageMs);
+    if (this.hasRecords) this.reconciliation.receive(heartbeat);
+  }
+
+  /**
+   * Takes in a heartbeat and decides on the response, or on none (null): a response renews the machine's lease, and all tasks
+   * whose cancellation may have been confirmed must end in time (docs/design.md, "Renewals"). `msSinceLeaseConfirmed` is how
+   * long ago the leader's own lease was confirmed; `isForwarded` says that another controller forwarded the heartbeat.
+   */
+  respondTo(
+    heartbeat: Heartbeat,
+    msSinceLeaseConfirmed: number,
+    isForwarded: boolean,
+  ): HeartbeatRenewal | null {
+    const stalenessMs = this.cancellations.stalenessMs();
+    const maxStalenessMs = maxRenewalStalenessMs(this.term.context.settings);
+    if (stalenessMs > maxStalenessMs) return null;
+    this.receive(heartbeat, true);
+    const commands = this.hasRecords
+      ? this.commands.commandsForResponse(heartbeat)
+      : this.commands.stopsForCancelledTasks(heartbeat);
+    if (commands === null) return null;
+    const remainingMs = maxStalenessMs - Math.max(msSinceLeaseConfirmed, stalenessMs);
+    const mayDelegate = isForwarded && this.mayDelegate(heartbeat, commands);
+    const delegatedLeaseMs = mayDelegate ? Math.max(0, remainingMs) : 0;
+    this.handler.recordResponse(heartbeat, delegatedLeaseMs);
+    return { commands, delegatedLeaseMs };
+  }
+
+  /**
+   * The controller that forwarded the heartbeat does not know the stops in the response, which the worker may never get: then it
+   * has to ask each time. Nor can it stand in for a leader that has not read which commands may be on their way.
+   */
+  private mayDelegate(heartbeat: Heartbeat, commands: readonly WorkerCommand[]): boolean {
+    return this.hasRecords && !this.commands.hasCancelledTasks(heartbeat.machine, commands);
+  }
+}
--- a/packages/controller/src/leadership/leader-component.ts
+++ b/packages/controller/src/leadership/leader-component.ts
@@ -29,18 +29,13 @@
 
 /** All added components of one leader. */
 export class LeaderComponents {
-  constructor(private readonly components: readonly LeaderComponent[]) {}
+  constructor(readonly components: readonly LeaderComponent[]) {}
 
   /** Whether every component is fresh. */
   get areFresh(): boolean {
     return this.components.every((component) => component.isFresh);
   }
 
-  /** Restores the components one after another. */
-  async restore(): Promise<void> {
-    for (const component of this.components) await component.restore();
-  }
-
   /** Starts all components. */
   run(): Promise<void>[] {
     return this.components.map((component) => component.run());
