--- a/packages/daemon/src/node-process.ts
+++ b/packages/daemon/src/node-process.ts
@@ -81,7 +81,15 @@
     wallNow: wallClock,
     log,
     createPeerTransport: (status, receive, closed) =>
-      new TcpPeerTransport(settings.peers, monotonicClock, log, status, receive, settings.peerListen, closed),
+      new TcpPeerTransport({
+        peers: settings.peers,
+        listen: settings.peerListen,
+        clock: monotonicClock,
+        log,
+        status,
+        onMessage: receive,
+        onDisconnected: closed,
+      }),
     incarnation: randomBytes(INCARNATION_BYTES).toString('hex'),
     leaderComponents,
   });
--- a/packages/graph-service/test/graph-service.test.ts
+++ b/packages/graph-service/test/graph-service.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { jobStatusCode } from '@spurbridge/controller';
 import { TEAMS, TYPES, World, ZONES } from '@spurbridge/testkit';
 import type { WorldOptions } from '@spurbridge/testkit';
 import type { BatchId, GraphId, JobSpec } from '@spurbridge/wire';
@@ -266,7 +267,7 @@
   const node = site.world.nodes[0];
   assert.ok(node !== undefined);
   const direct: number[] = [];
-  void node.controller.jobs.cancel(pieces[0]?.slice(2) as never).then((a) => direct.push(a.code));
+  void node.controller.jobs.cancel(pieces[0]?.slice(2) as never).then((a) => direct.push(jobStatusCode(a)));
   await site.world.runUntil(site.world.time.now + 1000);
   assert.deepEqual(direct, [404]);
 });
--- a/packages/testkit/src/users.ts
+++ b/packages/testkit/src/users.ts
@@ -3,7 +3,8 @@
  *
  * @module
  */
-import type { JobResponse } from '@spurbridge/controller';
+import { jobStatusCode } from '@spurbridge/controller';
+import type { JobOutcome } from '@spurbridge/controller';
 import type { JobId, JobSpec } from '@spurbridge/wire';
 import { formatJobStatus, formatSubmission } from '@spurbridge/wire';
 import { jobId } from './fixtures.js';
@@ -30,7 +31,7 @@
 /** Ids of malformed submissions begin after this number. */
 const FIRST_MALFORMED_JOB = 900_000;
 
-type ResponseListener = (response: JobResponse) => void;
+type ResponseListener = (response: JobOutcome) => void;
 
 /** Plays all users of a world. */
 export class Users {
@@ -83,7 +84,7 @@
     const sentAtMs = world.time.now;
     if (call === 'cancel') world.checker.cancellationRequested(spec.id);
     void callController(target, call, spec.id, body).then((response) => {
-      const sent = [call, spec.id, response.code, formatResponseBody(response)];
+      const sent = [call, spec.id, jobStatusCode(response), formatResponseBody(response)];
       world.recorder.record('user-response', target.name, USER_HOST, sent);
       world.network.send(target.name, USER_HOST, () => {
         this.receive(call, spec, response, sentAtMs, onResponse);
@@ -142,14 +143,14 @@
   private receive(
     call: UserCall,
     spec: JobSpec,
-    response: JobResponse,
+    response: JobOutcome,
     sentAtMs: number,
     onResponse: ResponseListener,
   ): void {
     const { world } = this;
     const askedMs = this.concurrentlyAsked.has(spec.id) ? sentAtMs : world.time.now;
     const phase = 'status' in response ? response.status.phase : null;
-    const isNews = world.checker.responseReceived(spec.id, call, response.code, phase, askedMs);
+    const isNews = world.checker.responseReceived(spec.id, call, jobStatusCode(response), phase, askedMs);
     onResponse(response);
     if (isNews && world.faults.shouldInject('pollBursts')) this.startPollBurst(spec);
   }
@@ -186,7 +187,7 @@
     const target = world.nodes[world.random(world.nodes.length)];
     if (chosen === undefined || target?.clock.alive !== true) return;
     void target.controller.jobs.submit(chosen.body).then((response) => {
-      world.checker.invalidSubmissionAnswered(id, chosen.defect, response.code);
+      world.checker.invalidSubmissionAnswered(id, chosen.defect, jobStatusCode(response));
     });
   }
 }
@@ -196,7 +197,7 @@
   call: UserCall,
   id: JobId,
   body: Record<string, unknown>,
-): Promise<JobResponse> {
+): Promise<JobOutcome> {
   const { jobs } = target.controller;
   switch (call) {
     case 'submit':
@@ -209,14 +210,14 @@
 }
 
 /** The body of a response as it is sent; the texts of errors are for people and may change. */
-function formatResponseBody(response: JobResponse): unknown {
+function formatResponseBody(response: JobOutcome): unknown {
   return 'status' in response ? formatJobStatus(response.status) : null;
 }
 
-function isSuccess({ code }: JobResponse): boolean {
-  return code === 200 || code === 201;
+function isSuccess({ outcome }: JobOutcome): boolean {
+  return outcome === 'known' || outcome === 'created';
 }
 
-function isFinal(response: JobResponse): boolean {
+function isFinal(response: JobOutcome): boolean {
   return 'status' in response && (response.status.phase === 'cancelled' || response.status.phase === 'done');
 }
--- a/packages/testkit/src/worker-transport.ts
+++ b/packages/testkit/src/worker-transport.ts
@@ -3,6 +3,7 @@
  *
  * @module
  */
+import { toHeartbeatResponse } from '@spurbridge/controller';
 import type { CommandOutcome, WorkerClient } from '@spurbridge/controller';
 import type { HeartbeatResult, HeartbeatSender, SimulatedWorker } from '@spurbridge/simulated-worker';
 import type { AgentEpoch, FencingToken, Heartbeat, MachineId, WorkerCommand } from '@spurbridge/wire';
@@ -84,7 +85,8 @@
     network.send(machine, node, () => {
       const target = directory.findRunning(node);
       if (target === null) return;
-      void Promise.resolve(target.controller.handleHeartbeat(heartbeat)).then((response) => {
+      void Promise.resolve(target.controller.handleHeartbeat(heartbeat)).then((outcome) => {
+        const response = toHeartbeatResponse(outcome);
         recorder.record('heartbeat-response', node, machine, formatHeartbeatResult(response));
         if (!target.clock.alive || faults.inboundPartitioned.has(machine)) return;
         network.send(node, machine, () => {
