--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -27,4 +27,4 @@
 export { TcpPeerTransport } from './peers/tcp-peer-transport.js';
 export type { TcpPeerTransportOptions } from './peers/tcp-peer-transport.js';
 export { decodePeerMessages } from './peers/peer-message-stream.js';
-export type { PeerTransport } from './peers/peer-transport.js';
+export type { PeerTransport, PeerTransportHost } from './peers/peer-transport.js';
--- a/packages/controller/src/leadership/controller-options.ts
+++ b/packages/controller/src/leadership/controller-options.ts
@@ -7,10 +7,9 @@
 import type { WallClockMs } from '@spurbridge/model';
 import type { Clock } from '@spurbridge/net';
 import type { RecoverableStore } from '@spurbridge/recovery';
-import type { NodeId, PeerMessage } from '@spurbridge/wire';
 import type { WorkerClient } from '../heartbeats/worker-client.js';
 import type { Logger } from '../logger.js';
-import type { PeerTransport } from '../peers/peer-transport.js';
+import type { PeerTransport, PeerTransportHost } from '../peers/peer-transport.js';
 import type { Settings } from '../settings.js';
 import type { LeaderComponentFactory } from './leader-component.js';
 
@@ -27,12 +26,8 @@
   readonly clock: Clock;
   readonly wallNow: () => WallClockMs;
   readonly log: Logger;
-  /** Creates the connections to the other controllers; the arguments are this controller's status and its event handlers. */
-  readonly createPeerTransport: (
-    status: () => PeerMessage,
-    onMessage: (message: PeerMessage) => void,
-    onDisconnected: (node: NodeId) => void,
-  ) => PeerTransport;
+  /** Creates the transport to the other controllers. */
+  readonly createPeerTransport: (host: PeerTransportHost) => PeerTransport;
   /** Distinguishes this process from earlier ones of the same node. */
   readonly incarnation: string;
   /** Creates further components of the leader, beyond those that every leader has. */
--- a/packages/controller/src/leadership/controller.ts
+++ b/packages/controller/src/leadership/controller.ts
@@ -166,15 +166,15 @@
   }
 
   private createPeerTransport(): PeerTransport {
-    return this.options.createPeerTransport(
-      () => this.status(),
-      (message) => {
+    return this.options.createPeerTransport({
+      status: () => this.status(),
+      onMessage: (message) => {
         this.onPeerMessage(message);
       },
-      (node) => {
+      onDisconnected: (node) => {
         this.shards.onPeerDisconnected(node);
       },
-    );
+    });
   }
 
   private createLeaderRole(): LeaderRole {
--- a/packages/controller/src/peers/peer-transport.ts
+++ b/packages/controller/src/peers/peer-transport.ts
@@ -5,6 +5,16 @@
  */
 import type { NodeId, PeerMessage } from '@spurbridge/wire';
 
+/** The controller that a transport works for. */
+export interface PeerTransportHost {
+  /** The controller's status, which is broadcast periodically and on each new connection. */
+  readonly status: () => PeerMessage;
+  /** Called with each message that another controller has sent. */
+  readonly onMessage: (message: PeerMessage) => void;
+  /** Called when an open connection to another controller has ended. */
+  readonly onDisconnected: (node: NodeId) => void;
+}
+
 /** Sends messages to the other controllers. All of them are hints: correctness never depends on their arrival. */
 export interface PeerTransport {
   /** Sends a message to every controller that is connected. */
--- a/packages/controller/src/peers/tcp-peer-transport.ts
+++ b/packages/controller/src/peers/tcp-peer-transport.ts
@@ -9,7 +9,7 @@
 import type { Logger } from '../logger.js';
 import { PeerConnection } from './peer-connection.js';
 import { decodePeerMessages } from './peer-message-stream.js';
-import type { PeerTransport } from './peer-transport.js';
+import type { PeerTransport, PeerTransportHost } from './peer-transport.js';
 import { parseSocketAddress } from './socket-address.js';
 
 const STATUS_INTERVAL_MS = 700;
@@ -24,11 +24,7 @@
   readonly listen: string;
   readonly clock: Clock;
   readonly log: Logger;
-  /** This controller's status, which is broadcast periodically and on each new connection. */
-  readonly status: () => PeerMessage;
-  readonly onMessage: (message: PeerMessage) => void;
-  /** Called when an open connection to a controller has ended. */
-  readonly onDisconnected: (node: NodeId) => void;
+  readonly host: PeerTransportHost;
 }
 
 interface StoreReport {
@@ -43,9 +39,9 @@
   private readonly storeReports = new Map<NodeId, StoreReport>();
 
   constructor(private readonly options: TcpPeerTransportOptions) {
-    const { peers, clock, log, onDisconnected } = options;
+    const { peers, clock, log, host } = options;
     this.connections = peers.map(
-      ({ node, address }) => new PeerConnection(node, address, clock, log, onDisconnected),
+      ({ node, address }) => new PeerConnection(node, address, clock, log, host.onDisconnected),
     );
   }
 
@@ -69,15 +65,15 @@
   }
 
   async run(): Promise<void> {
-    const { clock, log, status } = this.options;
+    const { clock, log, host } = this.options;
     this.listen();
     for (const connection of this.connections)
-      connection.run(status).catch((error: unknown) => {
+      connection.run(host.status).catch((error: unknown) => {
         log.error({ error: String(error) }, 'peer link failed');
       });
     for (;;) {
       await clock.sleep(STATUS_INTERVAL_MS);
-      this.broadcast(status());
+      this.broadcast(host.status());
     }
   }
 
@@ -106,14 +102,14 @@
   }
 
   private async receive(socket: net.Socket): Promise<void> {
-    const { clock, onMessage } = this.options;
+    const { clock, host } = this.options;
     for await (const message of decodePeerMessages(socket)) {
       const { status } = message;
       if (status !== undefined) {
         this.storeReports.set(status.node, { receivedAt: clock.now(), isServed: status.stateOk });
         this.connectionTo(status.node)?.onPeerHeard();
       }
-      onMessage(message);
+      host.onMessage(message);
     }
   }
 }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -67,15 +67,13 @@
     clock: monotonicClock,
     wallNow: () => Date.now() as WallClockMs,
     log,
-    createPeerTransport: (status, receive, closed) =>
+    createPeerTransport: (host) =>
       new TcpPeerTransport({
         peers: settings.peers,
         listen: settings.peerListen,
         clock: monotonicClock,
         log,
-        status,
-        onMessage: receive,
-        onDisconnected: closed,
+        host,
       }),
     incarnation: randomBytes(8).toString('hex'),
     leaderComponents: rooms,
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -254,7 +254,8 @@
       log,
       incarnation: `${name}-${this.incarnations}`,
       leaderComponents: this.o.leaderComponents?.(name, this.network) ?? [],
-      createPeerTransport: (status, receive, closed) => this.peersOf(name, clock, status, receive, closed),
+      createPeerTransport: ({ status, onMessage, onDisconnected }) =>
+        this.peersOf(name, clock, status, onMessage, onDisconnected),
     });
     void controller.run();
     if (shelf !== undefined && snapshots !== undefined) {
