--- a/packages/controller/src/leadership/leader-role.ts
+++ b/packages/controller/src/leadership/leader-role.ts
@@ -71,7 +71,7 @@
   start(fencingToken: FencingToken): void {
     const { store, log } = this.options;
     this.host.rollout.onElected();
-    const leader = new Leader(this.createContext());
+    const leader = new Leader(this.createContext(), this.options.leaderComponents ?? []);
     this.leader = leader;
     log.info({ token: fencingToken }, 'leading');
     store.recordElection(fencingToken);
@@ -139,7 +139,6 @@
       configuration: () => host.configuration.current,
       machineTypes: () => host.machineTypes.types,
       directWorkers: () => host.directWorkers(),
-      leaderComponents: this.options.leaderComponents ?? [],
       onPlanned: (version) => {
         if (!host.rollout.recordPlan(version)) return;
         log.info({ version }, 'plans by this configuration');
--- a/packages/controller/src/leadership/leader-term.ts
+++ b/packages/controller/src/leadership/leader-term.ts
@@ -13,7 +13,6 @@
 import { WorkerReachability } from '../heartbeats/worker-reachability.js';
 import type { Settings } from '../settings.js';
 import type { WorkerClient } from '../heartbeats/worker-client.js';
-import type { LeaderComponentFactory } from './leader-component.js';
 
 /** What is known of the integrity of the key-value store (docs/state-loss.md). */
 export interface StoreIntegrityStatus {
@@ -52,8 +51,6 @@
   readonly configuration: () => Configuration;
   readonly machineTypes: () => readonly MachineType[];
   readonly directWorkers: () => DirectWorkers;
-  /** Creates the components that the program adds to the leader. */
-  readonly leaderComponents: readonly LeaderComponentFactory[];
   /** Called after a scheduling pass that used this version of the configuration. */
   readonly onPlanned: (version: ConfigurationVersion) => void;
   /** Called once the records are read: other controllers may announce their shards. */
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -23,6 +23,7 @@
 import { SchedulingLoop } from '../placement/scheduling-loop.js';
 import { Reconciliation } from '../reconciliation/reconciliation.js';
 import { maxRenewalStalenessMs } from '../settings.js';
+import type { LeaderComponentFactory } from './leader-component.js';
 import { LeaderComponents } from './leader-component.js';
 import type { LeaderContext } from './leader-term.js';
 import { LeaderTerm } from './leader-term.js';
@@ -48,7 +49,10 @@
   private readonly scheduling: SchedulingLoop;
   private readonly failureDetector: FailureDetector;
 
-  constructor(private readonly context: LeaderContext) {
+  constructor(
+    private readonly context: LeaderContext,
+    componentFactories: readonly LeaderComponentFactory[],
+  ) {
     const { clock } = context;
     this.term = new LeaderTerm(context);
     this.cluster = this.createCluster();
@@ -74,7 +78,7 @@
       () => this.reconciliation.allowsPlacement,
     );
     this.components = new LeaderComponents(
-      context.leaderComponents.map((createComponent) => createComponent(this.term, this.cluster)),
+      componentFactories.map((createComponent) => createComponent(this.term, this.cluster)),
     );
     this.scheduling = this.createSchedulingLoop();
     this.failureDetector = this.createFailureDetector();
