--- a/packages/daemon/src/node-process.ts
+++ b/packages/daemon/src/node-process.ts
@@ -80,15 +80,13 @@
     clock: monotonicClock,
     wallNow: wallClock,
     log,
-    createPeerTransport: (status, receive, closed) =>
+    createPeerTransport: (host) =>
       new TcpPeerTransport({
         peers: settings.peers,
         listen: settings.peerListen,
         clock: monotonicClock,
         log,
-        status,
-        onMessage: receive,
-        onDisconnected: closed,
+        host,
       }),
     incarnation: randomBytes(INCARNATION_BYTES).toString('hex'),
     leaderComponents,
--- a/packages/testkit/src/node-factory.ts
+++ b/packages/testkit/src/node-factory.ts
@@ -199,8 +199,8 @@
       log,
       incarnation: `${name}-${this.incarnations}`,
       leaderComponents: world.leaderComponents?.(name, network) ?? [],
-      createPeerTransport: (status, receive, closed) =>
-        peers.connect({ name, clock, status, receive, closed }),
+      createPeerTransport: ({ status, onMessage, onDisconnected }) =>
+        peers.connect({ name, clock, status, receive: onMessage, closed: onDisconnected }),
     });
   }
 
