--- a/packages/model/src/machine.ts
+++ b/packages/model/src/machine.ts
@@ -50,7 +50,7 @@
   agentEpoch: AgentEpoch | null = null;
   /** The sequence number of the newest heartbeat in that epoch. */
   lastSequence = -1;
-  /** The highest fencing token that the agent has shown in the newest heartbeat. */
+  /** The fencing token that the agent showed in the newest heartbeat. */
   fencingToken = 0 as FencingToken;
   /** When the newest heartbeat arrived, by this process' monotonic clock. */
   lastHeartbeatAt: MonotonicMs | null = null;
--- a/packages/model/test/model.test.ts
+++ b/packages/model/test/model.test.ts
@@ -19,7 +19,7 @@
 
 const id = 'wk-000001' as JobId;
 const at = 0 as MonotonicMs;
-const machine = (n: number): MachineId => `n-${String(n).padStart(6, '0')}` as MachineId;
+const machine = (index: number): MachineId => `n-${String(index).padStart(6, '0')}` as MachineId;
 
 type Step = { readonly op: 'intend' | 'durable' | 'run' | 'done' | 'lost' | 'stop'; readonly task: number };
 const steps = (tasks: number): fc.Arbitrary<Step[]> =>
@@ -33,11 +33,11 @@
 
 function play(job: Job, list: readonly Step[]): void {
   for (const { op, task } of list) {
-    const p = job.placements.get(task);
-    if (op === 'intend' && p === undefined && !job.isDone(task))
+    const placement = job.placements.get(task);
+    if (op === 'intend' && placement === undefined && !job.isDone(task))
       job.recordIntent(task, machine(task), 1 as AgentEpoch, at, null);
-    else if (p === undefined) continue;
-    else if (op === 'durable') job.markDurable(task, p.attempt, at);
+    else if (placement === undefined) continue;
+    else if (op === 'durable') job.markDurable(task, placement.attempt, at);
     else if (op === 'run') job.applyReportedPhase(task, 'running', at);
     else if (op === 'done') job.removePlacement(task, true, at);
     else if (op === 'lost') job.removePlacement(task, false, at);
@@ -52,17 +52,19 @@
       const given = new Set<string>();
       for (const step of list) {
         play(job, [step]);
-        const p = job.placements.get(step.task);
-        if (step.op === 'intend' && p?.state === 'intended') given.add(`${step.task}#${p.attempt}`);
+        const placement = job.placements.get(step.task);
+        if (step.op === 'intend' && placement?.state === 'intended')
+          given.add(`${step.task}#${placement.attempt}`);
         const pending = new Set(job.pendingTasks(100));
-        for (let t = 0; t < 12; t += 1) {
-          const states = Number(pending.has(t)) + Number(job.placements.has(t)) + Number(job.isDone(t));
-          assert.equal(states, 1, `task ${t}`);
+        for (let task = 0; task < 12; task += 1) {
+          const states =
+            Number(pending.has(task)) + Number(job.placements.has(task)) + Number(job.isDone(task));
+          assert.equal(states, 1, `task ${task}`);
         }
         assert.equal(job.pendingCount, pending.size);
       }
-      const most = Math.max(0, ...job.chunks.map((c) => c.attemptsIssued));
-      for (const g of given) assert.ok(Number(g.split('#')[1]) <= most);
+      const most = Math.max(0, ...job.chunks.map((chunk) => chunk.attemptsIssued));
+      for (const name of given) assert.ok(Number(name.split('#')[1]) <= most);
     }),
     { seed: 11, numRuns: 150 },
   );
@@ -79,14 +81,14 @@
       assert.ok(gang !== null);
       let started = false;
       for (const { op: what, task } of list) {
-        const p = job.placements.get(task);
+        const placement = job.placements.get(task);
         const ready = job.placements.size === 0 || job.awaitsReplacementTask;
         if (what === 'place') {
-          if (p !== undefined || job.isDone(task) || !ready) continue;
+          if (placement !== undefined || job.isDone(task) || !ready) continue;
           const attempt = job.gangAttempt();
           job.recordIntent(task, machine(task), 1 as AgentEpoch, at, attempt);
           job.markDurable(task, attempt, at);
-        } else if (p === undefined) continue;
+        } else if (placement === undefined) continue;
         else if (what === 'done' || what === 'lost') job.removePlacement(task, what === 'done', at);
         else if (what === 'stop') job.requestStop(task, task, 'drained', at);
         else job.applyReportedPhase(task, what, at);
@@ -96,7 +98,7 @@
           assert.ok(['running', 'saving', 'breaking', 'done'].includes(gang.state), gang.state);
           assert.ok(!job.awaitsReplacementTask);
         }
-        assert.equal(new Set([...job.placements.values()].map((x) => x.attempt)).size <= 1, true);
+        assert.equal(new Set([...job.placements.values()].map(({ attempt }) => attempt)).size <= 1, true);
         assert.equal(gang.state === 'gone', job.placements.size === 0 && job.doneCount < 3);
         assert.equal(gang.state === 'done', job.doneCount === 3);
       }
@@ -123,25 +125,25 @@
       (tasks, size, salt) => {
         const spec = jobSpec({ id, tasks });
         const job = new Job(spec, size, KEY_ABSENT, at);
-        for (let t = 0; t < tasks; t += 1) {
-          const what = (t * 7919 + salt) % 5;
+        for (let task = 0; task < tasks; task += 1) {
+          const what = (task * 7919 + salt) % 5;
           if (what === 0)
             play(job, [
-              { op: 'intend', task: t },
-              { op: 'done', task: t },
+              { op: 'intend', task },
+              { op: 'done', task },
             ]);
-          else if (what === 1) play(job, [{ op: 'intend', task: t }]);
+          else if (what === 1) play(job, [{ op: 'intend', task }]);
         }
         const again = new Job(spec, size, KEY_ABSENT, at);
-        for (const c of job.chunks) {
-          const value: unknown = JSON.parse(JSON.stringify(encodeChunk(job, c)));
-          restoreChunk(again, c.index, value, 9 as Version, at);
+        for (const chunk of job.chunks) {
+          const value: unknown = JSON.parse(JSON.stringify(encodeChunk(job, chunk)));
+          restoreChunk(again, chunk.index, value, 9 as Version, at);
         }
         assert.equal(again.doneCount, job.doneCount);
         assert.deepEqual([...again.placements.keys()].sort(), [...job.placements.keys()].sort());
         assert.deepEqual(
-          again.chunks.map((c) => c.attemptsIssued),
-          job.chunks.map((c) => c.attemptsIssued),
+          again.chunks.map((chunk) => chunk.attemptsIssued),
+          job.chunks.map((chunk) => chunk.attemptsIssued),
         );
       },
     ),
@@ -158,7 +160,7 @@
       KEY_ABSENT,
       at,
     );
-    for (let t = 100_000 - size; t < 100_000; t += 1) play(job, [{ op: 'intend', task: t }]);
+    for (let task = 100_000 - size; task < 100_000; task += 1) play(job, [{ op: 'intend', task }]);
     const last = job.chunks.at(-1);
     assert.ok(last !== undefined);
     assert.ok(JSON.stringify(encodeChunk(job, last)).length <= kb * 1024);
@@ -236,27 +238,27 @@
 });
 
 test('a machine caches the images used last, within its cache', () => {
-  const m = new Machine(machine(1), 's4', 'a', false, true, at);
+  const tested = new Machine(machine(1), 's4', 'a', false, true, at);
   for (const [image, gb] of [
     ['a', 20],
     ['b', 15],
     ['a', 20],
     ['c', 10],
   ] as const)
-    m.cacheImage(image, gb, 40);
-  assert.deepEqual([...m.images.keys()], ['a', 'c']);
+    tested.cacheImage(image, gb, 40);
+  assert.deepEqual([...tested.images.keys()], ['a', 'c']);
   assert.throws(() => {
-    m.transitionTo('silent');
+    tested.transitionTo('silent');
   });
 });
 
 // Two sound machines were drained because many tasks of one job had been estimated too short.
 test('a machine counts as slow by different jobs, not by many tasks of one', () => {
-  const m = new Machine(machine(1), 's4', 'a', false, true, at);
-  for (let task = 0; task < 30; task += 1) m.recordRunTime('wk-000001', 4);
-  assert.equal(m.isSlow(1.7), false);
-  for (let job = 2; job < 12; job += 1) m.recordRunTime(`wk-00000${job}`, 3);
-  assert.equal(m.isSlow(1.7), true);
-  for (let job = 12; job < 40; job += 1) m.recordRunTime(`wk-0000${job}`, 0.9);
-  assert.equal(m.slowness, 1);
+  const tested = new Machine(machine(1), 's4', 'a', false, true, at);
+  for (let task = 0; task < 30; task += 1) tested.recordRunTime('wk-000001', 4);
+  assert.equal(tested.isSlow(1.7), false);
+  for (let job = 2; job < 12; job += 1) tested.recordRunTime(`wk-00000${job}`, 3);
+  assert.equal(tested.isSlow(1.7), true);
+  for (let job = 12; job < 40; job += 1) tested.recordRunTime(`wk-0000${job}`, 0.9);
+  assert.equal(tested.slowness, 1);
 });
--- a/packages/model/test/service-levels.test.ts
+++ b/packages/model/test/service-levels.test.ts
@@ -17,15 +17,15 @@
 const life = { spec, ageS: 200, startedS: 5, isEnded: true, isCancelled: false };
 
 test('a job that ended or could have counts, a young or cancelled one counts neither way', () => {
-  const a = emptyServiceLevelCounts();
-  countJob(a, { ...life, ageS: 50 });
-  countJob(a, life);
-  countJob(a, { ...life, isEnded: false });
-  countJob(a, { ...life, isEnded: false, ageS: 80 });
-  countJob(a, { ...life, isEnded: false, isCancelled: true });
-  countJob(a, { ...life, isEnded: false, startedS: null, ageS: 30 });
-  countJob(a, { ...life, isEnded: false, startedS: null, ageS: 70 });
-  assert.deepEqual(a, {
+  const counts = emptyServiceLevelCounts();
+  countJob(counts, { ...life, ageS: 50 });
+  countJob(counts, life);
+  countJob(counts, { ...life, isEnded: false });
+  countJob(counts, { ...life, isEnded: false, ageS: 80 });
+  countJob(counts, { ...life, isEnded: false, isCancelled: true });
+  countJob(counts, { ...life, isEnded: false, startedS: null, ageS: 30 });
+  countJob(counts, { ...life, isEnded: false, startedS: null, ageS: 70 });
+  assert.deepEqual(counts, {
     ...emptyServiceLevelCounts(),
     couldEnd: 3,
     ended: 2,
@@ -37,7 +37,7 @@
 });
 
 test('under half of any indicator is a missed service level, but for warnings', () => {
-  const a = {
+  const counts = {
     ...emptyServiceLevelCounts(),
     couldEnd: 10,
     ended: 4,
@@ -47,14 +47,14 @@
     ranS: 60,
   };
   assert.deepEqual(
-    missedServiceLevels(a).map((s) => [s.indicator, s.share]),
+    missedServiceLevels(counts).map((level) => [level.indicator, level.share]),
     [['ended', 0.4]],
   );
   assert.deepEqual(
-    serviceLevels(a).map((s) => s.indicator),
+    serviceLevels(counts).map((level) => level.indicator),
     ['ended', 'replicas', 'in time'],
   );
-  assert.deepEqual(missedServiceLevels({ ...a, ended: 5 }), []);
+  assert.deepEqual(missedServiceLevels({ ...counts, ended: 5 }), []);
 });
 
 test('replicas bound to one zone and spread over zones can run only by half', () => {
@@ -67,16 +67,16 @@
   assert.equal(largestJobThreshold([8, 1, 7, 2, 6, 3, 5, 4]), 7);
   assert.equal(jobSize(jobSpec({ id: spec.id, tasks: 3, cpus: 4 })), 12);
   assert.equal(jobSize(jobSpec({ id: spec.id, tasks: 3, cpus: 4, gpus: 2 })), 6);
-  const a = emptyServiceLevelCounts();
+  const counts = emptyServiceLevelCounts();
   const open = { ...life, isEnded: false, ageS: 239 };
-  countLargestJob(a, { ...open, startedS: null });
-  assert.equal(a.couldStart, 0);
-  countLargestJob(a, { ...open, startedS: null, ageS: 240 });
-  countLargestJob(a, { ...open, startedS: 241, ageS: 250 });
-  countLargestJob(a, { ...open, startedS: 240, ageS: 250 });
-  assert.deepEqual([a.couldStart, a.started], [3, 1]);
+  countLargestJob(counts, { ...open, startedS: null });
+  assert.equal(counts.couldStart, 0);
+  countLargestJob(counts, { ...open, startedS: null, ageS: 240 });
+  countLargestJob(counts, { ...open, startedS: 241, ageS: 250 });
+  countLargestJob(counts, { ...open, startedS: 240, ageS: 250 });
+  assert.deepEqual([counts.couldStart, counts.started], [3, 1]);
   assert.deepEqual(
-    missedServiceLevels(a).map((s) => s.indicator),
+    missedServiceLevels(counts).map((level) => level.indicator),
     ['ended', 'started'],
   );
 });
--- a/packages/planner/test/fleet.test.ts
+++ b/packages/planner/test/fleet.test.ts
@@ -17,9 +17,9 @@
   zoneSpread: null,
 };
 
-function machine(n: number, type: MachineType, over: Partial<FleetMachine> = {}): FleetMachine {
+function machine(index: number, type: MachineType, over: Partial<FleetMachine> = {}): FleetMachine {
   return {
-    id: `n-${n}` as MachineId,
+    id: `n-${index}` as MachineId,
     type,
     zone: 'a',
     spot: false,
@@ -94,7 +94,7 @@
 
 const rented = (over: Partial<FleetInput>): number =>
   planFleet(input(over)).scaleOut.reduce(
-    (n, r) => n + r.count * (TYPES.find((t) => t.name === r.type)?.cpus ?? 0),
+    (sum, request) => sum + request.count * (TYPES.find((type) => type.name === request.type)?.cpus ?? 0),
     0,
   );
 
@@ -108,7 +108,7 @@
   );
   const cpus = (over: Partial<FleetInput>): number =>
     planFleet(input({ machines, policy, unplacedDemand: [early], ...over })).scaleOut.reduce(
-      (sum, r) => sum + r.count * (TYPES.find((t) => t.name === r.type)?.cpus ?? 0),
+      (sum, request) => sum + request.count * (TYPES.find((type) => type.name === request.type)?.cpus ?? 0),
       0,
     );
   assert.ok(cpus({}) >= 144 && cpus({}) < 176, `${cpus({})} CPUs`);
@@ -117,7 +117,10 @@
   const refused = planFleet(
     input({ machines, policy, unplacedDemand: [early], hasCapacity: (_t, _z, spot) => !spot }),
   ).scaleOut;
-  assert.ok(refused.length > 0 && refused.every((r) => !r.spot), 'ordinary ones where spot ones are refused');
+  assert.ok(
+    refused.length > 0 && refused.every((request) => !request.spot),
+    'ordinary ones where spot ones are refused',
+  );
 });
 
 // All of the reserve lay in one zone: half of every new service waited for a machine to boot in another.
@@ -131,7 +134,7 @@
     machine(4, m16, { zone: 'c', ...full }),
   ];
   const rent = (over: Partial<FleetInput>): (string | undefined)[] =>
-    planFleet(input({ machines, policy, ...over })).scaleOut.map((r) => r.zone);
+    planFleet(input({ machines, policy, ...over })).scaleOut.map((request) => request.zone);
   assert.deepEqual(rent({}), ['b']);
   assert.deepEqual(
     rent({ hasCapacity: (_t, zone) => zone === 'a' }),
@@ -147,15 +150,17 @@
   assert.deepEqual(rent({ machines: even }), []);
   // What is spare in the roomiest zone alone may go back, what the others need may not.
   assert.deepEqual(planFleet(input({ machines: even, policy })).scaleIn, ['n-2']);
-  const idle = even.map((m) => (m.id === 'n-5' ? { ...m, idleS: 100 } : { ...m, idleS: 0 }));
+  const idle = even.map((fleetMachine) =>
+    fleetMachine.id === 'n-5' ? { ...fleetMachine, idleS: 100 } : { ...fleetMachine, idleS: 0 },
+  );
   assert.deepEqual(planFleet(input({ machines: idle, policy })).scaleIn, []);
 });
 
 test('unplaced demand scales out to spot machines where it may use them', () => {
   const result = planFleet(input({ unplacedDemand: [unmet({ tasks: 4, cpus: 2 })] }));
-  assert.ok(result.scaleOut.length > 0 && result.scaleOut.every((r) => r.spot));
+  assert.ok(result.scaleOut.length > 0 && result.scaleOut.every((request) => request.spot));
   const service = planFleet(input({ unplacedDemand: [unmet({ kind: 'service', spot: false })] }));
-  assert.ok(service.scaleOut.length > 0 && service.scaleOut.every((r) => !r.spot));
+  assert.ok(service.scaleOut.length > 0 && service.scaleOut.every((request) => !request.spot));
 });
 
 test('booting machines count, and demand beyond the limit scales out to nothing', () => {
@@ -170,11 +175,13 @@
 
 // With 800 small machines, a leader on a sixth of a core was behind for half a minute in a takeover.
 test('in a large fleet, larger machines are preferred at a slightly higher price', () => {
-  const types = TYPES.map((t) => (t.name === 's4' ? { ...t, spotPrice: t.spotPrice * 0.9 } : t));
+  const types = TYPES.map((type) =>
+    type.name === 's4' ? { ...type, spotPrice: type.spotPrice * 0.9 } : type,
+  );
   const rent = (easyMachines: number): string[] => {
     const policy = { ...input({}).policy, manageableMachines: easyMachines };
     const job = unmet({ tasks: 64, cpus: 4, gpus: 0, memoryGb: 8 });
-    return planFleet(input({ types, unplacedDemand: [job], policy })).scaleOut.map((r) => r.type);
+    return planFleet(input({ types, unplacedDemand: [job], policy })).scaleOut.map((request) => request.type);
   };
   assert.deepEqual(new Set(rent(1000)), new Set(['s4']));
   assert.ok(rent(20).includes('m16'));
@@ -254,7 +261,7 @@
   const policy = { ...input({}).policy, targetOnDemandCpus: 24 };
   const machines = [machine(1, m16, { usedCpus: 12, replicas: [replica] })];
   const result = planFleet(input({ machines, policy }));
-  assert.ok(result.scaleOut.length > 0 && result.scaleOut.every((r) => !r.spot));
+  assert.ok(result.scaleOut.length > 0 && result.scaleOut.every((request) => !request.spot));
   const coming = [...machines, machine(2, m16, { isBooting: true, isSchedulable: false })];
   assert.deepEqual(planFleet(input({ machines: coming, policy })).scaleOut, []);
 });
@@ -267,13 +274,13 @@
 });
 
 test('a gang bound to one zone does not count on booting machines in two', () => {
-  const half = (n: number, zone: string): FleetMachine => machine(n, s4, { zone, isBooting: true });
+  const half = (index: number, zone: string): FleetMachine => machine(index, s4, { zone, isBooting: true });
   const gang = unmet({ kind: 'gang', spot: false, oneZone: true, cpus: 4, memoryGb: 2, tasks: 2 });
   const { scaleOut: rent } = planFleet(
     input({ machines: [half(1, 'a'), half(2, 'b')], unplacedDemand: [gang] }),
   );
   assert.deepEqual(
-    rent.map((r) => [r.zone, r.count]),
+    rent.map((request) => [request.zone, request.count]),
     [['a', 1]],
   );
 });
@@ -290,11 +297,11 @@
 
 test('without spot capacity, a burst scales out to on-demand machines while they let it be in time', () => {
   const rented = (ageS: number, startsInS: number): number => {
-    const u = unmet({ tasks: 4, estimateS: 20 }, { startsInS });
-    const job = { ...u.job, ageS, completionMilestonesS: [60] };
+    const demand = unmet({ tasks: 4, estimateS: 20 }, { startsInS });
+    const job = { ...demand.job, ageS, completionMilestonesS: [60] };
     const noSpot = (_type: string, _zone: string, spot: boolean): boolean => !spot;
-    const plan = planFleet(input({ unplacedDemand: [{ ...u, job }], hasCapacity: noSpot }));
-    return plan.scaleOut.reduce((n, r) => n + r.count, 0);
+    const plan = planFleet(input({ unplacedDemand: [{ ...demand, job }], hasCapacity: noSpot }));
+    return plan.scaleOut.reduce((sum, request) => sum + request.count, 0);
   };
   assert.ok(rented(10, 60) > 0);
   assert.equal(rented(10, 5), 0);
@@ -308,7 +315,9 @@
   const whole = { ...gang, job: { ...gang.job, pendingTasks: [0, 1, 2] } };
   const rented = (available: FleetInput['hasCapacity']): Set<string> =>
     new Set(
-      planFleet(input({ unplacedDemand: [whole], hasCapacity: available })).scaleOut.map((r) => r.zone),
+      planFleet(input({ unplacedDemand: [whole], hasCapacity: available })).scaleOut.map(
+        (request) => request.zone,
+      ),
     );
   assert.deepEqual([...rented(() => true)], ['a']);
   const elsewhere = rented((_type, zone) => zone !== 'a');
--- a/packages/planner/test/scheduling-properties.test.ts
+++ b/packages/planner/test/scheduling-properties.test.ts
@@ -7,7 +7,7 @@
 import { planTasks } from '../src/index.js';
 import { id, machine, occupant, snapshot, view } from './snapshot-fixtures.js';
 
-const anyJob = (n: number): fc.Arbitrary<JobView> =>
+const anyJob = (index: number): fc.Arbitrary<JobView> =>
   fc
     .record({
       kind: fc.constantFrom<JobKind>('array', 'gang', 'service'),
@@ -27,7 +27,7 @@
       milestonesS: fc.constantFrom<readonly number[]>([], [60], [30, 90]),
     })
     .map(({ waitS, ageS, milestonesS, ...over }) =>
-      view(jobSpec({ id: id(n), ...over, oneZone: over.oneZone && !over.spread }), {
+      view(jobSpec({ id: id(index), ...over, oneZone: over.oneZone && !over.spread }), {
         totalWaitS: waitS,
         ageS,
         completionMilestonesS: milestonesS,
@@ -39,7 +39,7 @@
   .record({
     jobs: fc
       .integer({ min: 0, max: 7 })
-      .chain((n) => fc.tuple(...Array.from({ length: n }, (_, i) => anyJob(i)))),
+      .chain((count) => fc.tuple(...Array.from({ length: count }, (_, index) => anyJob(index)))),
     machines: fc.array(
       fc.record({
         type: fc.nat(2),
@@ -57,13 +57,16 @@
   .map(({ jobs, machines, headS }) => ({
     ...snapshot(
       jobs,
-      machines.map((m, n) =>
-        machine(n, m.type, {
-          spot: m.spot,
-          isSchedulable: m.takes > 0,
-          slowness: m.slowness,
-          images: new Map(m.holdsImage ? [['img', 1]] : []),
-          occupants: m.busy === 0 ? [] : [occupant({ cpus: m.busy, task: n, remainingS: m.endS })],
+      machines.map((generated, index) =>
+        machine(index, generated.type, {
+          spot: generated.spot,
+          isSchedulable: generated.takes > 0,
+          slowness: generated.slowness,
+          images: new Map(generated.holdsImage ? [['img', 1]] : []),
+          occupants:
+            generated.busy === 0
+              ? []
+              : [occupant({ cpus: generated.busy, task: index, remainingS: generated.endS })],
         }),
       ),
     ),
@@ -72,45 +75,52 @@
 
 test('whatever the snapshot, what a plan starts respects placement rules, free resources and quota', () => {
   fc.assert(
-    fc.property(anySnapshot, (s) => {
-      const result = planTasks(s);
+    fc.property(anySnapshot, (snapshot) => {
+      const result = planTasks(snapshot);
       const started = new Set<string>();
-      const used = new Map(s.machines.map((m) => [m.id, m.occupants.reduce((sum, o) => sum + o.cpus, 0)]));
+      const used = new Map(
+        snapshot.machines.map((machine) => [
+          machine.id,
+          machine.occupants.reduce((sum, occupant) => sum + occupant.cpus, 0),
+        ]),
+      );
       const gpus = new Map<MachineId, number>();
       const teams = new Map<string, number>();
-      for (const m of s.machines)
-        for (const o of m.occupants) teams.set(o.team, (teams.get(o.team) ?? 0) + o.cpus);
+      for (const machine of snapshot.machines)
+        for (const occupant of machine.occupants)
+          teams.set(occupant.team, (teams.get(occupant.team) ?? 0) + occupant.cpus);
       const zones = new Map<JobId, string[]>();
-      for (const x of result.starts) {
-        const job = s.jobs.find((j) => j.spec.id === x.job);
-        const m = s.machines.find((y) => y.id === x.machine);
-        assert.ok(job !== undefined && m !== undefined);
+      for (const start of result.starts) {
+        const job = snapshot.jobs.find((jobView) => jobView.spec.id === start.job);
+        const machine = snapshot.machines.find((candidate) => candidate.id === start.machine);
+        assert.ok(job !== undefined && machine !== undefined);
         const { spec } = job;
-        assert.ok(!started.has(`${x.job}/${x.task}`), 'started twice');
-        started.add(`${x.job}/${x.task}`);
-        assert.ok(m.isSchedulable && (!m.spot || spec.spot));
-        assert.ok(spec.zone === null || spec.zone === m.zone);
-        assert.ok(spec.types === null || spec.types.includes(m.type.name));
-        used.set(m.id, (used.get(m.id) ?? 0) + spec.cpus);
-        gpus.set(m.id, (gpus.get(m.id) ?? 0) + spec.gpus);
-        assert.ok((used.get(m.id) ?? 0) <= m.type.cpus + 1e-6, 'room');
-        assert.ok((gpus.get(m.id) ?? 0) <= m.type.gpus + 1e-6, 'accelerators');
+        assert.ok(!started.has(`${start.job}/${start.task}`), 'started twice');
+        started.add(`${start.job}/${start.task}`);
+        assert.ok(machine.isSchedulable && (!machine.spot || spec.spot));
+        assert.ok(spec.zone === null || spec.zone === machine.zone);
+        assert.ok(spec.types === null || spec.types.includes(machine.type.name));
+        used.set(machine.id, (used.get(machine.id) ?? 0) + spec.cpus);
+        gpus.set(machine.id, (gpus.get(machine.id) ?? 0) + spec.gpus);
+        assert.ok((used.get(machine.id) ?? 0) <= machine.type.cpus + 1e-6, 'room');
+        assert.ok((gpus.get(machine.id) ?? 0) <= machine.type.gpus + 1e-6, 'accelerators');
         teams.set(spec.team, (teams.get(spec.team) ?? 0) + spec.cpus);
-        zones.set(spec.id, [...(zones.get(spec.id) ?? []), m.zone]);
+        zones.set(spec.id, [...(zones.get(spec.id) ?? []), machine.zone]);
       }
-      for (const t of TEAMS) {
-        const before = s.machines
-          .flatMap((m) => m.occupants)
-          .reduce((n, o) => n + (o.team === t.name ? o.cpus : 0), 0);
-        assert.ok((teams.get(t.name) ?? 0) <= Math.max(t.cpusMax, before) + 1e-6, 'quota');
+      for (const team of TEAMS) {
+        const before = snapshot.machines
+          .flatMap((machine) => machine.occupants)
+          .reduce((sum, occupant) => sum + (occupant.team === team.name ? occupant.cpus : 0), 0);
+        assert.ok((teams.get(team.name) ?? 0) <= Math.max(team.cpusMax, before) + 1e-6, 'quota');
       }
-      for (const j of s.jobs) {
-        const at = zones.get(j.spec.id) ?? [];
-        if (j.spec.oneZone) assert.ok(new Set(at).size <= 1, 'one zone');
-        if (j.spec.spread)
-          for (const z of at)
-            assert.ok(at.filter((y) => y === z).length <= Math.ceil(j.spec.tasks / 2), 'spread');
-        if (j.spec.kind === 'gang') assert.ok(at.length === 0 || at.length === j.spec.tasks, 'whole gang');
+      for (const job of snapshot.jobs) {
+        const at = zones.get(job.spec.id) ?? [];
+        if (job.spec.oneZone) assert.ok(new Set(at).size <= 1, 'one zone');
+        if (job.spec.spread)
+          for (const zone of at)
+            assert.ok(at.filter((other) => other === zone).length <= Math.ceil(job.spec.tasks / 2), 'spread');
+        if (job.spec.kind === 'gang')
+          assert.ok(at.length === 0 || at.length === job.spec.tasks, 'whole gang');
       }
     }),
     { seed: 21, numRuns: 400 },
@@ -119,13 +129,14 @@
 
 test('a plan by bounds starts and preempts the same as the exhaustive one', () => {
   fc.assert(
-    fc.property(anySnapshot, (s) => {
-      const fast = planTasks(s);
-      const plain = planTasks(s, { exhaustive: true });
+    fc.property(anySnapshot, (snapshot) => {
+      const fast = planTasks(snapshot);
+      const plain = planTasks(snapshot, { exhaustive: true });
       assert.deepEqual(fast.starts, plain.starts);
       assert.deepEqual(fast.queuedStarts, plain.queuedStarts);
       assert.deepEqual(fast.preemptions, plain.preemptions);
-      const tasks = (p: typeof fast): number => p.unplacedDemand.reduce((sum, u) => sum + u.taskCount, 0);
+      const tasks = (plan: typeof fast): number =>
+        plan.unplacedDemand.reduce((sum, demand) => sum + demand.taskCount, 0);
       assert.equal(tasks(fast), tasks(plain));
     }),
     { seed: 22, numRuns: 1500 },
@@ -136,17 +147,21 @@
 function busyFleet(machines: number, jobs: number, tasks: number): ClusterSnapshot {
   return {
     ...snapshot(
-      Array.from({ length: jobs }, (_, i) =>
-        view(jobSpec({ id: id(i), tasks, cpus: 2 + (i % 3), estimateS: 5 + ((i * 37) % 40) })),
+      Array.from({ length: jobs }, (_, index) =>
+        view(jobSpec({ id: id(index), tasks, cpus: 2 + (index % 3), estimateS: 5 + ((index * 37) % 40) })),
       ),
-      Array.from({ length: machines }, (_, n) =>
-        machine(n, 1, {
-          spot: n % 2 === 0,
+      Array.from({ length: machines }, (_, index) =>
+        machine(index, 1, {
+          spot: index % 2 === 0,
           occupants:
-            n % 20 === 0 && n < 100
+            index % 20 === 0 && index < 100
               ? []
-              : Array.from({ length: 4 }, (_o, k) =>
-                  occupant({ cpus: 4, task: n * 4 + k, remainingS: 1 + ((n * 7 + k * 13) % 50) }),
+              : Array.from({ length: 4 }, (_o, occupantIndex) =>
+                  occupant({
+                    cpus: 4,
+                    task: index * 4 + occupantIndex,
+                    remainingS: 1 + ((index * 7 + occupantIndex * 13) % 50),
+                  }),
                 ),
         }),
       ),
--- a/packages/planner/test/scheduling.test.ts
+++ b/packages/planner/test/scheduling.test.ts
@@ -18,9 +18,9 @@
 
 // A burst was served in the order of its arrival, each job at the last moment, and none of some two hundred in time.
 test('in a long queue a job that waits as long as all others is not starved', () => {
-  const jobs = Array.from({ length: 12 }, (_, i) =>
-    view(jobSpec({ id: id(i), cpus: 4, tasks: 1, estimateS: i === 0 ? 20 : 10 }), {
-      totalWaitS: i === 0 ? 40 : 1,
+  const jobs = Array.from({ length: 12 }, (_, index) =>
+    view(jobSpec({ id: id(index), cpus: 4, tasks: 1, estimateS: index === 0 ? 20 : 10 }), {
+      totalWaitS: index === 0 ? 40 : 1,
     }),
   );
   assert.equal(
@@ -84,7 +84,7 @@
     machine(1, 0, { occupants: [occupant({ lostWorkS: 3, task: 1 })] }),
   ];
   assert.deepEqual(
-    planTasks(snapshot([service], machines)).preemptions.map((x) => x.task),
+    planTasks(snapshot([service], machines)).preemptions.map((preemption) => preemption.task),
     [1],
   );
   const low = { ...service, spec: { ...service.spec, priority: 'normal' as const, team: 'blue' } };
@@ -130,18 +130,18 @@
 
 test('replicas avoid machines that a whole task would fit on', () => {
   const service = view(jobSpec({ id: id(1), kind: 'service', cpus: 1, tasks: 1, spot: false }));
-  const s = {
+  const withTypicalTask = {
     ...snapshot([service], [machine(0, 1), machine(1, 0)]),
     typicalTask: { cpus: 8, gpus: 0, memoryGb: 8 },
   };
-  assert.equal(planTasks(s).starts[0]?.machine, machine(1, 0).id);
+  assert.equal(planTasks(withTypicalTask).starts[0]?.machine, machine(1, 0).id);
 });
 
 test('a waiting gang keeps its places in the queues, so that the next one is known to start later', () => {
-  const gang = (n: number): JobView =>
+  const gang = (index: number): JobView =>
     view(
       jobSpec({
-        id: id(n),
+        id: id(index),
         kind: 'gang',
         gpus: 4,
         cpus: 2,
@@ -157,7 +157,7 @@
   const { starts, unplacedDemand: unmet } = planTasks(snapshot([gang(1), gang(2)], [full]));
   assert.deepEqual(starts, []);
   assert.deepEqual(
-    unmet.map((u) => Math.round(u.startsInS)),
+    unmet.map((demand) => Math.round(demand.startsInS)),
     [10, 31],
   );
 });
@@ -167,9 +167,9 @@
   const gang = { kind: 'gang', gpus: 4, cpus: 2, tasks: 1, spot: false, estimateS: 60 } as const;
   const long = view(jobSpec({ id: id(1), ...gang }), { ...aims, totalWaitS: 50 });
   const short = view(jobSpec({ id: id(2), ...gang, estimateS: 5 }), aims);
-  const s = { ...snapshot([long, short], [machine(0, 2)]), starvationThresholdS: 30 };
+  const withThreshold = { ...snapshot([long, short], [machine(0, 2)]), starvationThresholdS: 30 };
   assert.deepEqual(
-    planTasks(s).starts.map((x) => x.job),
+    planTasks(withThreshold).starts.map((start) => start.job),
     [id(1)],
   );
 });
@@ -189,10 +189,10 @@
   );
   const clips = Array.from({ length: 4 }, (_, task) => occupant({ task, cpus: 1, gpus: 1 }));
   const high = occupant({ job: id(901), cpus: 1, gpus: 4, priority: 'high' });
-  const busy = (n: number, occupants: Occupant[]): MachineView => machine(n, 2, { occupants });
+  const busy = (index: number, occupants: Occupant[]): MachineView => machine(index, 2, { occupants });
   const half = planTasks(snapshot([gang], [busy(0, clips), busy(3, [high])]));
   assert.deepEqual(half.preemptions, []);
-  const others = clips.map((o) => ({ ...o, job: id(902) }));
+  const others = clips.map((occupant) => ({ ...occupant, job: id(902) }));
   assert.equal(planTasks(snapshot([gang], [busy(0, clips), busy(3, others)])).preemptions.length, 8);
 });
 
@@ -210,8 +210,10 @@
 
 // A burst's tasks were taken to start before anything was free for them: machines came a minute late.
 test('waiting tasks are estimated to start no sooner than room for all of them comes free', () => {
-  const busy = Array.from({ length: 10 }, (_, n) =>
-    machine(n, 2, { occupants: [occupant({ cpus: 8, gpus: 4, remainingS: (n + 1) * 5, priority: 'high' })] }),
+  const busy = Array.from({ length: 10 }, (_, index) =>
+    machine(index, 2, {
+      occupants: [occupant({ cpus: 8, gpus: 4, remainingS: (index + 1) * 5, priority: 'high' })],
+    }),
   );
   const waiting = view(jobSpec({ id: id(1), cpus: 8, gpus: 4, tasks: 6, estimateS: 50, team: 'red' }));
   const teams = [{ name: 'red', cpus: 1e6, cpusMax: 1e6, gpus: 1e6, gpusMax: 1e6 }];
@@ -223,11 +225,11 @@
 test('a large job that has not started after two and a half minutes starts with one task, ahead of smaller jobs', () => {
   const large = (ageS: number, over: Partial<JobView> = {}): JobView =>
     view(jobSpec({ id: id(1), tasks: 4, cpus: 2, estimateS: 30 }), { ageS, totalWaitS: 0, ...over });
-  const small = [2, 3, 4].map((n) =>
-    view(jobSpec({ id: id(n), tasks: 1, cpus: 2, estimateS: 2 }), { ageS: 1 }),
+  const small = [2, 3, 4].map((index) =>
+    view(jobSpec({ id: id(index), tasks: 1, cpus: 2, estimateS: 2 }), { ageS: 1 }),
   );
-  const started = (j: JobView): string[] =>
-    planTasks(snapshot([j, ...small], [machine(1)])).starts.map((s) => `${s.job}/${s.task}`);
+  const started = (job: JobView): string[] =>
+    planTasks(snapshot([job, ...small], [machine(1)])).starts.map((start) => `${start.job}/${start.task}`);
   assert.deepEqual(started(large(100)), [`${id(2)}/0`, `${id(3)}/0`]);
   assert.deepEqual(started(large(150)), [`${id(1)}/0`, `${id(2)}/0`]);
   // Of one that has begun the order alone decides.
--- a/packages/planner/test/snapshot-fixtures.ts
+++ b/packages/planner/test/snapshot-fixtures.ts
@@ -9,13 +9,13 @@
 import type { ClusterSnapshot, JobView, MachineView, Occupant } from '../src/index.js';
 
 /** A job id by its number. */
-export const id = (n: number): JobId => `wk-${String(n).padStart(6, '0')}` as JobId;
+export const id = (index: number): JobId => `wk-${String(index).padStart(6, '0')}` as JobId;
 
 /** A job, all of it waiting. */
 export function view(spec: JobSpec, over: Partial<JobView> = {}): JobView {
   return {
     spec,
-    pendingTasks: Array.from({ length: spec.tasks }, (_, t) => t),
+    pendingTasks: Array.from({ length: spec.tasks }, (_, task) => task),
     pendingCount: spec.tasks,
     unfinishedCount: spec.tasks,
     placedZones: [],
@@ -33,11 +33,11 @@
 }
 
 /** An empty machine. */
-export function machine(n: number, type = 0, over: Partial<MachineView> = {}): MachineView {
+export function machine(index: number, type = 0, over: Partial<MachineView> = {}): MachineView {
   return {
-    id: `n-${String(n).padStart(6, '0')}` as MachineId,
+    id: `n-${String(index).padStart(6, '0')}` as MachineId,
     type: TYPES[type] as MachineView['type'],
-    zone: ZONES[n % 3] as string,
+    zone: ZONES[index % 3] as string,
     spot: false,
     isSchedulable: true,
     images: new Map(),
