--- a/packages/measure/src/site-variants/report.ts
+++ b/packages/measure/src/site-variants/report.ts
@@ -98,7 +98,7 @@
   const last = new Map<string, Reading[]>();
   for (const line of log.split('\n')) {
     const at = line.indexOf('{"level"');
-    if (at < 0 || !line.includes('"msg":"served"')) continue;
+    if (at < 0 || !line.includes('"msg":"service levels"')) continue;
     const said = JSON.parse(line.slice(at)) as Record<string, unknown>;
     const who = String(said['who']);
     const isLargest = who.endsWith(', largest');
--- a/packages/measure/test/site-variants.test.ts
+++ b/packages/measure/test/site-variants.test.ts
@@ -125,8 +125,8 @@
   const log = [
     'calm   30   0.61  3/13',
     '1.0 n {"level":30,"from":"campaigning","to":"leading","msg":"leadership"}',
-    '2.0 n {"level":30,"who":"team red","replicas":0.8,"in time":0.3,"msg":"served"}',
-    '3.0 n {"level":30,"who":"team red","replicas":0.7,"ended":0.9,"msg":"served"}',
+    '2.0 n {"level":30,"who":"team red","replicas":0.8,"in time":0.3,"msg":"service levels"}',
+    '3.0 n {"level":30,"who":"team red","replicas":0.7,"ended":0.9,"msg":"service levels"}',
   ].join('\n');
   const day = readDay('east', 'calm', LIMITS, report({}), log);
   assert.equal(day.failed, false);
