--- a/packages/worker-shards/src/shard-balancer.ts
+++ b/packages/worker-shards/src/shard-balancer.ts
@@ -72,7 +72,7 @@
 
 /** Decides for one controller, at each heartbeat, whether the worker is redirected to another controller. */
 export class ShardBalancer {
-  private current: BalanceState = 'balanced';
+  private state: BalanceState = 'balanced';
   private nextRedirectAt = 0 as MonotonicMs;
   private readonly recentRedirects = new Map<NodeId, RecentRedirects>();
 
@@ -81,11 +81,6 @@
     private readonly self: NodeId,
   ) {}
 
-  /** Whether this controller is shedding workers at present. */
-  get state(): BalanceState {
-    return this.current;
-  }
-
   /** The controller to which the worker of this zone is redirected now, or null if it stays. */
   selectTarget(own: ShardOwner, others: readonly ShardOwner[], workerZone: string): NodeId | null {
     const now = this.clock.now();
@@ -102,16 +97,16 @@
   }
 
   private updateState(machineCount: number, targetSize: number): void {
-    if (this.current === 'balanced' && machineCount > targetSize * SHEDDING_START_RATIO + MIN_EXCESS_MACHINES)
+    if (this.state === 'balanced' && machineCount > targetSize * SHEDDING_START_RATIO + MIN_EXCESS_MACHINES)
       this.transitionTo('shedding');
-    if (this.current === 'shedding' && machineCount <= targetSize * SHEDDING_STOP_RATIO)
+    if (this.state === 'shedding' && machineCount <= targetSize * SHEDDING_STOP_RATIO)
       this.transitionTo('balanced');
   }
 
   /** A worker of this controller's own zone is redirected last: while there are others, they send heartbeats as often. */
   private mayRedirect(own: ShardOwner, targetSize: number, workerZone: string): boolean {
     if (workerZone !== own.zone) return true;
-    return this.current === 'shedding' && own.machineCount > targetSize * SHEDDING_START_RATIO;
+    return this.state === 'shedding' && own.machineCount > targetSize * SHEDDING_START_RATIO;
   }
 
   private selectOwner(
@@ -125,7 +120,7 @@
     for (const owner of others) {
       const targetSize = targetSizes.get(owner.node) ?? 0;
       const isInWorkerZone = owner.zone === workerZone;
-      if (this.current !== 'shedding' && !isInWorkerZone) continue;
+      if (this.state !== 'shedding' && !isInWorkerZone) continue;
       const room = this.remainingRoom(owner, isInWorkerZone ? targetSize * HOME_ZONE_RATIO : targetSize);
       // A controller of the worker's zone is preferred to every other one that has room.
       const score = room <= 0 ? 0 : isInWorkerZone ? room + targetSize + own.machineCount : room;
@@ -155,14 +150,14 @@
   }
 
   private redirectsPerS(machineCount: number): number {
-    if (this.current !== 'shedding') return HOME_MOVES_PER_S;
+    if (this.state !== 'shedding') return HOME_MOVES_PER_S;
     return Math.max(MIN_SHEDDING_RATE_PER_S, machineCount * SHEDDING_SHARE_PER_S);
   }
 
   /** The only function that changes the state. */
   private transitionTo(next: BalanceState): void {
-    if (next === this.current) return;
-    balanceTransitions.assertAllowed(this.current, next);
-    this.current = next;
+    if (next === this.state) return;
+    balanceTransitions.assertAllowed(this.state, next);
+    this.state = next;
   }
 }
