--- a/packages/controller/test/cluster-state.test.ts
+++ b/packages/controller/test/cluster-state.test.ts
@@ -9,11 +9,11 @@
 
 const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
-for (const [session, pending] of [
+for (const [agentEpoch, pending] of [
   [1, 1],
   [2, 2],
 ] as const)
-  test(`a machine heard in session ${session} before the records were read: ${pending} tasks wait`, () => {
+  test(`a machine heard of in agent epoch ${agentEpoch} before the records were read: ${pending} tasks are pending`, () => {
     const cluster = new ClusterState({
       clock: { now: () => 5 as MonotonicMs, sleep: () => Promise.resolve() },
       log: silent,
@@ -22,7 +22,7 @@
       previousLeaderRenewsUntil: 0 as MonotonicMs,
     });
     const machine = 'n-000006' as MachineId;
-    cluster.registerMachine(machine, 's4', 'b', true).agentEpoch = session as AgentEpoch;
+    cluster.registerMachine(machine, 's4', 'b', true).agentEpoch = agentEpoch as AgentEpoch;
     const spec = jobSpec({ id: 'wk-000001' as JobId, tasks: 2 });
     const job = cluster.applyJobRecord(
       { spec, phase: 'active', submittedAt: 0 as WallClockMs, chunkSize: 256 },
--- a/packages/controller/test/fleet-view.test.ts
+++ b/packages/controller/test/fleet-view.test.ts
@@ -9,8 +9,8 @@
 
 const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
-// A zone cut off before a takeover passed for one that was booting: no room was rented for the replicas lost with it.
-test('a machine that ran something before this leader and is not heard counts as coming for a while only', () => {
+// A zone that was cut off before a failover was taken for one that was booting: no machines replaced the lost ones.
+test('a machine that ran tasks before this leader and is not heard of counts as booting for a while only', () => {
   const cluster = new ClusterState({
     clock: { now: () => 0 as MonotonicMs, sleep: () => Promise.resolve() },
     log: silent,
@@ -28,10 +28,10 @@
   assert.ok(job !== null);
   job.restorePlacement(0, 'n-000001' as MachineId, 1 as AgentEpoch, 1 as Attempt, 0 as MonotonicMs);
   cluster.finishRestore(job);
-  const coming = (now: number): string[] =>
+  const bootingAt = (now: number): string[] =>
     buildFleetView(cluster, now as MonotonicMs, false, 8000 as MonotonicMs)
-      .filter((m) => m.isBooting)
-      .map((m) => m.id);
-  assert.deepEqual(coming(7000), ['n-000001', 'n-000002']);
-  assert.deepEqual(coming(8000), ['n-000002']);
+      .filter(({ isBooting }) => isBooting)
+      .map(({ id }) => id);
+  assert.deepEqual(bootingAt(7000), ['n-000001', 'n-000002']);
+  assert.deepEqual(bootingAt(8000), ['n-000002']);
 });
--- a/packages/controller/test/quota-enforcement.test.ts
+++ b/packages/controller/test/quota-enforcement.test.ts
@@ -16,8 +16,8 @@
 const SESSION = 1 as AgentEpoch;
 const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
-/** One machine on which so many tasks wait for room, of which no start was sent, planned once by this limit of CPUs. */
-async function planOnce(waiting: number, cpusMax: number): Promise<Job> {
+/** Queues tasks on one machine, makes one scheduling pass under this limit of CPUs, and starts what fits. */
+async function jobAfterPass(waiting: number, cpusMax: number): Promise<Job> {
   const clock = { now: () => 50_000 as MonotonicMs, sleep: () => Promise.resolve() };
   const team: Team = { name: 'red', cpus: 0, cpusMax, gpus: 0, gpusMax: Infinity };
   const configuration = { version: 3 as ConfigurationVersion, teams: [team], objectives: [] };
@@ -49,19 +49,19 @@
   const machine = cluster.registerMachine(MACHINE, 'm16', 'a', true);
   machine.agentEpoch = SESSION;
   for (let task = 0; task < waiting; task += 1) {
-    const p = cluster.placeTask(job, task, MACHINE, SESSION, null);
-    cluster.markDurable(job, [{ task, attempt: p.attempt }]);
-    assert.equal(p.state, 'queued');
+    const placement = cluster.placeTask(job, task, MACHINE, SESSION, null);
+    cluster.markDurable(job, [{ task, attempt: placement.attempt }]);
+    assert.equal(placement.state, 'queued');
   }
-  const planning = new SchedulingLoop(term, cluster, new RuntimeEstimator(), {
+  const loop = new SchedulingLoop(term, cluster, new RuntimeEstimator(), {
     isSchedulable: () => true,
     mayPlaceTasks: () => true,
     unconfirmedUsage: () => ({ cpus: 0, gpus: 0 }),
     isReconnectionWave: () => false,
     onUnplacedDemand: () => undefined,
   });
-  planning.requestPass();
-  await planning.run();
+  loop.requestPass();
+  await loop.run();
   assert.deepEqual(planned, [3]);
   const queues = new MachineQueues(cluster, clock.now);
   queues.startFitting(MACHINE);
@@ -69,10 +69,10 @@
 }
 
 const startingOf = (job: Job): number =>
-  [...job.placements.values()].filter((p) => p.state === 'starting').length;
+  [...job.placements.values()].filter(({ state }) => state === 'starting').length;
 
-test('of what waits for room, only what the lowered limit allows is let start', async () => {
-  assert.equal(startingOf(await planOnce(4, 2)), 2);
-  assert.equal(startingOf(await planOnce(4, 0)), 0);
-  assert.equal(startingOf(await planOnce(4, 4)), 4);
+test('of the queued tasks only those start that a lowered limit allows', async () => {
+  assert.equal(startingOf(await jobAfterPass(4, 2)), 2);
+  assert.equal(startingOf(await jobAfterPass(4, 0)), 0);
+  assert.equal(startingOf(await jobAfterPass(4, 4)), 4);
 });
--- a/packages/controller/test/service-level-tracker.test.ts
+++ b/packages/controller/test/service-level-tracker.test.ts
@@ -11,13 +11,13 @@
 
 const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
-test('what began under an earlier leader is not counted as begun when this one first hears of it', async () => {
+test('a job that began under an earlier leader does not count as started when this one first hears that it runs', async () => {
   for (const isRestored of [true, false]) {
     const time = { now: 1000 };
     let slept = 0;
     const clock = {
       now: () => time.now as MonotonicMs,
-      // One look at the sizes, and then this leader's time is over.
+      // One sample of the sizes, then the leader's term is over.
       sleep: () => {
         if ((slept += 1) > 1) term.end();
         return Promise.resolve();
@@ -31,24 +31,24 @@
       previousLeaderRenewsUntil: 0 as MonotonicMs,
     });
     const term = new LeaderTerm({ clock, log: silent } as unknown as LeaderContext);
-    const served = new ServiceLevelTracker(term, cluster);
-    const jobs = Array.from({ length: 8 }, (_, i) => {
-      const spec = jobSpec({ id: `wk-00000${i}` as JobId, tasks: 1 + i });
+    const tracker = new ServiceLevelTracker(term, cluster);
+    const jobs = Array.from({ length: 8 }, (_, index) => {
+      const spec = jobSpec({ id: `wk-00000${index}` as JobId, tasks: 1 + index });
       return cluster.applyJobRecord(
         { spec, phase: 'active', submittedAt: 0 as WallClockMs, chunkSize: 256 },
         3 as Version,
       );
     });
     const place = (): void => {
-      for (const j of jobs)
-        if (j !== null) cluster.placeTask(j, 0, 'n-000001' as MachineId, 1 as AgentEpoch, null);
+      for (const job of jobs)
+        if (job !== null) cluster.placeTask(job, 0, 'n-000001' as MachineId, 1 as AgentEpoch, null);
     };
     if (isRestored) place();
-    await served.run();
+    await tracker.run();
     if (!isRestored) place();
     time.now += 300_000;
-    for (const j of jobs) j?.applyReportedPhase(0, 'running', time.now as MonotonicMs);
-    const largest = served.current().get('class work, largest');
+    for (const job of jobs) job?.applyReportedPhase(0, 'running', time.now as MonotonicMs);
+    const largest = tracker.current().get('class work, largest');
     assert.deepEqual([largest?.couldStart, largest?.started], [2, isRestored ? 2 : 0]);
   }
 });
