--- a/packages/controller/src/heartbeats/command-dispatcher.ts
+++ b/packages/controller/src/heartbeats/command-dispatcher.ts
@@ -44,7 +44,7 @@
     private readonly receiver: HeartbeatReceiver,
   ) {
     this.planner = new CommandPlanner(term, cluster, policy);
-    cluster.on('due', (machine) => {
+    cluster.on('commandsDue', (machine) => {
       this.dispatch(machine);
     });
   }
--- a/packages/controller/src/heartbeats/heartbeat-handler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-handler.ts
@@ -92,13 +92,13 @@
     if (machine.state === 'booting') {
       const { id, type, zone, spot } = machine;
       this.term.context.log.info({ machine: id, type, zone, spot }, 'machine up');
-      this.cluster.emit('up', machine);
+      this.cluster.emit('machineUp', machine);
       machine.idleSince = this.cluster.taskCountOn(id) > 0 ? null : now;
       machine.transitionTo('ready');
-      this.cluster.emit('plan');
+      this.cluster.emit('replanNeeded');
     } else if (machine.state === 'silent') {
       machine.transitionTo('ready');
-      this.cluster.emit('plan');
+      this.cluster.emit('replanNeeded');
     }
     if (machine.drainReason !== '' && machine.state === 'ready') machine.transitionTo('draining');
   }
@@ -119,8 +119,8 @@
         )
           this.cluster.stopGang(job, graceS, 'drained');
     }
-    this.cluster.emit('due', machine.id);
-    this.cluster.emit('plan');
+    this.cluster.emit('commandsDue', machine.id);
+    this.cluster.emit('replanNeeded');
   }
 }
 
--- a/packages/controller/src/heartbeats/task-status-handler.ts
+++ b/packages/controller/src/heartbeats/task-status-handler.ts
@@ -66,7 +66,8 @@
       return;
     }
     const { state } = placement;
-    if (state === 'starting' || state === 'queued' || state === 'intended') this.cluster.emit('changed', job);
+    if (state === 'starting' || state === 'queued' || state === 'intended')
+      this.cluster.emit('jobChanged', job);
     if (status.phase === 'running' && state !== 'running') this.onRunning(machine, job, placement);
     job.applyReportedPhase(placement.task, status.phase, now);
     // Tasks of the gang whose start was delayed for the slower ones may start now.
@@ -82,7 +83,7 @@
 
   private dispatchDelayedStarts(job: Job): void {
     for (const placement of job.placements.values())
-      if (placement.state === 'starting') this.cluster.emit('due', placement.machine);
+      if (placement.state === 'starting') this.cluster.emit('commandsDue', placement.machine);
   }
 
   private onExit(machine: Machine, job: Job, placement: Placement, cause: ExitCause, now: MonotonicMs): void {
--- a/packages/controller/src/jobs/cluster-state.ts
+++ b/packages/controller/src/jobs/cluster-state.ts
@@ -65,7 +65,7 @@
       log: options.log,
       placements: this.placements,
       previousLeaderRenewsUntil: options.previousLeaderRenewsUntil,
-      onAvailable: () => this.emit('plan'),
+      onAvailable: () => this.emit('replanNeeded'),
     });
     this.machines = this.registry.machines;
   }
@@ -100,7 +100,7 @@
         this.cancelJob(job);
       }
     }
-    this.emit('changed', job);
+    this.emit('jobChanged', job);
     return job;
   }
 
@@ -112,7 +112,7 @@
       this.options.log.debug({ job: id, class: jobClass, tasks, cpus, memoryGb, team }, 'job added');
     }
     this.jobs.set(spec.id, job);
-    this.emit('learned', job);
+    this.emit('jobAdded', job);
     return job;
   }
 
@@ -146,21 +146,21 @@
     job.transitionTo('cancelled');
     this.options.log.info({ job: job.spec.id, placed: job.placements.size }, 'job cancelled');
     this.stopTasks(job, [...job.placements.values()], 0, 'cancelled');
-    this.emit('ended', job);
-    this.emit('plan');
+    this.emit('jobEnded', job);
+    this.emit('replanNeeded');
   }
 
   private announceIfEnded(job: Job): void {
     if (job.state === 'active' && job.doneCount === job.spec.tasks) {
       job.transitionTo('closing');
-      this.emit('ended', job);
-    } else if (job.state === 'cancelled' && job.placements.size === 0) this.emit('ended', job);
+      this.emit('jobEnded', job);
+    } else if (job.state === 'cancelled' && job.placements.size === 0) this.emit('jobEnded', job);
   }
 
   /** Forgets a job that is over and whose task records are deleted. */
   releaseJob(job: Job): void {
     this.jobs.delete(job.spec.id);
-    this.emit('released', job);
+    this.emit('jobReleased', job);
   }
 
   // --- placements ------------------------------------------------------------------------------
@@ -184,7 +184,7 @@
   ): Placement {
     const placement = job.recordIntent(task, machine, agentEpoch, this.now(), sharedAttempt);
     this.addPlacement(job, placement);
-    this.emit('placed', job, task);
+    this.emit('taskPlaced', job, task);
     return placement;
   }
 
@@ -196,8 +196,8 @@
     if (placement === undefined) return;
     this.addPlacement(job, placement);
     if (phase !== 'exited') job.applyReportedPhase(task, phase, this.now());
-    this.emit('placed', job, task);
-    this.emit('changed', job);
+    this.emit('taskPlaced', job, task);
+    this.emit('jobChanged', job);
   }
 
   private addPlacement(job: Job, placement: Placement): void {
@@ -219,7 +219,7 @@
       const placement = job.placements.get(task);
       if (placement?.state === 'queued' || placement?.state === 'starting') machines.add(placement.machine);
     }
-    for (const id of machines) this.emit('due', id);
+    for (const id of machines) this.emit('commandsDue', id);
   }
 
   /**
@@ -244,8 +244,8 @@
     this.placements.remove(job, placement);
     const machine = this.machines.get(id);
     if (machine !== undefined && this.taskCountOn(id) === 0) machine.idleSince = now;
-    this.emit('changed', job);
-    this.emit('off', job, placement, isDone, reason);
+    this.emit('jobChanged', job);
+    this.emit('taskRemoved', job, placement, isDone, reason);
     // A gang that has lost a task cannot go on: the others are stopped, so that all start anew together. A gang that has
     // surely not started can be completed by a replacement under the same attempt, but not on a machine whose agent still
     // knows this attempt of the task: it would not start it again.
@@ -253,7 +253,7 @@
     if (job.spec.kind === 'gang' && !isDone && job.state === 'active' && !canReplace)
       this.stopGang(job, 0, 'gang');
     this.announceIfEnded(job);
-    this.emit('plan');
+    this.emit('replanNeeded');
   }
 
   /**
@@ -277,7 +277,7 @@
       return;
     }
     job.abandon(task);
-    this.emit('abandoned', job, task);
+    this.emit('taskAbandoned', job, task);
     this.announceIfEnded(job);
   }
 
@@ -293,7 +293,7 @@
       job.requestStop(task, graceS, reason, this.now());
       machines.add(machine);
     }
-    for (const id of machines) this.emit('due', id);
+    for (const id of machines) this.emit('commandsDue', id);
   }
 
   // --- machines --------------------------------------------------------------------------------
--- a/packages/controller/src/jobs/job-record-reader.ts
+++ b/packages/controller/src/jobs/job-record-reader.ts
@@ -94,7 +94,7 @@
   async watch(from: Revision): Promise<void> {
     await this.watcher.run(from, (items) => {
       for (const item of items) this.apply(item);
-      this.cluster.emit('plan');
+      this.cluster.emit('replanNeeded');
     });
   }
 }
--- a/packages/controller/src/jobs/job-service.ts
+++ b/packages/controller/src/jobs/job-service.ts
@@ -1,63 +1,81 @@
+/**
+ * Users' calls about jobs.
+ *
+ * @module
+ */
 import type { Configuration, ConfigurationVersion } from '@spurbridge/configuration';
 import type { JobRecord, WallClockMs } from '@spurbridge/model';
 import {
-  tasksPerChunk,
   decodeJob,
   encodeJob,
   jobKey,
-  rejectionReason,
   jobPhaseForUser,
+  rejectionReason,
+  tasksPerChunk,
 } from '@spurbridge/model';
-import type { KeyValueStore } from '@spurbridge/store';
-import type { JobId, JobPhase, JobSpec, MachineType, Version } from '@spurbridge/wire';
+import type { RequestPriority } from '@spurbridge/net';
+import type { KeyValueStore, ReadOutcome } from '@spurbridge/store';
+import type { JobId, JobSpec, MachineType, Version } from '@spurbridge/wire';
 import { KEY_ABSENT, ValidationError, parseSubmission, parseSubmissionId } from '@spurbridge/wire';
 import type { Settings } from '../settings.js';
 import type { JobOutcome } from './job-outcome.js';
 import { JOB_NOT_FOUND, jobUnavailable } from './job-outcome.js';
 
-const TRIES = 3;
+/** A cancellation is attempted so many times while others change the job's record. */
+const MAX_CANCEL_ATTEMPTS = 3;
+const USER_REQUEST_PRIORITY: RequestPriority = 1;
 
-/** The configuration as a node that answers users needs it. */
+/** The configuration that submissions are checked against. */
 export interface ConfigurationSource {
-  /** The version that this node goes by. */
+  /** The version that this controller uses. */
   current(): Configuration;
-  /** The version that the state service holds now; null: it does not answer. */
+  /** The latest version in the key-value store, or null when the store does not respond. */
   latestVersion(): Promise<ConfigurationVersion | null>;
 }
 
-/** Users' calls, answered by any node from the state service alone. */
+/** How many of a job's tasks are done and running. */
+export interface TaskCounts {
+  readonly done: number;
+  readonly running: number;
+}
+
+/** The record of a user's job, or the outcome of the call where there is none. */
+type JobLookup =
+  | { readonly kind: 'found'; readonly record: JobRecord; readonly version: Version }
+  | { readonly kind: 'outcome'; readonly outcome: JobOutcome };
+
+/** Serves users' calls on any controller, by the key-value store alone. */
 export class JobService {
   constructor(
     private readonly settings: Settings,
     private readonly store: KeyValueStore,
     private readonly wallNow: () => WallClockMs,
-    private readonly types: () => readonly MachineType[],
+    private readonly machineTypes: () => readonly MachineType[],
     private readonly configuration: ConfigurationSource,
-    private readonly progress: (id: JobId) => { done: number; running: number } | null,
+    /** The progress of a job as the leader last published it, or null where it is not known. */
+    private readonly progress: (id: JobId) => TaskCounts | null,
   ) {}
 
+  /**
+   * Submits a job. A submission that is repeated has the outcome of a status request, even if the job would be rejected
+   * now.
+   */
   async submit(body: unknown): Promise<JobOutcome> {
     let spec: JobSpec;
     try {
       spec = parseSubmission(body);
-    } catch (e) {
-      return this.malformed(body, e);
+    } catch (error) {
+      return this.malformed(body, error);
     }
-    if (this.types().length === 0)
+    if (this.machineTypes().length === 0)
       return this.statusOr(spec.id, jobUnavailable('machine types are not known yet'));
-    const never = this.refusal(spec);
-    // A retry of a known job is answered with its state even if the job would be refused now.
-    if (never !== null) return this.statusOr(spec.id, await this.confirmRefusal(spec, never));
-    const record: JobRecord = {
-      spec,
-      phase: 'active',
-      submittedAt: this.wallNow(),
-      chunkSize: tasksPerChunk(this.settings.storeLimits.valueKb),
-    };
+    const reason = this.rejectionOf(spec);
+    if (reason !== null) return this.statusOr(spec.id, await this.confirmRejection(spec, reason));
+    const key = jobKey(spec.id);
     const outcome = await this.store.commit(
-      [{ key: jobKey(spec.id), version: KEY_ABSENT }],
-      [{ put: jobKey(spec.id), value: encodeJob(record) }],
-      1,
+      [{ key, version: KEY_ABSENT }],
+      [{ put: key, value: encodeJob(this.newRecord(spec)) }],
+      USER_REQUEST_PRIORITY,
     );
     if (outcome.outcome === 'committed')
       return { outcome: 'created', status: { id: spec.id, phase: 'queued' } };
@@ -65,71 +83,79 @@
     return jobUnavailable('the state service did not confirm');
   }
 
-  private refusal(spec: JobSpec): string | null {
+  private newRecord(spec: JobSpec): JobRecord {
+    return {
+      spec,
+      phase: 'active',
+      submittedAt: this.wallNow(),
+      chunkSize: tasksPerChunk(this.settings.storeLimits.valueKb),
+    };
+  }
+
+  /** Why the job can never run, or null. */
+  private rejectionOf(spec: JobSpec): string | null {
     const { teams } = this.configuration.current();
-    if (teams.some((t) => t.name === spec.team && t.isRetired)) return 'the team is retired';
-    return rejectionReason(spec, teams, this.types());
+    if (teams.some((team) => team.name === spec.team && team.isRetired)) return 'the team is retired';
+    return rejectionReason(spec, teams, this.machineTypes());
   }
 
   /**
-   * A refusal is final for its user, so it is never given from an old configuration: the state service says first that
-   * there is no later one.
+   * A rejection is final for its user, so that it must not be based on an old configuration: the key-value store has to
+   * confirm first that there is no later one.
    */
-  private async confirmRefusal(spec: JobSpec, never: string): Promise<JobOutcome> {
+  private async confirmRejection(spec: JobSpec, reason: string): Promise<JobOutcome> {
     const version = await this.configuration.latestVersion();
     if (version === null) return jobUnavailable('the configuration cannot be confirmed');
     if (version === this.configuration.current().version)
-      return { outcome: 'rejected', error: this.refusal(spec) ?? never };
+      return { outcome: 'rejected', error: this.rejectionOf(spec) ?? reason };
     return jobUnavailable('a later configuration is being taken in');
   }
 
-  private async malformed(body: unknown, e: unknown): Promise<JobOutcome> {
-    if (!(e instanceof ValidationError)) throw e;
-    const refusal: JobOutcome = { outcome: 'malformed', error: e.message };
+  private async malformed(body: unknown, error: unknown): Promise<JobOutcome> {
+    if (!(error instanceof ValidationError)) throw error;
+    const malformed: JobOutcome = { outcome: 'malformed', error: error.message };
     let id: JobId;
     try {
       id = parseSubmissionId(body);
     } catch {
-      return refusal;
+      return malformed;
     }
-    return this.statusOr(id, refusal);
+    return this.statusOr(id, malformed);
   }
 
-  /** The state of a job that is known already; otherwise the given answer. */
+  /** The status of the job where it is known, the other outcome where it is not. */
   private async statusOr(id: JobId, otherwise: JobOutcome): Promise<JobOutcome> {
     const status = await this.status(id);
     return status.outcome === 'not-found' ? otherwise : status;
   }
 
+  /** The status of a job. */
   async status(id: JobId): Promise<JobOutcome> {
-    const found = await this.store.read(jobKey(id), 1);
-    if (found.outcome === 'absent') return JOB_NOT_FOUND;
-    if (found.outcome !== 'found') return jobUnavailable('the state service does not answer');
-    const record = readable(found.item.value);
-    if (record === null) return jobUnavailable('the record cannot be read');
-    // A part of a task graph is no job that anybody submitted: its graph is asked about, and cancelled.
-    if (record.graph !== undefined) return JOB_NOT_FOUND;
-    const p = this.progress(id) ?? { done: 0, running: 0 };
-    const phase: JobPhase = jobPhaseForUser(record, p.running);
-    const done = phase === 'done' ? record.spec.tasks : p.done;
-    const running = record.phase === 'active' ? p.running : 0;
+    const found = await this.store.read(jobKey(id), USER_REQUEST_PRIORITY);
+    const lookup = lookUp(found);
+    if (lookup.kind === 'outcome') return lookup.outcome;
+    const { record } = lookup;
+    const counts = this.progress(id) ?? { done: 0, running: 0 };
+    const phase = jobPhaseForUser(record, counts.running);
+    const done = phase === 'done' ? record.spec.tasks : counts.done;
+    const running = record.phase === 'active' ? counts.running : 0;
     return { outcome: 'known', status: { id, phase, done, running } };
   }
 
+  /** Cancels a job; one that is over keeps its phase. */
   async cancel(id: JobId): Promise<JobOutcome> {
-    for (let n = 0; n < TRIES; n += 1) {
-      const found = await this.store.read(jobKey(id), 1);
-      if (found.outcome === 'absent') return JOB_NOT_FOUND;
-      if (found.outcome !== 'found') return jobUnavailable('the state service does not answer');
-      const record = readable(found.item.value);
-      if (record === null) return jobUnavailable('the record cannot be read');
-      if (record.graph !== undefined) return JOB_NOT_FOUND;
+    const key = jobKey(id);
+    for (let attempt = 0; attempt < MAX_CANCEL_ATTEMPTS; attempt += 1) {
+      const found = await this.store.read(key, USER_REQUEST_PRIORITY);
+      const lookup = lookUp(found);
+      if (lookup.kind === 'outcome') return lookup.outcome;
+      const { record, version } = lookup;
       if (record.phase !== 'active') return { outcome: 'known', status: { id, phase: record.phase } };
-      const cancelledAt = this.wallNow();
+      const cancelled: JobRecord = { ...record, phase: 'cancelled', cancelledAt: this.wallNow() };
       const outcome = await this.store.commit(
-        [{ key: jobKey(id), version: found.item.version satisfies Version }],
-        [{ put: jobKey(id), value: encodeJob({ ...record, phase: 'cancelled', cancelledAt }) }],
-        1,
+        [{ key, version }],
+        [{ put: key, value: encodeJob(cancelled) }],
+        USER_REQUEST_PRIORITY,
       );
       if (outcome.outcome === 'committed') return { outcome: 'known', status: { id, phase: 'cancelled' } };
       if (outcome.outcome !== 'conflict') return jobUnavailable('the state service did not confirm');
@@ -138,12 +164,23 @@
   }
 }
 
-/** A record that no copy is left of and nobody can read any more says neither that a job is known nor that it is not. */
-function readable(value: unknown): JobRecord | null {
+function lookUp(found: ReadOutcome): JobLookup {
+  if (found.outcome === 'absent') return { kind: 'outcome', outcome: JOB_NOT_FOUND };
+  if (found.outcome !== 'found')
+    return { kind: 'outcome', outcome: jobUnavailable('the state service does not answer') };
+  const record = decodeReadable(found.item.value);
+  if (record === null) return { kind: 'outcome', outcome: jobUnavailable('the record cannot be read') };
+  // Nobody submitted a part of a task graph as a job: status requests and cancellations are for its graph.
+  if (record.graph !== undefined) return { kind: 'outcome', outcome: JOB_NOT_FOUND };
+  return { kind: 'found', record, version: found.item.version };
+}
+
+/** Decodes a record. Null for a damaged one without an intact replica, which says neither that the job exists nor not. */
+function decodeReadable(value: unknown): JobRecord | null {
   try {
     return decodeJob(value);
-  } catch (e) {
-    if (e instanceof ValidationError) return null;
-    throw e;
+  } catch (error) {
+    if (error instanceof ValidationError) return null;
+    throw error;
   }
 }
--- a/packages/controller/src/jobs/progress-publisher.ts
+++ b/packages/controller/src/jobs/progress-publisher.ts
@@ -18,7 +18,7 @@
     private readonly term: LeaderTerm,
     private readonly cluster: ClusterState,
   ) {
-    cluster.on('changed', (job) => {
+    cluster.on('jobChanged', (job) => {
       this.changedJobs.add(job.spec.id);
     });
   }
--- a/packages/controller/src/jobs/record-writer.ts
+++ b/packages/controller/src/jobs/record-writer.ts
@@ -69,16 +69,16 @@
     private readonly jobRecords: JobRecordSink,
     private readonly closePolicy: JobClosePolicy,
   ) {
-    cluster.on('placed', (job, task) => {
+    cluster.on('taskPlaced', (job, task) => {
       this.enqueue(job, task, true);
     });
-    cluster.on('off', (job, placement) => {
+    cluster.on('taskRemoved', (job, placement) => {
       this.enqueue(job, placement.task, false);
     });
-    cluster.on('abandoned', (job, task) => {
+    cluster.on('taskAbandoned', (job, task) => {
       this.enqueue(job, task, false);
     });
-    cluster.on('ended', (job) => {
+    cluster.on('jobEnded', (job) => {
       this.onJobEnded(job);
     });
   }
--- a/packages/controller/src/jobs/service-level-tracker.ts
+++ b/packages/controller/src/jobs/service-level-tracker.ts
@@ -50,12 +50,12 @@
     private readonly term: LeaderTerm,
     private readonly cluster: ClusterState,
   ) {
-    cluster.on('ended', (job) => {
+    cluster.on('jobEnded', (job) => {
       if (job.state === 'active' || this.countedJobs.has(job)) return;
       this.countedJobs.add(job);
       this.count(job, job.state === 'closing', (name) => countsIn(this.endedCounts, name));
     });
-    cluster.on('learned', ({ spec }) => {
+    cluster.on('jobAdded', ({ spec }) => {
       const { sizes } = this.sizesOf(spec.class);
       sizes.push(jobSize(spec));
       if (sizes.length > MAX_JOB_SIZES) sizes.shift();
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -154,7 +154,7 @@
       ageMs: (at) => Math.max(0, wallNow() - at),
       previousLeaderRenewsUntil: addMs(this.term.electedAt, maxRenewalStalenessMs(settings)),
     });
-    cluster.on('learned', ({ spec }) => {
+    cluster.on('jobAdded', ({ spec }) => {
       if (spec.kind !== 'service' && spec.cpus > 0) this.runtimes.observeTaskSize(spec);
     });
     return cluster;
@@ -204,7 +204,7 @@
   /** Takes in a heartbeat from a direct call. Tasks that fit now need not wait for the worker's next own heartbeat. */
   private receiveDirectHeartbeat(heartbeat: Heartbeat): void {
     this.heartbeats.receive(heartbeat, false);
-    if (this.queues.startFitting(heartbeat.machine)) this.cluster.emit('due', heartbeat.machine);
+    if (this.queues.startFitting(heartbeat.machine)) this.cluster.emit('commandsDue', heartbeat.machine);
   }
 
   private recordArrival({ spec, submittedAt }: JobRecord): void {
--- a/packages/controller/src/machines/failure-detector.ts
+++ b/packages/controller/src/machines/failure-detector.ts
@@ -141,7 +141,7 @@
     if (!wasHeard || !isUnreachable(machine) || silenceMs <= heartbeatTimeoutMs(settings)) return;
     log.info({ machine: machine.id, silence: Math.round(silenceMs) }, 'machine is silent');
     machine.transitionTo('silent');
-    this.cluster.emit('plan');
+    this.cluster.emit('replanNeeded');
   }
 
   /** Releases a preempted machine after its deadline, and stops tasks in time for their last checkpoint before it. */
@@ -158,7 +158,7 @@
       const graceS = saveS + CHECKPOINT_MARGIN_S;
       if (kind !== 'array' || checkpointS <= 0 || now <= addMs(deadline, -graceS * 1000)) continue;
       job.requestStop(task, graceS, 'drained', now);
-      this.cluster.emit('due', machine.id);
+      this.cluster.emit('commandsDue', machine.id);
     }
   }
 
--- a/packages/controller/src/machines/fleet-controller.ts
+++ b/packages/controller/src/machines/fleet-controller.ts
@@ -63,7 +63,7 @@
     this.lister = new MachineLister(term, cluster, this.releaser);
     this.provisioner = new MachineProvisioner(term, cluster);
     this.demand = new DemandHistory(cluster, term.context.machineTypes);
-    cluster.on('up', (machine) => {
+    cluster.on('machineUp', (machine) => {
       machine.isProvisioned = cluster.isScaledOut(machine.id);
       if (cluster.taskCountOn(machine.id) > 0) this.lastReconnectionAt = term.context.clock.now();
     });
--- a/packages/controller/src/machines/machine-releaser.ts
+++ b/packages/controller/src/machines/machine-releaser.ts
@@ -52,7 +52,7 @@
       }
       this.pending = this.pending.filter((id) => !batch.includes(id));
       for (const id of batch) this.onReleased(id);
-      this.cluster.emit('plan');
+      this.cluster.emit('replanNeeded');
     }
   }
 
--- a/packages/controller/src/machines/replica-eviction.ts
+++ b/packages/controller/src/machines/replica-eviction.ts
@@ -35,7 +35,7 @@
       if (remaining <= 0) return;
       if (job.spec.kind !== 'service' || jobs.has(job)) continue;
       job.requestStop(task, job.spec.saveS + GRACE_MARGIN_S, 'drained', now);
-      cluster.emit('due', machine.id);
+      cluster.emit('commandsDue', machine.id);
       jobs.add(job);
       remaining -= 1;
     }
--- a/packages/controller/src/placement/machine-queues.ts
+++ b/packages/controller/src/placement/machine-queues.ts
@@ -37,7 +37,7 @@
     private readonly cluster: ClusterState,
     private readonly now: () => MonotonicMs,
   ) {
-    cluster.on('placed', (job, task) => {
+    cluster.on('taskPlaced', (job, task) => {
       const placement = job.placements.get(task);
       if (placement !== undefined && job.gang === null) this.machinesWithQueue.add(placement.machine);
     });
--- a/packages/controller/src/placement/quota-enforcement.ts
+++ b/packages/controller/src/placement/quota-enforcement.ts
@@ -31,7 +31,7 @@
     for (const { job, placement } of unsentPlacementsOf(cluster, team.name)) {
       if (!isBeyondLimit(usage, team)) break;
       job.requestStop(placement.task, 0, 'preempted', now);
-      cluster.emit('due', placement.machine);
+      cluster.emit('commandsDue', placement.machine);
       addTaskUsage(usage, job.spec, -1);
     }
   }
--- a/packages/controller/src/placement/scheduling-loop.ts
+++ b/packages/controller/src/placement/scheduling-loop.ts
@@ -57,7 +57,7 @@
     private readonly estimator: RuntimeEstimator,
     private readonly dependencies: SchedulingLoopDependencies,
   ) {
-    cluster.on('plan', () => {
+    cluster.on('replanNeeded', () => {
       this.requestPass();
     });
   }
@@ -145,7 +145,7 @@
     const { machine } = placement;
     const name = formatTaskName(id, task);
     this.term.context.log.info({ task: name, machine, inFavourOf: preemptor }, 'task preempted');
-    this.cluster.emit('due', machine);
+    this.cluster.emit('commandsDue', machine);
   }
 }
 
--- a/packages/controller/src/reconciliation/reconciliation.ts
+++ b/packages/controller/src/reconciliation/reconciliation.ts
@@ -214,7 +214,7 @@
     this.term.context.log.info({ from: this.state, to: next, why: reason, ...counts }, 'reconciliation');
     this.state = next;
     this.gatheredAt = null;
-    if (this.allowsPlacement) this.cluster.emit('plan');
+    if (this.allowsPlacement) this.cluster.emit('replanNeeded');
   }
 
   private check(now: MonotonicMs): void {
@@ -242,7 +242,8 @@
     for (const id of [...unconfirmed.machineIds()])
       if (this.cluster.machines.get(id)?.state === 'gone') unconfirmed.remove(id);
     const missing = unconfirmed.count;
-    if (this.state === 'verifying' && missing < this.previousUnconfirmedCount) this.cluster.emit('plan');
+    if (this.state === 'verifying' && missing < this.previousUnconfirmedCount)
+      this.cluster.emit('replanNeeded');
     this.previousUnconfirmedCount = missing;
     return missing;
   }
--- a/packages/graph-service/src/cotask-submitter.ts
+++ b/packages/graph-service/src/cotask-submitter.ts
@@ -168,7 +168,7 @@
     for (const task of tasks)
       if (graph.tasks.state(task) === 'cancelling') this.cancellation.stop(graph, task);
     graph.collectChanges();
-    cluster.emit('plan');
+    cluster.emit('replanNeeded');
   }
 
   /** The commit certainly did not succeed: its tasks are ready again. */
--- a/packages/graph-service/src/graph-controller.ts
+++ b/packages/graph-service/src/graph-controller.ts
@@ -65,10 +65,10 @@
     const failures = new CommitFailureHandler(this.state, this.receiver);
     this.submitter = new CotaskSubmitter(this.state, this.cancellation, failures);
     this.writer = new GraphRecordWriter(this.state, failures);
-    cluster.on('off', (job, placement, isDone, reason) => {
+    cluster.on('taskRemoved', (job, placement, isDone, reason) => {
       this.onTaskOff(job, placement.task, isDone, reason);
     });
-    cluster.on('released', (job) => {
+    cluster.on('jobReleased', (job) => {
       this.onJobReleased(job);
     });
   }
--- a/packages/tariff/src/deferral-controller.ts
+++ b/packages/tariff/src/deferral-controller.ts
@@ -49,16 +49,16 @@
     this.repository = new TariffRepository(term);
     this.scheduler = new ReleaseScheduler(term, cluster, this.repository, this.admissions, options);
     this.poller = options.feed === null ? null : this.createPoller(options.feed);
-    cluster.on('learned', (job) => {
+    cluster.on('jobAdded', (job) => {
       this.onJobLearned(job);
     });
-    cluster.on('placed', (job) => {
+    cluster.on('taskPlaced', (job) => {
       this.admissions.remove(job.spec.id);
     });
-    cluster.on('ended', (job) => {
+    cluster.on('jobEnded', (job) => {
       if (this.admissions.remove(job.spec.id)) this.wakeUp.notify();
     });
-    cluster.on('off', (job, placement, isDone) => {
+    cluster.on('taskRemoved', (job, placement, isDone) => {
       if (isDone) this.observeRunTime(job.spec, placement);
     });
   }
@@ -125,7 +125,7 @@
       { error: error instanceof Error ? (error.stack ?? error.message) : String(error) },
       'deferring failed: this leader defers nothing any more',
     );
-    this.cluster.emit('plan');
+    this.cluster.emit('replanNeeded');
   }
 
   // --- state -----------------------------------------------------------------------------------
--- a/packages/tariff/src/release-scheduler.ts
+++ b/packages/tariff/src/release-scheduler.ts
@@ -155,7 +155,7 @@
     if (deferral === undefined) {
       this.admissions.set(id, 'admitted');
       log.debug({ job: id, reason }, 'job not deferred');
-      this.cluster.emit('plan');
+      this.cluster.emit('replanNeeded');
       return;
     }
     if (deferral.state !== 'deferred') return;
@@ -194,7 +194,7 @@
       if (this.admitIfDurable(deferral)) admitted += 1;
       this.removeIfOver(deferral);
     }
-    if (admitted > 0) this.cluster.emit('plan');
+    if (admitted > 0) this.cluster.emit('replanNeeded');
   }
 
   private admitIfDurable({ job, state }: Deferral): boolean {
