--- a/packages/worker-shards/test/delegation-model.ts
+++ b/packages/worker-shards/test/delegation-model.ts
@@ -1,138 +1,205 @@
 /**
- * A small model of grants, explored whole: a leader, a holder, one worker with one task, the leaders after it, a
- * cancellation, and messages that may be late for ever or get no further than to the holder. Time goes in ticks; between two ticks anything may happen.
+ * A small model of delegated leases, explored completely: a leader, a controller that forwards heartbeats to it, one worker with
+ * one task, later leaders, a cancellation, and messages that may be delayed for ever or get no further than to the forwarding
+ * controller. Time goes in ticks; between two ticks anything may happen.
+ *
+ * @module
  */
 
+/** The rules of the protocol, each of which can be left out to show that it is needed. */
 export const GUARDS = [
-  /** A grant is counted from the sending of the question, not from the coming of the answer. */
-  'counted from the question',
-  /** What the leader does not know for sure any more is taken off the horizon that it gives away. */
-  'less the age of what is known',
-  /** The leader itself counts a machine's lease from the end of the grant that it gave. */
-  'the leader counts its grants',
-  /** A new leader waits for the horizon of the one before. */
+  /** A delegation is counted from the sending of the request, not from the arrival of the response. */
+  'delegation counted from the request',
+  /** The time for which the leader's knowledge is out of date is taken off the period that it delegates. */
+  'delegation shortened by the age of the knowledge',
+  /** The leader itself counts a machine's lease from the end of what it has delegated. */
+  'the leader counts what it delegates',
+  /** A new leader waits for the renewal period of the previous one. */
   'the next leader waits',
-  /** A holder whose grant is over answers nobody. */
-  'a grant ends',
-  /** An answer that stops what is cancelled brings no grant: it may be lost behind its holder, which would renew without it. */
-  'no grant with a stop',
-  /** A leader past its lease stops what it knows to be cancelled, as one that is sure of it does. */
-  'stops past its lease',
-  /** A new leader answers by what it has read, and nobody before it has read anything. */
-  'reads before it answers',
+  /** A controller whose delegation is over responds to nobody. */
+  'a delegation ends',
+  /** A response with a stop delegates nothing: it may be lost behind the forwarding controller, which would renew without it. */
+  'no delegation with a stop',
+  /** A leader whose lease is over stops what it knows to be cancelled, as one with a valid lease does. */
+  'stops after its own lease',
+  /** A new leader responds by what it has read, and to nobody before it has read anything. */
+  'reads before it responds',
 ] as const;
 export type Guard = (typeof GUARDS)[number];
 
-const LEASE = 1;
-const HORIZON = 3;
-const CANCEL = HORIZON + LEASE;
+const WORKER_LEASE = 1;
+const RENEWAL_PERIOD = 3;
+const CANCELLATION_PERIOD = RENEWAL_PERIOD + WORKER_LEASE;
 /** The leader's own lease, as short as the others allow. */
-const TTL = 1;
-const END = 8;
-
-interface State {
-  readonly t: number;
-  /** As of when the first leader is sure of its lease and of all cancellations. */
-  readonly contact: number;
-  /** A question on its way to the leader, and an answer on its way back. */
-  readonly question: number | null;
-  readonly answer: { readonly askedAt: number; readonly left: number; readonly stop: boolean } | null;
-  readonly grantUntil: number;
+const LEADER_LEASE = 1;
+const LAST_TICK = 8;
+
+interface ModelState {
+  readonly time: number;
+  /** As of when the first leader has confirmed its lease and all cancellations. */
+  readonly confirmedAt: number;
+  /** A request on its way to the leader, and a response on its way back. */
+  readonly requestedAt: number | null;
+  readonly response: {
+    readonly requestedAt: number;
+    readonly remaining: number;
+    readonly stop: boolean;
+  } | null;
+  readonly delegatedUntil: number;
   readonly leaseUntil: number;
-  readonly runs: boolean;
-  /** Until when the first leader holds the machine answered. */
-  readonly counted: number;
-  readonly next: number | null;
+  readonly isRunning: boolean;
+  /** Until when the first leader counts the machine as renewed. */
+  readonly countedUntil: number;
+  readonly nextLeaderAt: number | null;
   /** As of when the next leader has read what is cancelled. */
-  readonly nextRead: number | null;
-  readonly cancelled: number | null;
-  /** Somebody holds the task for gone, and has started it elsewhere. */
-  readonly again: boolean;
+  readonly nextLeaderReadAt: number | null;
+  readonly cancelledAt: number | null;
+  /** A leader takes the task for gone, and has started it elsewhere. */
+  readonly isStartedElsewhere: boolean;
 }
 
-const START: State = {
-  t: 0,
-  contact: 0,
-  question: null,
-  answer: null,
-  grantUntil: -1,
-  leaseUntil: LEASE,
-  runs: true,
-  counted: 0,
-  next: null,
-  nextRead: null,
-  cancelled: null,
-  again: false,
+const INITIAL_STATE: ModelState = {
+  time: 0,
+  confirmedAt: 0,
+  requestedAt: null,
+  response: null,
+  delegatedUntil: -1,
+  leaseUntil: WORKER_LEASE,
+  isRunning: true,
+  countedUntil: 0,
+  nextLeaderAt: null,
+  nextLeaderReadAt: null,
+  cancelledAt: null,
+  isStartedElsewhere: false,
 };
 
+/** The rules that are in force, and whether the job may be cancelled. */
+interface Protocol {
+  readonly without: Guard | null;
+  readonly cancels: boolean;
+}
+
 /** Every state that one step leads to. */
-function steps(s: State, without: Guard | null, cancels: boolean): State[] {
-  const has = (guard: Guard): boolean => guard !== without;
-  const to: State[] = [];
-  const { t } = s;
-  if (t < END) {
-    const runs = s.runs && t + 1 <= s.leaseUntil;
-    to.push({ ...s, t: t + 1, runs });
-  }
-  if (s.next === null && s.contact < t) to.push({ ...s, contact: t });
-  if (s.question === null && s.answer === null) to.push({ ...s, question: t });
-  if (s.runs && (t < s.grantUntil || (s.grantUntil >= 0 && !has('a grant ends'))))
-    to.push({ ...s, leaseUntil: t + LEASE });
-  if (s.question !== null && s.answer === null) {
-    const age = t - s.contact;
-    if (age <= HORIZON) {
-      const left = has('less the age of what is known') ? HORIZON - age : HORIZON;
-      const known = s.cancelled !== null && s.contact >= s.cancelled;
-      const stop = known && (age <= TTL || has('stops past its lease'));
-      to.push({
-        ...s,
-        question: null,
-        answer: { askedAt: s.question, left, stop },
-        counted: Math.max(s.counted, has('the leader counts its grants') ? t + left : t),
-      });
-    } else to.push({ ...s, question: null });
-  }
-  if (s.answer !== null) {
-    const { askedAt, left, stop } = s.answer;
-    const from = has('counted from the question') ? askedAt : t;
-    const grants = !stop || !has('no grant with a stop');
-    const grantUntil = grants ? Math.max(s.grantUntil, from + left) : s.grantUntil;
-    to.push({
-      ...s,
-      answer: null,
-      grantUntil,
-      leaseUntil: Math.max(s.leaseUntil, s.runs ? askedAt + LEASE : 0),
-      runs: s.runs && !stop,
-    });
-    // Or it comes no further than to the holder, or never.
-    to.push({ ...s, answer: null, grantUntil }, { ...s, answer: null });
-  }
-  if (cancels && s.cancelled === null) to.push({ ...s, cancelled: t });
-  if (s.next === null && t - s.contact >= TTL) to.push({ ...s, next: t });
-  if (cancels && s.next !== null) {
-    if (t - s.next >= TTL) to.push({ ...s, next: t, nextRead: null });
-    to.push({ ...s, nextRead: t });
-    const mayAnswer = s.nextRead === null ? !has('reads before it answers') : t - s.nextRead <= HORIZON;
-    const stop = s.cancelled !== null && s.nextRead !== null && s.nextRead >= s.cancelled;
-    if (s.runs && mayAnswer) to.push({ ...s, leaseUntil: Math.max(s.leaseUntil, t + LEASE), runs: !stop });
-  }
-  if (!cancels) {
-    const wait = (has('the next leader waits') ? HORIZON : 0) + LEASE;
-    if (s.next !== null && t > s.next + wait) to.push({ ...s, again: true });
-    if (s.next === null && t > s.counted + LEASE) to.push({ ...s, again: true });
-  }
-  return to;
+function steps(state: ModelState, protocol: Protocol): ModelState[] {
+  return [
+    ...timeSteps(state),
+    ...forwardingSteps(state, protocol),
+    ...leaderSteps(state, protocol),
+    ...responseSteps(state, protocol),
+    ...successionSteps(state, protocol),
+    ...restartSteps(state, protocol),
+  ];
+}
+
+function isInForce(guard: Guard, { without }: Protocol): boolean {
+  return guard !== without;
+}
+
+/** Time passes, and a task ends with its worker's lease. */
+function timeSteps(state: ModelState): ModelState[] {
+  const time = state.time + 1;
+  if (time > LAST_TICK) return [];
+  return [{ ...state, time, isRunning: state.isRunning && time <= state.leaseUntil }];
+}
+
+/** The first leader confirms its lease; the other controller forwards a heartbeat, or renews the lease by delegation. */
+function forwardingSteps(state: ModelState, protocol: Protocol): ModelState[] {
+  const now = state.time;
+  const next: ModelState[] = [];
+  if (state.nextLeaderAt === null && state.confirmedAt < now) next.push({ ...state, confirmedAt: now });
+  if (state.requestedAt === null && state.response === null) next.push({ ...state, requestedAt: now });
+  const isDelegated =
+    now < state.delegatedUntil || (state.delegatedUntil >= 0 && !isInForce('a delegation ends', protocol));
+  if (state.isRunning && isDelegated) next.push({ ...state, leaseUntil: now + WORKER_LEASE });
+  return next;
+}
+
+/** The first leader responds to the request, or drops it. */
+function leaderSteps(state: ModelState, protocol: Protocol): ModelState[] {
+  if (state.requestedAt === null || state.response !== null) return [];
+  const now = state.time;
+  const age = now - state.confirmedAt;
+  if (age > RENEWAL_PERIOD) return [{ ...state, requestedAt: null }];
+  const isShortened = isInForce('delegation shortened by the age of the knowledge', protocol);
+  const remaining = isShortened ? RENEWAL_PERIOD - age : RENEWAL_PERIOD;
+  const knowsCancellation = state.cancelledAt !== null && state.confirmedAt >= state.cancelledAt;
+  const mayStop = age <= LEADER_LEASE || isInForce('stops after its own lease', protocol);
+  const countsDelegation = isInForce('the leader counts what it delegates', protocol);
+  return [
+    {
+      ...state,
+      requestedAt: null,
+      response: { requestedAt: state.requestedAt, remaining, stop: knowsCancellation && mayStop },
+      countedUntil: Math.max(state.countedUntil, countsDelegation ? now + remaining : now),
+    },
+  ];
+}
+
+/** The response arrives at the worker, or gets no further than to the forwarding controller, or nowhere. */
+function responseSteps(state: ModelState, protocol: Protocol): ModelState[] {
+  if (state.response === null) return [];
+  const { requestedAt, remaining, stop } = state.response;
+  const countedFrom = isInForce('delegation counted from the request', protocol) ? requestedAt : state.time;
+  const delegates = !stop || !isInForce('no delegation with a stop', protocol);
+  const delegatedUntil = delegates
+    ? Math.max(state.delegatedUntil, countedFrom + remaining)
+    : state.delegatedUntil;
+  return [
+    {
+      ...state,
+      response: null,
+      delegatedUntil,
+      leaseUntil: Math.max(state.leaseUntil, state.isRunning ? requestedAt + WORKER_LEASE : 0),
+      isRunning: state.isRunning && !stop,
+    },
+    { ...state, response: null, delegatedUntil },
+    { ...state, response: null },
+  ];
+}
+
+/** The job is cancelled; a new leader is elected, reads the records, and responds to the worker. */
+function successionSteps(state: ModelState, protocol: Protocol): ModelState[] {
+  const now = state.time;
+  const { cancelledAt, nextLeaderAt, nextLeaderReadAt } = state;
+  const next: ModelState[] = [];
+  if (protocol.cancels && cancelledAt === null) next.push({ ...state, cancelledAt: now });
+  if (nextLeaderAt === null && now - state.confirmedAt >= LEADER_LEASE)
+    next.push({ ...state, nextLeaderAt: now });
+  if (!protocol.cancels || nextLeaderAt === null) return next;
+  if (now - nextLeaderAt >= LEADER_LEASE) next.push({ ...state, nextLeaderAt: now, nextLeaderReadAt: null });
+  next.push({ ...state, nextLeaderReadAt: now });
+  const mayRespond =
+    nextLeaderReadAt === null
+      ? !isInForce('reads before it responds', protocol)
+      : now - nextLeaderReadAt <= RENEWAL_PERIOD;
+  const stop = cancelledAt !== null && nextLeaderReadAt !== null && nextLeaderReadAt >= cancelledAt;
+  if (state.isRunning && mayRespond)
+    next.push({ ...state, leaseUntil: Math.max(state.leaseUntil, now + WORKER_LEASE), isRunning: !stop });
+  return next;
+}
+
+/** A leader takes the task for gone and starts it elsewhere. */
+function restartSteps(state: ModelState, protocol: Protocol): ModelState[] {
+  if (protocol.cancels) return [];
+  const now = state.time;
+  const { nextLeaderAt } = state;
+  const wait = (isInForce('the next leader waits', protocol) ? RENEWAL_PERIOD : 0) + WORKER_LEASE;
+  const takesForGone =
+    nextLeaderAt !== null ? now > nextLeaderAt + wait : now > state.countedUntil + WORKER_LEASE;
+  return takesForGone ? [{ ...state, isStartedElsewhere: true }] : [];
 }
 
-function broken(s: State): string | null {
-  if (s.again && s.runs) return 'ran_twice';
-  if (s.cancelled !== null && s.runs && s.t > s.cancelled + CANCEL) return 'ran_cancelled';
+/** The rule that a state violates, or null. */
+function violationIn(state: ModelState): string | null {
+  if (state.isStartedElsewhere && state.isRunning) return 'ran_twice';
+  if (state.cancelledAt !== null && state.isRunning && state.time > state.cancelledAt + CANCELLATION_PERIOD)
+    return 'ran_cancelled';
   return null;
 }
 
-/** Explores everything that can happen; the rules broken, and how many states there are. */
+/** Explores everything that can happen, with one guard left out or none. */
 export function explore(without: Guard | null): Explored {
-  // The two rules are looked for apart: what breaks one needs nothing of what breaks the other.
+  // The two rules are explored separately: a violation of one needs nothing of a violation of the other.
   const twice = exploreOne(without, false);
   const cancelled = exploreOne(without, true);
   return {
@@ -147,21 +214,21 @@
 }
 
 function exploreOne(without: Guard | null, cancels: boolean): Explored {
-  const seen = new Set([JSON.stringify(START)]);
-  const open: State[] = [START];
+  const seen = new Set([JSON.stringify(INITIAL_STATE)]);
+  const open: ModelState[] = [INITIAL_STATE];
   const rules = new Set<string>();
-  for (let s = open.pop(); s !== undefined; s = open.pop()) {
-    for (const n of steps(s, without, cancels)) {
-      const key = JSON.stringify(n);
+  for (let state = open.pop(); state !== undefined; state = open.pop()) {
+    for (const successor of steps(state, { without, cancels })) {
+      const key = JSON.stringify(successor);
       if (seen.has(key)) continue;
       seen.add(key);
-      const rule = broken(n);
-      // What follows a broken rule says nothing more, nor what follows the task's end.
+      const rule = violationIn(successor);
+      // What follows a violation, or the task's end, shows nothing more.
       if (rule !== null) rules.add(rule);
-      // With a guard taken out the first break is all that is asked for.
+      // With a guard left out the first violation is enough.
       if (rule !== null && without !== null) return { rules, states: seen.size };
       if (rule !== null) continue;
-      if (n.runs && !n.again) open.push(n);
+      if (successor.isRunning && !successor.isStartedElsewhere) open.push(successor);
     }
   }
   return { rules, states: seen.size };
