--- a/packages/planner/src/scheduling/index.ts
+++ b/packages/planner/src/scheduling/index.ts
@@ -5,6 +5,4 @@
  */
 
 export { planTasks } from './cotask-scheduler.js';
-export { jobsWithinGuarantee } from './quota-guarantee.js';
 export type { PlanOptions, SchedulingPlan, TaskPreemption, TaskStart, UnplacedDemand } from './types.js';
-export { imageFetchS, isMachineAllowed } from './types.js';
