--- a/packages/testkit/src/combined-faults.ts
+++ b/packages/testkit/src/combined-faults.ts
@@ -96,7 +96,7 @@
   const names = Object.keys(COMBINABLE_FAULTS);
   const drawn: string[] = [];
   const firstMs = FIRST_FAULT_MS + world.random(FIRST_FAULT_SPREAD_MS);
-  for (let n = 2 + world.random(max - 1); n > 0; n -= 1) {
+  for (let remaining = 2 + world.random(max - 1); remaining > 0; remaining -= 1) {
     const name = names.splice(world.random(names.length), 1)[0] ?? '';
     drawn.push(name);
     const atMs = firstMs + world.random(TOGETHER_WITHIN_MS);
--- a/packages/testkit/src/network.ts
+++ b/packages/testkit/src/network.ts
@@ -27,18 +27,18 @@
   ) {}
 
   /** One key for the link between two hosts, in whichever order they are named. */
-  static linkKey(a: string, b: string): string {
-    return a < b ? `${a}|${b}` : `${b}|${a}`;
+  static linkKey(host: string, other: string): string {
+    return host < other ? `${host}|${other}` : `${other}|${host}`;
   }
 
   /** From now on no message gets through between the hosts. */
-  partition(a: string, b: string, mode: PartitionMode): void {
-    this.partitions.set(SimNetwork.linkKey(a, b), mode);
+  partition(host: string, other: string, mode: PartitionMode): void {
+    this.partitions.set(SimNetwork.linkKey(host, other), mode);
   }
 
   /** Messages get through again; those that were held back arrive soon. */
-  heal(a: string, b: string): void {
-    const link = SimNetwork.linkKey(a, b);
+  heal(host: string, other: string): void {
+    const link = SimNetwork.linkKey(host, other);
     this.partitions.delete(link);
     const held = this.heldBack.get(link) ?? [];
     this.heldBack.delete(link);
--- a/packages/testkit/src/peer-network.ts
+++ b/packages/testkit/src/peer-network.ts
@@ -79,15 +79,15 @@
   }
 
   /** From now on connections between two controllers are refused, or accepted again. */
-  setLinkRefused(a: string, b: string, refused: boolean): void {
-    const link = SimNetwork.linkKey(a, b);
+  setLinkRefused(host: string, other: string, refused: boolean): void {
+    const link = SimNetwork.linkKey(host, other);
     if (!refused) {
       this.refusedLinks.delete(link);
       return;
     }
     this.refusedLinks.add(link);
-    this.endpoints.get(a)?.closed(b as NodeId);
-    this.endpoints.get(b)?.closed(a as NodeId);
+    this.endpoints.get(host)?.closed(other as NodeId);
+    this.endpoints.get(other)?.closed(host as NodeId);
   }
 
   /** The other running nodes notice, a message later, that the process has ended. */
@@ -99,8 +99,8 @@
         });
   }
 
-  private isRefused(a: string, b: string): boolean {
-    return this.refusedLinks.has(SimNetwork.linkKey(a, b));
+  private isRefused(host: string, other: string): boolean {
+    return this.refusedLinks.has(SimNetwork.linkKey(host, other));
   }
 
   private send({ name, clock }: PeerEndpoint, to: NodeId, message: PeerMessage): boolean {
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -184,8 +184,8 @@
   }
 
   /** From now on connections between two controllers are refused, or accepted again. */
-  setLinkRefused(a: string, b: string, refused: boolean): void {
-    this.peers.setLinkRefused(a, b, refused);
+  setLinkRefused(host: string, other: string, refused: boolean): void {
+    this.peers.setLinkRefused(host, other, refused);
   }
 
   /** Number of machines whose workers send their heartbeats to each node, in the order of the nodes. */
--- /dev/null
+++ b/packages/testkit/test/data-loss-recovery-cases.test.ts
@@ -0,0 +1,212 @@
+/**
+ * How controllers rebuild the store's records: first starts, snapshots, the steps of recovery.
+ *
+ * @module
+ */
+import type { SnapshotToolOptions } from '@spurbridge/snapshot';
+import {
+  SnapshotToolError,
+  decodeSnapshot,
+  encodeSnapshot,
+  previewRestore,
+  restoreSnapshot,
+  snapshotName,
+  takeSnapshot,
+} from '@spurbridge/snapshot';
+import type { Revision, Version } from '@spurbridge/wire';
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { World } from '../src/index.js';
+import {
+  InMemorySnapshotDirectory,
+  ProcessClock,
+  SimStoreClient,
+  jobId,
+  jobSpec,
+  leaderIndex,
+} from '../src/index.js';
+
+import { allTrusted, placedOn, responseOf, service, watchedWorld } from './support/data-loss.js';
+
+test('snapshots of another deployment and damaged ones are rejected, and an older valid one is used', async () => {
+  const folder = new InMemorySnapshotDirectory();
+  const refused: unknown[] = [];
+  const log = {
+    debug: () => undefined,
+    info: (fields: object, message: string) => {
+      if (message === 'snapshot refused') refused.push(fields);
+    },
+    error: () => undefined,
+  };
+  const world = watchedWorld(10, { snapshots: { folder, everyMs: 10_000 }, log });
+  const spec = service(1);
+  world.startUser(spec, null);
+  await world.runUntil(45_000);
+  const theirs = { deployment: 'theirs', epoch: 9, revision: 9000 as Revision, takenAt: 1 };
+  const foreign = [[`j/${jobId(9)}`, { version: 3 as Version, text: '{"phase":"active"}' }]] as const;
+  await folder.write(snapshotName(theirs, 'x'), encodeSnapshot(theirs, foreign));
+  await folder.write(snapshotName({ epoch: 1, revision: 99_999 as Revision }, 'y'), Buffer.from('{"cut'));
+  // The epoch's record stays, so that whose store it is is known; everything else is lost, and every node.
+  world.store.dropKeys((k) => k.startsWith('j/') || k.startsWith('t/'));
+  world.store.rollBackRevision(2);
+  for (let i = 0; i < 3; i += 1) world.crash(i);
+  await world.runUntil(150_000);
+  assert.equal((await folder.listNames()).length > 2, true);
+  assert.match(JSON.stringify(refused), /theirs/);
+  assert.match(JSON.stringify(refused), /no header/);
+  assert.equal(world.recordedPhaseOf(spec.id), 'active');
+  assert.equal(world.store.peek(`j/${jobId(9)}`), undefined);
+  assert.deepEqual(world.checker.violations, []);
+});
+
+test('with an empty store and all nodes restarted unknown tasks are stopped, and job ids can be used again', async () => {
+  const world = watchedWorld(11);
+  for (const n of [1, 2, 3]) world.startUser(service(n), null);
+  await world.runUntil(40_000);
+  world.store.clear();
+  for (let i = 0; i < 3; i += 1) world.crash(i);
+  await world.runUntil(130_000);
+  // No copy is left anywhere: the jobs are lost. What must still hold does.
+  assert.equal([1, 2, 3].flatMap((n) => placedOn(world, jobId(n))).length, 0);
+  assert.deepEqual(
+    new Set(world.checker.violations.map((violation) => violation.rule)),
+    new Set(['forgotten']),
+  );
+  assert.deepEqual(world.reusedRentalNames, []);
+  world.startUser(service(4), null);
+  await world.runUntil(170_000);
+  assert.ok(placedOn(world, jobId(4)).length > 0);
+});
+
+test('a first start waits no longer than it must, and a lone node begins after two seconds', async () => {
+  const world = watchedWorld(12);
+  await world.runUntil(1100);
+  assert.ok(allTrusted(world));
+  const lonely = watchedWorld(13);
+  for (const a of [0, 1, 2])
+    for (const b of [0, 1, 2]) if (a < b) lonely.network.partition(`spur-${a}`, `spur-${b}`, 'drop');
+  await lonely.runUntil(1500);
+  assert.ok(!lonely.nodes.some((node) => node.recoverableStore.isTrusted));
+  await lonely.runUntil(2600);
+  assert.ok(allTrusted(lonely));
+});
+
+test('a job id that nobody submitted is unknown before, during and after a loss', async () => {
+  const world = watchedWorld(14);
+  world.startUser(service(1), null);
+  const ask = (): void => {
+    for (const node of world.nodes)
+      void node.controller.jobs.status(jobId(77)).then((response) => {
+        world.checker.responseReceived(jobId(77), 'poll', response.code, null);
+        assert.ok(response.code === 404 || response.code === 503, String(response.code));
+      });
+    world.time.after(300, ask);
+  };
+  ask();
+  await world.runUntil(30_000);
+  world.store.clear();
+  await world.runUntil(60_000);
+  assert.deepEqual(world.checker.violations, []);
+});
+
+/** An operator's command, run beside the controllers. */
+function operator(world: World): SnapshotToolOptions {
+  const clock = new ProcessClock(world.time, 1, 0);
+  return {
+    raw: new SimStoreClient(world.store, world.network, 'operator', clock),
+    clock,
+    wallNow: () => world.wallClockStartMs as never,
+    valueKb: 16,
+    controllerCount: 3,
+    log: { info: () => undefined },
+  };
+}
+
+test('a snapshot restored by an operator brings back lost records while controllers run', async () => {
+  const world = watchedWorld(15);
+  for (const n of [1, 2]) world.startUser(service(n), null);
+  await world.runUntil(30_000);
+  const taken = await responseOf(world, takeSnapshot(operator(world)));
+  const snapshot = decodeSnapshot(taken.bytes);
+  world.store.clear();
+  for (let i = 0; i < 3; i += 1) world.crash(i);
+  await world.runUntil(70_000);
+  world.startUser(service(3), null);
+  await world.runUntil(90_000);
+  assert.equal(placedOn(world, jobId(1)).length + placedOn(world, jobId(2)).length, 0);
+  // Another life of the store is another deployment: only its own records may be mixed with it.
+  const foreign = await responseOf(
+    world,
+    previewRestore(operator(world), snapshot).catch((e: unknown) => e),
+  );
+  assert.ok(foreign instanceof SnapshotToolError && foreign.message.includes('deployment'));
+  const ours = snapshot.deployment;
+  const before = await responseOf(world, previewRestore(operator(world), snapshot, ours));
+  assert.ok(before.addedKeys.includes(`j/${jobId(1)}`) && !before.addedKeys.includes(`j/${jobId(3)}`));
+  assert.equal(world.store.peek(`j/${jobId(1)}`), undefined, 'a dry run writes nothing');
+  const broken = world.checker.violations.length;
+  const done = await responseOf(world, restoreSnapshot(operator(world), snapshot, 30_000, ours));
+  assert.deepEqual(done.addedKeys, before.addedKeys);
+  await world.runUntil(world.time.now + 60_000);
+  assert.deepEqual([world.recordedPhaseOf(jobId(1)), world.recordedPhaseOf(jobId(3))], ['active', 'active']);
+  for (const n of [1, 2, 3]) assert.ok(placedOn(world, jobId(n)).length > 0, `service ${n} runs`);
+  assert.deepEqual(world.checker.violations.slice(broken), []);
+});
+
+test('a controller that missed more changes than the store keeps reads all records again and suspects no loss', async () => {
+  const world = watchedWorld(16);
+  world.startUser(service(1), null);
+  await world.runUntil(20_000);
+  const node = world.nodes[(leaderIndex(world) + 1) % 3];
+  assert.ok(node !== undefined);
+  const watch = node.store.watch.bind(node.store);
+  let left = 3;
+  node.store.watch = (...args) => {
+    left -= 1;
+    return left < 0 ? watch(...args) : Promise.resolve({ outcome: 'compacted' });
+  };
+  world.startUser(jobSpec({ id: jobId(2), tasks: 4, estimateS: 5 }), null);
+  await world.runUntil(60_000);
+  assert.ok(allTrusted(world));
+  assert.equal((world.store.peek('epoch') as { number: number }).number, 1);
+  assert.equal(node.recoverableStore.phaseOf(jobId(2)), 'done');
+});
+
+for (const step of ['fence moved', 'pages written', 'epoch opened'] as const)
+  test(`recovery starts again and ends the same when the recovering node is killed right after: ${step}`, async () => {
+    const world = watchedWorld(18);
+    for (const n of [1, 2, 3]) world.startUser(service(n), null);
+    world.startUser(jobSpec({ id: jobId(4), tasks: 6, estimateS: 9 }), null);
+    await world.runUntil(40_000);
+    const before = world.checker.starts;
+    world.store.clear();
+    let killed = '';
+    for (let n = 0; n < 400 && killed === ''; n += 1) {
+      await world.runUntil(world.time.now + 5);
+      const epoch = world.store.peek('epoch') as { by: string; phase: string; number: number } | undefined;
+      if (epoch === undefined || epoch.number < 2) continue;
+      const isThere =
+        step === 'fence moved'
+          ? epoch.phase === 'gathering'
+          : step === 'pages written'
+            ? world.store.keys().some((k) => k.startsWith('m/') && k.endsWith(`${epoch.by}/done`))
+            : epoch.phase === 'open';
+      if (!isThere) continue;
+      killed = epoch.by;
+      world.crash(world.nodes.findIndex((node) => node.name === killed));
+    }
+    assert.notEqual(killed, '');
+    await world.runUntil(55_000);
+    assert.ok(world.nodes.some((node) => node.clock.alive && node.controller.leadership.holdsValidLease()));
+    await world.runUntil(150_000);
+    assert.ok(allTrusted(world));
+    assert.equal(world.recordedPhaseOf(jobId(4)), 'done');
+    assert.ok(world.checker.starts - before <= 6, `${world.checker.starts - before} starts`);
+    assert.deepEqual(world.checker.violations, []);
+    // Pages and markers of every try are gone in the end.
+    assert.deepEqual(
+      world.store.keys().filter((k) => k.startsWith('m/')),
+      [],
+    );
+    assert.equal(world.store.keys().filter((k) => k.startsWith('e/')).length, 1);
+  });
--- a/packages/testkit/test/generated-days.test.ts
+++ b/packages/testkit/test/generated-days.test.ts
@@ -2,50 +2,45 @@
 import { test } from 'node:test';
 import type { World } from '../src/index.js';
 import {
-  FAULTS_END_MS,
   DAY_LENGTH_MS,
+  FAULTS_END_MS,
+  injectRandomFault,
+  smallWorld,
   startGeneratedJobs,
   unfinishedArrays,
-  smallWorld,
-  injectRandomFault,
-  watchForTwoLeaders,
 } from '../src/index.js';
+import { failOnTwoLeaders } from './support/assertions.js';
+import { seedsFrom } from './support/seeds.js';
 
-/** Seeds are fixed; `SPURBRIDGE_SEEDS=1000-1050 npm run unit` tries others by hand. */
-function seeds(): number[] {
-  const wanted = /^(\d+)-(\d+)$/.exec(process.env['SPURBRIDGE_SEEDS'] ?? '1-14');
-  const [first, last] = [Number(wanted?.[1] ?? 1), Number(wanted?.[2] ?? 14)];
-  return Array.from({ length: last - first + 1 }, (_, i) => first + i);
-}
-
-async function day(seed: number, troubles: number): Promise<World> {
-  const w = smallWorld(seed);
-  startGeneratedJobs(w);
-  for (let i = 0; i < troubles; i += 1) injectRandomFault(w);
-  watchForTwoLeaders(w, (at) => {
-    assert.fail(`two leaders at ${at}`);
-  });
-  w.checker.faultsEndMs = FAULTS_END_MS;
-  await w.runUntil(DAY_LENGTH_MS);
-  return w;
+async function day(seed: number, faults: number): Promise<World> {
+  const world = smallWorld(seed);
+  startGeneratedJobs(world);
+  for (let i = 0; i < faults; i += 1) injectRandomFault(world);
+  failOnTwoLeaders(world);
+  world.checker.faultsEndMs = FAULTS_END_MS;
+  await world.runUntil(DAY_LENGTH_MS);
+  return world;
 }
 
-function assertKept(w: World, seed: number): void {
-  assert.deepEqual(w.checker.violations, [], `seed ${seed}`);
-  assert.ok(w.checker.starts > 0, `seed ${seed} started nothing`);
-  assert.deepEqual(w.checker.underservedGroups(), [], `seed ${seed}`);
+function assertKept(world: World, seed: number): void {
+  assert.deepEqual(world.checker.violations, [], `seed ${seed}`);
+  assert.ok(world.checker.starts > 0, `seed ${seed} started nothing`);
+  assert.deepEqual(world.checker.underservedGroups(), [], `seed ${seed}`);
 }
 
-test('a quiet day keeps every rule and ends every job', async () => {
-  const w = await day(7, 0);
-  assertKept(w, 7);
-  for (const spec of w.checker.submitted.values())
-    assert.ok(['done', 'cancelled'].includes(String(w.recordedPhaseOf(spec.id))), `${spec.id} ${spec.kind}`);
+test('a day without faults keeps every rule and ends every job', async () => {
+  const world = await day(7, 0);
+  assertKept(world, 7);
+  for (const spec of world.checker.submitted.values())
+    assert.ok(
+      ['done', 'cancelled'].includes(String(world.recordedPhaseOf(spec.id))),
+      `${spec.id} ${spec.kind}`,
+    );
 });
 
-for (const seed of seeds())
-  test(`troubles drawn from seed ${seed} break no rule, and arrays end once they are over`, async () => {
-    const w = await day(seed, 2 + (seed % 5));
-    assertKept(w, seed);
-    assert.deepEqual(unfinishedArrays(w), [], `seed ${seed}`);
+for (const seed of seedsFrom('SPURBRIDGE_SEEDS', 14))
+  test(`generated faults of seed ${seed} break no rule, and arrays end once they are over`, async () => {
+    const world = await day(seed, 2 + (seed % 5));
+    assertKept(world, seed);
+    assert.deepEqual(unfinishedArrays(world), [], `seed ${seed}`);
   });
--- a/packages/testkit/test/known-failures.test.ts
+++ b/packages/testkit/test/known-failures.test.ts
@@ -4,7 +4,7 @@
 
 const LINE = 'a service moves | the reserve counts no zone without machines | issue 33';
 
-test('a line of KNOWN-RED.txt names a test, its cause and its issue, and no more than three are red', () => {
+test('a line of KNOWN-RED.txt has a test, its cause and its issue, and no more than three tests are listed', () => {
   assert.deepEqual(parseKnownFailures(`# why\n\n${LINE}\n`), [
     { test: 'a service moves', cause: 'the reserve counts no zone without machines', issue: 33 },
   ]);
@@ -18,7 +18,7 @@
   assert.throws(() => parseKnownFailures(four), /:4: more than 3 tests are red/);
 });
 
-test('only what is listed may fail, it must be there, and it is said how it went', () => {
+test('only listed tests may fail, they must have run, and their results are printed', () => {
   const red = parseKnownFailures(LINE);
   const passed = new Set(['a job runs']);
   assert.deepEqual(judgeRun(red, { passed, failed: new Set(['a service moves']) }), {
--- a/packages/testkit/test/quick-restarts.test.ts
+++ b/packages/testkit/test/quick-restarts.test.ts
@@ -1,39 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { DataLoss, World } from '../src/index.js';
-import {
-  DAY_LENGTH_MS,
-  startGeneratedJobs,
-  leaderIndex,
-  injectDataLoss,
-  smallWorld,
-  watchForTwoLeaders,
-} from '../src/index.js';
+import { injectDataLoss, leaderIndex, smallWorld, startGeneratedJobs } from '../src/index.js';
+import { RULES_WITHOUT_RECORDS, failOnTwoLeaders, playGeneratedDay } from './support/assertions.js';
+import { seedsFrom } from './support/seeds.js';
 
 const LOSS_MS = 60_000;
 const BACK_MS = 200;
-/** What must hold even where no copy of the records is left anywhere. */
-const ALWAYS = ['ran_twice', 'quota', 'wrong_place', 'invented', 'not_done', 'gang_split'];
-
-/** `SPURBRIDGE_QUICK_SEEDS=1-200 npm run unit` plays more days by hand. */
-function seeds(standard: number): number[] {
-  const wanted = /^(\d+)-(\d+)$/.exec(process.env['SPURBRIDGE_QUICK_SEEDS'] ?? `1-${standard}`);
-  const [first, last] = [Number(wanted?.[1] ?? 1), Number(wanted?.[2] ?? standard)];
-  return Array.from({ length: last - first + 1 }, (_, i) => first + i);
-}
-
-async function play(w: World): Promise<void> {
-  startGeneratedJobs(w);
-  watchForTwoLeaders(w, (at) => {
-    assert.fail(`two leaders at ${at}`);
-  });
-  await w.runUntil(DAY_LENGTH_MS);
-  assert.ok(w.checker.starts > 0, 'nothing was started');
-}
-
-function endAll(w: World, atMs: number, backMs: number): void {
-  w.time.after(atMs, () => {
-    for (let i = 0; i < 3; i += 1) w.crash(i, backMs);
+function endAll(world: World, atMs: number, backMs: number): void {
+  world.time.after(atMs, () => {
+    for (let i = 0; i < 3; i += 1) world.crash(i, backMs);
   });
 }
 
@@ -46,36 +22,36 @@
 ];
 
 for (const { loss, afterMs, backMs } of ENDS)
-  for (const seed of seeds(4))
-    test(`${loss}, all nodes end ${afterMs} ms later and are back after ${backMs} ms, seed ${seed}`, async () => {
-      const w = smallWorld(5000 + seed);
-      injectDataLoss(w, loss, LOSS_MS);
-      endAll(w, LOSS_MS + afterMs, backMs);
-      await play(w);
+  for (const seed of seedsFrom('SPURBRIDGE_QUICK_SEEDS', 4))
+    test(`data loss "${loss}" with all nodes ending ${afterMs} ms later for ${backMs} ms: nothing runs twice or over a limit, seed ${seed}`, async () => {
+      const world = smallWorld(5000 + seed);
+      injectDataLoss(world, loss, LOSS_MS);
+      endAll(world, LOSS_MS + afterMs, backMs);
+      await playGeneratedDay(world);
       assert.deepEqual(
-        w.checker.violations.filter((b) => ALWAYS.includes(b.rule)),
+        world.checker.violations.filter((violation) => RULES_WITHOUT_RECORDS.includes(violation.rule)),
         [],
       );
     });
 
 // Both had just begun and won by turns; each lost its lease after three seconds, while one that ran on stood by.
 for (const seed of [76, 78, 80])
-  test(`two of three nodes end and are back in 0.2 s, the leader one of them: the one that ran on leads next, seed ${seed}`, async () => {
-    const w = smallWorld(seed);
-    startGeneratedJobs(w);
-    await w.runUntil(40_000);
-    const leader = leaderIndex(w);
+  test(`when the leader and another node restart within 0.2 s the node that ran on leads next, seed ${seed}`, async () => {
+    const world = smallWorld(seed);
+    startGeneratedJobs(world);
+    await world.runUntil(40_000);
+    const leader = leaderIndex(world);
     const stays = (leader + 1) % 3;
-    for (let i = 0; i < 3; i += 1) if (i !== stays) w.crash(i, BACK_MS);
+    for (let i = 0; i < 3; i += 1) if (i !== stays) world.crash(i, BACK_MS);
     const led: number[] = [];
-    watchForTwoLeaders(w, (at) => {
-      assert.fail(`two leaders at ${at}`);
-    });
+    failOnTwoLeaders(world);
     for (let ms = 0; ms < 15_000; ms += 50) {
-      await w.runUntil(40_000 + ms);
-      const now = w.nodes.findIndex((n) => n.clock.alive && n.controller.leadership.holdsValidLease());
+      await world.runUntil(40_000 + ms);
+      const now = world.nodes.findIndex(
+        (node) => node.clock.alive && node.controller.leadership.holdsValidLease(),
+      );
       if (now >= 0 && led.at(-1) !== now) led.push(now);
     }
     assert.deepEqual(led, [stays]);
-    assert.deepEqual(w.checker.violations, []);
+    assert.deepEqual(world.checker.violations, []);
   });
--- a/packages/testkit/test/shard-rebalancing.test.ts
+++ b/packages/testkit/test/shard-rebalancing.test.ts
@@ -1,52 +1,38 @@
+import type { JobSpec, MachineType } from '@spurbridge/wire';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { JobId, JobSpec, MachineType } from '@spurbridge/wire';
-import type { SimulatedWorker } from '@spurbridge/simulated-worker';
-import {
-  STORE_HOST,
-  World,
-  ZONES,
-  jobSpec,
-  leaderIndex,
-  injectDataLoss,
-  machineType,
-  watchForTwoLeaders,
-} from '../src/index.js';
+import { STORE_HOST, World, injectDataLoss, jobSpec, leaderIndex, machineType } from '../src/index.js';
+import { assertServed, failOnTwoLeaders } from './support/assertions.js';
+import { aliveWorkers, fleetWorld, jobIdSequence } from './support/fleets.js';
 
 const TYPES: readonly MachineType[] = [machineType('s4', 4), machineType('g8', 8, 4)];
 const TEAMS = [
   { name: 'red', cpus: 600, cpusMax: 1200, gpus: 0, gpusMax: Infinity },
   { name: 'blue', cpus: 600, cpusMax: 1200, gpus: 0, gpusMax: Infinity },
 ];
-const LEASE_S = 22;
 const CALM_MS = 70_000;
 const END_MS = 170_000;
 
 interface Site {
-  readonly w: World;
+  readonly world: World;
   readonly spec: (over?: Partial<JobSpec>) => JobSpec;
 }
 
-/** Machines with services, arrays and gangs whose tasks are on machines of all three shares. */
+/** Machines with services, arrays and gangs whose tasks are on machines of all three shards. */
 function site(seed: number, nodes = 3): Site {
-  const w = new World({
+  const world = fleetWorld({
     seed,
     nodes,
     teams: TEAMS,
     types: TYPES,
-    zones: ZONES,
     capacity: 16,
-    leaseS: LEASE_S,
-    cancelS: 42,
     storeLimits: { rps: 200, writeRps: 60, valueKb: 16, txnOps: 12 },
   });
-  watchForTwoLeaders(w, (at) => {
-    assert.fail(`two leaders at ${at}`);
-  });
-  let jobs = 0;
+  failOnTwoLeaders(world);
+  const nextId = jobIdSequence();
   const spec = (over: Partial<JobSpec> = {}): JobSpec =>
     jobSpec({
-      id: `wk-${String(jobs++).padStart(6, '0')}` as JobId,
+      id: nextId(),
       tasks: 8,
       cpus: 2,
       estimateS: 10,
@@ -59,155 +45,147 @@
     estimateS: 0,
     spot: false,
   } as const;
-  for (let i = 0; i < 10; i += 1) w.startUser(spec({ ...service, tasks: 6, spread: true }), null);
-  w.time.after(CALM_MS - 25_000, () => {
+  for (let i = 0; i < 10; i += 1) world.startUser(spec({ ...service, tasks: 6, spread: true }), null);
+  world.time.after(CALM_MS - 25_000, () => {
     for (let i = 0; i < 4; i += 1)
-      w.startUser(
+      world.startUser(
         spec({ kind: 'gang', tasks: 4, gpus: 4, cpus: 4, checkpointS: 5, saveS: 1, estimateS: 60 }),
         null,
       );
   });
   for (let at = 1000; at < 140_000; at += 4000)
-    w.time.after(at, () => {
-      w.startUser(spec({ image: `img-${w.random(4)}` }), null);
+    world.time.after(at, () => {
+      world.startUser(spec({ image: `img-${world.random(4)}` }), null);
     });
-  return { w, spec };
-}
-
-function assertKept(w: World, killed = 0): void {
-  assert.deepEqual(w.checker.violations, []);
-  assert.deepEqual(w.checker.underservedGroups(), []);
-  assert.ok(w.checker.killedByLease <= killed, `${w.checker.killedByLease} tasks killed by leases`);
+  return { world, spec };
 }
 
-const alive = (w: World): SimulatedWorker[] => [...w.workers.values()].filter((x) => x.alive);
-
 /** Runs until a node sheds machines: one that held none has come back. Fails where nothing moves. */
-async function untilMoving(w: World): Promise<number> {
-  await w.runUntil(CALM_MS);
-  const holder = (leaderIndex(w) + 1) % 3;
-  w.crash(holder, 200);
+async function untilMoving(world: World): Promise<number> {
+  await world.runUntil(CALM_MS);
+  const follower = (leaderIndex(world) + 1) % 3;
+  world.crash(follower, 200);
   for (let ms = 1000; ms < 30_000; ms += 100) {
-    await w.runUntil(CALM_MS + ms);
-    if ((w.machinesPerNode()[holder] ?? 0) > 2) return holder;
+    await world.runUntil(CALM_MS + ms);
+    if ((world.machinesPerNode()[follower] ?? 0) > 2) return follower;
   }
   assert.fail('nothing moved to the node that was back');
 }
 
 for (const who of ['the leader', 'the node that machines move to', 'both', 'all nodes'] as const)
-  test(`${who} ends in the middle of moves and is back in 0.2 s, three times`, async () => {
-    const { w } = site(1);
-    const holder = await untilMoving(w);
+  test(`rebalancing survives three restarts within 0.2 s of ${who}`, async () => {
+    const { world } = site(1);
+    const follower = await untilMoving(world);
     for (const at of [0, 1500, 4000])
-      w.time.after(at, () => {
-        const leader = leaderIndex(w);
+      world.time.after(at, () => {
+        const leader = leaderIndex(world);
         const ended =
           who === 'the leader'
             ? [leader]
             : who === 'both'
-              ? [leader, holder]
+              ? [leader, follower]
               : who === 'all nodes'
                 ? [0, 1, 2]
-                : [holder];
-        for (const i of ended) w.crash(i, 200);
+                : [follower];
+        for (const i of ended) world.crash(i, 200);
       });
-    await w.runUntil(END_MS);
-    assertKept(w);
+    await world.runUntil(END_MS);
+    assertServed(world);
   });
 
-test('spot notices and cancellations while machines move: what is told is gone in time', async () => {
-  const { w, spec } = site(2);
+test('preemption notices and cancellations during rebalancing are honoured in time', async () => {
+  const { world, spec } = site(2);
   const doomed = Array.from({ length: 6 }, () => spec({ estimateS: 60, tasks: 12 }));
-  w.time.after(CALM_MS - 15_000, () => {
-    for (const s of doomed) w.startUser(s, null);
+  world.time.after(CALM_MS - 15_000, () => {
+    for (const spec of doomed) world.startUser(spec, null);
   });
-  await untilMoving(w);
-  for (const s of doomed) w.scheduleCancellation(s.id, w.random(3000));
-  for (const x of alive(w).filter((y) => y.spot && w.random(3) === 0)) {
-    x.preemptionAtMs = w.time.now + 8000;
-    w.time.after(8000, () => {
-      w.reclaimMachine(x.id);
+  await untilMoving(world);
+  for (const spec of doomed) world.scheduleCancellation(spec.id, world.random(3000));
+  for (const worker of aliveWorkers(world).filter((worker) => worker.spot && world.random(3) === 0)) {
+    worker.preemptionAtMs = world.time.now + 8000;
+    world.time.after(8000, () => {
+      world.reclaimMachine(worker.id);
     });
   }
-  await w.runUntil(END_MS);
-  assertKept(w);
+  await world.runUntil(END_MS);
+  assertServed(world);
 });
 
-test('gangs over three shares are started, stopped with grace and broken while holders end', async () => {
-  const { w } = site(3);
-  await w.runUntil(CALM_MS);
-  const shares = new Set(alive(w).map((x) => x.heartbeatNodeIndex));
-  assert.equal(shares.size, 3);
-  const leader = leaderIndex(w);
+test('gangs over three shards are started, gracefully stopped and broken while nodes end', async () => {
+  const { world } = site(3);
+  await world.runUntil(CALM_MS);
+  const shards = new Set(aliveWorkers(world).map((worker) => worker.heartbeatNodeIndex));
+  assert.equal(shards.size, 3);
+  const leader = leaderIndex(world);
   for (let n = 0; n < 6; n += 1)
-    w.time.after(n * 3000, () => {
-      w.crash((leader + 1 + (n % 2)) % 3, 200);
-      const some = alive(w).filter((x) => x.type.name === 'g8');
-      const x = some[w.random(some.length)];
+    world.time.after(n * 3000, () => {
+      world.crash((leader + 1 + (n % 2)) % 3, 200);
+      const some = aliveWorkers(world).filter((worker) => worker.type.name === 'g8');
+      const x = some[world.random(some.length)];
       if (x === undefined) return;
       if (n % 2 === 0) x.die();
       else {
-        x.preemptionAtMs = w.time.now + 8000;
-        w.time.after(8000, () => {
-          w.reclaimMachine(x.id);
+        x.preemptionAtMs = world.time.now + 8000;
+        world.time.after(8000, () => {
+          world.reclaimMachine(x.id);
         });
       }
     });
-  await w.runUntil(END_MS);
-  assertKept(w);
+  await world.runUntil(END_MS);
+  assertServed(world);
   assert.ok(
-    [...w.gangAttempts.values()].some((n) => n > 1),
+    [...world.gangAttempts.values()].some((n) => n > 1),
     'no gang was broken or stopped',
   );
 });
 
 for (const backMs of [200, 8000])
-  test(`the state service is set back while shares move, and a node ends and is back after ${backMs} ms`, async () => {
-    const { w } = site(4);
-    const holder = await untilMoving(w);
-    injectDataLoss(w, 'rolled back 2 s', w.time.now + 2500);
-    w.time.after(3000, () => {
-      w.crash(holder, backMs);
+  test(`a store rollback during rebalancing and a node that ends for ${backMs} ms break no rule`, async () => {
+    const { world } = site(4);
+    const follower = await untilMoving(world);
+    injectDataLoss(world, 'rolled back 2 s', world.time.now + 2500);
+    world.time.after(3000, () => {
+      world.crash(follower, backMs);
     });
-    await w.runUntil(END_MS);
-    assert.deepEqual(w.checker.violations, []);
-    assert.deepEqual(w.checker.underservedGroups(), []);
+    await world.runUntil(END_MS);
+    assert.deepEqual(world.checker.violations, []);
+    assert.deepEqual(world.checker.underservedGroups(), []);
   });
 
-test('of five nodes two end together, and then two others: the machines spread over those left', async () => {
-  const { w } = site(6, 5);
-  await w.runUntil(CALM_MS);
-  const leader = leaderIndex(w);
-  const up = alive(w);
+test('when two of five nodes end together, and later two others, the machines spread over those left', async () => {
+  const { world } = site(6, 5);
+  await world.runUntil(CALM_MS);
+  const leader = leaderIndex(world);
+  const up = aliveWorkers(world);
   for (const [n, at] of [0, 40_000].entries())
-    w.time.after(at, () => {
-      for (const i of [leader + 2 * n, leader + 2 * n + 1]) w.crash(i % 5, 25_000);
+    world.time.after(at, () => {
+      for (const i of [leader + 2 * n, leader + 2 * n + 1]) world.crash(i % 5, 25_000);
     });
   // In the stand-in an ended process is silent: two in a row cost a worker ten seconds.
-  await w.runUntil(CALM_MS + 16_000);
-  const places = new Set(up.filter((x) => x.alive).map((x) => x.heartbeatNodeIndex));
+  await world.runUntil(CALM_MS + 16_000);
+  const places = new Set(up.filter((worker) => worker.alive).map((worker) => worker.heartbeatNodeIndex));
   assert.deepEqual(
     [...places].sort((a, b) => a - b),
     [0, 1, 2, 3, 4].filter((i) => i !== leader && i !== (leader + 1) % 5),
   );
-  await w.runUntil(END_MS);
-  assertKept(w);
+  await world.runUntil(END_MS);
+  assertServed(world);
 });
 
-test('two holders answer one machine with different tokens: it believes the higher one alone', async () => {
-  const { w } = site(5);
-  await w.runUntil(CALM_MS);
-  const old = leaderIndex(w);
-  const names = w.nodes.map((n) => n.name as string);
-  // The old leader and one holder know nothing of the next leader, which the other holder follows.
+test('a worker with responses of two nodes under different fencing tokens follows the higher one alone', async () => {
+  const { world } = site(5);
+  await world.runUntil(CALM_MS);
+  const old = leaderIndex(world);
+  const names = world.nodes.map((node) => node.name as string);
+  // The old leader and one follower know nothing of the next leader, which the other node follows.
   const [kept = 0, next = 0] = [0, 1, 2].filter((i) => i !== old);
-  for (const i of [old, kept]) w.setLinkRefused(names[i] ?? '', names[next] ?? '', true);
-  w.network.partition(names[old] ?? '', STORE_HOST, 'hold');
-  await w.runUntil(CALM_MS + 12_000);
-  assert.notEqual(leaderIndex(w), old);
-  w.network.heal(names[old] ?? '', STORE_HOST);
-  for (const i of [old, kept]) w.setLinkRefused(names[i] ?? '', names[next] ?? '', false);
-  await w.runUntil(END_MS);
-  assert.equal(new Set(alive(w).map((x) => x.highestFencingToken)).size, 1);
-  assertKept(w);
+  for (const i of [old, kept]) world.setLinkRefused(names[i] ?? '', names[next] ?? '', true);
+  world.network.partition(names[old] ?? '', STORE_HOST, 'hold');
+  await world.runUntil(CALM_MS + 12_000);
+  assert.notEqual(leaderIndex(world), old);
+  world.network.heal(names[old] ?? '', STORE_HOST);
+  for (const i of [old, kept]) world.setLinkRefused(names[i] ?? '', names[next] ?? '', false);
+  await world.runUntil(END_MS);
+  assert.equal(new Set(aliveWorkers(world).map((worker) => worker.highestFencingToken)).size, 1);
+  assertServed(world);
 });
