--- a/packages/scale/src/command.ts
+++ b/packages/scale/src/command.ts
@@ -141,7 +141,7 @@
   }
 }
 
-/** `scale`: the program as it is shipped under load, with hollow workers, on loopback. */
+/** `scale`: the program as it is shipped under load, with simulated workers, on loopback. */
 export function scaleCommand(): Command {
   return new Command('scale')
     .description('the shipped program under load on loopback, with workers that have no real tasks')
--- a/packages/scale/src/results.ts
+++ b/packages/scale/src/results.ts
@@ -14,7 +14,7 @@
 }
 
 export const ROLES = ['leader', 'node', 'state', 'cloud', 'users', 'workers', 'worker'] as const;
-/** `workers` is a process of many hollow workers, `worker` one that is alone. */
+/** `workers` is a process of many simulated workers, `worker` one that is alone. */
 export type RoleName = (typeof ROLES)[number];
 
 /** A summary of a trouble that was played while the run went on. */
--- a/packages/scale/src/worker-host.ts
+++ b/packages/scale/src/worker-host.ts
@@ -68,7 +68,7 @@
 }
 
 /** Workers without real tasks that share this process; each has an address and connections of its own. */
-class HollowWorkers {
+class SimulatedWorkers {
   private readonly time = new MonotonicTimeline();
   private readonly log = new EventLog(this.time);
   private readonly workers = new Map<MachineId, SimulatedWorker>();
@@ -221,5 +221,5 @@
 
 /** A process of many workers, or of one alone. */
 export async function runWorkers(role: WorkersRole, meter: Meter): Promise<void> {
-  await new HollowWorkers(role, meter).run();
+  await new SimulatedWorkers(role, meter).run();
 }
