--- a/packages/controller/src/api/heartbeat-response.ts
+++ b/packages/controller/src/api/heartbeat-response.ts
@@ -8,7 +8,7 @@
 
 /** The outcome of a heartbeat as the worker sees it. */
 export type HeartbeatHttpResponse =
-  | { readonly code: 200; readonly token: FencingToken; readonly commands: readonly WorkerCommand[] }
+  | { readonly code: 200; readonly fencingToken: FencingToken; readonly commands: readonly WorkerCommand[] }
   | { readonly code: 421; readonly leader: NodeId }
   | { readonly code: 503 };
 
@@ -16,7 +16,7 @@
 export function toHeartbeatResponse(outcome: HeartbeatOutcome): HeartbeatHttpResponse {
   switch (outcome.outcome) {
     case 'accepted':
-      return { code: 200, token: outcome.fencingToken, commands: outcome.commands };
+      return { code: 200, fencingToken: outcome.fencingToken, commands: outcome.commands };
     case 'redirected':
       return { code: 421, leader: outcome.node };
     case 'unavailable':
--- a/packages/controller/src/api/http-server.ts
+++ b/packages/controller/src/api/http-server.ts
@@ -107,7 +107,7 @@
   const response = toHeartbeatResponse(outcome);
   switch (response.code) {
     case 200:
-      return reply.code(200).send(formatHeartbeatResponse(response.token, response.commands));
+      return reply.code(200).send(formatHeartbeatResponse(response.fencingToken, response.commands));
     case 421:
       return reply.code(421).send({ foreman: response.leader });
     case 503:
--- a/packages/controller/src/heartbeats/command-planner.ts
+++ b/packages/controller/src/heartbeats/command-planner.ts
@@ -151,7 +151,7 @@
   }
 
   private recordedPhaseOf(job: JobId): string | null {
-    return this.term.context.storeIntegrity.phaseOf(job);
+    return this.term.context.storeIntegrity.jobPhaseOf(job);
   }
 }
 
--- a/packages/controller/src/jobs/job-record-reader.ts
+++ b/packages/controller/src/jobs/job-record-reader.ts
@@ -38,7 +38,9 @@
    * until they are read.
    */
   get stalenessMs(): number {
-    return this.watcher.knownAsOf === null ? this.term.context.storeIntegrity.copyAgeMs : this.watcher.ageMs;
+    return this.watcher.knownAsOf === null
+      ? this.term.context.storeIntegrity.replicaAgeMs
+      : this.watcher.ageMs;
   }
 
   /** Reads all records, repeating until it succeeds. Returns the revision to watch from, or null when deposed meanwhile. */
--- a/packages/controller/src/leadership/controller.ts
+++ b/packages/controller/src/leadership/controller.ts
@@ -62,7 +62,7 @@
       peers: this.peers,
       localLeader: this.leaderRole,
       cancelledTasks: {
-        stopsFor: (heartbeat) => stopsForCancelledTasks(heartbeat, (job) => store.phaseOf(job)),
+        stopsFor: (heartbeat) => stopsForCancelledTasks(heartbeat, (job) => store.jobPhaseOf(job)),
       },
     });
     this.jobs = new JobService(
@@ -138,7 +138,7 @@
     const { settings, clock, store } = this.options;
     return new ConfigurationRollout(settings, clock, {
       version: () => this.configuration.version,
-      ageMs: () => store.copyAgeMs,
+      ageMs: () => store.replicaAgeMs,
       leads: () => this.leaderRole.isLeading,
     });
   }
--- a/packages/controller/src/leadership/leader-term.ts
+++ b/packages/controller/src/leadership/leader-term.ts
@@ -19,13 +19,13 @@
   /** Whether everything that was ever written is known to have been read. */
   readonly continuous: boolean;
   /** Whether the store has lost data of which no replica had a copy. */
-  readonly hasLost: boolean;
+  readonly hasLostData: boolean;
   /** Called once the leader knows what runs on every machine, whatever the store may have lost before. */
-  settled(): void;
+  confirmReconciled(): void;
   /** The phase of a job by this controller's replica of its record, also of jobs that ended long ago; null without a record. */
-  phaseOf(id: JobId): string | null;
+  jobPhaseOf(id: JobId): string | null;
   /** Milliseconds by which the replica is out of date: it contains every cancellation confirmed before. Infinity without one. */
-  readonly copyAgeMs: number;
+  readonly replicaAgeMs: number;
 }
 
 /** The workers that send their heartbeats directly to this process. */
--- a/packages/controller/src/reconciliation/reconciliation.ts
+++ b/packages/controller/src/reconciliation/reconciliation.ts
@@ -152,7 +152,7 @@
   /** Whether a store that has lost nothing would hold a record of the task's job, or of this attempt having been given. */
   private isUnexplained({ job: id, task, attempt }: TaskStatus): boolean {
     const job = this.cluster.jobs.get(id);
-    if (job === undefined) return this.term.context.storeIntegrity.phaseOf(id) === null;
+    if (job === undefined) return this.term.context.storeIntegrity.jobPhaseOf(id) === null;
     return task < job.spec.tasks && job.state === 'active' && attempt > job.chunkOf(task).attemptsIssued;
   }
 
@@ -230,7 +230,7 @@
     else if (
       this.state === 'collecting' &&
       this.unexplainedTasks === 0 &&
-      !storeIntegrity.hasLost &&
+      !storeIntegrity.hasLostData &&
       listedAt !== null
     )
       this.transitionTo('verifying', `nothing speaks against the records; ${missing} machines are awaited`);
@@ -280,6 +280,6 @@
 
   private finish(reason: string): void {
     this.transitionTo('reconciled', reason);
-    this.term.context.storeIntegrity.settled();
+    this.term.context.storeIntegrity.confirmReconciled();
   }
 }
--- a/packages/controller/test/record-staleness.test.ts
+++ b/packages/controller/test/record-staleness.test.ts
@@ -14,7 +14,7 @@
 const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const ID = 'wk-000001' as JobId;
 
-function records(copyAgeMs: number): {
+function records(replicaAgeMs: number): {
   time: { now: number };
   cluster: ClusterState;
   records: JobRecordReader;
@@ -42,7 +42,7 @@
     settings,
     store,
     log: silent,
-    storeIntegrity: { copyAgeMs },
+    storeIntegrity: { replicaAgeMs },
   } as unknown as LeaderContext;
   const cluster = new ClusterState({
     clock,
--- a/packages/controller/test/unanswered-commands.test.ts
+++ b/packages/controller/test/unanswered-commands.test.ts
@@ -37,7 +37,7 @@
   const { time, clock, term, cluster } = createLeaderFixture({
     settings: { workers: WORKERS },
     leadership: { fencingToken: FENCING_TOKEN, holdsValidLease: () => true, observeToken: () => undefined },
-    storeIntegrity: { phaseOf: () => null },
+    storeIntegrity: { jobPhaseOf: () => null },
     workerClient: {
       sendCommands: (
         _address: string,
--- a/packages/daemon/src/node-process.ts
+++ b/packages/daemon/src/node-process.ts
@@ -56,8 +56,8 @@
 ): NodeParts {
   const cloud = new HttpCloudProvider(settings.cloudAddress, settings.cloudLimits.rps, monotonicClock);
   const store = new RecoverableStore({
-    ...(snapshots === undefined ? {} : { shelf: snapshots }),
-    raw: new HttpKeyValueStore(settings.storeAddress, settings.storeLimits, monotonicClock),
+    ...(snapshots === undefined ? {} : { snapshots }),
+    underlyingStore: new HttpKeyValueStore(settings.storeAddress, settings.storeLimits, monotonicClock),
     clock: monotonicClock,
     wallNow: wallClock,
     node: settings.node,
--- a/packages/daemon/src/snapshot-tool-command.ts
+++ b/packages/daemon/src/snapshot-tool-command.ts
@@ -61,7 +61,7 @@
 function toolOptions(settingsPath: string): SnapshotToolOptions {
   const settings = readSettings(settingsPath);
   return {
-    raw: new HttpKeyValueStore(settings.storeAddress, settings.storeLimits, monotonicClock),
+    underlyingStore: new HttpKeyValueStore(settings.storeAddress, settings.storeLimits, monotonicClock),
     clock: monotonicClock,
     wallNow: () => Date.now() as WallClockMs,
     valueKb: settings.storeLimits.valueKb,
--- a/packages/measure/src/store-data-loss.ts
+++ b/packages/measure/src/store-data-loss.ts
@@ -171,11 +171,11 @@
       revision: copies?.revision ?? (0 as never),
       takenAt: 0,
     },
-    copies?.copy.entries() ?? [],
+    copies?.replica.entries() ?? [],
   );
   const snapshotMs = performance.now() - began;
   const snapshot = decodeSnapshot(bytes);
-  const copyBytes = copies?.copy.sizeInBytes() ?? 0;
+  const copyBytes = copies?.replica.sizeInBytes() ?? 0;
   const starts = checker.starts;
   const { startsOfCompletedTasks: startsOfDone } = checker;
   let firstStartMs: number | null = null;
@@ -205,7 +205,7 @@
     rulesBroken,
     requestsPerS: Number(standing.requests.toFixed(1)),
     changesPerS: Number(standing.changes.toFixed(1)),
-    records: copies?.copy.size ?? 0,
+    records: copies?.replica.size ?? 0,
     copyBytes,
     snapshot: {
       bytes: bytes.length,
--- a/packages/recovery/src/attachment.ts
+++ b/packages/recovery/src/attachment.ts
@@ -35,7 +35,7 @@
 
 /** What attaching works with. */
 export interface StoreAttachmentDependencies {
-  readonly raw: KeyValueStore;
+  readonly underlyingStore: KeyValueStore;
   readonly clock: Clock;
   /** Number of controllers, this one included. */
   readonly nodes: number;
@@ -71,7 +71,7 @@
     const { epoch } = record;
     await this.loadSnapshot(epoch?.deployment ?? null);
     if (epoch === null) return this.attachWithoutEpoch();
-    const { ahead } = observations.reachablePeers();
+    const { highestEpoch: ahead } = observations.reachablePeers();
     if (epoch.phase !== 'open' || epoch.number < ahead)
       return suspect(`epoch ${epoch.number} is ${epoch.phase}, of others ${ahead}`);
     return this.attachToEpoch(epoch);
@@ -94,7 +94,7 @@
   private async attachWithoutEpoch(): Promise<AttachOutcome> {
     const { clock, nodes, observations } = this.dependencies;
     const now = clock.now();
-    const { peers, ahead } = observations.reachablePeers();
+    const { peers, highestEpoch: ahead } = observations.reachablePeers();
     const waitMs = peers.length >= nodes - 1 ? INITIALIZE_AMONG_PEERS_MS : INITIALIZE_ALONE_MS;
     if (observations.highestToken > 0 || this.snapshot !== null)
       return suspect('no epoch, but a token or a snapshot');
@@ -104,8 +104,8 @@
   }
 
   private async initialize(): Promise<AttachOutcome> {
-    const { raw, recovery } = this.dependencies;
-    const listed = await raw.list('', CONTROL_PRIORITY);
+    const { underlyingStore, recovery } = this.dependencies;
+    const listed = await underlyingStore.list('', CONTROL_PRIORITY);
     if (listed.outcome !== 'listed') return this.pause(RETRY_MS);
     if (listed.items.some((item) => !isControlKey(item.key))) return suspect('records without an epoch');
     await recovery.initializeStore();
--- a/packages/recovery/src/dependencies.ts
+++ b/packages/recovery/src/dependencies.ts
@@ -13,7 +13,7 @@
 /** What a recoverable store works with. */
 export interface RecoverableStoreDependencies {
   /** The store as it is, without any validation of its responses. */
-  readonly raw: KeyValueStore;
+  readonly underlyingStore: KeyValueStore;
   readonly clock: Clock;
   readonly wallNow: () => WallClockMs;
   /** Returns ids that are never returned again; random ones by default. */
@@ -31,5 +31,5 @@
   /** Called after the replica has changed. */
   readonly onReplicaChanged?: () => void;
   /** Snapshots, if operators keep any. */
-  readonly shelf?: SnapshotSource;
+  readonly snapshots?: SnapshotSource;
 }
--- a/packages/recovery/src/epoch-store/epoch-store.ts
+++ b/packages/recovery/src/epoch-store/epoch-store.ts
@@ -49,7 +49,7 @@
 /** What the store of an epoch works with. */
 export interface EpochStoreDependencies {
   /** The store as it is, whose responses are validated here. */
-  readonly raw: KeyValueStore;
+  readonly underlyingStore: KeyValueStore;
   readonly clock: Clock;
   /** Number of mutations that a transaction may hold. */
   readonly txnOps: number;
@@ -73,7 +73,7 @@
   readonly overlay: RepairOverlay;
   /** Keys of contributions and of tombstones, to be deleted once everything is written back. */
   obsoleteKeys: readonly string[];
-  private readonly raw: KeyValueStore;
+  private readonly underlyingStore: KeyValueStore;
   private readonly validator: ResponseValidator;
   private readonly selector: AuditSelector;
   private readonly follower: ReplicaFollower;
@@ -84,7 +84,7 @@
     private readonly dependencies: EpochStoreDependencies,
     { epoch, fence, records, pendingRepairs, obsoleteKeys, revision }: OpenEpoch,
   ) {
-    const { raw, clock, txnOps } = dependencies;
+    const { underlyingStore, clock, txnOps } = dependencies;
     const repairedRecords = pendingRepairs.map((repair) => ({
       key: repair.key,
       value: JSON.parse(repair.text) as unknown,
@@ -93,7 +93,7 @@
     }));
     this.replica.replaceAll([...records, ...repairedRecords], revision);
     this.epoch = epoch;
-    this.raw = raw;
+    this.underlyingStore = underlyingStore;
     this.overlay = new RepairOverlay(pendingRepairs, fence.version);
     this.obsoleteKeys = [...obsoleteKeys];
     this.enteredAt = clock.now();
@@ -104,15 +104,15 @@
         dependencies.suspect(evidence);
       },
     };
-    this.validator = new ResponseValidator(raw, fence, trust, revision);
+    this.validator = new ResponseValidator(underlyingStore, fence, trust, revision);
     this.follower = this.createFollower(trust);
     this.auditor = this.createAuditor(trust);
   }
 
   private createFollower(trust: EpochTrust): ReplicaFollower {
-    const { raw, clock, onReplicaChanged } = this.dependencies;
+    const { underlyingStore, clock, onReplicaChanged } = this.dependencies;
     return new ReplicaFollower({
-      raw,
+      underlyingStore,
       clock,
       epoch: this.epoch,
       replica: this.replica,
@@ -128,7 +128,7 @@
 
   private createAuditor(trust: EpochTrust): IntegrityAuditor {
     return new IntegrityAuditor({
-      raw: this.raw,
+      underlyingStore: this.underlyingStore,
       replica: this.replica,
       overlay: this.overlay,
       selector: this.selector,
@@ -170,7 +170,7 @@
   /** Reads a key. A response that contradicts the replica is refused, and reported as evidence of a loss. */
   async read(key: string, priority: RequestPriority): Promise<ReadOutcome> {
     const known = this.replica.get(key);
-    const found = await this.validator.send<FoundOrAbsent>(() => this.raw.read(key, priority));
+    const found = await this.validator.send<FoundOrAbsent>(() => this.underlyingStore.read(key, priority));
     if (!this.isCurrent) return REFUSED;
     if (found.outcome === 'found') return this.validateFound(key, found, known);
     if (found.outcome === 'absent') return this.validateAbsent(key, found, known);
@@ -201,7 +201,7 @@
 
   /** Reads all keys with a prefix. A response that contradicts the replica is refused, and reported as evidence of a loss. */
   async list(prefix: string, priority: RequestPriority): Promise<ListOutcome> {
-    const listed = await this.validator.send<Listed>(() => this.raw.list(prefix, priority));
+    const listed = await this.validator.send<Listed>(() => this.underlyingStore.list(prefix, priority));
     if (!this.isCurrent) return REFUSED;
     if (listed.outcome !== 'listed') return listed;
     const items = this.validateListed(listed);
@@ -257,7 +257,9 @@
     const fencedCompares = [this.validator.fence, ...translated.compares];
     const written = translateMutations(mutations, this.overlay);
     const outcome = this.validator.checkFence(
-      await this.validator.send(() => this.raw.commit(fencedCompares, written.mutations, priority)),
+      await this.validator.send(() =>
+        this.underlyingStore.commit(fencedCompares, written.mutations, priority),
+      ),
     );
     if (!this.isCurrent) return outcome.outcome === 'committed' ? UNKNOWN : outcome;
     if (outcome.outcome !== 'committed') return outcome;
@@ -283,7 +285,7 @@
   /** Waits up to `waitMs` milliseconds for changes of keys with a prefix after a revision. */
   async watch(prefix: string, after: Revision, waitMs: number): Promise<WatchOutcome> {
     const watched = await this.validator.send<Exclude<WatchOutcome, RequestFailure>>(() =>
-      this.raw.watch(prefix, after, waitMs),
+      this.underlyingStore.watch(prefix, after, waitMs),
     );
     if (!this.isCurrent) return REFUSED;
     return watched.outcome === 'events'
@@ -294,7 +296,7 @@
   /** Renews a lease. It counts only while fence and leader record stand: the id may belong to another process by now. */
   async renewLease(lease: LeaseId, leadership: Compare): Promise<LeaseRenewalOutcome> {
     const [renewed, compared] = await Promise.all([
-      this.raw.renewLease(lease, leadership),
+      this.underlyingStore.renewLease(lease, leadership),
       this.validator.compare([leadership]),
     ]);
     if (compared.outcome === 'conflict') return { outcome: 'ended' };
--- a/packages/recovery/src/epoch-store/integrity-auditor.ts
+++ b/packages/recovery/src/epoch-store/integrity-auditor.ts
@@ -19,7 +19,7 @@
 
 /** What an auditor works with. */
 export interface IntegrityAuditorDependencies {
-  readonly raw: KeyValueStore;
+  readonly underlyingStore: KeyValueStore;
   readonly replica: Replica;
   readonly overlay: RepairOverlay;
   readonly selector: AuditSelector;
@@ -57,9 +57,9 @@
 
   /** Reads a key whose comparison failed. Returns false where the epoch is no longer trusted. */
   private async checkKey(key: string): Promise<boolean> {
-    const { raw, replica, selector, validator, trust } = this.dependencies;
+    const { underlyingStore, replica, selector, validator, trust } = this.dependencies;
     const known = replica.get(key);
-    const found = await raw.read(key, CONTROL_PRIORITY);
+    const found = await underlyingStore.read(key, CONTROL_PRIORITY);
     if (!trust.isCurrent()) return false;
     if (found.outcome === 'found') {
       const { version, value } = found.item;
--- a/packages/recovery/src/epoch-store/replica-follower.ts
+++ b/packages/recovery/src/epoch-store/replica-follower.ts
@@ -22,7 +22,7 @@
 
 /** What a follower works with. */
 export interface ReplicaFollowerDependencies {
-  readonly raw: KeyValueStore;
+  readonly underlyingStore: KeyValueStore;
   readonly clock: Clock;
   readonly epoch: Epoch;
   readonly replica: Replica;
@@ -50,9 +50,9 @@
 
   /** Waits for changes once, and applies them. */
   async follow(): Promise<void> {
-    const { raw, clock, replica, validator, trust, onReplicaChanged } = this.dependencies;
+    const { underlyingStore, clock, replica, validator, trust, onReplicaChanged } = this.dependencies;
     const sentAt = clock.now();
-    const watched = await validator.send(() => raw.watch('', replica.revision, WATCH_TIMEOUT_MS));
+    const watched = await validator.send(() => underlyingStore.watch('', replica.revision, WATCH_TIMEOUT_MS));
     if (!trust.isCurrent()) return;
     if (watched.outcome === 'compacted') return this.readAnew();
     if (watched.outcome !== 'events') return clock.sleep(RETRY_MS);
@@ -83,8 +83,8 @@
   }
 
   private async checkEpochRecord(): Promise<void> {
-    const { raw, epoch, trust } = this.dependencies;
-    const found = await raw.read(EPOCH_KEY, CONTROL_PRIORITY);
+    const { underlyingStore, epoch, trust } = this.dependencies;
+    const found = await underlyingStore.read(EPOCH_KEY, CONTROL_PRIORITY);
     const id = found.outcome === 'found' ? decodeEpoch(found.item.value)?.id : null;
     if ((found.outcome === 'found' && id !== epoch.id) || found.outcome === 'absent')
       trust.suspect('the fence was moved');
--- a/packages/recovery/src/epoch-store/response-validator.ts
+++ b/packages/recovery/src/epoch-store/response-validator.ts
@@ -30,7 +30,7 @@
    * @param highestKnownRevision - Highest revision that the epoch is known to have reached.
    */
   constructor(
-    private readonly raw: KeyValueStore,
+    private readonly underlyingStore: KeyValueStore,
     readonly fence: Compare,
     private readonly trust: EpochTrust,
     public highestKnownRevision: number,
@@ -55,7 +55,7 @@
   /** Compares the fence, and other keys, in a transaction without mutations. */
   async compare(compares: readonly Compare[]): Promise<CommitOutcome> {
     return this.checkFence(
-      await this.send(() => this.raw.commit([this.fence, ...compares], [], CONTROL_PRIORITY)),
+      await this.send(() => this.underlyingStore.commit([this.fence, ...compares], [], CONTROL_PRIORITY)),
     );
   }
 
--- a/packages/recovery/src/peer-observations.ts
+++ b/packages/recovery/src/peer-observations.ts
@@ -83,7 +83,7 @@
       // A peer whose recovery does not end must not be waited for forever.
       .filter((peer) => peer.status.isStoreTrusted || now - peer.inEpochSince < PEER_RECOVERY_TIMEOUT_MS)
       .map((peer) => peer.status.storeEpoch);
-    return { peers: reachable.map((peer) => peer.status.node), ahead: Math.max(0, ...epochs) };
+    return { peers: reachable.map((peer) => peer.status.node), highestEpoch: Math.max(0, ...epochs) };
   }
 
   /** Returns whether a peer that is reachable has followed the epoch from its opening. */
--- a/packages/recovery/src/phases/commit-with-retry.ts
+++ b/packages/recovery/src/phases/commit-with-retry.ts
@@ -12,12 +12,12 @@
 
 /** Commits until the store confirms. Returns false once a comparison fails, or after too many attempts. */
 export async function commitWithRetry(
-  { raw, clock }: StoreRecoveryDependencies,
+  { underlyingStore, clock }: StoreRecoveryDependencies,
   compares: readonly Compare[],
   mutations: readonly Mutation[],
 ): Promise<boolean> {
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
-    const outcome = await raw.commit(compares, mutations, CONTROL_PRIORITY);
+    const outcome = await underlyingStore.commit(compares, mutations, CONTROL_PRIORITY);
     if (outcome.outcome === 'committed') return true;
     if (outcome.outcome === 'conflict' || outcome.outcome === 'no_lease') return false;
     await clock.sleep(RETRY_MS);
--- a/packages/recovery/src/phases/contribute.ts
+++ b/packages/recovery/src/phases/contribute.ts
@@ -38,10 +38,10 @@
 
 /** Waits until the initiator of an epoch has left its marker, or for `INITIATOR_TIMEOUT_MS`. */
 export async function awaitInitiator(dependencies: StoreRecoveryDependencies, epoch: Epoch): Promise<void> {
-  const { raw, clock } = dependencies;
+  const { underlyingStore, clock } = dependencies;
   const deadline = addMs(clock.now(), INITIATOR_TIMEOUT_MS);
   while (clock.now() < deadline) {
-    const found = await raw.read(markerKey(epoch.id, epoch.initiator), CONTROL_PRIORITY);
+    const found = await underlyingStore.read(markerKey(epoch.id, epoch.initiator), CONTROL_PRIORITY);
     if (found.outcome === 'found') return;
     await clock.sleep(POLL_INTERVAL_MS);
   }
@@ -49,8 +49,8 @@
 
 /** Writes what this controller has and the store lacks, then its marker. Returns false where it has to be tried again. */
 export async function contribute(dependencies: StoreRecoveryDependencies, epoch: Epoch): Promise<boolean> {
-  const { raw, node, valueKb, log } = dependencies;
-  const listed = await raw.list('', CONTROL_PRIORITY);
+  const { underlyingStore, node, valueKb, log } = dependencies;
+  const listed = await underlyingStore.list('', CONTROL_PRIORITY);
   if (listed.outcome !== 'listed') return false;
   const localState = dependencies.localState();
   const content = analyseStore(dependencies, epoch, listed.items);
--- a/packages/recovery/src/phases/load-epoch.ts
+++ b/packages/recovery/src/phases/load-epoch.ts
@@ -22,11 +22,11 @@
  * @param tookPartInRecovery - Whether this controller contributed to the recovery that opened the epoch.
  */
 export async function loadEpoch(
-  { raw, clock, log }: StoreRecoveryDependencies,
+  { underlyingStore, clock, log }: StoreRecoveryDependencies,
   epoch: Epoch,
   tookPartInRecovery: boolean,
 ): Promise<OpenEpoch | null> {
-  const listed = await raw.list('', CONTROL_PRIORITY);
+  const listed = await underlyingStore.list('', CONTROL_PRIORITY);
   if (listed.outcome !== 'listed') return pauseBeforeRetry(clock);
   const { items, revision, latest } = listed;
   const fence = items.find((item) => item.key === fenceKey(epoch.id));
--- a/packages/recovery/src/phases/move-fence.ts
+++ b/packages/recovery/src/phases/move-fence.ts
@@ -49,12 +49,12 @@
   }
 
   private async moveTo(found: VersionedEpoch, createEpoch: () => Epoch): Promise<void> {
-    const { raw, clock, log } = this.dependencies;
-    const fences = await raw.list(FENCE_PREFIX, CONTROL_PRIORITY);
+    const { underlyingStore, clock, log } = this.dependencies;
+    const fences = await underlyingStore.list(FENCE_PREFIX, CONTROL_PRIORITY);
     if (fences.outcome !== 'listed') return;
     const epoch = createEpoch();
     this.initiatedAt.set(epoch.id, clock.now());
-    const outcome = await raw.commit(
+    const outcome = await underlyingStore.commit(
       [{ key: EPOCH_KEY, version: found.version }],
       [
         { put: EPOCH_KEY, value: encodeEpoch(epoch) },
--- a/packages/recovery/src/phases/open-epoch.ts
+++ b/packages/recovery/src/phases/open-epoch.ts
@@ -24,10 +24,10 @@
   version: Version,
   markers: Markers,
 ): Promise<OpenEpoch | null> {
-  const { raw, clock, log } = dependencies;
+  const { underlyingStore, clock, log } = dependencies;
   const continuous = isContinuous(markers);
   const epoch: Epoch = { ...gathering, phase: 'open', continuous };
-  const outcome = await raw.commit(
+  const outcome = await underlyingStore.commit(
     [{ key: EPOCH_KEY, version }],
     [{ put: EPOCH_KEY, value: encodeEpoch(epoch) }],
     CONTROL_PRIORITY,
@@ -42,10 +42,10 @@
   dependencies: StoreRecoveryDependencies,
   epoch: Epoch,
 ): Promise<OpenEpoch | null> {
-  const { raw, clock } = dependencies;
+  const { underlyingStore, clock } = dependencies;
   const deadline = addMs(clock.now(), STALL_TIMEOUT_MS);
   while (clock.now() < deadline) {
-    const record = await readEpochRecord(raw);
+    const record = await readEpochRecord(underlyingStore);
     if (record !== null) {
       if (record.epoch?.id !== epoch.id) return null;
       if (record.epoch.phase === 'open') return loadEpoch(dependencies, record.epoch, true);
--- a/packages/recovery/src/phases/quorum.ts
+++ b/packages/recovery/src/phases/quorum.ts
@@ -37,10 +37,10 @@
   fenceMover: FenceMover,
   epoch: Epoch,
 ): Promise<Markers | null> {
-  const { raw, clock, node, log } = dependencies;
+  const { underlyingStore, clock, node, log } = dependencies;
   for (;;) {
     const elapsedMs = fenceMover.msSinceInitiated(epoch);
-    const listed = await raw.list(epochContributionPrefix(epoch.id), CONTROL_PRIORITY);
+    const listed = await underlyingStore.list(epochContributionPrefix(epoch.id), CONTROL_PRIORITY);
     if (listed.outcome === 'listed') {
       const contributions = decodeContributions(listed.items, log);
       const markers = new Map(contributions.map((contribution) => [contribution.node, contribution.marker]));
@@ -66,12 +66,12 @@
  * lease hits nobody. Returns false where the store does not grant one.
  */
 export async function passEarlierLeaseIds(
-  { raw, log }: StoreRecoveryDependencies,
+  { underlyingStore, log }: StoreRecoveryDependencies,
   markers: Markers,
 ): Promise<boolean> {
   const highestEarlierId = Math.max(0, ...[...markers.values()].map((marker) => marker.highestLeaseId));
   for (let count = 0; count < MAX_REQUESTED_LEASES; count += 1) {
-    const granted = await raw.grantLease(REQUESTED_LEASE_TTL_MS);
+    const granted = await underlyingStore.grantLease(REQUESTED_LEASE_TTL_MS);
     if (granted.outcome !== 'granted') return false;
     if (granted.lease > highestEarlierId) return true;
   }
--- a/packages/recovery/src/phases/read-epoch.ts
+++ b/packages/recovery/src/phases/read-epoch.ts
@@ -11,8 +11,8 @@
 import { CONTROL_PRIORITY } from '../request-priorities.js';
 
 /** Reads the epoch record. Returns null where the store has not answered. */
-export async function readEpochRecord(raw: KeyValueStore): Promise<VersionedEpoch | null> {
-  const found = await raw.read(EPOCH_KEY, CONTROL_PRIORITY);
+export async function readEpochRecord(underlyingStore: KeyValueStore): Promise<VersionedEpoch | null> {
+  const found = await underlyingStore.read(EPOCH_KEY, CONTROL_PRIORITY);
   if (found.outcome === 'absent') return { epoch: null, version: KEY_ABSENT };
   if (found.outcome !== 'found') return null;
   return { epoch: decodeEpoch(found.item.value), version: found.item.version };
--- a/packages/recovery/src/phases/recovery-dependencies.ts
+++ b/packages/recovery/src/phases/recovery-dependencies.ts
@@ -51,13 +51,13 @@
 export interface ReachablePeers {
   readonly peers: readonly NodeId[];
   /** Highest number of an epoch that one of them is in; 0 without any. */
-  readonly ahead: number;
+  readonly highestEpoch: number;
 }
 
 /** What a recovery works with. */
 export interface StoreRecoveryDependencies {
   /** The store as it is, without any validation of its responses. */
-  readonly raw: KeyValueStore;
+  readonly underlyingStore: KeyValueStore;
   readonly clock: Clock;
   readonly wallNow: () => WallClockMs;
   /** Returns ids that are never returned again; random ones by default. */
--- a/packages/recovery/src/phases/store-recovery.ts
+++ b/packages/recovery/src/phases/store-recovery.ts
@@ -53,8 +53,8 @@
    * needed.
    */
   async attempt(): Promise<OpenEpoch | null> {
-    const { raw, clock, onEpochObserved, onEpochJoined } = this.dependencies;
-    const record = await readEpochRecord(raw);
+    const { underlyingStore, clock, onEpochObserved, onEpochJoined } = this.dependencies;
+    const record = await readEpochRecord(underlyingStore);
     if (record === null) return pauseBeforeRetry(clock);
     const { epoch } = record;
     const localState = this.dependencies.localState();
@@ -78,7 +78,7 @@
 
   /** Reads the epoch record. Returns null where the store has not answered. */
   readEpochRecord(): Promise<VersionedEpoch | null> {
-    return readEpochRecord(this.dependencies.raw);
+    return readEpochRecord(this.dependencies.underlyingStore);
   }
 
   /** Reads an open epoch that this controller has not helped to recover. Returns null where the store has not answered. */
@@ -100,7 +100,7 @@
 
   /** A peer that is reachable works in a later epoch: one of two stores is the older one, and not for this one to change. */
   private isPeerAhead(epoch: Epoch | null, { replicaEpoch }: LocalRecoveryState): boolean {
-    return this.dependencies.reachablePeers().ahead > Math.max(replicaEpoch, epoch?.number ?? 0);
+    return this.dependencies.reachablePeers().highestEpoch > Math.max(replicaEpoch, epoch?.number ?? 0);
   }
 
   /** Returns whether nothing is to be expected of the epoch's initiator any more. */
--- a/packages/recovery/src/recoverable-store.ts
+++ b/packages/recovery/src/recoverable-store.ts
@@ -39,7 +39,7 @@
 export interface ReplicaSnapshot {
   readonly epoch: Epoch;
   readonly revision: Revision;
-  readonly copy: Replica;
+  readonly replica: Replica;
 }
 
 /** What peers are told about the store. */
@@ -81,18 +81,18 @@
   }
 
   /** Whether the epoch opened without the replica of the last leader. */
-  get hasLost(): boolean {
+  get hasLostData(): boolean {
     const { epochStore } = this.lifecycle;
     return epochStore !== null && !epochStore.epoch.continuous;
   }
 
   /** Age of the replica in milliseconds: everything that was durable before is in it. Infinity without a replica. */
-  get copyAgeMs(): number {
+  get replicaAgeMs(): number {
     return this.lifecycle.epochStore?.replicaAgeMs ?? Infinity;
   }
 
   /** Returns the phase of a job by the replica, or null where no record of it was ever read. */
-  phaseOf(id: JobId): string | null {
+  jobPhaseOf(id: JobId): string | null {
     const entry = this.lifecycle.epochStore?.replica.get(jobKey(id));
     return entry === undefined ? null : jobPhaseOf(entry.text);
   }
@@ -108,7 +108,7 @@
   replicaSnapshot(): ReplicaSnapshot | null {
     const store = this.lifecycle.trustedStore;
     if (store === null) return null;
-    return { epoch: store.epoch, revision: store.replica.revision, copy: store.replica };
+    return { epoch: store.epoch, revision: store.replica.revision, replica: store.replica };
   }
 
   /** Returns the fencing token of a leader whose record was written at this version. */
@@ -118,7 +118,7 @@
 
   /** Returns since when the store is doubted, or has not served requests; null while it works. */
   failingSince(): MonotonicMs | null {
-    return this.lifecycle.doubtedAt ?? this.dependencies.raw.failingSince();
+    return this.lifecycle.doubtedAt ?? this.dependencies.underlyingStore.failingSince();
   }
 
   /** Returns what peers are told about the store. */
@@ -152,7 +152,7 @@
   }
 
   /** Records that the leader knows what runs on every machine: nothing that was written before can be missing any more. */
-  settled(): void {
+  confirmReconciled(): void {
     this.lifecycle.confirmContinuous();
   }
 
@@ -196,7 +196,7 @@
   /** See `KeyValueStore`. Refused while the store is not trusted. */
   async grantLease(ttlMs: number): Promise<LeaseGrantOutcome> {
     if (!this.isTrusted) return REFUSED;
-    const granted = await this.dependencies.raw.grantLease(ttlMs);
+    const granted = await this.dependencies.underlyingStore.grantLease(ttlMs);
     if (granted.outcome === 'granted') this.lifecycle.recordLeaseGrant(granted.lease);
     return granted;
   }
@@ -208,6 +208,6 @@
 
   /** See `KeyValueStore`. Does nothing while the store is not trusted. */
   revokeLease(lease: LeaseId): Promise<void> {
-    return this.isTrusted ? this.dependencies.raw.revokeLease(lease) : Promise.resolve();
+    return this.isTrusted ? this.dependencies.underlyingStore.revokeLease(lease) : Promise.resolve();
   }
 }
--- a/packages/recovery/src/store-lifecycle.ts
+++ b/packages/recovery/src/store-lifecycle.ts
@@ -34,7 +34,7 @@
   private suspectedAt: MonotonicMs | null = null;
 
   constructor(private readonly dependencies: RecoverableStoreDependencies) {
-    const { raw, clock, nodes, log, shelf, countRunningMachines } = dependencies;
+    const { underlyingStore, clock, nodes, log, snapshots, countRunningMachines } = dependencies;
     this.integrity = new StoreIntegrity((from, to, evidence) => {
       const revision = this.epochStore?.highestKnownRevision ?? 0;
       log.info({ from, to, evidence, epoch: this.generation, revision }, 'store integrity changed');
@@ -42,12 +42,12 @@
     this.observations = new PeerObservations(clock, countRunningMachines);
     this.recovery = this.createRecovery();
     this.attachment = new StoreAttachment({
-      raw,
+      underlyingStore,
       clock,
       nodes,
       observations: this.observations,
       recovery: this.recovery,
-      snapshots: shelf,
+      snapshots,
     });
   }
 
@@ -199,9 +199,9 @@
   }
 
   private createEpochStore(openEpoch: OpenEpoch): EpochStore {
-    const { raw, clock, limits } = this.dependencies;
+    const { underlyingStore, clock, limits } = this.dependencies;
     const dependencies = {
-      raw,
+      underlyingStore,
       clock,
       txnOps: limits.txnOps,
       suspect: (evidence: string) => {
--- a/packages/scale/src/worker-host.ts
+++ b/packages/scale/src/worker-host.ts
@@ -156,7 +156,7 @@
     this.app.post(PATHS.commands, (request, reply) => {
       const worker = this.called(request);
       if (worker === undefined) return reply.code(503).send({});
-      const { token, agentEpoch: session, commands } = parseDirectCommands(request.body);
+      const { fencingToken: token, agentEpoch: session, commands } = parseDirectCommands(request.body);
       this.meter.count('commands');
       worker.receiveCommands(token, session, commands, (isExecuted, report) => {
         void reply.code(isExecuted ? 200 : 409).send(formatHeartbeat(report));
--- a/packages/simulated-worker/src/heartbeat-loop.ts
+++ b/packages/simulated-worker/src/heartbeat-loop.ts
@@ -97,9 +97,9 @@
         return;
       case 200:
         // A response for an earlier epoch, or from a leader that has been replaced, is dropped.
-        if (epoch !== agent.epoch || response.token < agent.fencingToken) return;
+        if (epoch !== agent.epoch || response.fencingToken < agent.fencingToken) return;
         agent.renewLease(sentAtMs);
-        this.observeToken(response.token);
+        this.observeToken(response.fencingToken);
         execute(response.commands);
     }
   }
--- a/packages/simulated-worker/src/worker-host.ts
+++ b/packages/simulated-worker/src/worker-host.ts
@@ -18,7 +18,7 @@
 /** What a controller answers to a heartbeat, by the status code of the response. */
 export type HeartbeatResult =
   /** The lease is renewed, and the commands are to be executed. */
-  | { readonly code: 200; readonly token: FencingToken; readonly commands: readonly WorkerCommand[] }
+  | { readonly code: 200; readonly fencingToken: FencingToken; readonly commands: readonly WorkerCommand[] }
   /** Another node is responsible for the worker. */
   | { readonly code: 421; readonly leader: string }
   /** No node can be named now. */
--- a/packages/snapshot/src/restore.ts
+++ b/packages/snapshot/src/restore.ts
@@ -127,9 +127,9 @@
   contents: StoreContents,
   snapshot: Snapshot,
 ): StoreRecovery {
-  const { raw, clock, wallNow, valueKb, log } = options;
+  const { underlyingStore, clock, wallNow, valueKb, log } = options;
   return new StoreRecovery({
-    raw,
+    underlyingStore,
     clock,
     wallNow,
     valueKb,
@@ -148,7 +148,7 @@
       highestLeaseId: 0,
       replicas: [snapshot],
     }),
-    reachablePeers: () => ({ peers: [], ahead: 0 }),
+    reachablePeers: () => ({ peers: [], highestEpoch: 0 }),
     onEpochObserved: () => undefined,
     onEpochJoined: () => undefined,
   });
--- a/packages/snapshot/src/snapshotter.ts
+++ b/packages/snapshot/src/snapshotter.ts
@@ -52,7 +52,7 @@
   const { clock, log, node, repository, store, wallNow } = options;
   const replicaSnapshot = store.replicaSnapshot();
   if (replicaSnapshot === null) return null;
-  const { epoch, revision, copy: replica } = replicaSnapshot;
+  const { epoch, revision, replica: replica } = replicaSnapshot;
   const startedAt = clock.now();
   const origin = { deployment: epoch.deployment, epoch: epoch.number, revision, takenAt: wallNow() };
   const bytes = encodeSnapshot(origin, replica.entries());
--- a/packages/snapshot/src/store-reader.ts
+++ b/packages/snapshot/src/store-reader.ts
@@ -18,7 +18,7 @@
 /** What an operator's snapshot command works with. */
 export interface SnapshotToolOptions {
   /** The key-value store itself, without the checks of a controller. */
-  readonly raw: KeyValueStore;
+  readonly underlyingStore: KeyValueStore;
   readonly clock: Clock;
   readonly wallNow: () => WallClockMs;
   /** Size limit of a value, in KiB. */
@@ -45,7 +45,7 @@
  * @throws {@link SnapshotToolError} where the store does not respond
  */
 export async function readStoreContents(options: SnapshotToolOptions): Promise<StoreContents> {
-  const listed = await options.raw.list('', LIST_PRIORITY);
+  const listed = await options.underlyingStore.list('', LIST_PRIORITY);
   if (listed.outcome !== 'listed') throw new SnapshotToolError('the state service does not answer');
   const replica = new Replica();
   replica.replaceAll(
@@ -65,7 +65,7 @@
 /** The list was read page by page: applying what changed meanwhile makes it consistent as of one revision. */
 async function catchUp(options: SnapshotToolOptions, replica: Replica, revision: number): Promise<void> {
   for (let round = 0; replica.revision < revision && round < MAX_WATCH_ROUNDS; round += 1) {
-    const watched = await options.raw.watch('', replica.revision, WATCH_TIMEOUT_MS);
+    const watched = await options.underlyingStore.watch('', replica.revision, WATCH_TIMEOUT_MS);
     if (watched.outcome === 'events') replica.applyWatchEvents(watched.events, watched.revision);
     else await options.clock.sleep(WATCH_TIMEOUT_MS);
   }
--- a/packages/testkit/src/node-factory.ts
+++ b/packages/testkit/src/node-factory.ts
@@ -160,14 +160,14 @@
 
   private createRecoverableStore(
     { name, settings, clock, cloud, wallNow, log }: ProcessParts,
-    raw: SimStoreClient,
+    underlyingStore: SimStoreClient,
     repository: SnapshotRepository | null,
     controller: () => Controller | null,
   ): RecoverableStore {
     const { random } = this.options;
     return new RecoverableStore({
-      ...(repository === null ? {} : { shelf: repository }),
-      raw,
+      ...(repository === null ? {} : { snapshots: repository }),
+      underlyingStore,
       clock,
       wallNow,
       newId: () => `id-${random(2 ** 30)}-${(this.ids += 1)}`,
--- a/packages/testkit/src/worker-transport.ts
+++ b/packages/testkit/src/worker-transport.ts
@@ -141,6 +141,6 @@
 
 /** A response to a heartbeat as it is sent. */
 function formatHeartbeatResult(result: HeartbeatResult): unknown {
-  if (result.code === 200) return formatHeartbeatResponse(result.token, result.commands);
+  if (result.code === 200) return formatHeartbeatResponse(result.fencingToken, result.commands);
   return result.code === 421 ? [421, result.leader] : [503];
 }
--- a/packages/testkit/test/data-loss-recovery-cases.test.ts
+++ b/packages/testkit/test/data-loss-recovery-cases.test.ts
@@ -117,7 +117,7 @@
 function operator(world: World): SnapshotToolOptions {
   const clock = new ProcessClock(world.time, 1, 0);
   return {
-    raw: new SimStoreClient(world.store, world.network, 'operator', clock),
+    underlyingStore: new SimStoreClient(world.store, world.network, 'operator', clock),
     clock,
     wallNow: () => world.wallClockStartMs as never,
     valueKb: 16,
@@ -173,7 +173,7 @@
   await world.runUntil(60_000);
   assert.ok(allTrusted(world));
   assert.equal((world.store.peek('epoch') as { number: number }).number, 1);
-  assert.equal(node.recoverableStore.phaseOf(jobId(2)), 'done');
+  assert.equal(node.recoverableStore.jobPhaseOf(jobId(2)), 'done');
 });
 
 for (const step of ['fence moved', 'pages written', 'epoch opened'] as const)
--- a/packages/testkit/test/large-fleet.test.ts
+++ b/packages/testkit/test/large-fleet.test.ts
@@ -91,7 +91,7 @@
   const answer = Promise.resolve(leading.controller.handleHeartbeat(worker.makeHeartbeat()));
   await world.runUntil(48_000);
   const given = toHeartbeatResponse(await answer);
-  assert.ok(given.code !== 200 || given.token > token, JSON.stringify(given));
+  assert.ok(given.code !== 200 || given.fencingToken > token, JSON.stringify(given));
 });
 
 test('a large fleet under crashes, partitions, lost machines and an outage keeps every rule and ends its arrays', async () => {
--- a/packages/wire/src/worker-commands.ts
+++ b/packages/wire/src/worker-commands.ts
@@ -67,7 +67,7 @@
  * /agent/beat). The worker drops it where the token is lower than the highest that it has seen.
  */
 export interface HeartbeatResponse {
-  readonly token: FencingToken;
+  readonly fencingToken: FencingToken;
   readonly commands: readonly WorkerCommand[];
 }
 
@@ -75,7 +75,7 @@
 export function parseHeartbeatResponse(body: unknown): HeartbeatResponse {
   const fields = read.asObject(body, 'body');
   const token = (read.optionalCount(fields, 'baton') ?? 0) as FencingToken;
-  return { token, commands: parseCommands(fields) };
+  return { fencingToken: token, commands: parseCommands(fields) };
 }
 
 /** The body of a response of 200 to a heartbeat. */
@@ -103,7 +103,7 @@
 export function parseDirectCommands(body: unknown): DirectCommands {
   const fields = read.asObject(body, 'body');
   return {
-    token: read.count(fields, 'baton') as FencingToken,
+    fencingToken: read.count(fields, 'baton') as FencingToken,
     agentEpoch: read.count(fields, 'shift') as AgentEpoch,
     commands: parseCommands(fields),
   };
