--- a/packages/controller/src/peers/peer-connection.ts
+++ b/packages/controller/src/peers/peer-connection.ts
@@ -5,11 +5,11 @@
  */
 import net from 'node:net';
 import type { Clock } from '@spurbridge/net';
+import { parseSocketAddress } from '@spurbridge/net';
 import type { NodeId, PeerMessage } from '@spurbridge/wire';
 import { encodePeerMessage } from '@spurbridge/wire';
 import type { Logger } from '../logger.js';
 import { WakeSignal } from '../wake-signal.js';
-import { parseSocketAddress } from './socket-address.js';
 
 const RECONNECT_INTERVAL_MS = 1000;
 const CONNECT_TIMEOUT_MS = 2000;
--- a/packages/controller/src/peers/tcp-peer-transport.ts
+++ b/packages/controller/src/peers/tcp-peer-transport.ts
@@ -5,12 +5,12 @@
  */
 import net from 'node:net';
 import type { Clock, MonotonicMs } from '@spurbridge/net';
+import { parseSocketAddress } from '@spurbridge/net';
 import type { NodeId, PeerMessage } from '@spurbridge/wire';
 import type { Logger } from '../logger.js';
 import { PeerConnection } from './peer-connection.js';
 import { decodePeerMessages } from './peer-message-stream.js';
 import type { PeerTransport, PeerTransportHost } from './peer-transport.js';
-import { parseSocketAddress } from './socket-address.js';
 
 const STATUS_INTERVAL_MS = 700;
 /** A status older than this is not relied on. */
--- a/packages/daemon/src/config-arguments.ts
+++ b/packages/daemon/src/config-arguments.ts
@@ -3,8 +3,8 @@
  *
  * @module
  */
+import { SOCKET_ADDRESS_FORM, isSocketAddress } from '@spurbridge/net';
 import { InvalidArgumentError } from 'commander';
-import { SOCKET_ADDRESS_FORM, isSocketAddress } from './socket-address.js';
 
 const MS_PER_S = 1000;
 /** Seconds, with or without the unit. */
--- a/packages/daemon/src/node-process.ts
+++ b/packages/daemon/src/node-process.ts
@@ -9,7 +9,7 @@
 import type { LeaderComponentFactory, Logger, Settings } from '@spurbridge/controller';
 import { Controller, HttpWorkerClient, TcpPeerTransport, buildHttpServer } from '@spurbridge/controller';
 import type { WallClockMs } from '@spurbridge/model';
-import { monotonicClock } from '@spurbridge/net';
+import { monotonicClock, parseSocketAddress } from '@spurbridge/net';
 import type { SnapshotSource } from '@spurbridge/recovery';
 import { RecoverableStore } from '@spurbridge/recovery';
 import { HttpKeyValueStore } from '@spurbridge/store';
@@ -17,7 +17,6 @@
 import type { DaemonExtension } from './extension.js';
 import { HeapGovernor } from './heap.js';
 import { createLogger } from './logging.js';
-import { parseSocketAddress } from './socket-address.js';
 
 const PORT_RETRY_INTERVAL_MS = 200;
 const INCARNATION_BYTES = 8;
--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -3,6 +3,7 @@
  *
  * @module
  */
+import { SOCKET_ADDRESS_FORM, isSocketAddress } from '@spurbridge/net';
 import { readFileSync } from 'node:fs';
 import type { Settings } from '@spurbridge/controller';
 import type { Objective, Team } from '@spurbridge/model';
@@ -10,7 +11,6 @@
 import { ValidationError, read } from '@spurbridge/wire';
 import { parse } from 'smol-toml';
 import { SettingsError, firstLineOf } from './errors.js';
-import { SOCKET_ADDRESS_FORM, isSocketAddress } from './socket-address.js';
 
 function section(fields: read.JsonObject, field: string): read.JsonObject {
   return read.asObject(fields[field], field);
--- a/packages/net/src/index.ts
+++ b/packages/net/src/index.ts
@@ -7,3 +7,4 @@
 export * from './rate-limiter.js';
 export * from './http-status.js';
 export * from './json-client.js';
+export * from './socket-address.js';
--- a/packages/net/src/json-client.ts
+++ b/packages/net/src/json-client.ts
@@ -6,6 +6,7 @@
 import http from 'node:http';
 import type { Socket } from 'node:net';
 import { SpurbridgeError } from '@spurbridge/wire';
+import { parseSocketAddress } from './socket-address.js';
 
 /** A response of any status. */
 export interface HttpResponse {
@@ -42,9 +43,9 @@
 
   /** The address is `host:port`. */
   constructor(address: string, maxSockets: number) {
-    const colon = address.lastIndexOf(':');
-    this.host = address.slice(0, colon);
-    this.port = Number(address.slice(colon + 1));
+    const { host, port } = parseSocketAddress(address);
+    this.host = host;
+    this.port = port;
     this.agent = new http.Agent({ keepAlive: true, maxSockets, maxFreeSockets: maxSockets });
   }
 
--- a/packages/daemon/src/socket-address.ts
+++ b/packages/net/src/socket-address.ts
@@ -1,5 +1,5 @@
 /**
- * Addresses of the form `IPv4:port`.
+ * Addresses of servers: a host and a port, in settings of the form `IPv4:port`.
  *
  * @module
  */
@@ -20,7 +20,7 @@
   return SOCKET_ADDRESS.test(text);
 }
 
-/** Splits an address that {@link isSocketAddress} accepts. */
+/** Splits an address at its last colon; the address has been validated before. */
 export function parseSocketAddress(text: string): SocketAddress {
   const colon = text.lastIndexOf(':');
   return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) };
