--- a/packages/store/src/http-key-value-store.ts
+++ b/packages/store/src/http-key-value-store.ts
@@ -51,16 +51,16 @@
 
 const RESPONSE_TIMEOUT_MS = 1500;
 const LIST_TIMEOUT_MS = 4000;
-/** How much longer than it may block a watch is waited for. */
+/** Added to the blocking time of a watch request to get its timeout. */
 const WATCH_TIMEOUT_SLACK_MS = 3000;
 /** Keys in one page of a list: the most that the store returns. */
 const LIST_PAGE_SIZE = 1000;
 
 const REQUEST_SOCKETS = 24;
-/** Watches block, and have connections of their own. */
+/** Watches use separate connections, because each blocks its connection while it waits. */
 const WATCH_SOCKETS = 4;
 
-/** The parts of the shared limits that one node uses at most, so that the others still get theirs. */
+/** Upper bound of one node's share of the common limits, so that no node starves the others. */
 const REQUEST_RATE_SHARE = 0.6;
 const REQUEST_BURST_SHARE = 0.5;
 const WRITE_RATE_SHARE = 0.8;
@@ -68,7 +68,7 @@
 
 const REFUSED: RequestFailure = { outcome: 'refused' };
 
-/** A request, and how its response is read. */
+/** A request, and how to interpret its response. */
 interface StoreRequest<T> {
   readonly method: HttpMethod;
   readonly path: string;
@@ -83,9 +83,9 @@
   readonly outcome: 'page';
 }
 
-/** A client of the key-value store that keeps within its node's part of the limits. */
+/** A client of the key-value store that stays within its node's share of the rate limits. */
 export class HttpKeyValueStore implements KeyValueStore {
-  /** The store's content is taken as it is: the package `recovery` adds the checks. */
+  /** Always true: this client does not validate the content; the package `recovery` does. */
   readonly isTrusted = true;
   readonly generation = 0;
   private readonly client: JsonClient;
@@ -114,7 +114,7 @@
     return this.failingFrom;
   }
 
-  /** The version of the leader's record: it rises with every election. */
+  /** The version of the leader's record, which rises with every election. */
   fencingTokenOf(version: Version): FencingToken {
     return version as number as FencingToken;
   }
@@ -219,7 +219,7 @@
         this.failingFrom = null;
         return outcome;
       }
-      // Over the limit the store does serve requests, only not these.
+      // A 429 response shows that the store is available, so it does not count as a failure to serve requests.
       if (response.status === HTTP_STATUS.tooManyRequests) this.requests.drain();
       else this.failingFrom ??= this.clock.now();
       return REFUSED;
--- a/packages/store/src/key-value-store.ts
+++ b/packages/store/src/key-value-store.ts
@@ -25,9 +25,9 @@
 /** Outcome of a transaction. */
 export type CommitOutcome =
   | { readonly outcome: 'committed'; readonly revision: Revision }
-  /** Not executed, since the versions of these keys differ. */
+  /** Not executed, because the versions of these keys differ. */
   | { readonly outcome: 'conflict'; readonly failed: readonly string[]; readonly revision: Revision }
-  /** Not executed, since a lease that it names has ended. */
+  /** Not executed, because a lease that it refers to has ended. */
   | { readonly outcome: 'no_lease' }
   | RequestFailure;
 
@@ -42,9 +42,9 @@
   | {
       readonly outcome: 'listed';
       readonly items: readonly KeyValue[];
-      /** Revision of the first page: a watch from it misses nothing. */
+      /** Revision of the first page. A watch from this revision misses no change. */
       readonly revision: Revision;
-      /** Revision of the last page: no item is later. */
+      /** Revision of the last page. No item has a later version. */
       readonly latest: Revision;
     }
   | RequestFailure;
@@ -52,11 +52,11 @@
 /** Outcome of waiting for changes. */
 export type WatchOutcome =
   | { readonly outcome: 'events'; readonly revision: Revision; readonly events: readonly WatchEvent[] }
-  /** The store no longer keeps changes of that age: the keys have to be read again. */
+  /** The store has discarded changes after the requested revision; the keys have to be read again. */
   | { readonly outcome: 'compacted' }
   | RequestFailure;
 
-/** Outcome of asking for a lease. */
+/** Outcome of requesting a lease. */
 export type LeaseGrantOutcome = { readonly outcome: 'granted'; readonly lease: LeaseId } | RequestFailure;
 
 /** Outcome of renewing a lease. */
@@ -66,11 +66,11 @@
 /** The key-value store as the controllers use it; the simulated one implements it too. */
 export interface KeyValueStore {
   /**
-   * Whether its content is trusted now. While it is not, every call is refused, and nothing may be started, rented,
-   * forgotten or released because of what was read before.
+   * Whether its content is trusted now. While it is not, every call is refused, and content that was read earlier must
+   * not be used to start or forget tasks, or to rent or release machines.
    */
   readonly isTrusted: boolean;
-  /** Changes when data may have been lost: no lease is valid across such a change. */
+  /** Changes when data may have been lost. No lease remains valid across such a change. */
   readonly generation: number;
   /** The fencing token of a leader whose record has this version. */
   fencingTokenOf(version: Version): FencingToken;
@@ -86,12 +86,12 @@
   ): Promise<CommitOutcome>;
   /** Waits at most `waitMs` milliseconds for changes of a prefix after a revision. */
   watch(prefix: string, after: Revision, waitMs: number): Promise<WatchOutcome>;
-  /** Asks for a lease that lasts `ttlMs` milliseconds without a renewal. */
+  /** Requests a lease that expires `ttlMs` milliseconds after its last renewal. */
   grantLease(ttlMs: number): Promise<LeaseGrantOutcome>;
-  /** Renews a leader's lease; `leaderRecord` is what its record must be, for a store that checks that too. */
+  /** Renews a leader's lease. An implementation may also verify that the leader's record satisfies `leaderRecord`. */
   renewLease(lease: LeaseId, leaderRecord: Compare): Promise<LeaseRenewalOutcome>;
-  /** Ends a lease at once; the keys attached to it are removed. */
+  /** Ends a lease immediately; the keys attached to it are removed. */
   revokeLease(lease: LeaseId): Promise<void>;
-  /** Since when requests have failed without one being served; null while served. */
+  /** Since when all requests have failed; null while requests are served. */
   failingSince(): MonotonicMs | null;
 }
--- a/packages/store/src/leadership/campaign-delay.ts
+++ b/packages/store/src/leadership/campaign-delay.ts
@@ -8,21 +8,26 @@
 /** A node that may lead, as it describes itself. */
 export interface LeaderCandidate {
   readonly node: NodeId;
-  /** Counts what speaks against it: started lately, short of processor time, lost a lease lately; 0: nothing. */
+  /**
+   * Number of reasons against electing it: recently started, short of processor time, recently lost a lease. 0 means
+   * none.
+   */
   readonly penalty: number;
 }
 
-/** A node with a lower penalty gets this long to lead first, in milliseconds. */
+/** Head start of a node with a lower penalty, in milliseconds. */
 const LOWER_PENALTY_DELAY_MS = 500;
 /** Added for each step by which the other's penalty is lower, in milliseconds. */
 const PENALTY_STEP_DELAY_MS = 150;
-/** Nodes of equal penalty campaign one after another: two at once end in a conflict, and neither leads for a while. */
+/**
+ * Stagger between nodes of equal penalty, in milliseconds: concurrent campaigns conflict, which delays the election.
+ */
 const TURN_DELAY_MS = 70;
 const MAX_DELAY_MS = 1200;
 
 /**
- * How long the node `own` waits before it campaigns, in milliseconds. The delay only gives others the first turn: any
- * node campaigns within 1.2 seconds if no other leads, whatever is known of them.
+ * How long the node `own` waits before it campaigns, in milliseconds. The delay only gives better candidates a head
+ * start: if no other node becomes leader, any node campaigns within 1.2 seconds, whatever the state of the others.
  */
 export function campaignDelayMs(own: LeaderCandidate, others: readonly LeaderCandidate[]): number {
   const equals = others.filter((other) => other.penalty === own.penalty);
--- a/packages/store/src/leadership/leader-lease.ts
+++ b/packages/store/src/leadership/leader-lease.ts
@@ -10,26 +10,29 @@
 /** How long a leader's lease lasts without a renewal, in milliseconds. */
 export const LEASE_TTL_MS = 3000;
 
-/** How far the clocks of two machines are taken to drift apart at most: twice the bound that the platform states. */
+/** Assumed maximum relative drift between the clocks of two machines: twice the bound that the platform states. */
 const MAX_CLOCK_DRIFT = 0.001;
-/** The holder counts the lease as ended this much earlier, in milliseconds: what it does just before takes time too. */
+/**
+ * The holder treats the lease as expired this much earlier, in milliseconds, because an action begun just before the
+ * expiry takes time to complete.
+ */
 const SAFETY_MARGIN_MS = 150;
-/** How long the holder counts the lease as valid after it was last confirmed, in milliseconds. */
+/** How long the holder treats the lease as valid after its last confirmation, in milliseconds. */
 const TRUSTED_TTL_MS = LEASE_TTL_MS * (1 - MAX_CLOCK_DRIFT) - SAFETY_MARGIN_MS;
 
 /** A lease that was granted to this process. */
 export class LeaderLease {
   constructor(
     readonly id: LeaseId,
-    /** The store's generation when the lease was asked for: data may have been lost since it changed. */
+    /** The store's generation when the lease was requested. If it has changed since, data may have been lost. */
     readonly storeGeneration: number,
-    /** When the last request was sent that the store is known to have granted or renewed the lease by. */
+    /** When the latest request was sent that is known to have granted or renewed the lease. */
     private confirmedAt: MonotonicMs,
   ) {}
 
   /**
-   * Notes that a request sent at `sentAt` was served; false where a later one was already. The lease counts from the
-   * sending, since nobody knows when the store executed the request.
+   * Records that a request sent at `sentAt` was served; returns false if a later one was recorded already. Validity is
+   * counted from the sending, because it is not known when the store executed the request.
    */
   confirm(sentAt: MonotonicMs): boolean {
     if (sentAt <= this.confirmedAt) return false;
--- a/packages/store/src/leadership/leader-record.ts
+++ b/packages/store/src/leadership/leader-record.ts
@@ -12,7 +12,7 @@
 /** Who leads. */
 export interface LeaderRecord {
   readonly node: NodeId;
-  /** Identifies the node's process: one that was restarted has another. Null where the record holds none. */
+  /** Identifies the node's process; it changes with every restart. Null if the record holds none. */
   readonly incarnation: string | null;
 }
 
--- a/packages/store/src/leadership/leadership-listener.ts
+++ b/packages/store/src/leadership/leadership-listener.ts
@@ -1,22 +1,22 @@
 /**
- * What the election tells the rest of a node, and what it asks of it.
+ * Callbacks by which the election notifies the rest of a node, and queries that it makes.
  *
  * @module
  */
 import type { FencingToken, NodeId } from '@spurbridge/wire';
 
-/** Receives changes of leadership, and knows what the election needs to know of other nodes. */
+/** Receives changes of leadership, and provides what the election needs to know about other nodes. */
 export interface LeadershipListener {
   /** This node was elected. */
   onElected(token: FencingToken): void;
-  /** The lease is certainly valid again after a time in the state `holding`. */
+  /** The lease was confirmed again, which ends the state `holding`. */
   onLeaseConfirmedAgain(): void;
   /** This node no longer leads. */
   onDeposed(reason: string): void;
   log(message: string, fields: Record<string, unknown>): void;
-  /** Whether another node is connected that may lead. */
+  /** Whether another node that is eligible to lead is connected. */
   hasPeers?(): boolean;
-  /** How long others may campaign first where no node leads, in milliseconds. */
+  /** How long to wait before campaigning while no node leads, in milliseconds. */
   campaignDelayMs?(): number;
 }
 
--- a/packages/store/src/leadership/leadership-state.ts
+++ b/packages/store/src/leadership/leadership-state.ts
@@ -7,10 +7,10 @@
 
 /**
  * - `following`: another node leads, or none.
- * - `campaigning`: no node leads; this one asks for a lease and writes the leader's record.
+ * - `campaigning`: no node leads; this one requests a lease and writes the leader's record.
  * - `leading`: the lease is valid.
- * - `holding`: the lease may have ended, but no other leader is known. Heartbeats may still be answered with the old token
- *   and without commands, for a limited time (docs/design.md); nothing else is allowed.
+ * - `holding`: the lease may have ended, but no other leader is known. Heartbeats may still be answered with the old
+ *   token and without commands, for a limited time (docs/design.md); nothing else is allowed.
  */
 export type LeadershipState = 'following' | 'campaigning' | 'leading' | 'holding';
 
@@ -21,7 +21,7 @@
   holding: ['leading', 'following'],
 };
 
-/** A transition that `TRANSITIONS` does not allow: a fault in this process. */
+/** A transition that `TRANSITIONS` does not allow, which is a programming error. */
 export class InvalidLeadershipTransitionError extends SpurbridgeError {
   constructor(from: LeadershipState, to: LeadershipState) {
     super('INVALID_LEADERSHIP_TRANSITION', `leadership: ${from} -> ${to} is no transition`);
--- a/packages/store/src/leadership/leadership.ts
+++ b/packages/store/src/leadership/leadership.ts
@@ -16,27 +16,30 @@
 
 /** Time between a renewal of the lease and the next, in milliseconds. */
 const RENEWAL_INTERVAL_MS = 800;
-/** How long a renewal is waited for before the next is sent, in milliseconds; it may still confirm the lease later. */
+/**
+ * How long to wait for the response to a renewal before sending the next one, in milliseconds. A later response still
+ * confirms the lease.
+ */
 const RENEWAL_TIMEOUT_MS = 700;
-/** Time before a request that was not served is sent again, in milliseconds. */
+/** Delay before retrying a request that was not served, in milliseconds. */
 const RETRY_DELAY_MS = 200;
-/** Time before the leader's record is read again after a read that was not served, in milliseconds. */
+/** Delay before retrying a failed read of the leader's record, in milliseconds. */
 const READ_RETRY_DELAY_MS = RETRY_DELAY_MS * 1.5;
-/** Time before a restarted process looks again whether it has peers, in milliseconds. */
+/** Interval at which a restarted process checks whether it has peers, in milliseconds. */
 const PEER_CHECK_INTERVAL_MS = RETRY_DELAY_MS / 2;
-/** How long one request waits for a change of the leader's record, in milliseconds. */
+/** How long one watch request waits for a change of the leader's record, in milliseconds. */
 const WATCH_WAIT_MS = 2000;
-/** After resigning, the others get this long to take over, in milliseconds. */
+/** How long a node that has resigned does not campaign, so that another can become leader, in milliseconds. */
 const RESIGNATION_DELAY_MS = 5000;
-/** After resigning, a node does not resign again for this long, in milliseconds. */
+/** Minimum time between two resignations of a node, in milliseconds. */
 const MIN_TIME_BETWEEN_RESIGNATIONS_MS = 60_000;
-/** A restarted process lets its peers lead first for this long, in milliseconds. */
+/** Head start that a restarted process gives its peers in the election, in milliseconds. */
 const RESTART_DELAY_MS = 1500;
-/** How long after its start a process may not know of its peers yet, in milliseconds. */
+/** How long a process may take after its start to discover its peers, in milliseconds. */
 const PEER_DISCOVERY_MS = 1000;
 
 /**
- * Takes part in the election, keeps the lease while leading, and tells whether it is valid. The states and their
+ * Takes part in the election, renews the lease while leading, and reports whether it is valid. The states and their
  * transitions are those of `LeadershipState`; only `transitionTo` changes the state.
  */
 export class Leadership {
@@ -47,13 +50,13 @@
   private ownToken = 0 as FencingToken;
   private ownVersion = KEY_ABSENT;
   private highestKnown: KnownLeader | null = null;
-  /** Since when no node was found leading. */
+  /** Since when there has been no leader, as far as this node knows. */
   private vacantSince: MonotonicMs | null = null;
-  /** Until then this node does not campaign. */
+  /** Earliest time at which this node campaigns. */
   private campaignsFrom = 0 as MonotonicMs;
-  /** Until then this node does not resign. */
+  /** Earliest time at which this node may resign again. */
   private mayResignFrom = 0 as MonotonicMs;
-  /** Until then running peers may not have been heard from. */
+  /** Until then, running peers may not have been discovered yet. */
   private readonly peersKnownFrom: MonotonicMs;
 
   constructor(
@@ -83,24 +86,26 @@
     return this.highestKnown;
   }
 
-  /** Whether the lease is certainly valid now, by this node's own clock, counted from the sending of its renewals. */
+  /** Whether the lease is certainly valid now by this node's own clock, counted from when its renewals were sent. */
   holdsValidLease(): boolean {
     return (
       this.current === 'leading' &&
-      // A store that is not trusted is like one that does not respond (docs/state-loss.md). Trusted again, it may have
-      // elected another leader already: a lease from before must not become valid again with it.
+      // A store that is not trusted is treated as unavailable (docs/state-loss.md). By the time it is trusted again,
+      // another leader may have been elected in it, so a lease from before must not become valid again.
       this.store.isTrusted &&
       this.store.generation === this.lease?.storeGeneration &&
       this.isLeaseValid()
     );
   }
 
-  /** Milliseconds since the lease was last confirmed, counted from the sending of the request; infinite without a lease. */
+  /**
+   * Milliseconds since the lease was last confirmed, counted from the sending of the request; Infinity without a lease.
+   */
   msSinceLeaseConfirmed(): number {
     return this.lease?.msSinceConfirmed(this.clock.now()) ?? Infinity;
   }
 
-  /** The condition of every write by the leader: its record is still the one that it wrote. */
+  /** The compare that guards every write by the leader: its record is still the one that it wrote. */
   leadershipCompare(): Compare {
     return { key: LEADER_KEY, version: this.ownVersion };
   }
@@ -132,7 +137,9 @@
 
   // --- what this node learns -----------------------------------------------------------------------
 
-  /** To be called with every token that a peer or a worker shows; `node` is whose it is, where known. */
+  /**
+   * To be called with every token received from a peer or a worker; `node` is the leader that it belongs to, if known.
+   */
   observeToken(token: FencingToken, node: NodeId | null): void {
     const highest = this.highestKnown?.fencingToken;
     if (highest !== undefined && token < highest) return;
@@ -146,19 +153,21 @@
     if (isLeaderState(this.current)) this.transitionTo('following', reason);
   }
 
-  /** Ends this node's leadership where a write failed on `leadershipCompare`: another node has led, or none does. */
+  /**
+   * Ends this node's leadership if a write failed on `leadershipCompare`: the leader's record was replaced or removed.
+   */
   stepDownOnConflict(outcome: CommitOutcome): boolean {
     if (outcome.outcome !== 'conflict' || !outcome.failed.includes(LEADER_KEY)) return false;
     this.stepDown('a conditioned write failed');
     return true;
   }
 
-  /** Not again soon after the last time: where no other node does better, the reason lies elsewhere. */
+  /** False for some time after a resignation: if no other node does better, the cause is not this node. */
   canResign(): boolean {
     return this.clock.now() >= this.mayResignFrom;
   }
 
-  /** Gives leadership up of this node's own accord, so that another can lead. */
+  /** Gives up leadership voluntarily, so that another node can lead. */
   async resign(reason: string): Promise<void> {
     const { lease } = this;
     if (!isLeaderState(this.current)) return;
@@ -198,12 +207,12 @@
     }
   }
 
-  /** The outcome of a renewal, `unknown` where none came in time: a response that never comes must not keep us leading. */
+  /** The outcome of a renewal; `unknown` on timeout, so that a missing response does not keep this node leading. */
   private requestRenewal(lease: LeaderLease): Promise<LeaseRenewalOutcome> {
     const sentAt = this.clock.now();
     const renewal = this.store.renewLease(lease.id, this.leadershipCompare()).then((outcome) => {
-      // However late it comes, it confirms the lease from when it was asked for: with a store slowed thirtyfold, renewals
-      // that took a second were taken for failed, and the lease was given up.
+      // A late response still confirms the lease from the time of its request. Without this, a store slowed thirtyfold
+      // made renewals that took a second count as failed, and the lease was given up.
       if (outcome.outcome === 'renewed') this.confirmLease(lease, sentAt);
       return outcome;
     });
@@ -227,7 +236,7 @@
     this.holdUnlessLeaseValid();
   }
 
-  /** Following: looks who leads, and campaigns where no node does. */
+  /** Following: reads which node leads, and campaigns if there is none. */
   private async follow(): Promise<void> {
     const found = await this.store.read(LEADER_KEY, REQUEST_PRIORITY.critical);
     switch (found.outcome) {
@@ -243,7 +252,7 @@
     }
   }
 
-  /** No node leads: campaigns once it is this node's turn. */
+  /** Campaigns once this node's campaign delay has passed without a leader. */
   private async campaignInTurn(): Promise<void> {
     const now = this.clock.now();
     this.vacantSince ??= now;
@@ -256,12 +265,13 @@
   private async followRecord(item: KeyValue): Promise<void> {
     const record = parseLeaderRecord(item.value);
     if (record.node !== this.self) await this.followLeader(record.node, item.version);
-    // Our own commit, whose response was lost or whose leadership was given up: its lease has to end first.
+    // The record is this process's own, from a commit whose response was lost or a leadership that was given up. Its
+    // lease has to end before a new campaign.
     else if (record.incarnation === this.incarnation) await this.clock.sleep(RETRY_DELAY_MS);
     else await this.replacePredecessor(item.version);
   }
 
-  /** Another node leads: waits for a change of its record. */
+  /** Waits for a change of the record of the node that leads. */
   private async followLeader(leader: NodeId, version: Version): Promise<void> {
     this.observeToken(this.store.fencingTokenOf(version), leader);
     const after = version as number as Revision;
@@ -270,8 +280,8 @@
   }
 
   /**
-   * The process before this one on the same node led. That this one holds its ports proves it gone: nobody acts on that
-   * lease any more, so it need not run out.
+   * Replaces the leadership of this node's previous process. That process has exited, since this one was able to bind
+   * its ports, so there is no need to wait for its lease to expire.
    */
   private async replacePredecessor(version: Version): Promise<void> {
     if (this.listener.hasPeers?.() === true) await this.removePredecessor(version);
@@ -280,8 +290,8 @@
   }
 
   /**
-   * Ends the leadership of the process before this one, and lets peers lead that ran on: a process that had just started
-   * was short of processor time for ten seconds and lost its lease again.
+   * Ends the leadership of this node's previous process, and gives its running peers a head start: a process that had
+   * just started was once short of processor time for ten seconds and lost its lease again.
    */
   private async removePredecessor(version: Version): Promise<void> {
     this.campaignsFrom = addMs(this.clock.now(), RESTART_DELAY_MS);
@@ -294,7 +304,7 @@
     if (cleared.outcome !== 'committed') await this.clock.sleep(RETRY_DELAY_MS);
   }
 
-  /** Asks for a lease and writes the leader's record, in place of the one with this version. */
+  /** Requests a lease and writes the leader's record, replacing the one with this version. */
   private async campaign(replaced: Version): Promise<void> {
     this.transitionTo(
       'campaigning',
@@ -315,7 +325,7 @@
       return;
     }
     this.transitionTo('following', `the campaign ended: ${committed.outcome}`);
-    // The lease is revoked whatever happened, so that a commit that is applied late is removed with it.
+    // The lease is revoked in every case, so that the record of a commit that is applied late is removed with it.
     await this.store.revokeLease(lease.id);
   }
 
