--- a/packages/net/src/clock.ts
+++ b/packages/net/src/clock.ts
@@ -1,5 +1,5 @@
 /**
- * The clock by which everything in one process is timed. Simulated processes have a simulated one.
+ * The clock that everything in one process uses for time and timers. Simulated processes have a simulated one.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 /** A reading of this process's monotonic clock, in milliseconds. Never compared between processes. */
 export type MonotonicMs = Brand<number, 'MonotonicMs'>;
 
-/** A monotonic clock, and timers that go by it. */
+/** A monotonic clock with timers. */
 export interface Clock {
   now(): MonotonicMs;
-  /** Resolves once so many milliseconds have passed. */
+  /** Resolves after `ms` milliseconds. */
   sleep(ms: number): Promise<void>;
 }
 
@@ -21,7 +21,7 @@
   sleep: (ms) => new Promise((resolve) => setTimeout(resolve, ms)),
 };
 
-/** The time so many milliseconds after another. */
+/** The time `ms` milliseconds after `time`. */
 export function addMs(time: MonotonicMs, ms: number): MonotonicMs {
   return (time + ms) as MonotonicMs;
 }
--- a/packages/net/src/http-status.ts
+++ b/packages/net/src/http-status.ts
@@ -1,5 +1,5 @@
 /**
- * Status codes of HTTP responses that the protocols give a meaning to.
+ * Status codes of HTTP responses that have a meaning in the protocols.
  *
  * @module
  */
--- a/packages/net/src/json-client.ts
+++ b/packages/net/src/json-client.ts
@@ -10,30 +10,33 @@
 /** A response of any status. */
 export interface HttpResponse {
   readonly status: number;
-  /** The parsed body; null where it was empty or no JSON. */
+  /** The parsed body; null if it was empty or not JSON. */
   readonly body: unknown;
 }
 
-/** No response came: the request may or may not have been executed, and may still be executed later. */
+/** No response was received: the request may or may not have been executed, and may still be executed later. */
 export class NoResponseError extends SpurbridgeError {
   constructor(
     reason: string,
     /** True when the request certainly never left this process. */
     readonly notSent: boolean,
-    /** True when this process lacked something to send it with, such as a socket: it says nothing about the other side. */
+    /**
+     * True if this process lacked a resource for sending it, such as a socket; that is no evidence of a failure of the
+     * other side.
+     */
     readonly isLocalFault = false,
   ) {
     super('NO_RESPONSE', reason);
   }
 }
 
-/** Errors of connections that could not be opened for want of something on this machine. */
+/** Codes of connection errors caused by a lack of resources on this machine. */
 const LOCAL_FAULT_CODES = new Set(['EMFILE', 'ENFILE', 'ENOBUFS', 'ENOMEM', 'EADDRNOTAVAIL', 'EAGAIN']);
 
 /** Methods that the protocols use. */
 export type HttpMethod = 'GET' | 'POST' | 'DELETE';
 
-/** JSON over HTTP/1.1 to one address, on a few connections that are kept open. */
+/** Sends JSON over HTTP/1.1 to one address, over a small pool of keep-alive connections. */
 export class JsonClient {
   private readonly agent: http.Agent;
   private readonly host: string;
@@ -53,7 +56,10 @@
     return this.callsInFlight > 0;
   }
 
-  /** Sends a request, without a body where that is undefined; throws a `NoResponseError`. */
+  /**
+   * Sends a request, without a body if `body` is undefined. Throws a `NoResponseError` if no response is received in
+   * time.
+   */
   async call(method: HttpMethod, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse> {
     this.callsInFlight += 1;
     try {
@@ -93,18 +99,18 @@
   try {
     return JSON.parse(text);
   } catch {
-    // The status alone says enough where the body is no JSON.
+    // A body that is not JSON is ignored: the status alone is sufficient.
     return null;
   }
 }
 
-/** How an exchange ends: one of the two is called, once. */
+/** Callbacks for the end of an exchange; exactly one of them is called, once. */
 interface ExchangeOutcome {
   resolve(response: HttpResponse): void;
   reject(error: NoResponseError): void;
 }
 
-/** One request and its response. It is sent when constructed, and ends by a response, an error or its timeout. */
+/** One request and its response. It is sent on construction, and ends with a response, an error or its timeout. */
 class HttpExchange {
   private readonly request: http.ClientRequest;
   private readonly timer: NodeJS.Timeout;
@@ -143,8 +149,8 @@
   }
 
   private onTimeout(): void {
-    // A process that gets too little processor time runs late timers before it reads what has arrived: the response may
-    // be there already.
+    // A process that is short of processor time runs overdue timers before it reads from its sockets, so the response
+    // may have arrived already.
     setImmediate(() => {
       this.fail(`no answer within ${this.timeoutMs} ms`);
     });
@@ -176,7 +182,7 @@
     this.request.destroy();
   }
 
-  /** Ends the exchange; false where it has ended already. */
+  /** Ends the exchange; returns false if it had ended before. */
   private settle(): boolean {
     if (this.isSettled) return false;
     this.isSettled = true;
--- a/packages/net/src/rate-limiter.ts
+++ b/packages/net/src/rate-limiter.ts
@@ -1,5 +1,5 @@
 /**
- * A token bucket with priorities, by which a process keeps within a request limit that it shares with others.
+ * A token bucket with priorities, which keeps a process within its share of a common request limit.
  *
  * @module
  */
@@ -11,13 +11,16 @@
 /** The priorities by name. */
 export const REQUEST_PRIORITY = { critical: 0, high: 1, normal: 2, low: 3 } as const;
 
-/** The part of the bucket that each step of priority leaves to more urgent requests. */
+/** Fraction of the bucket that each priority level reserves for more urgent requests. */
 const RESERVE_PER_STEP = 0.15;
-/** The most urgent may overdraw by one request: a lease renewal late by one token would cost the lease. */
+/** Critical requests may overdraw the bucket by one request, because delaying a lease renewal could lose the lease. */
 const CRITICAL_OVERDRAFT = 1;
 const MS_PER_SECOND = 1000;
 
-/** Grants requests at a steady rate with bursts. It never waits: a caller that is refused retries later or responds 503. */
+/**
+ * Grants requests at a steady rate with bursts. It never waits; a caller whose request is denied retries later or
+ * responds with 503.
+ */
 export class RateLimiter {
   private tokens: number;
   private refilledAt: number;
@@ -31,18 +34,21 @@
     this.refilledAt = clock.now();
   }
 
-  /** Takes so many tokens from the bucket; false, and nothing taken, where too few would be left for more urgent requests. */
+  /**
+   * Takes `amount` tokens from the bucket. Returns false, and takes none, if too few would be left for more urgent
+   * requests.
+   */
   tryAcquire(amount: number, priority: RequestPriority): boolean {
     this.refill();
     const floor =
       priority === REQUEST_PRIORITY.critical ? -CRITICAL_OVERDRAFT : this.burst * RESERVE_PER_STEP * priority;
-    // A request larger than what lies above the floor is granted from a full bucket.
+    // A request larger than the capacity above the floor would never be granted, so a full bucket suffices for it.
     if (this.tokens - amount < Math.min(floor, this.burst - amount)) return false;
     this.tokens -= amount;
     return true;
   }
 
-  /** Empties the bucket, after a response of 429: others have used up the shared limit. */
+  /** Empties the bucket after a 429 response, which shows that the common limit is used up. */
   drain(): void {
     this.refill();
     this.tokens = Math.min(this.tokens, 0);
