--- a/packages/cloud/src/cloud-provider.ts
+++ b/packages/cloud/src/cloud-provider.ts
@@ -8,7 +8,7 @@
 
 /** Outcome of a rental request. */
 export type RentalOutcome =
-  /** These machines were rented: as many as were asked for, or fewer. */
+  /** These machines were rented: as many as were requested, or fewer. */
   | { readonly outcome: 'rented'; readonly machines: readonly MachineId[] }
   /** No such machine is available now. */
   | { readonly outcome: 'no_capacity' }
@@ -24,12 +24,12 @@
 
 /** The cloud as the controllers use it; the simulated one implements it too. */
 export interface CloudProvider {
-  /** All machine types with their present prices; null where the request was not served. */
+  /** All machine types with their current prices; null if the request was not served. */
   listMachineTypes(): Promise<readonly MachineType[] | null>;
   /** Rents machines. */
   rent(request: RentalRequest): Promise<RentalOutcome>;
-  /** Returns machines; true once they and everything on them are certainly gone. */
+  /** Releases machines; true if they, and all tasks on them, are certainly gone. */
   release(machines: readonly MachineId[], priority: RequestPriority): Promise<boolean>;
-  /** All rented machines, as the cloud knew them some time ago; null where a request was not served. */
+  /** All rented machines. The cloud's list lags behind its state. Null if a request was not served. */
   listMachines(): Promise<readonly ListedMachine[] | null>;
 }
--- a/packages/cloud/src/http-cloud-provider.ts
+++ b/packages/cloud/src/http-cloud-provider.ts
@@ -21,14 +21,14 @@
 const LIST_PAGE_SIZE = 500;
 const MAX_SOCKETS = 8;
 
-/** The parts of the cloud's limit that one node uses at most. */
+/** Request rate and burst of one node, as fractions of the cloud's limit. */
 const REQUEST_RATE_SHARE = 0.8;
 const REQUEST_BURST_SHARE = 1.5;
 
-/** What a response of 503 holds where the cloud works but has no such machine. */
+/** Error text by which a 503 response states that no machine of the requested type is available. */
 const NO_CAPACITY_ERROR = 'no capacity';
 
-/** A client of the cloud that keeps within its node's part of the request limit. */
+/** A client of the cloud that stays within its node's share of the request limit. */
 export class HttpCloudProvider implements CloudProvider {
   private readonly client: JsonClient;
   private readonly requests: RateLimiter;
@@ -76,7 +76,7 @@
     }
   }
 
-  /** The response to a request; null where it was not sent, for the limit, or none came. */
+  /** The response to a request; null if the rate limit prevented sending it, or no response was received. */
   private async send(
     method: HttpMethod,
     path: string,
