--- a/packages/worker-shards/src/index.ts
+++ b/packages/worker-shards/src/index.ts
@@ -1,6 +1,7 @@
 /**
  * The shard of worker machines that one controller serves: which machines send their heartbeats to it, how shards are
- * balanced between controllers, and how a leader delegates the renewal of worker leases to the controller in between.
+ * balanced between controllers, and how a leader delegates the renewal of worker leases to the controller that receives
+ * the heartbeats.
  *
  * @module
  */
--- a/packages/worker-shards/src/lease-delegation.ts
+++ b/packages/worker-shards/src/lease-delegation.ts
@@ -1,5 +1,6 @@
 /**
- * Leases that a leader lets another controller renew for a limited time (docs/shares.md).
+ * Delegated lease extensions: leases that another controller may renew for the leader for a limited time
+ * (docs/shares.md).
  *
  * @module
  */
@@ -16,9 +17,9 @@
 }
 
 /**
- * The leader's permission to answer the heartbeats of one machine without it: with the leader's fencing token, and without
- * new commands. It ends before the leader's own renewal period does, because the remaining time is counted from the sending
- * of the request, on this controller's monotonic clock.
+ * The leader's permission to respond to the heartbeats of one machine on its behalf: with the leader's fencing token,
+ * and without new commands. It ends before the leader's own renewal period does, because the remaining time is counted
+ * from the sending of the request, on this controller's monotonic clock.
  */
 export class LeaseDelegation {
   private current: Delegation | null = null;
@@ -26,8 +27,8 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Records a leader's response to a request sent at `requestedAt`, which left `remainingMs` of the leader's renewal period.
-   * A response that is older or shorter than what is known has no effect.
+   * Records a leader's response to a request sent at `requestedAt`, which left `remainingMs` of the leader's renewal
+   * period. A response with a lower token, or one that would shorten the delegation, has no effect.
    */
   extend(fencingToken: FencingToken, requestedAt: MonotonicMs, remainingMs: number): void {
     if (!(remainingMs > 0)) return;
@@ -38,8 +39,8 @@
   }
 
   /**
-   * The fencing token under which heartbeats may be answered now, or null if there is none. A higher token that is known
-   * elsewhere invalidates the delegation: there is a newer leader.
+   * The fencing token to use in responses to heartbeats now, or null if the delegation is not valid. A known higher
+   * token invalidates it, because that belongs to a newer leader.
    */
   currentToken(highestKnownToken: FencingToken): FencingToken | null {
     if (this.current === null || this.current.fencingToken < highestKnownToken) return null;
--- a/packages/worker-shards/src/pending-requests.ts
+++ b/packages/worker-shards/src/pending-requests.ts
@@ -12,18 +12,18 @@
 
 interface PendingRequest<Response> {
   readonly target: NodeId;
-  /** Identifies the request among all that any process ever sent. */
+  /** Identifies the request among those of all processes, including earlier ones of this node. */
   readonly requestKey: string;
   readonly requestedAt: MonotonicMs;
   readonly resolve: (response: Response | null) => void;
 }
 
-/** A request that was registered and can be sent now. */
+/** A request that was registered and is ready to be sent. */
 export interface RegisteredRequest<Response> {
   /** Unique among the requests that are pending. */
   readonly id: number;
   readonly requestedAt: MonotonicMs;
-  /** Resolves to null if no response came in time, or the connection ended before. */
+  /** Resolves to null on timeout, or if the connection ends first. */
   readonly response: Promise<Response | null>;
 }
 
@@ -54,24 +54,24 @@
   }
 
   /**
-   * Completes a request by its response. A response from another node, or to a request that is over, is ignored. So is one
-   * with another key: the previous process of this node used the same identifiers, and a worker would get the commands of
-   * another one.
+   * Completes a request by its response. A response from another node, or to a request that is no longer pending, is
+   * ignored. So is one with another key: the previous process of this node used the same identifiers, so a worker could
+   * otherwise receive the commands of another worker.
    */
   complete(id: number, from: NodeId, requestKey: string, response: Response): void {
     const request = this.pending.get(id);
     if (request?.target === from && request.requestKey === requestKey) this.finish(id, request, response);
   }
 
-  /** Gives up all requests to a node whose connection has ended. */
+  /** Completes all requests to a node whose connection has ended, without a response. */
   abandon(target: NodeId): void {
     for (const [id, request] of this.pending) if (request.target === target) this.finish(id, request, null);
   }
 
-  /** Gives up the requests that have timed out. */
+  /** Completes the requests that have timed out, without a response. */
   expire(): void {
     const now = this.clock.now();
-    // Insertion order is the order of registration: behind the first one that is in time all others are.
+    // Requests are in order of registration, so none after the first unexpired one has expired.
     for (const [id, request] of this.pending) {
       if (now < addMs(request.requestedAt, this.timeoutMs)) return;
       this.finish(id, request, null);
--- a/packages/worker-shards/src/shard-balancer.ts
+++ b/packages/worker-shards/src/shard-balancer.ts
@@ -13,13 +13,14 @@
   /** The size of its shard. */
   readonly machineCount: number;
   readonly zone: string;
-  /** The leader also schedules, so that its target size is smaller. */
+  /** The leader also schedules, so its target size is smaller. */
   readonly isLeader: boolean;
 }
 
 /**
  * - `balanced`: only workers of other zones are redirected, to a controller of their own zone.
- * - `shedding`: workers are redirected to the controllers with most room, until this shard is near its target size.
+ * - `shedding`: workers are redirected to the controllers with the most spare capacity, until this shard is near its
+ *   target size.
  */
 type BalanceState = 'balanced' | 'shedding';
 
@@ -31,22 +32,24 @@
 /** The leader's target size, relative to that of any other controller. */
 const LEADER_WEIGHT = 0.5;
 /**
- * Shedding starts above this multiple of the target size and stops near the target: what one controller gives away another
- * does not give back.
+ * Shedding starts above this multiple of the target size and stops near the target size. The hysteresis keeps workers
+ * from being redirected back and forth.
  */
 const SHEDDING_START_RATIO = 1.25;
 const SHEDDING_STOP_RATIO = 1.05;
-/** An excess of fewer machines is not worth redirections. */
+/** Minimum excess of machines that justifies redirections. */
 const MIN_EXCESS_MACHINES = 8;
 /**
- * Redirections a second at most, because each opens a new connection at the other end. A large shard moves a fiftieth of its
- * machines, so that a shard of any size is balanced within some minutes.
+ * Redirections per second are limited, because each opens a new connection to another controller. The limit is the
+ * greater of this number and a share of the shard's machines, so that a shard of any size is balanced within a few
+ * minutes.
  */
 const MIN_SHEDDING_RATE_PER_S = 25;
 const SHEDDING_SHARE_PER_S = 0.02;
 /**
- * A worker moves to a controller of its own zone, with which it shares network partitions, while that shard is below this
- * multiple of its target size. The ratio is lower than the one at which shedding starts, so that no worker comes back.
+ * A worker moves to a controller of its own zone, with which it shares network partitions, while that shard is below
+ * this multiple of its target size. The ratio is lower than the one at which shedding starts, so that no worker is sent
+ * back.
  */
 const HOME_ZONE_RATIO = 1.1;
 const HOME_MOVES_PER_S = 8;
@@ -57,7 +60,7 @@
   readonly count: number;
 }
 
-/** The size that each shard should have; the sum is the number of machines in all of them. */
+/** The target size of each shard. The sum equals the total number of machines. */
 export function targetShardSizes(owners: readonly ShardOwner[]): Map<NodeId, number> {
   const weightOf = (owner: ShardOwner): number => (owner.isLeader ? LEADER_WEIGHT : 1);
   const totalMachines = owners.reduce((sum, owner) => sum + owner.machineCount, 0);
@@ -103,7 +106,10 @@
       this.transitionTo('balanced');
   }
 
-  /** A worker of this controller's own zone is redirected last: while there are others, they send heartbeats as often. */
+  /**
+   * Workers of this controller's own zone are only redirected while the shard is far above its target size. Below that,
+   * redirecting workers of other zones, which send heartbeats as often, is sufficient.
+   */
   private mayRedirect(own: ShardOwner, targetSize: number, workerZone: string): boolean {
     if (workerZone !== own.zone) return true;
     return this.state === 'shedding' && own.machineCount > targetSize * SHEDDING_START_RATIO;
@@ -122,7 +128,7 @@
       const isInWorkerZone = owner.zone === workerZone;
       if (this.state !== 'shedding' && !isInWorkerZone) continue;
       const room = this.remainingRoom(owner, isInWorkerZone ? targetSize * HOME_ZONE_RATIO : targetSize);
-      // A controller of the worker's zone is preferred to every other one that has room.
+      // A controller in the worker's zone is preferred to every other one that has spare capacity.
       const score = room <= 0 ? 0 : isInWorkerZone ? room + targetSize + own.machineCount : room;
       if (score > bestScore) {
         bestScore = score;
@@ -132,7 +138,9 @@
     return best;
   }
 
-  /** How many machines the shard can take, less those that were redirected and are not counted in its announced size yet. */
+  /**
+   * Spare capacity of the shard in machines, less those redirected there that its announced size does not include yet.
+   */
   private remainingRoom(owner: ShardOwner, targetSize: number): number {
     return targetSize - owner.machineCount - this.uncountedRedirects(owner);
   }
--- a/packages/worker-shards/src/worker-shard.ts
+++ b/packages/worker-shards/src/worker-shard.ts
@@ -13,7 +13,7 @@
  *
  * - `attached`: its worker sends heartbeats to this controller.
  * - `moving`: its worker was redirected to another controller; it is no longer counted.
- * - `departed`: no heartbeat came for so long that the worker uses another controller, or none.
+ * - `departed`: no heartbeat was received for so long that the worker must be using another controller, or none.
  */
 export type ShardMembership = 'attached' | 'moving' | 'departed';
 
@@ -70,15 +70,16 @@
       this.attachedCount += 1;
       return;
     }
-    // A delayed heartbeat carries no news, but it shows that its sender uses this controller.
+    // A delayed heartbeat is outdated, but still shows that its worker uses this controller.
     if (isNewer(heartbeat, member.heartbeat)) member.heartbeat = heartbeat;
     member.receivedAt = receivedAt;
     this.transitionTo(member, 'attached');
   }
 
   /**
-   * Extends the delegated lease of one machine after the leader has answered a request about it, sent at `requestedAt`. No
-   * other machine is affected, because the leader tracks the latest possible end of each lease separately.
+   * Extends the delegated lease of one machine after the leader has responded to a forwarded heartbeat of it that was
+   * sent at `requestedAt`. No other machine is affected, because the leader tracks the latest possible end of each
+   * lease separately.
    */
   extendDelegation(
     machine: MachineId,
@@ -89,7 +90,7 @@
     this.members.get(machine)?.delegation.extend(fencingToken, requestedAt, remainingMs);
   }
 
-  /** The fencing token under which this machine may be answered without the leader now, or null. */
+  /** The fencing token to use in a response to this machine without the leader now; null if no delegation is valid. */
   delegatedToken(machine: MachineId, highestKnownToken: FencingToken): FencingToken | null {
     return this.members.get(machine)?.delegation.currentToken(highestKnownToken) ?? null;
   }
