--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -14,15 +14,15 @@
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  /** Room for images, in GB. */
+  /** Capacity of the image cache, in GB. */
   readonly cacheGb: number;
-  /** How fast images are fetched, in GB a second, give or take a third. */
+  /** Speed at which images are fetched, in GB per second; actual speeds deviate by up to a third. */
   readonly fetchGbPerS: number;
   /** Price of an ordinary machine, per hour. */
   readonly price: number;
-  /** Present price of a spot machine, per hour. */
+  /** Current price of a spot machine, per hour. */
   readonly spotPrice: number;
-  /** Usual time from the rental request until the machine is up, in seconds. */
+  /** Typical time from the rental request until the machine is up, in seconds. */
   readonly bootS: number;
   /** Zones in which it is offered. */
   readonly zones: readonly string[];
@@ -74,10 +74,13 @@
 
 const PHASES = new WireNames<MachinePhase>({ booting: 'starting', running: 'running', failed: 'failed' });
 
-/** A machine in the cloud's list, which lags (Protocol, Controller nodes -> cloud, GET /rentals). */
+/**
+ * A machine in the cloud's list, which lags behind the cloud's state (Protocol, Controller nodes -> cloud, GET
+ * /rentals).
+ */
 export interface ListedMachine {
   readonly id: MachineId;
-  /** Where its worker listens, as `host:port`; '' while unknown. */
+  /** Address of its worker, as `host:port`; '' while unknown. */
   readonly address: string;
   readonly type: string;
   readonly zone: string;
@@ -136,7 +139,7 @@
 
 /** A request for machines of one type in one zone (Protocol, Controller nodes -> cloud, POST /rentals). */
 export interface RentalRequest {
-  /** Name of the request, never used again: the cloud executes it once, however often it is sent. */
+  /** Unique name of the request, which makes it idempotent: the cloud executes it once, however often it is sent. */
   readonly request: string;
   readonly type: string;
   readonly zone: string;
--- a/packages/wire/src/errors.ts
+++ b/packages/wire/src/errors.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** An error with a code that programs can test for; the message says what was expected, what came instead and where. */
+/** An error with a machine-readable code; the message states what was expected, what was received and where. */
 export class SpurbridgeError extends Error {
   constructor(
     /** Stable and in upper case with underscores, such as `SNAPSHOT_DAMAGED`. */
--- a/packages/wire/src/graphs/batch.ts
+++ b/packages/wire/src/graphs/batch.ts
@@ -8,7 +8,7 @@
 import type { BatchId, GraphTaskId } from './ids.js';
 import { asGraphTaskId, isBatchId, parseGraphTaskId } from './ids.js';
 
-/** What a task of a graph takes; tasks of one batch share a few of these. */
+/** Resources and limits of a task of a graph; the tasks of a batch share a few shapes. */
 export interface TaskShape {
   readonly cpus: number;
   readonly gpus: number;
@@ -17,7 +17,7 @@
   readonly imageGb: number;
   /** The owner's estimate of a task's run time, in seconds. */
   readonly estimateS: number;
-  /** How often a task that failed is started again. */
+  /** Maximum number of retries of a failed task. */
   readonly retries: number;
   /** Whether it may run on spot machines. */
   readonly spot: boolean;
@@ -33,10 +33,10 @@
   readonly held: boolean;
 }
 
-/** Some tasks that are added to a graph together. */
+/** Tasks that are added to a graph together. */
 export interface Batch {
   readonly id: BatchId;
-  /** The task that added it; null: the client did. */
+  /** The task that added it; null if the client did. */
   readonly parent: GraphTaskId | null;
   readonly shapes: readonly TaskShape[];
   readonly tasks: readonly BatchTask[];
@@ -67,7 +67,7 @@
   });
 }
 
-/** What is known of a batch before its tasks are read. */
+/** The parts of a batch that are read before its tasks. */
 interface BatchOutline {
   readonly id: BatchId;
   readonly taskCount: number;
@@ -103,7 +103,7 @@
   return [...dependencies];
 }
 
-/** Reads `[shape, [dependencies...], held]`, of which the last two may be missing. */
+/** Reads `[shape, [dependencies...], held]`, where the last two elements are optional. */
 function parseTask(value: unknown, index: number, batch: BatchOutline): BatchTask {
   const field = `tasks[${index}]`;
   const [shape, after, held] = read.asArray(value, field);
@@ -115,7 +115,7 @@
   return { shape, after: dependencies, held: held ?? false };
 }
 
-/** The tasks of the same batch that a task depends on, by their numbers. */
+/** The numbers of the tasks in the same batch that a task depends on. */
 function dependenciesWithin(batch: BatchId, task: BatchTask): number[] {
   return task.after
     .map(parseGraphTaskId)
@@ -123,7 +123,7 @@
     .map((on) => on.task);
 }
 
-/** Throws a `ValidationError` that names a task on a cycle of dependencies, where there is one. */
+/** Throws a `ValidationError` that names a task on a cycle of dependencies, if there is one. */
 function checkAcyclic(batch: BatchId, tasks: readonly BatchTask[]): void {
   const dependencies = tasks.map((task) => dependenciesWithin(batch, task));
   const pendingCounts = dependencies.map((on) => on.length);
@@ -169,7 +169,7 @@
   };
 }
 
-/** A dependency as it is sent: tasks of the same batch by their number alone. */
+/** A dependency as it is sent: a task of the same batch is represented by its number alone. */
 function formatDependency(id: GraphTaskId, batch: BatchId): GraphTaskId | number {
   const on = parseGraphTaskId(id);
   return on.batch === batch ? on.task : id;
--- a/packages/wire/src/graphs/result-update.ts
+++ b/packages/wire/src/graphs/result-update.ts
@@ -7,7 +7,7 @@
 import type { GraphTaskId } from './ids.js';
 import { asGraphTaskId, isBatchId } from './ids.js';
 
-/** Which results are lost, which the client needs from now on, and which it needs no longer. */
+/** Which results are lost, which ones the client starts to hold, and which ones it releases. */
 export interface ResultUpdate {
   /** Unique within the graph: the same update sent again has no further effect. */
   readonly id: string;
--- a/packages/wire/src/heartbeats.ts
+++ b/packages/wire/src/heartbeats.ts
@@ -9,15 +9,15 @@
 import { WireNames } from './wire-names.js';
 
 /**
- * State of a task on its machine. `fetching`: waits for its image. `waiting`: a gang task that waits for the others of
- * its attempt. `saving`: was told to stop and saves a checkpoint.
+ * State of a task on its machine. `fetching`: its image is being fetched. `waiting`: a gang task that waits for the
+ * others of its attempt. `saving`: it received a stop command and is saving a checkpoint.
  */
 export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 
 /**
- * Why a task exited. `stopped`: by command. `peers`: another task of its gang is gone. `alone`: its gang was not complete
- * in time. `no_room`, `busy`, `unknown`: the start was refused, for want of resources, because the task runs here with
- * another attempt, or because there is no such job.
+ * Why a task exited. `stopped`: by command. `peers`: another task of its gang has ended. `alone`: its gang was not
+ * complete in time. `no_room`, `busy`, `unknown`: the start was refused because resources are insufficient, because
+ * another attempt of the task runs here, or because there is no such job.
  */
 export type ExitCause = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
@@ -53,18 +53,18 @@
   readonly machine: MachineId;
   /** Where the worker listens for direct commands, as `host:port`. */
   readonly address: string;
-  /** Name of the machine's type. */
+  /** Name of the machine type. */
   readonly type: string;
   readonly zone: string;
   /** Whether the machine is a spot machine. */
   readonly spot: boolean;
   readonly agentEpoch: AgentEpoch;
   readonly sequence: number;
-  /** The highest token that the worker has seen; 0: none. */
+  /** The highest fencing token that the worker has seen; 0 means none. */
   readonly fencingToken: FencingToken;
-  /** Seconds until the cloud takes the machine away; null: no notice was given. */
+  /** Seconds until the cloud takes the machine back; null without a preemption notice. */
   readonly preemptionNoticeS: number | null;
-  /** All tasks on the machine, exited ones included until they are forgotten. */
+  /** All tasks on the machine, including exited ones until a forget command removes them. */
   readonly tasks: readonly TaskStatus[];
 }
 
--- a/packages/wire/src/ids.ts
+++ b/packages/wire/src/ids.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-/** A string or number that the compiler keeps apart from all others of the same base type. */
+/** A string or number type that the compiler distinguishes from all others of the same base type. */
 export type Brand<T, B extends string> = T & { readonly __brand: B };
 
 /** Id of a job, chosen by its user. */
@@ -14,11 +14,13 @@
 export type MachineId = Brand<string, 'MachineId'>;
 /** Name of a controller node, as the settings give it. */
 export type NodeId = Brand<string, 'NodeId'>;
-/** Rises with every change of leader: a worker refuses commands that carry a lower token than it has seen. */
+/**
+ * Rises with every change of leader. A worker rejects commands that carry a lower token than the highest it has seen.
+ */
 export type FencingToken = Brand<number, 'FencingToken'>;
 /** Counts how often the lease of a worker agent has expired, from 1: tasks of an earlier epoch no longer exist. */
 export type AgentEpoch = Brand<number, 'AgentEpoch'>;
-/** Tells one start of a task from another; the tasks of a gang find each other by it. */
+/** Distinguishes the starts of a task; all tasks of a gang share the attempt. */
 export type Attempt = Brand<number, 'Attempt'>;
 /** Revision of the last change of one key in the key-value store. */
 export type Version = Brand<number, 'Version'>;
--- a/packages/wire/src/jobs.ts
+++ b/packages/wire/src/jobs.ts
@@ -9,8 +9,8 @@
 import { WireNames } from './wire-names.js';
 
 /**
- * `array`: independent tasks that run to completion. `gang`: all tasks run at the same time or none does. `service`:
- * replicas that run until the job is cancelled.
+ * `array`: independent tasks that run to completion. `gang`: either all tasks run at the same time, or none does.
+ * `service`: replicas that run until the job is cancelled.
  */
 export type JobKind = 'array' | 'gang' | 'service';
 /** From the most to the least important. */
@@ -63,7 +63,10 @@
   readonly spread: boolean;
   /** Whether the job may use spot machines. */
   readonly spot: boolean;
-  /** The owner's estimate of a task's run time without the image fetch, in seconds; 0 for services. Often wrong. */
+  /**
+   * The owner's estimate of a task's run time without the image fetch, in seconds; 0 for services. Frequently
+   * inaccurate.
+   */
   readonly estimateS: number;
   /** Progress after which a running task saves a checkpoint, in seconds; 0: it never saves. */
   readonly checkpointS: number;
@@ -74,8 +77,8 @@
 }
 
 /**
- * The id of a submitted job alone: a retry of a known job gets its response even if the rest of the body is invalid.
- * Throws a `ValidationError`.
+ * The id of a submitted job alone: a repeated submission of a known job gets its response even if the rest of the body
+ * is invalid. Throws a `ValidationError`.
  */
 export function parseSubmissionId(body: unknown): JobId {
   const id = read.string(read.asObject(body, 'body'), 'nameId');
@@ -154,7 +157,7 @@
   readonly running?: number;
 }
 
-/** The body of a response that tells a job's state. */
+/** The body of a response with a job's state. */
 export function formatJobStatus(status: JobStatus): Record<string, unknown> {
   return { nameId: status.id, phase: status.phase, done: status.done, running: status.running };
 }
--- a/packages/wire/src/json-fields.ts
+++ b/packages/wire/src/json-fields.ts
@@ -9,10 +9,12 @@
 /** Longest name that `name` accepts, in UTF-16 code units. */
 const MAX_NAME_LENGTH = 200;
 
-/** Path of a value that has no field of its own, such as an array element: `within` replaces it by the outer path. */
+/**
+ * Placeholder path of a value without a field name, such as an array element; `within` replaces it with the outer path.
+ */
 const UNNAMED_ENTRY = 'entry';
 
-/** A field that is missing or holds something else than expected. */
+/** A field is missing or has an unexpected value. */
 export class ValidationError extends SpurbridgeError {
   constructor(
     /** Path of the field, such as `tasks[3].image`. */
@@ -22,7 +24,7 @@
     super('INVALID_FIELD', `${field}: expected ${expected}`);
   }
 
-  /** The same error with the path of the object or array that holds the field put in front. */
+  /** Returns the same error with the path of the enclosing object or array prepended to the field's path. */
   within(path: string): ValidationError {
     const fullPath = this.field === UNNAMED_ENTRY ? path : `${path}.${this.field}`;
     return new ValidationError(fullPath, this.expected);
--- a/packages/wire/src/key-value.ts
+++ b/packages/wire/src/key-value.ts
@@ -79,7 +79,10 @@
   readonly version: Version;
 }
 
-/** A change by a transaction. With a lease the key is removed when the lease ends; without one it is detached from any. */
+/**
+ * A change by a transaction. A key written with a lease is removed when the lease ends; writing it without one detaches
+ * it from its lease.
+ */
 export type Mutation =
   { readonly put: string; readonly value: unknown; readonly lease?: LeaseId } | { readonly delete: string };
 
@@ -171,7 +174,7 @@
   | { readonly put: string; readonly value: unknown; readonly version: Version }
   | { readonly delete: string; readonly version: Version };
 
-/** All changes of a prefix after the revision asked for (Protocol, Controller nodes -> state service, GET /follow). */
+/** All changes of a prefix after the requested revision (Protocol, Controller nodes -> state service, GET /follow). */
 export interface WatchResponse {
   /** Revision up to which the response is complete. */
   readonly revision: Revision;
--- a/packages/wire/src/peers/errors.ts
+++ b/packages/wire/src/peers/errors.ts
@@ -5,7 +5,10 @@
  */
 import { SpurbridgeError } from '../errors.js';
 
-/** A peer sent bytes that are no frame, or a message that this version cannot read. The connection is of no further use. */
+/**
+ * A peer sent bytes that are not a valid frame, or a message that this version cannot read. The connection cannot be
+ * used any further.
+ */
 export class PeerMessageError extends SpurbridgeError {
   constructor(message: string) {
     super('PEER_MESSAGE_MALFORMED', message);
--- a/packages/wire/src/peers/forwarded-heartbeat.ts
+++ b/packages/wire/src/peers/forwarded-heartbeat.ts
@@ -10,9 +10,11 @@
 import type { WorkerCommand, WorkerCommandOperation } from '../worker-commands.js';
 import { PeerMessageError } from './errors.js';
 
-/** A heartbeat on its way from the node that its worker sent it to, to the leader. */
+/** A heartbeat that the node which received it forwards to the leader. */
 export interface ForwardedHeartbeat {
-  /** Matches the response to the request; 0: no response is expected, since the worker has got one already. */
+  /**
+   * Matches the response to the request. 0 means that no response is expected, because the worker already received one.
+   */
   readonly id: number;
   /** How long ago the node received it, in milliseconds. */
   readonly ageMs: number;
@@ -118,7 +120,7 @@
   readonly session: number;
   readonly seq: number;
   readonly token: number;
-  /** Whether `noticeS` holds anything: protobuf has no null. */
+  /** Whether `noticeS` is set; protobuf has no null. */
   readonly noticed: boolean;
   readonly noticeS: number;
   readonly tasks: readonly TaskFields[];
--- a/packages/wire/src/peers/peer-message.ts
+++ b/packages/wire/src/peers/peer-message.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between controller nodes: length-delimited protobuf frames on a TCP connection. The platform's pages leave
- * this protocol to us; docs/shares.md and docs/state-loss.md describe its use.
+ * Messages between controller nodes: length-delimited protobuf frames on a TCP connection. The platform does not
+ * specify this protocol; docs/shares.md and docs/state-loss.md describe its use.
  *
  * @module
  */
@@ -23,7 +23,7 @@
 import type { PeerStatus, StatusFields } from './peer-status.js';
 import { STATUS_TYPE, formatPeerStatus, parsePeerStatus } from './peer-status.js';
 
-/** How far a job has come, as the leader tells its peers for display to users. */
+/** The progress of a job, which the leader sends to its peers for display to users. */
 export interface JobProgress {
   readonly job: string;
   /** Number of completed tasks. */
@@ -32,7 +32,7 @@
   readonly running: number;
 }
 
-/** One message to a peer; it holds whichever parts were given. */
+/** One message to a peer; all parts are optional. */
 export interface PeerMessage {
   readonly status?: PeerStatus;
   readonly jobProgress?: readonly JobProgress[];
@@ -57,7 +57,7 @@
 const namespace = new Root().define('spurbridge').add(STATUS_TYPE).add(PROGRESS_TYPE).add(MESSAGE_TYPE);
 for (const type of FORWARDED_HEARTBEAT_TYPES) namespace.add(type);
 
-/** A message as its protobuf type names the fields, after decoding: what was not sent is null, '' or empty. */
+/** A message as its protobuf type names the fields, after decoding; fields that were not sent are null, '' or empty. */
 interface MessageFields {
   readonly status: StatusFields | null;
   readonly progress: readonly JobProgress[];
@@ -122,7 +122,7 @@
 const VARINT_BITS = 7;
 const VARINT_MASK = 0x7f;
 const VARINT_CONTINUES = 0x80;
-/** A prefix that goes on beyond this shift is malformed: five bytes hold every length that is allowed. */
+/** A prefix that continues beyond this shift is malformed, because five bytes can hold every valid length. */
 const MAX_VARINT_SHIFT = 28;
 
 /** Reads a length prefix; null while more bytes are needed. */
@@ -147,8 +147,8 @@
 }
 
 /**
- * Decodes the first whole frame of `bytes`; null while more bytes are needed. Throws a `PeerMessageError` where they are
- * no frame or the message cannot be read, and protobufjs's errors where its fields are malformed.
+ * Decodes the first whole frame of `bytes`; null while more bytes are needed. Throws a `PeerMessageError` if they are
+ * not a valid frame or the message cannot be read, and errors of protobufjs if its fields are malformed.
  */
 export function decodePeerMessage(bytes: Uint8Array): DecodedPeerMessage | null {
   const prefix = decodeLengthPrefix(bytes);
--- a/packages/wire/src/peers/peer-status.ts
+++ b/packages/wire/src/peers/peer-status.ts
@@ -1,6 +1,6 @@
 /**
- * What a controller node tells its peers about itself, and its protobuf form. Field numbers and types are fixed: nodes of
- * earlier versions read and write them too.
+ * The status that a controller node sends to its peers, and its protobuf form. Field numbers and types are fixed: nodes
+ * of earlier versions read and write them too.
  *
  * @module
  */
@@ -14,19 +14,25 @@
   readonly fencingToken: FencingToken;
   /** The node that the token belongs to; '' when unknown. */
   readonly leader: NodeId;
-  /** Whether the key-value store has served the sender lately. */
+  /** Whether the key-value store has recently served the sender. */
   readonly isStoreReachable: boolean;
-  /** What speaks against the sender as a leader (`LeaderCandidate` of the package `store`); 0: nothing, or of an earlier version. */
+  /**
+   * Number of reasons against electing the sender (`LeaderCandidate` of the package `store`); 0 for none, or for a node
+   * of an earlier version.
+   */
   readonly leadershipPenalty: number;
 }
 
-/** What a node tells its peers about its replica of the key-value store (docs/state-loss.md). */
+/** The part of a status that describes the node's replica of the key-value store (docs/state-loss.md). */
 export interface PeerStoreStatus {
   /** Number of the store epoch that the sender follows or helps to recover; 0 when it has no replica. */
   readonly storeEpoch: number;
-  /** Id of the epoch that it follows or distrusts; '' when it has not entered one. Two ids under one number are two stores. */
+  /**
+   * Id of the epoch that it follows or distrusts; '' when it has not entered one. Different ids under the same number
+   * mean different stores.
+   */
   readonly storeEpochId: string;
-  /** Highest revision that it knows of in that epoch. */
+  /** Highest known revision of that epoch. */
   readonly storeRevision: number;
   /** Whether it trusts the key-value store now. */
   readonly isStoreTrusted: boolean;
@@ -34,7 +40,7 @@
   readonly hasContinuousReplica: boolean;
 }
 
-/** What a node tells its peers about the shard of workers that it serves (docs/shares.md). */
+/** The part of a status that describes the shard of workers that the node serves (docs/shares.md). */
 export interface PeerShardStatus {
   /** Whether it leads and responds to heartbeats that peers forward; a node of an earlier version does not. */
   readonly acceptsForwardedHeartbeats: boolean;
@@ -42,13 +48,16 @@
   readonly isLeaderReady: boolean;
   /** Number of machines whose workers send their heartbeats to it. */
   readonly shardSize: number;
-  /** Whether workers may be redirected to it: it is able to respond to them, and has been for some time. */
+  /** Whether workers may be redirected to it, because it has been able to serve them for some time. */
   readonly canServeWorkers: boolean;
 }
 
-/** What a node tells its peers about the configuration that it uses. */
+/** The part of a status that describes the configuration that the node uses. */
 export interface PeerConfigurationStatus {
-  /** Version in use, on a leader that of its last plan. 0: the settings file, or a node of an earlier version. */
+  /**
+   * Version in use; on a leader, that of its last scheduling pass. 0 for the settings file, or for a node of an earlier
+   * version.
+   */
   readonly configurationVersion: number;
   /** How long ago the node could last confirm that version, in milliseconds. */
   readonly configurationAgeMs: number;
--- a/packages/wire/src/tariff.ts
+++ b/packages/wire/src/tariff.ts
@@ -8,7 +8,7 @@
 
 /** Price of energy and its carbon intensity. */
 export interface TariffRate {
-  /** In any currency, per kilowatt-hour or CPU hour: only ratios count. May be negative. */
+  /** In any currency, per kilowatt-hour or CPU hour, because only ratios matter. May be negative. */
   readonly price: number;
   /** Grams of CO2 for the same amount. */
   readonly carbon: number;
@@ -25,7 +25,7 @@
   readonly days: readonly Weekday[];
   /** Start, in minutes after local midnight. */
   readonly from: number;
-  /** End, in minutes after local midnight, at most 1440. Where it is before `from` the window passes midnight. */
+  /** End, in minutes after local midnight, at most 1440. If it is before `from`, the window extends past midnight. */
   readonly to: number;
   /** Zones of the fleet; null: all. */
   readonly zones: readonly string[] | null;
@@ -48,7 +48,7 @@
   readonly like: Weekday;
 }
 
-/** A tariff: rates by time and zone. Slots win over windows, windows over `base`. */
+/** A tariff: rates by time and zone. Slots take precedence over windows, and windows over `base`. */
 export interface TariffDocument {
   /** Rises with every change of content. */
   readonly revision: number;
@@ -56,13 +56,13 @@
   readonly timeZone: string;
   /** Milliseconds since 1970. */
   readonly issuedAt: number;
-  /** Until when the document states its prices, in milliseconds since 1970; null: until replaced. */
+  /** End of the document's validity, in milliseconds since 1970; null means until replaced. */
   readonly validUntil: number | null;
-  /** Seconds after which a feed has something new; null: not stated. */
+  /** Seconds until a feed publishes its next update; null if not stated. */
   readonly nextUpdateS: number | null;
-  /** The rate where neither a slot nor a window applies. */
+  /** The rate at times when neither a slot nor a window applies. */
   readonly base: TariffRate;
-  /** The first that applies wins. */
+  /** Where several windows apply, the first one takes precedence. */
   readonly windows: readonly RecurringWindow[];
   readonly holidays: readonly TariffHoliday[];
   /** In order, without gaps or overlaps where they share zones. */
@@ -77,7 +77,7 @@
 const MAX_WINDOWS = 200;
 const MAX_HOLIDAYS = 400;
 const MAX_SLOTS = 2000;
-/** Beyond this a price or a carbon figure is taken for a mistake. */
+/** Largest absolute price or carbon intensity; larger values are rejected as errors. */
 const MAX_RATE = 1e6;
 const MINUTES_PER_HOUR = 60;
 const MINUTES_PER_DAY = 1440;
--- a/packages/wire/src/task-names.ts
+++ b/packages/wire/src/task-names.ts
@@ -15,7 +15,7 @@
 
 const TASK_NUMBER = /^\d{1,9}$/;
 
-/** Names parsed lately: every heartbeat repeats those of the one before. Emptied when full. */
+/** Cache of parsed names, because consecutive heartbeats contain mostly the same ones. Cleared when full. */
 const parsedNames = new Map<string, TaskName>();
 const MAX_PARSED_NAMES = 20_000;
 
--- a/packages/wire/src/wire-names.ts
+++ b/packages/wire/src/wire-names.ts
@@ -26,7 +26,7 @@
     return this.values[read.oneOf(object, field, this.names)] as Value;
   }
 
-  /** The value of a name; undefined where this version does not know it. */
+  /** The value of a name; undefined if this version does not know the name. */
   find(wireName: string): Value | undefined {
     return this.values[wireName];
   }
--- a/packages/wire/src/worker-commands.ts
+++ b/packages/wire/src/worker-commands.ts
@@ -15,7 +15,7 @@
   readonly attempt: Attempt;
 }
 
-/** Starts a task; without effect where the worker has this attempt already. */
+/** Starts a task; has no effect if the worker already has this attempt. */
 export interface StartCommand extends CommandTarget {
   readonly op: 'start';
 }
@@ -23,7 +23,10 @@
 /** Stops a task. */
 export interface StopCommand extends CommandTarget {
   readonly op: 'stop';
-  /** How long the task may take to save, in seconds; below what it needs it exits at once. */
+  /**
+   * Time that the task may take to save a checkpoint, in seconds. If it needs longer, it exits immediately without
+   * saving.
+   */
   readonly graceS: number;
 }
 
@@ -64,7 +67,7 @@
 
 /**
  * Response of 200 to a heartbeat: it renews the worker's lease (Protocol, Workers -> controller nodes, POST
- * /agent/beat). The worker drops it where the token is lower than the highest that it has seen.
+ * /agent/beat). The worker ignores it if the token is lower than the highest that it has seen.
  */
 export interface HeartbeatResponse {
   readonly fencingToken: FencingToken;
@@ -92,8 +95,8 @@
 }
 
 /**
- * Commands sent straight to a worker (Protocol, Controller nodes -> workers, POST /commands). They do not renew its
- * lease, and are refused where the token is too low or the agent epoch is another.
+ * Commands sent directly to a worker (Protocol, Controller nodes -> workers, POST /commands). They do not renew its
+ * lease, and are rejected if the token is too low or the agent epoch differs.
  */
 export interface DirectCommands extends HeartbeatResponse {
   readonly agentEpoch: AgentEpoch;
