--- a/packages/recovery/src/attachment.ts
+++ b/packages/recovery/src/attachment.ts
@@ -15,25 +15,28 @@
 import type { SnapshotReplica, SnapshotSource } from './snapshot-source.js';
 import { findMissingFromSnapshot } from './snapshot-source.js';
 
-/** Time after which an empty store may be initialized where all peers were heard from, none of them in an epoch. */
+/**
+ * Time after which an empty store may be initialized if a status of every peer was received and none of them is in an
+ * epoch.
+ */
 const INITIALIZE_AMONG_PEERS_MS = 700;
-/** Time after which an empty store may be initialized where not all peers were heard from. */
+/** Time after which an empty store may be initialized if the status of some peer is missing. */
 const INITIALIZE_ALONE_MS = 2000;
-/** Pause while peers or workers may still show that the store is not a new one. */
+/** Pause between attempts, in which peers or workers may still show that the store is not new. */
 const AWAIT_PEERS_MS = 50;
 const AWAIT_WORKERS_MS = 100;
 
 /** Result of one attempt to attach to the store. */
 export type AttachOutcome =
   | { readonly outcome: 'attached'; readonly openEpoch: OpenEpoch }
-  /** Something speaks against the store. */
+  /** There is evidence against the store. */
   | { readonly outcome: 'suspect'; readonly evidence: string }
-  /** Nothing is certain yet. The attempt has ended with a pause, and is to be repeated. */
+  /** The evidence is not sufficient yet. The attempt has ended with a pause, and is to be repeated. */
   | { readonly outcome: 'undecided' };
 
 const UNDECIDED: AttachOutcome = { outcome: 'undecided' };
 
-/** What attaching works with. */
+/** The dependencies of `StoreAttachment`. */
 export interface StoreAttachmentDependencies {
   readonly underlyingStore: KeyValueStore;
   readonly clock: Clock;
@@ -53,12 +56,12 @@
     this.startedAt = dependencies.clock.now();
   }
 
-  /** The newest snapshot, for as long as this controller has no replica of its own; null without one. */
+  /** The newest snapshot, while this controller has no replica of its own; null without one. */
   get snapshot(): SnapshotReplica | null {
     return this.latestSnapshot;
   }
 
-  /** Forgets the snapshot: the controller has a replica that is at least as new. */
+  /** Releases the snapshot, because the controller has a replica that is at least as new. */
   releaseSnapshot(): void {
     this.latestSnapshot = null;
   }
@@ -77,7 +80,7 @@
     return this.attachToEpoch(epoch);
   }
 
-  /** The store has an epoch record: reads the epoch, and compares it with what peers and a snapshot know. */
+  /** Reads the epoch that the store's epoch record names, and compares it with the state of peers and of a snapshot. */
   private async attachToEpoch(epoch: Epoch): Promise<AttachOutcome> {
     const { observations, recovery } = this.dependencies;
     const knownRevision = observations.highestRevisionOf(epoch.id);
@@ -90,7 +93,7 @@
     return evidence === null ? { outcome: 'attached', openEpoch } : suspect(evidence);
   }
 
-  /** The store has no epoch record: this is a first start, or the store was emptied. */
+  /** Handles a store without an epoch record: this is a first start, or the store has lost its data. */
   private async attachWithoutEpoch(): Promise<AttachOutcome> {
     const { clock, nodes, observations } = this.dependencies;
     const now = clock.now();
--- a/packages/recovery/src/dependencies.ts
+++ b/packages/recovery/src/dependencies.ts
@@ -1,5 +1,5 @@
 /**
- * What a recoverable store is given by its process.
+ * The dependencies that a process provides to its recoverable store.
  *
  * @module
  */
@@ -10,13 +10,13 @@
 import type { RecoveryLog } from './phases/recovery-dependencies.js';
 import type { SnapshotSource } from './snapshot-source.js';
 
-/** What a recoverable store works with. */
+/** The dependencies of a `RecoverableStore`. */
 export interface RecoverableStoreDependencies {
-  /** The store as it is, without any validation of its responses. */
+  /** The store without any validation of its responses. */
   readonly underlyingStore: KeyValueStore;
   readonly clock: Clock;
   readonly wallNow: () => WallClockMs;
-  /** Returns ids that are never returned again; random ones by default. */
+  /** Returns globally unique ids; random ones by default. */
   readonly newId?: () => string;
   readonly node: NodeId;
   /** Number of controllers, this one included. */
@@ -24,7 +24,9 @@
   /** Maximum size of a value in KiB, and number of mutations in a transaction. */
   readonly limits: { readonly valueKb: number; readonly txnOps: number };
   readonly log: RecoveryLog;
-  /** Counts the machines that the cloud lists as running; null without an answer. Only called where no epoch is found. */
+  /**
+   * Counts the machines that the cloud lists as running; null if it does not respond. Only called if no epoch is found.
+   */
   readonly countRunningMachines: () => Promise<number | null>;
   /** Called after each change of the store's integrity. */
   readonly onIntegrityChanged: () => void;
--- a/packages/recovery/src/epoch-store/audit-selector.ts
+++ b/packages/recovery/src/epoch-store/audit-selector.ts
@@ -6,24 +6,29 @@
 import type { Compare, Revision } from '@spurbridge/wire';
 import type { Replica } from '../replica/replica.js';
 
-/** Chooses keys for audits: those written last, then all others in turn. Also keeps track of keys that may be lost. */
+/**
+ * Chooses keys for audits: the most recently written ones, then all others in turn. Also tracks keys that may be lost.
+ */
 export class AuditSelector {
   private readonly recentlyWritten = new Set<string>();
   private rotation: Iterator<string> | null = null;
-  /** Keys that were absent, by the revision of that response, which the watch had not reached yet. */
+  /** Keys that were absent from a response, with its revision, which the watch had not reached yet. */
   private readonly absentKeys = new Map<string, Revision>();
 
   /** @param maxCompares - Number of keys that one audit compares at most. */
   constructor(private readonly maxCompares: number) {}
 
-  /** Notes that a key was written, so that one of the next audits compares it. */
+  /** Records that a key was written, so that one of the next audits compares it. */
   noteWrite(key: string): void {
     // Deleted and added again, the key moves to the end: the last writes are audited first.
     this.recentlyWritten.delete(key);
     this.recentlyWritten.add(key);
   }
 
-  /** Returns the comparisons of the next audit. Keys that `isReplaced` names have a repair in place of the store's value. */
+  /**
+   * Returns the comparisons of the next audit. Keys for which `isReplaced` returns true have a pending repair in place
+   * of the store's value, and are skipped.
+   */
   selectCompares(replica: Replica, isReplaced: (key: string) => boolean): Compare[] {
     const selected = new Map<string, Compare>();
     const select = (key: string): void => {
@@ -47,7 +52,7 @@
     return [...selected.values()];
   }
 
-  /** Notes that a known key was absent at a revision. The watch will show whether it was deleted. */
+  /** Records that a known key was absent at a revision. The watch will show whether it was deleted. */
   noteAbsent(key: string, revision: Revision): void {
     if (!this.absentKeys.has(key)) this.absentKeys.set(key, revision);
   }
@@ -57,7 +62,8 @@
     for (const [key, revision] of this.absentKeys) {
       if (replica.revision < revision) continue;
       this.absentKeys.delete(key);
-      // A later version is another record: one that was deleted and written again between two audits once counted as lost.
+      // A later version belongs to another record. Without this check, a key that was deleted and written again between
+      // two audits counted as lost.
       const entry = replica.get(key);
       if (entry !== undefined && entry.version <= revision) return key;
     }
--- a/packages/recovery/src/epoch-store/epoch-store.ts
+++ b/packages/recovery/src/epoch-store/epoch-store.ts
@@ -36,9 +36,9 @@
 
 /** Audits compare up to this many times as many keys as a transaction may mutate. */
 const COMPARES_PER_TRANSACTION_OPERATION = 4;
-/** Comparisons of an audit that are not left for records. */
+/** Comparisons of an audit that are reserved for other keys than records. */
 const RESERVED_COMPARES = 2;
-/** Time for which users repeat a submission: until then a job id that is not known may still arrive. */
+/** Time for which users retry a submission. Until then, an unknown job id may still be submitted. */
 const SUBMISSION_RETRY_MS = 60_000;
 
 type FoundOrAbsent = Extract<ReadOutcome, { outcome: 'found' | 'absent' }>;
@@ -46,9 +46,9 @@
 type Absent = Extract<ReadOutcome, { outcome: 'absent' }>;
 type Listed = Extract<ListOutcome, { outcome: 'listed' }>;
 
-/** What the store of an epoch works with. */
+/** The dependencies of an `EpochStore`. */
 export interface EpochStoreDependencies {
-  /** The store as it is, whose responses are validated here. */
+  /** The store whose responses are validated here. */
   readonly underlyingStore: KeyValueStore;
   readonly clock: Clock;
   /** Number of mutations that a transaction may hold. */
@@ -64,8 +64,8 @@
 }
 
 /**
- * The store in one epoch. Every commit carries the fence, and every response is compared with what was known when its
- * request was sent. Readers see pending repairs in place of the values that they replace.
+ * The store in one epoch. Every commit compares the fence, and every response is validated against what was known when
+ * its request was sent. Readers see pending repairs in place of the values that they replace.
  */
 export class EpochStore {
   readonly epoch: Epoch;
@@ -88,7 +88,7 @@
     const repairedRecords = pendingRepairs.map((repair) => ({
       key: repair.key,
       value: JSON.parse(repair.text) as unknown,
-      // Newer than everything from before the fence, older than everything that is written after it.
+      // Newer than every record from before the fence, and older than every record that is written after it.
       version: fence.version,
     }));
     this.replica.replaceAll([...records, ...repairedRecords], revision);
@@ -147,12 +147,12 @@
     return this.validator.highestKnownRevision;
   }
 
-  /** Age of the replica in milliseconds; Infinity until it was followed once. */
+  /** Age of the replica in milliseconds; Infinity until the first watch has returned. */
   get replicaAgeMs(): number {
     return this.follower.ageMs;
   }
 
-  /** Notes that the epoch has reached a revision, by the word of another controller or of a worker. */
+  /** Records that the epoch has reached a revision, as another controller or a worker has shown. */
   noteRevision(revision: number): void {
     this.validator.highestKnownRevision = Math.max(this.validator.highestKnownRevision, revision);
   }
@@ -193,7 +193,7 @@
     const substitute = this.overlay.substitute(key, KEY_ABSENT);
     if (substitute !== null) return { outcome: 'found', item: substitute };
     if (!this.validator.accepts(key, known, KEY_ABSENT, undefined)) return REFUSED;
-    // While records may be missing, a job that is not known may have been accepted all the same.
+    // While records may be missing, an unknown job may have been accepted nevertheless.
     const mayBeRetried = this.dependencies.clock.now() - this.enteredAt < SUBMISSION_RETRY_MS;
     const isUncertain = key.startsWith(JOB_KEY_PREFIX) && !this.dependencies.isContinuous() && mayBeRetried;
     return isUncertain ? REFUSED : absent;
@@ -223,7 +223,7 @@
     for (const item of listed.items) {
       if (isTombstone(item.value)) continue;
       const substitute = this.overlay.substitute(item.key, item.version);
-      // What became known after the list was begun does not contradict it.
+      // Only what was known before the list was requested can contradict it.
       const known = this.replica.get(item.key);
       const knownBefore = known !== undefined && known.version <= listed.revision ? known : undefined;
       if (substitute === null && !this.validator.accepts(item.key, knownBefore, item.version, item.value))
@@ -233,7 +233,10 @@
     return items;
   }
 
-  /** Returns the key of a job that was known before the list was begun, and that is missing from it; null if there is none. */
+  /**
+   * Returns the key of a job that was known before the list was requested and is missing from it; null if there is
+   * none.
+   */
   private findLostJob(prefix: string, listed: Listed, listedKeys: ReadonlySet<string>): string | null {
     if (!JOB_KEY_PREFIX.startsWith(prefix)) return null;
     for (const [key, known] of this.replica.entries()) {
@@ -243,7 +246,10 @@
     return null;
   }
 
-  /** Commits a transaction that also compares the fence. Versions are those that readers saw, of pending repairs too. */
+  /**
+   * Commits a transaction that also compares the fence. Versions are those that readers saw, including those of pending
+   * repairs.
+   */
   async commit(
     compares: readonly Compare[],
     mutations: readonly Mutation[],
@@ -275,7 +281,7 @@
     if (mutations.length > 0) this.dependencies.onReplicaChanged();
   }
 
-  /** A key was written or deleted: no repair stands in for it any more, and it is audited soon. */
+  /** Drops the pending repair of a key that was written or deleted, and schedules the key for an audit. */
   private noteMutation(mutation: Mutation | WatchEvent, version: Version): void {
     const key = mutatedKey(mutation);
     this.overlay.dropIfWritten(key, version);
@@ -293,7 +299,10 @@
       : watched;
   }
 
-  /** Renews a lease. It counts only while fence and leader record stand: the id may belong to another process by now. */
+  /**
+   * Renews a lease. A renewal only counts while the fence and the leader record are unchanged, because after a loss the
+   * id may belong to another process.
+   */
   async renewLease(lease: LeaseId, leadership: Compare): Promise<LeaseRenewalOutcome> {
     const [renewed, compared] = await Promise.all([
       this.underlyingStore.renewLease(lease, leadership),
@@ -305,7 +314,9 @@
   }
 }
 
-/** Records are objects. A leader record of any other type once ended every process that read it. */
+/**
+ * Every record is an object. Without this check, a leader record of another type crashed every process that read it.
+ */
 function isObject(value: unknown): boolean {
   return typeof value === 'object' && value !== null;
 }
--- a/packages/recovery/src/epoch-store/integrity-auditor.ts
+++ b/packages/recovery/src/epoch-store/integrity-auditor.ts
@@ -1,5 +1,5 @@
 /**
- * Audits: comparisons of the replica with the store that notice losses which no other request would show.
+ * Audits: comparisons of the replica with the store that detect losses which no other request would reveal.
  *
  * @module
  */
@@ -12,12 +12,12 @@
 import type { AuditSelector } from './audit-selector.js';
 import type { EpochTrust, ResponseValidator } from './response-validator.js';
 
-/** Number of audits after which everything is read once instead. */
+/** One in this many audits is replaced by a full read. */
 const AUDITS_PER_FULL_READ = 60;
-/** Number of records up to which everything is read at all. */
+/** Maximum number of records for which full reads are made. */
 const FULL_READ_MAX_RECORDS = 20_000;
 
-/** What an auditor works with. */
+/** The dependencies of an `IntegrityAuditor`. */
 export interface IntegrityAuditorDependencies {
   readonly underlyingStore: KeyValueStore;
   readonly replica: Replica;
@@ -29,7 +29,7 @@
   readonly readAll: () => Promise<ListOutcome>;
 }
 
-/** Asks the store to confirm, without a change, that keys are as the replica has them. */
+/** Verifies with transactions that only compare that the keys in the store match the replica. */
 export class IntegrityAuditor {
   private auditCount = 0;
 
@@ -39,7 +39,7 @@
   async run(): Promise<void> {
     this.auditCount += 1;
     const { replica, readAll } = this.dependencies;
-    // A transaction compares versions alone; values that changed under the same version are only seen by reading them.
+    // A transaction only compares versions; a value that changed under the same version is only detected by reading it.
     if (this.auditCount % AUDITS_PER_FULL_READ === 0 && replica.size <= FULL_READ_MAX_RECORDS)
       await readAll();
     else await this.compareSelected();
@@ -67,7 +67,7 @@
     }
     if (found.outcome === 'absent') {
       if (!validator.accepts(key, known, KEY_ABSENT, undefined)) return false;
-      // Deleted meanwhile, or lost: the watch shows a deletion.
+      // Deleted meanwhile, or lost: only a deletion appears in the watch.
       selector.noteAbsent(key, found.revision);
     }
     return true;
--- a/packages/recovery/src/epoch-store/replica-follower.ts
+++ b/packages/recovery/src/epoch-store/replica-follower.ts
@@ -14,13 +14,13 @@
 import type { EpochTrust, ResponseValidator } from './response-validator.js';
 import { withoutTombstone } from './watch-events.js';
 
-/** Pause between two watches. Events are applied in groups: a watch for each of them would take as many requests. */
+/** Pause between two watches. It lets events accumulate, because a watch per event would use too many requests. */
 const WATCH_PAUSE_MS = 300;
-/** Time that the store holds a watch back while nothing changes. */
+/** Time for which the store blocks a watch while nothing changes. */
 const WATCH_TIMEOUT_MS = 2000;
 const RETRY_MS = 150;
 
-/** What a follower works with. */
+/** The dependencies of a `ReplicaFollower`. */
 export interface ReplicaFollowerDependencies {
   readonly underlyingStore: KeyValueStore;
   readonly clock: Clock;
@@ -36,14 +36,14 @@
   readonly onReplicaChanged: () => void;
 }
 
-/** Follows the store with a replica for as long as its epoch is trusted. */
+/** Keeps the replica up to date while its epoch is trusted. */
 export class ReplicaFollower {
   /** Everything that was durable at this time is in the replica; null until the first watch has returned. */
   private upToDateAt: MonotonicMs | null = null;
 
   constructor(private readonly dependencies: ReplicaFollowerDependencies) {}
 
-  /** Age of the replica in milliseconds, counted from the sending of the request that last brought it up to date. */
+  /** Age of the replica in milliseconds, counted from when the latest request that brought it up to date was sent. */
   get ageMs(): number {
     return this.upToDateAt === null ? Infinity : this.dependencies.clock.now() - this.upToDateAt;
   }
@@ -63,14 +63,18 @@
     if (watched.events.length > 0) await clock.sleep(WATCH_PAUSE_MS);
   }
 
-  /** More has changed than the store keeps events of: reads everything, and compares it with what was known. */
+  /**
+   * Reads everything after the store has discarded the events since the last watch, and compares it with what was
+   * known.
+   */
   private async readAnew(): Promise<void> {
     const { clock, replica, validator, trust, onReplicaChanged } = this.dependencies;
     const listed = await this.dependencies.listAll();
     if (listed.outcome !== 'listed' || !trust.isCurrent()) return clock.sleep(RETRY_MS);
     const fenceVersion = validator.fence.version;
     replica.replaceAll(
-      // A pending repair is no newer than the fence; a key that was written since is listed with its own version.
+      // Virtual versions of pending repairs are negative; a repair is as old as the fence. A key that was written since
+      // is listed with its own version.
       listed.items.map((item) => (item.version < 0 ? { ...item, version: fenceVersion } : item)),
       listed.revision,
     );
--- a/packages/recovery/src/epoch-store/response-validator.ts
+++ b/packages/recovery/src/epoch-store/response-validator.ts
@@ -15,7 +15,7 @@
 /** Outcome of a request that may have been executed. */
 export const UNKNOWN: RequestFailure = { outcome: 'unknown' };
 
-/** How a validator reports on the epoch that it belongs to. */
+/** Callbacks by which a validator reports on its epoch. */
 export interface EpochTrust {
   /** Returns whether the epoch is still the one that this controller trusts. */
   isCurrent(): boolean;
@@ -59,14 +59,17 @@
     );
   }
 
-  /** Returns the outcome of a commit, unless the fence is gone: the epoch is over then. */
+  /** Returns the outcome of a commit, unless the fence has moved, which ends the epoch. */
   checkFence(outcome: CommitOutcome): CommitOutcome {
     if (outcome.outcome !== 'conflict' || !outcome.failed.includes(this.fence.key)) return outcome;
     if (this.trust.isCurrent()) this.trust.suspect('the fence is gone');
     return REFUSED;
   }
 
-  /** Returns whether a response agrees with what was known of the key, as `findContradiction` says; reports it if not. */
+  /**
+   * Returns whether a response is consistent with what was known of the key (`findContradiction`), and reports it if
+   * not.
+   */
   accepts(key: string, known: ReplicaEntry | undefined, version: Version, value: unknown): boolean {
     const contradiction = findContradiction(key, known, version, value);
     if (contradiction !== null) this.trust.suspect(contradiction);
--- a/packages/recovery/src/epoch-store/transaction-translation.ts
+++ b/packages/recovery/src/epoch-store/transaction-translation.ts
@@ -13,11 +13,11 @@
 /** Comparisons in the store's own versions. */
 export interface TranslatedCompares {
   readonly compares: readonly Compare[];
-  /** Keys whose comparison cannot hold, whatever the store answers. */
+  /** Keys whose comparison fails regardless of the store's content. */
   readonly failedKeys: readonly string[];
 }
 
-/** Mutations as the store gets them. */
+/** Mutations as they are sent to the store. */
 export interface TranslatedMutations {
   readonly mutations: readonly Mutation[];
   /** Keys that get a tombstone instead of being deleted. */
@@ -34,7 +34,7 @@
   const failedKeys: string[] = [];
   for (const compare of compares) {
     const version = overlay.storeVersionOf(compare);
-    // A record that was read once is not taken for one that never existed, whatever the store answers now.
+    // A record that was read once cannot count as one that never existed, whatever the store responds now.
     const known = compare.version === KEY_ABSENT ? replica.get(compare.key) : undefined;
     const isLost = known !== undefined && isNeverDeleted(compare.key, known);
     if (version === null || isLost) failedKeys.push(compare.key);
@@ -43,7 +43,10 @@
   return { compares: translated, failedKeys };
 }
 
-/** Replaces deletions of keys that have a pending repair: their pages would stand in for them again. */
+/**
+ * Replaces deletions of keys that have a pending repair by tombstones; after a plain deletion, the repair in the page
+ * would apply again.
+ */
 export function translateMutations(
   mutations: readonly Mutation[],
   overlay: RepairOverlay,
@@ -52,7 +55,7 @@
   const translated = mutations.map((mutation): Mutation => {
     if ('put' in mutation || !overlay.has(mutation.delete)) return mutation;
     tombstoneKeys.push(mutation.delete);
-    // The tombstone stays until the pages are deleted.
+    // The tombstone is kept until the pages are deleted.
     return { put: mutation.delete, value: TOMBSTONE_VALUE };
   });
   return { mutations: translated, tombstoneKeys };
--- a/packages/recovery/src/epoch-store/watch-events.ts
+++ b/packages/recovery/src/epoch-store/watch-events.ts
@@ -6,7 +6,7 @@
 import type { Mutation, WatchEvent } from '@spurbridge/wire';
 import { isTombstone } from '../epoch/tombstone.js';
 
-/** Returns the key that a mutation, or an event of a watch, is about. */
+/** Returns the key of a mutation or of a watch event. */
 export function mutatedKey(mutation: Mutation | WatchEvent): string {
   return 'put' in mutation ? mutation.put : mutation.delete;
 }
--- a/packages/recovery/src/epoch/epoch-record.ts
+++ b/packages/recovery/src/epoch/epoch-record.ts
@@ -23,16 +23,16 @@
   readonly number: EpochNumber;
   /** Random. It is part of the name of the fence, so a fence of an earlier epoch never becomes valid again. */
   readonly id: string;
-  /** Random, drawn when the store is initialized; tells deployments apart. */
+  /** Random, generated when the store is initialized; distinguishes deployments. */
   readonly deployment: string;
   /** Added to the revision of an election to make the leader's fencing token. */
   readonly tokenFloor: number;
   readonly phase: EpochPhase;
   /** Number of the epoch that the store's own records belong to: replicas of a later epoch take precedence over them. */
   readonly baseEpoch: number;
-  /** The controller that moved the fence, and that opens the epoch. */
+  /** The controller that moved the fence and that is to open the epoch. */
   readonly initiator: NodeId;
-  /** Whether this is the first epoch of the deployment: nothing was recorded before it. */
+  /** Whether this is the first epoch of the deployment, with no records before it. */
   readonly isInitial: boolean;
   /** Once open: whether the merged replicas hold every intent that a leader may have acted on. */
   readonly continuous: boolean;
@@ -76,7 +76,7 @@
       continuous: read.boolean(record, 'continuous'),
     };
   } catch {
-    // Whatever the reason, a record that cannot be decoded no longer says which epoch is current.
+    // Whatever the error, an undecodable record does not identify the current epoch.
     return null;
   }
 }
--- a/packages/recovery/src/epoch/fencing-tokens.ts
+++ b/packages/recovery/src/epoch/fencing-tokens.ts
@@ -5,10 +5,13 @@
  */
 import type { FencingToken, Version } from '@spurbridge/wire';
 
-/** More revisions than a store makes within a millisecond: the minimum rise of the token floor per millisecond. */
+/**
+ * Minimum rise of the token floor per millisecond; more than the number of revisions that a store can create in that
+ * time.
+ */
 const TOKENS_PER_MS = 2 ** 10;
 
-/** More revisions than a store makes within a second: the minimum rise of the token floor per epoch. */
+/** Minimum rise of the token floor per epoch; more than the number of revisions that a store can create in a second. */
 const TOKENS_PER_EPOCH = 2 ** 20;
 
 /** Returns the fencing token of a leader whose record was written at this version of an epoch. */
@@ -18,10 +21,11 @@
 
 /**
  * Returns the token floor of the next epoch. It lies above the last floor that is known, above every token that was
- * seen in use and, by the time of day in milliseconds, above those that may have been used without a witness.
+ * seen in use and, because it also rises with the time of day, above those that may have been used unseen.
  */
 export function nextTokenFloor(lastFloor: number, highestSeenToken: FencingToken, wallMs: number): number {
-  // Milliseconds rather than seconds: two epochs begun within one second once got the same floor, and a token was issued twice.
+  // Milliseconds rather than seconds: with seconds, two epochs begun within one second got the same floor, and a token
+  // was issued twice.
   const aboveTime = Math.floor(wallMs) * TOKENS_PER_MS;
   return Math.max(Math.max(lastFloor, highestSeenToken) + TOKENS_PER_EPOCH, aboveTime);
 }
--- a/packages/recovery/src/peer-observations.ts
+++ b/packages/recovery/src/peer-observations.ts
@@ -1,5 +1,5 @@
 /**
- * What peers and workers have shown of the key-value store.
+ * What the messages of peers and workers imply about the key-value store.
  *
  * @module
  */
@@ -8,16 +8,16 @@
 import type { Epoch } from './epoch/epoch-record.js';
 import type { ReachablePeers } from './phases/recovery-dependencies.js';
 
-/** A peer that was not heard from for this long does not count as reachable. */
+/** A peer whose latest status is older than this does not count as reachable. */
 const PEER_TIMEOUT_MS = 4000;
-/** A peer that takes part in a later epoch without trusting it yet is waited for no longer than this. */
+/** Limit on waiting for a peer that takes part in a later epoch without trusting it yet. */
 const PEER_RECOVERY_TIMEOUT_MS = 10_000;
-/** Number of workers without a token that proves a first start on its own, however many machines there are. */
+/** Number of workers without a token that proves a first start, regardless of the number of machines. */
 const SUFFICIENT_NEW_WORKERS = 20;
 
 interface ObservedPeer {
   readonly receivedAt: MonotonicMs;
-  /** Since when the peer has named its present epoch. */
+  /** Since when the peer has reported its current epoch. */
   readonly inEpochSince: MonotonicMs;
   readonly status: PeerStatus;
 }
@@ -25,14 +25,16 @@
 /** Collects statements of peers and workers. It draws no conclusions by itself. */
 export class PeerObservations {
   private readonly peers = new Map<NodeId, ObservedPeer>();
-  /** Workers that have never seen a token. */
+  /** Workers that have never seen a fencing token. */
   private readonly newWorkers = new Set<MachineId>();
   /** Number of machines that the cloud lists as running; null until it is known. */
   private runningMachines: number | null = null;
   private highestTokenSeen = 0 as FencingToken;
   private highestEpochSeen = 0;
 
-  /** @param countRunningMachines - Asks the cloud for its running machines; null where it does not answer. */
+  /**
+   * @param countRunningMachines - Requests the number of running machines from the cloud; null if it does not respond.
+   */
   constructor(
     private readonly clock: Clock,
     private readonly countRunningMachines: () => Promise<number | null>,
@@ -43,7 +45,7 @@
     return this.highestTokenSeen;
   }
 
-  /** Highest number of an epoch that was seen anywhere; 0 without any. */
+  /** Highest epoch number that was received from any source; 0 without any. */
   get highestEpoch(): number {
     return this.highestEpochSeen;
   }
@@ -75,12 +77,12 @@
     this.newWorkers.add(machine);
   }
 
-  /** Returns the peers that were heard from lately, and the highest epoch that one of them is in. */
+  /** Returns the peers whose status is recent, and the highest epoch that one of them is in. */
   reachablePeers(): ReachablePeers {
     const now = this.clock.now();
     const reachable = this.currentPeers();
     const epochs = reachable
-      // A peer whose recovery does not end must not be waited for forever.
+      // Excluded after a timeout, so that a peer whose recovery does not end cannot block this one.
       .filter((peer) => peer.status.isStoreTrusted || now - peer.inEpochSince < PEER_RECOVERY_TIMEOUT_MS)
       .map((peer) => peer.status.storeEpoch);
     return { peers: reachable.map((peer) => peer.status.node), highestEpoch: Math.max(0, ...epochs) };
@@ -97,9 +99,9 @@
   }
 
   /**
-   * Returns whether enough workers have never seen a leader. Where the cloud lists machines, half of them or
-   * `SUFFICIENT_NEW_WORKERS` must have said so: a store that was emptied while no controller was alive once passed for a
-   * new one, and its first token for a higher one.
+   * Returns whether enough workers have never seen a leader. If the cloud lists machines, half of them or
+   * `SUFFICIENT_NEW_WORKERS` must have shown it: otherwise a store that was emptied while no controller was running was
+   * mistaken for a new one, and its first token for a higher one.
    */
   async isNewToWorkers(): Promise<boolean> {
     this.runningMachines ??= await this.countRunningMachines();
@@ -120,12 +122,13 @@
   }
 }
 
-/** Returns why a peer's status speaks against the epoch that this controller works in, or null if it does not. */
+/** Returns why a peer's status contradicts the epoch that this controller works in, or null if it does not. */
 export function findPeerContradiction(status: PeerStatus, { number, id }: Epoch): string | null {
   if (status.storeEpoch > number) return `${status.node} is in epoch ${status.storeEpoch}`;
   if (status.storeEpoch < number || status.storeEpochId === '') return null;
   if (status.storeEpochId !== id) {
-    // Two stores behind one address. One side moves on, so that the other hears of a later epoch and refuses.
+    // There are two stores behind one address. Comparing ids lets exactly one side start a recovery, so that the other
+    // one receives a later epoch number and refuses.
     return status.storeEpochId > id ? `${status.node} follows another epoch ${status.storeEpoch}` : null;
   }
   return status.isStoreTrusted ? null : `${status.node} doubts it`;
--- a/packages/recovery/src/phases/commit-with-retry.ts
+++ b/packages/recovery/src/phases/commit-with-retry.ts
@@ -1,5 +1,5 @@
 /**
- * Commits of a recovery, which are repeated until they are confirmed.
+ * Commits of a recovery, which are retried until they are confirmed.
  *
  * @module
  */
--- a/packages/recovery/src/phases/contribute.ts
+++ b/packages/recovery/src/phases/contribute.ts
@@ -1,5 +1,6 @@
 /**
- * Second phase of a recovery: each controller writes what it has in its replica and the store lacks, and then its marker.
+ * Second phase of a recovery: each controller writes the records of its replica that the store lacks, and then its
+ * marker.
  *
  * @module
  */
@@ -20,11 +21,11 @@
 import type { LocalRecoveryState, StoreRecoveryDependencies } from './recovery-dependencies.js';
 import { POLL_INTERVAL_MS } from './recovery-dependencies.js';
 
-/** Time for which others wait for the initiator's contribution, so that they need not write the same records. */
+/** Time for which other controllers wait for the initiator's contribution, to avoid writing the same records. */
 const INITIATOR_TIMEOUT_MS = 2500;
 const PAGES_PER_COMMIT = 3;
 
-/** What a controller finds in the store when it begins to contribute. */
+/** The content of the store when a controller begins to contribute. */
 interface StoreContent {
   /** The store's own records, without contributions. */
   readonly stored: Replica;
@@ -47,7 +48,10 @@
   }
 }
 
-/** Writes what this controller has and the store lacks, then its marker. Returns false where it has to be tried again. */
+/**
+ * Writes the records that this controller has and the store lacks, then its marker. Returns false if it has to be
+ * retried.
+ */
 export async function contribute(dependencies: StoreRecoveryDependencies, epoch: Epoch): Promise<boolean> {
   const { underlyingStore, node, valueKb, log } = dependencies;
   const listed = await underlyingStore.list('', CONTROL_PRIORITY);
@@ -85,7 +89,7 @@
   );
   const contributions = decodeContributions(items, log);
   const contributed = mergeContributions(contributions.filter(({ epochId }) => epochId === epoch.id));
-  // A record that was deleted while its page was still there must not come back with the page.
+  // A record that was deleted while its page still existed must not be restored from the page.
   const deletedKeys = new Set(items.filter((item) => isTombstone(item.value)).map((item) => item.key));
   const earlierContributions = contributions
     .filter(({ epochId }) => epochId !== epoch.id)
@@ -106,7 +110,7 @@
 ): RecordRepair[] {
   const missing = mergeReplicas(merged, [...localState.replicas, ...earlierContributions]);
   const missingKeys = new Set(missing.map((repair) => repair.key));
-  // The store would issue a version above its revision again: such a record is written anew as it is.
+  // The store would issue a version above its revision a second time, so such a record is rewritten unchanged.
   const beyondRevision = listed.items
     .filter(({ key, version }) => version > listed.latest && !isControlKey(key) && !contributedKeys.has(key))
     .filter(({ key }) => !missingKeys.has(key))
@@ -118,7 +122,7 @@
     }));
   return [...missing, ...beyondRevision].map((repair) => ({
     ...repair,
-    // A repair replaces what the store itself holds, also where a contribution had replaced that before.
+    // A repair replaces the store's own record, even if a contribution had already replaced that.
     replacedVersion: stored.get(repair.key)?.version ?? KEY_ABSENT,
   }));
 }
--- a/packages/recovery/src/phases/contribution-codec.ts
+++ b/packages/recovery/src/phases/contribution-codec.ts
@@ -13,18 +13,21 @@
 import type { RecordRepair } from '../replica/merge.js';
 import { writeBackPriority } from './write-back-priority.js';
 
-/** Bytes of a value that are left for what is around the text of a page. */
+/** Bytes of a value that are reserved for the JSON around the text of a page. */
 const PAGE_OVERHEAD_BYTES = 256;
 const BYTES_PER_KIB = 1024;
-/** Last part of the key of a marker, where the key of a page has its number. */
+/** Last part of a marker's key, in the place of the page number in a page's key. */
 const MARKER_PART = 'done';
 
-/** Statement of a controller in a recovery: it acts on no earlier lease any more, and its contribution is complete. */
+/**
+ * States that a controller no longer relies on any lease from before the recovery, and that its contribution is
+ * complete.
+ */
 export interface ContributionMarker {
   readonly pageCount: number;
   /** SHA-256 of the compressed bytes. */
   readonly digest: string;
-  /** Token under which this process led last; 0 if it never did. */
+  /** Fencing token of this process's latest term as leader; 0 if it never led. */
   readonly lastLedToken: FencingToken;
   /** Highest token that the process has seen. */
   readonly highestSeenToken: FencingToken;
@@ -174,11 +177,12 @@
   for (const [prefix, { epochId, node, pages, marker }] of groupByContribution(keyValues, onDamaged)) {
     if (marker === null) continue;
     try {
-      // Pages of a later attempt may already be there under the marker of an earlier one: its own number of pages counts.
+      // Pages of a later attempt may already exist while the marker is that of an earlier one, so the marker's page
+      // count decides.
       const repairs = decodePages(pages.slice(0, marker.pageCount), marker.digest);
       contributions.push({ epochId, node, marker, repairs });
     } catch (error) {
-      // The checksum does not match, or the text is no valid Base64, Brotli or JSON.
+      // The checksum does not match, or the text is not valid Base64, Brotli or JSON.
       onDamaged(`${prefix}: ${String(error)}`);
     }
   }
@@ -201,7 +205,7 @@
       if (part === MARKER_PART) partial.marker = decodeMarker(record);
       else partial.pages[Number(part)] = read.string(record, 'text');
     } catch (error) {
-      // The value has another form than that of a marker or a page.
+      // The value has neither the form of a marker nor that of a page.
       onDamaged(`${key}: ${String(error)}`);
     }
   }
--- a/packages/recovery/src/phases/late-contribution.ts
+++ b/packages/recovery/src/phases/late-contribution.ts
@@ -1,5 +1,6 @@
 /**
- * Entering an epoch that opened without this controller: what only its replica has of jobs is written at once.
+ * Entering an epoch that opened without this controller: job records that only its replica holds are written
+ * immediately.
  *
  * @module
  */
@@ -17,7 +18,7 @@
 import type { StoreRecoveryDependencies } from './recovery-dependencies.js';
 import { pauseBeforeRetry } from './recovery-dependencies.js';
 
-/** Reads an open epoch, and writes the jobs that it lacks until none is left. Returns null where that failed. */
+/** Reads an open epoch, and writes the job records that it lacks until none is left. Returns null on failure. */
 export async function enterWithLateContribution(
   dependencies: StoreRecoveryDependencies,
   epoch: Epoch,
@@ -38,7 +39,10 @@
   }
 }
 
-/** Only what users were told is repaired: of tasks, the workers tell the leader more than an old replica does. */
+/**
+ * Only job records, which users may rely on, are repaired. For tasks, heartbeats are a better source than an old
+ * replica.
+ */
 function findJobRepairs(
   { epoch, records, pendingRepairs, revision }: OpenEpoch,
   replicas: readonly EpochReplica[],
@@ -56,7 +60,10 @@
   );
 }
 
-/** A late replica counts where the job is unknown to the epoch, or still open there while it has ended in the replica. */
+/**
+ * Returns whether a late replica takes precedence: the epoch does not know the job, or has it as active while it has
+ * ended in the replica.
+ */
 function isUnknownOrEnded(repair: RecordRepair, store: EpochReplica): boolean {
   return store.get(repair.key) === undefined || !repair.text.includes('"phase":"active"');
 }
--- a/packages/recovery/src/phases/load-epoch.ts
+++ b/packages/recovery/src/phases/load-epoch.ts
@@ -17,7 +17,7 @@
 import { pauseBeforeRetry } from './recovery-dependencies.js';
 
 /**
- * Reads an open epoch. Returns null, after a pause, where the store has not answered or the fence has moved on.
+ * Reads an open epoch. Returns null, after a pause, if the store has not responded or the fence has moved.
  *
  * @param tookPartInRecovery - Whether this controller contributed to the recovery that opened the epoch.
  */
--- a/packages/recovery/src/phases/move-fence.ts
+++ b/packages/recovery/src/phases/move-fence.ts
@@ -1,5 +1,5 @@
 /**
- * First phase of a recovery: the fence of the store moves to a new epoch, which makes all earlier commits void.
+ * First phase of a recovery: the fence of the store moves to a new epoch, so that commits of earlier epochs fail.
  *
  * @module
  */
@@ -14,14 +14,14 @@
 import { CONTROL_PRIORITY } from '../request-priorities.js';
 import type { LocalRecoveryState, StoreRecoveryDependencies } from './recovery-dependencies.js';
 
-/** Fences of earlier epochs that one transaction deletes. */
+/** Maximum number of fences of earlier epochs that one transaction deletes. */
 const MAX_DELETED_FENCES = 4;
 
-/** Moves the fence, and keeps in mind which epochs this process has initiated. */
+/** Moves the fence, and records which epochs this process has initiated. */
 export class FenceMover {
   /**
-   * Times at which this process moved the fence, by epoch id. An epoch under this controller's name that is not here was
-   * initiated by an earlier process of it.
+   * Times at which this process moved the fence, by epoch id. An epoch with this controller as its initiator that is
+   * missing here was initiated by an earlier process of it.
    */
   private readonly initiatedAt = new Map<string, MonotonicMs>();
 
@@ -38,12 +38,12 @@
     return initiatedAt === undefined ? Infinity : this.dependencies.clock.now() - initiatedAt;
   }
 
-  /** Moves the fence to a new epoch in which the controllers gather their replicas. */
+  /** Moves the fence to a new epoch, to which the controllers contribute their replicas. */
   beginRecovery(found: VersionedEpoch, localState: LocalRecoveryState): Promise<void> {
     return this.moveTo(found, () => this.recoveryEpoch(found.epoch, localState));
   }
 
-  /** Creates the first epoch of a store that never held anything. It is open at once. */
+  /** Creates the first epoch of a new store. It is open from the start. */
   initializeStore(found: VersionedEpoch, localState: LocalRecoveryState): Promise<void> {
     return this.moveTo(found, () => this.initialEpoch(found.epoch, localState));
   }
@@ -112,6 +112,6 @@
 /** Returns the number of the epoch that the store's records belong to. */
 function baseEpochOf(found: Epoch | null, localState: LocalRecoveryState): number {
   if (found === null) return localState.replicaEpoch;
-  // A recovery that never opened its epoch has written no records: those are still of the epoch before it.
+  // A recovery that never opened its epoch has not written any records, so they still belong to the epoch before it.
   return found.phase === 'open' ? found.number : found.baseEpoch;
 }
--- a/packages/recovery/src/phases/open-epoch.ts
+++ b/packages/recovery/src/phases/open-epoch.ts
@@ -17,7 +17,7 @@
 import type { StoreRecoveryDependencies } from './recovery-dependencies.js';
 import { POLL_INTERVAL_MS, STALL_TIMEOUT_MS, pauseBeforeRetry } from './recovery-dependencies.js';
 
-/** Opens an epoch that this process initiated, and reads it. Returns null where the recovery has to begin again. */
+/** Opens an epoch that this process initiated, and reads it. Returns null if the recovery has to restart. */
 export async function openEpoch(
   dependencies: StoreRecoveryDependencies,
   gathering: Epoch,
@@ -37,7 +37,7 @@
   return loadEpoch(dependencies, epoch, true);
 }
 
-/** Waits until an epoch's initiator opens it, and reads it. Returns null where the recovery has to begin again. */
+/** Waits until an epoch's initiator opens it, and reads it. Returns null if the recovery has to restart. */
 export async function awaitOpening(
   dependencies: StoreRecoveryDependencies,
   epoch: Epoch,
--- a/packages/recovery/src/phases/quorum.ts
+++ b/packages/recovery/src/phases/quorum.ts
@@ -17,11 +17,11 @@
 /** Largest deviation of a controller's clock rate. */
 const CLOCK_DRIFT = 0.002;
 const LEASE_MARGIN_MS = 200;
-/** After this time an earlier leader that has not noticed the loss no longer relies on its lease either. */
+/** After this time, even an earlier leader that has not noticed the loss no longer relies on its lease. */
 const LEASE_EXPIRY_MS = LEASE_TTL_MS * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
-/** Controllers that are reachable, but leave no marker, are not waited for longer than this. */
+/** Limit on waiting for controllers that are reachable, but do not write a marker. */
 const MARKER_TIMEOUT_MS = 5000;
-/** Leases that are requested at most to pass the ids from before the loss. */
+/** Maximum number of leases that are requested to pass the ids from before the loss. */
 const MAX_REQUESTED_LEASES = 200;
 const REQUESTED_LEASE_TTL_MS = 100;
 
@@ -29,8 +29,8 @@
 export type Markers = ReadonlyMap<NodeId, ContributionMarker>;
 
 /**
- * Waits for markers: of all controllers or, once every earlier lease has expired, of all that are reachable. Returns null
- * where the recovery has to begin again.
+ * Waits for markers: of all controllers or, once every earlier lease has expired, of all that are reachable. Returns
+ * null if the recovery has to restart.
  */
 export async function collectMarkers(
   dependencies: StoreRecoveryDependencies,
@@ -62,8 +62,8 @@
 }
 
 /**
- * Requests leases until their ids are past all that were granted before the loss, so that a late revocation of an earlier
- * lease hits nobody. Returns false where the store does not grant one.
+ * Requests leases until their ids are past all that were granted before the loss, so that a late revocation of an
+ * earlier lease cannot end a new one. Returns false if the store does not grant a lease.
  */
 export async function passEarlierLeaseIds(
   { underlyingStore, log }: StoreRecoveryDependencies,
--- a/packages/recovery/src/phases/read-epoch.ts
+++ b/packages/recovery/src/phases/read-epoch.ts
@@ -10,7 +10,7 @@
 import { decodeEpoch } from '../epoch/epoch-record.js';
 import { CONTROL_PRIORITY } from '../request-priorities.js';
 
-/** Reads the epoch record. Returns null where the store has not answered. */
+/** Reads the epoch record. Returns null if the store has not responded. */
 export async function readEpochRecord(underlyingStore: KeyValueStore): Promise<VersionedEpoch | null> {
   const found = await underlyingStore.read(EPOCH_KEY, CONTROL_PRIORITY);
   if (found.outcome === 'absent') return { epoch: null, version: KEY_ABSENT };
--- a/packages/recovery/src/phases/recovery-dependencies.ts
+++ b/packages/recovery/src/phases/recovery-dependencies.ts
@@ -1,5 +1,5 @@
 /**
- * What the phases of a recovery work with.
+ * The dependencies that the phases of a recovery share.
  *
  * @module
  */
@@ -13,10 +13,10 @@
 /** Time before a failed request, or a failed attempt, is repeated. */
 export const RETRY_MS = 150;
 
-/** Time between two looks at what other controllers write. */
+/** Interval at which the progress of other controllers is polled. */
 export const POLL_INTERVAL_MS = 100;
 
-/** A recovery whose initiator has done nothing for this long is begun again by another controller. */
+/** A recovery whose initiator has made no progress for this long is restarted by another controller. */
 export const STALL_TIMEOUT_MS = 6000;
 
 /** Structured log of a recovery. */
@@ -25,7 +25,7 @@
   info(fields: object, message: string): void;
 }
 
-/** What a controller knows at the moment, and can contribute to a recovery. */
+/** The state of a controller that it can contribute to a recovery. */
 export interface LocalRecoveryState {
   /** Number of the epoch that its replica belongs to; `NO_EPOCH` without a replica. */
   readonly replicaEpoch: EpochNumber;
@@ -35,7 +35,7 @@
   readonly deployment: string | null;
   /** Token floor of the epoch that its replica belongs to. */
   readonly tokenFloor: number;
-  /** Token under which this process led last; 0 if it never did. */
+  /** Fencing token of this process's latest term as leader; 0 if it never led. */
   readonly lastLedToken: FencingToken;
   /** Highest token that it has seen. */
   readonly highestSeenToken: FencingToken;
@@ -47,20 +47,20 @@
   readonly replicas: readonly EpochReplica[];
 }
 
-/** Peers that were heard from lately. */
+/** Peers whose status is recent. */
 export interface ReachablePeers {
   readonly peers: readonly NodeId[];
-  /** Highest number of an epoch that one of them is in; 0 without any. */
+  /** Highest epoch number among them; 0 without any. */
   readonly highestEpoch: number;
 }
 
-/** What a recovery works with. */
+/** The dependencies of a recovery. */
 export interface StoreRecoveryDependencies {
-  /** The store as it is, without any validation of its responses. */
+  /** The store without any validation of its responses. */
   readonly underlyingStore: KeyValueStore;
   readonly clock: Clock;
   readonly wallNow: () => WallClockMs;
-  /** Returns ids that are never returned again; random ones by default. */
+  /** Returns globally unique ids; random ones by default. */
   readonly newId?: () => string;
   readonly node: NodeId;
   /** Number of controllers, this one included. */
@@ -76,7 +76,7 @@
   readonly onEpochJoined: (epoch: number) => void;
 }
 
-/** Waits before the next attempt. Returns null, which stands for an attempt that has not led to an open epoch. */
+/** Waits before the next attempt. Returns null, the result of an attempt that has not led to an open epoch. */
 export async function pauseBeforeRetry(clock: Clock, ms = RETRY_MS): Promise<null> {
   await clock.sleep(ms);
   return null;
--- a/packages/recovery/src/phases/store-recovery.ts
+++ b/packages/recovery/src/phases/store-recovery.ts
@@ -2,11 +2,11 @@
  * Recovery of the key-value store: the phases that lead from a store that is not trusted to an open epoch
  * (docs/state-loss.md).
  *
- * 1. `move-fence.ts`: a new epoch begins, and earlier commits become void.
- * 2. `contribute.ts`: each controller writes what it has in its replica and the store lacks.
+ * 1. `move-fence.ts`: a new epoch begins, and commits of earlier epochs fail from now on.
+ * 2. `contribute.ts`: each controller writes the records of its replica that the store lacks.
  * 3. `quorum.ts`: the initiator waits for the others, and until no earlier lease is relied on.
  * 4. `open-epoch.ts`: the initiator opens the epoch.
- * 5. `load-epoch.ts`: each controller reads the epoch as a whole; work begins.
+ * 5. `load-epoch.ts`: each controller reads the whole epoch and begins to work in it.
  * 6. `write-back.ts`: contributed records are written to their own keys.
  *
  * @module
@@ -25,10 +25,10 @@
 import type { LocalRecoveryState, StoreRecoveryDependencies } from './recovery-dependencies.js';
 import { STALL_TIMEOUT_MS, pauseBeforeRetry } from './recovery-dependencies.js';
 
-/** Pause after moving the fence, before the new epoch is looked at. */
+/** Pause between moving the fence and reading the new epoch. */
 const FENCE_MOVED_PAUSE_MS = 20;
 
-/** An epoch that other controllers gather, and since when this one has seen it. */
+/** An epoch to which other controllers contribute, and since when this one has observed it. */
 interface ObservedEpoch {
   readonly id: string;
   readonly since: MonotonicMs;
@@ -70,18 +70,20 @@
     return this.takePart(epoch, record.version);
   }
 
-  /** Creates the first epoch of a store that never held anything, unless there is one by now. */
+  /** Creates the first epoch of a new store, unless one exists by now. */
   async initializeStore(): Promise<void> {
     const record = await this.readEpochRecord();
     if (record?.epoch === null) await this.fenceMover.initializeStore(record, this.dependencies.localState());
   }
 
-  /** Reads the epoch record. Returns null where the store has not answered. */
+  /** Reads the epoch record. Returns null if the store has not responded. */
   readEpochRecord(): Promise<VersionedEpoch | null> {
     return readEpochRecord(this.dependencies.underlyingStore);
   }
 
-  /** Reads an open epoch that this controller has not helped to recover. Returns null where the store has not answered. */
+  /**
+   * Reads an open epoch that this controller has not helped to recover. Returns null if the store has not responded.
+   */
   loadOpenEpoch(epoch: Epoch): Promise<OpenEpoch | null> {
     return loadEpoch(this.dependencies, epoch, false);
   }
@@ -98,12 +100,15 @@
     return openEpoch(this.dependencies, epoch, version, markers);
   }
 
-  /** A peer that is reachable works in a later epoch: one of two stores is the older one, and not for this one to change. */
+  /**
+   * Returns whether a reachable peer works in a later epoch. Then this controller sees the older of two stores, and
+   * must not change it.
+   */
   private isPeerAhead(epoch: Epoch | null, { replicaEpoch }: LocalRecoveryState): boolean {
     return this.dependencies.reachablePeers().highestEpoch > Math.max(replicaEpoch, epoch?.number ?? 0);
   }
 
-  /** Returns whether nothing is to be expected of the epoch's initiator any more. */
+  /** Returns whether the epoch's initiator has stopped making progress. */
   private isStalled(epoch: Epoch): boolean {
     const { clock, node } = this.dependencies;
     if (epoch.phase === 'open') return false;
--- a/packages/recovery/src/phases/write-back.ts
+++ b/packages/recovery/src/phases/write-back.ts
@@ -13,10 +13,10 @@
 import { writeBackPriority } from './write-back-priority.js';
 
 const WRITE_BACK_INTERVAL_MS = 250;
-/** A record that is needed sooner is written by the commit that needs it. */
+/** The lowest priority suffices, because a record that is needed sooner is written by the commit that needs it. */
 const WRITE_BACK_PRIORITY = BACKGROUND_PRIORITY;
 
-/** What writing back works with. */
+/** The dependencies of the write-back phase. */
 export interface WriteBackDependencies {
   readonly store: Pick<KeyValueStore, 'commit' | 'read'>;
   readonly clock: Clock;
@@ -27,7 +27,10 @@
   readonly currentEpochStore: () => EpochStore | null;
 }
 
-/** Writes pending repairs back, and then deletes what the recovery has left, for as long as `isWanted` says so. */
+/**
+ * Writes pending repairs back, and then deletes the keys that the recovery no longer needs, while `isWanted` returns
+ * true.
+ */
 export async function writeBack(dependencies: WriteBackDependencies, isWanted: () => boolean): Promise<void> {
   const { clock, log, batchSize, currentEpochStore } = dependencies;
   const startedAt = clock.now();
@@ -57,7 +60,10 @@
   }
 }
 
-/** A key was written meanwhile, or the store was refilled with an old record of it: reading it drops or keeps its repair. */
+/**
+ * Reads keys that were written meanwhile, or whose old records reappeared in the store; reading a key decides whether
+ * its repair still applies.
+ */
 async function readConflictingKeys({ store }: WriteBackDependencies, outcome: CommitOutcome): Promise<void> {
   if (outcome.outcome !== 'conflict') return;
   for (const key of outcome.failed) await store.read(key, WRITE_BACK_PRIORITY);
@@ -79,7 +85,7 @@
     epochStore.obsoleteKeys = epochStore.obsoleteKeys.filter((key) => !batch.includes(key));
 }
 
-/** Markers and pages go first: a tombstone that is deleted before its page would bring the record back. */
+/** Markers and pages are deleted first: deleting a tombstone before its page would restore the record. */
 function deletionPriority(key: string): number {
   if (isMarkerKey(key)) return 0;
   return isControlKey(key) ? 1 : 2;
--- a/packages/recovery/src/recoverable-store.ts
+++ b/packages/recovery/src/recoverable-store.ts
@@ -42,16 +42,16 @@
   readonly replica: Replica;
 }
 
-/** What peers are told about the store. */
+/** The part of a status that describes the store. */
 export type StoreStatus = Pick<
   PeerStatus,
   'storeEpoch' | 'storeEpochId' | 'storeRevision' | 'isStoreTrusted' | 'hasContinuousReplica'
 >;
 
 /**
- * The key-value store behind a validation of all its responses. While nothing speaks against the store, calls are passed
- * on; otherwise every call is refused until an epoch is open in which the replicas of the controllers were merged. To its
- * users a loss is an outage.
+ * The key-value store with validation of all its responses. While there is no evidence against the store, calls are
+ * passed on; otherwise every call is refused until an epoch is open in which the replicas of the controllers were
+ * merged. To callers, a loss of data therefore looks like an outage.
  */
 export class RecoverableStore implements KeyValueStore {
   private readonly lifecycle: StoreLifecycle;
@@ -60,7 +60,7 @@
     this.lifecycle = new StoreLifecycle(dependencies);
   }
 
-  /** Attaches to the store, follows it and recovers it, for as long as the process runs. */
+  /** Attaches to the store, follows it and recovers it, while the process runs. */
   run(): Promise<never> {
     return this.lifecycle.run();
   }
@@ -75,7 +75,7 @@
     return this.lifecycle.generation;
   }
 
-  /** Whether the epoch was followed without a gap: everything that was ever written was read. */
+  /** Whether the epoch was followed without a gap, so that everything ever written was read. */
   get continuous(): boolean {
     return this.lifecycle.isContinuous;
   }
@@ -86,18 +86,21 @@
     return epochStore !== null && !epochStore.epoch.continuous;
   }
 
-  /** Age of the replica in milliseconds: everything that was durable before is in it. Infinity without a replica. */
+  /**
+   * Age of the replica in milliseconds; it contains everything that was durable that long ago. Infinity without a
+   * replica.
+   */
   get replicaAgeMs(): number {
     return this.lifecycle.epochStore?.replicaAgeMs ?? Infinity;
   }
 
-  /** Returns the phase of a job by the replica, or null where no record of it was ever read. */
+  /** Returns the phase of a job according to the replica, or null if no record of it was ever read. */
   jobPhaseOf(id: JobId): string | null {
     const entry = this.lifecycle.epochStore?.replica.get(jobKey(id));
     return entry === undefined ? null : jobPhaseOf(entry.text);
   }
 
-  /** Returns a record by the replica. Undefined where it is not known, or the store is not trusted. */
+  /** Returns a record of the replica; undefined if it is not known or the store is not trusted. */
   replicatedRecord(key: string): KeyValue | undefined {
     const entry = this.lifecycle.trustedStore?.replica.get(key);
     if (entry === undefined) return undefined;
@@ -116,17 +119,18 @@
     return fencingTokenAt(this.lifecycle.epochStore?.epoch.tokenFloor ?? 0, version);
   }
 
-  /** Returns since when the store is doubted, or has not served requests; null while it works. */
+  /** Returns since when the store is not trusted, or has not served requests; null while it works. */
   failingSince(): MonotonicMs | null {
     return this.lifecycle.doubtedAt ?? this.dependencies.underlyingStore.failingSince();
   }
 
-  /** Returns what peers are told about the store. */
+  /** Returns the part of this controller's status that describes the store. */
   status(): StoreStatus {
     const { joinedEpoch, epochStore, trustedStore } = this.lifecycle;
     return {
       storeEpoch: Math.max(this.generation, joinedEpoch),
-      // The id of the epoch that this controller works in, or worked in; not of one that it only helps to recover.
+      // The id of the epoch that this controller works in, or last worked in, but not of one that it only helps to
+      // recover.
       storeEpochId: joinedEpoch > this.generation ? '' : (epochStore?.epoch.id ?? ''),
       storeRevision: trustedStore?.highestKnownRevision ?? 0,
       isStoreTrusted: this.isTrusted,
@@ -134,7 +138,7 @@
     };
   }
 
-  /** Receives the status of a peer, which may speak against the store. */
+  /** Receives the status of a peer, which may be evidence against the store. */
   receivePeerStatus(status: PeerStatus): void {
     this.lifecycle.receivePeerStatus(status);
   }
@@ -151,12 +155,12 @@
     this.lifecycle.recordElection(token);
   }
 
-  /** Records that the leader knows what runs on every machine: nothing that was written before can be missing any more. */
+  /** Records that the leader knows what runs on every machine, so that no earlier write can be missing any more. */
   confirmReconciled(): void {
     this.lifecycle.confirmContinuous();
   }
 
-  /** Writes contributed records to their own keys, for as long as `isWanted` says so. */
+  /** Writes contributed records to their own keys, while `isWanted` returns true. */
   writeBack(isWanted: () => boolean): Promise<void> {
     const { clock, log, limits } = this.dependencies;
     const dependencies = {
--- a/packages/recovery/src/replica/compacted-jobs.ts
+++ b/packages/recovery/src/replica/compacted-jobs.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs that have ended and have no task records left, each packed into one number.
+ * Compacted records of jobs that have ended and have no task records left, each packed into one number.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 /** Bytes of a packed job besides its id. */
 const PACKED_BYTES = 8;
 
-/** A job that has ended, as far as its users may still ask about it. */
+/** The part of an ended job's record that status requests need. */
 export interface EndedJob {
   readonly version: Version;
   readonly taskCount: number;
--- a/packages/recovery/src/replica/merge.ts
+++ b/packages/recovery/src/replica/merge.ts
@@ -1,5 +1,5 @@
 /**
- * Merging of replicas: which value of a key stands, and what of it the key-value store lacks.
+ * Merging of replicas: which value of a key takes precedence, and which values the key-value store lacks.
  *
  * @module
  */
@@ -24,7 +24,7 @@
   readonly epoch: number;
 }
 
-/** A record whose value in the store is missing or out of date, with the value that stands. */
+/** The value of a record that is missing or out of date in the store. */
 export interface RecordRepair extends EpochEntry {
   readonly key: string;
   /** Version of the store's own value that the repair replaces; `KEY_ABSENT` where the store has none. */
@@ -35,9 +35,9 @@
 export const EMPTY_REPLICA: EpochReplica = { epoch: 0, get: () => undefined, keys: () => [] };
 
 /**
- * Returns which of two entries of a key stands. A job that has ended in either has ended; of two different ends the earlier
- * one stands, since users were told of that one first. Otherwise the later epoch stands, then the higher version, then the
- * first entry.
+ * Returns which of two entries of a key takes precedence. A job that has ended in either has ended; of two different
+ * final phases the earlier one wins, because users received that one first. Otherwise the later epoch wins, then the
+ * higher version, then the first entry.
  */
 function selectNewerEntry(key: string, first: EpochEntry, second: EpochEntry): EpochEntry {
   const later = selectLaterEntry(first, second);
@@ -58,8 +58,8 @@
 }
 
 /**
- * Returns what has to be written to `store` so that it holds all that any of `replicas` has and that is newer there or
- * missing. An entry with the same value needs no repair, whatever its version.
+ * Returns the repairs that bring `store` up to date with all records in `replicas` that are newer there or missing in
+ * the store. An entry with the same value needs no repair, whatever its version.
  *
  * @param store - The store's records as they were read after the fence had moved.
  */
--- a/packages/recovery/src/replica/repair-overlay.ts
+++ b/packages/recovery/src/replica/repair-overlay.ts
@@ -6,7 +6,7 @@
 import type { Compare, KeyValue, Version } from '@spurbridge/wire';
 import { KEY_ABSENT } from '@spurbridge/wire';
 
-/** A value from a contribution page. It stands in for the value of its key while that has the replaced version. */
+/** A value from a contribution page. It is used instead of the value of its key while that has the replaced version. */
 export interface PendingRepair {
   readonly key: string;
   readonly replacedVersion: Version;
@@ -21,8 +21,8 @@
 }
 
 /**
- * Returns whether a repair still applies where the store has `version` of its key. A version from before the fence was not
- * written since: a store that is being refilled shows old records where the key had been absent.
+ * Returns whether a repair still applies where the store has `version` of its key. A version from before the fence does
+ * not show a new write: a store that is being restored may show old records of keys that had been absent.
  */
 export function isRepairApplicable(
   replacedVersion: Version,
@@ -32,7 +32,7 @@
   return version === replacedVersion || version < fenceVersion;
 }
 
-/** Repairs that stand in for the values of their keys until those keys are written again. */
+/** Pending repairs, which are used instead of the values of their keys until those keys are written again. */
 export class RepairOverlay {
   private readonly entriesByKey = new Map<string, OverlayEntry>();
 
@@ -51,13 +51,13 @@
     return this.entriesByKey.size;
   }
 
-  /** Returns whether a repair stands in for a key. */
+  /** Returns whether a key has a pending repair. */
   has(key: string): boolean {
     return this.entriesByKey.has(key);
   }
 
   /**
-   * Returns what stands in for a key that the store has at `version`, or null where the store's own value stands. A
+   * Returns the repaired value of a key that the store has at `version`, or null if the store's own value applies. A
    * repair that does not apply any more is dropped.
    */
   substitute(key: string, version: Version): KeyValue | null {
@@ -78,7 +78,9 @@
       .map(toKeyValue);
   }
 
-  /** Returns the store's version for a comparison with a version that readers saw; null where it cannot hold any more. */
+  /**
+   * Translates a comparison with a version that readers saw to the store's version; null if it cannot hold any more.
+   */
   storeVersionOf(compare: Compare): Version | null {
     const entry = this.entriesByKey.get(compare.key);
     if (compare.version >= 0) return entry === undefined ? compare.version : null;
--- a/packages/recovery/src/replica/replica-entry.ts
+++ b/packages/recovery/src/replica/replica-entry.ts
@@ -1,5 +1,5 @@
 /**
- * One key as a replica holds it, and the comparison of two values of a key.
+ * The entry of a key in a replica, and the comparison of two values of a key.
  *
  * @module
  */
@@ -19,7 +19,7 @@
  *
  * @param known - The replica's entry at that time; undefined where the key was not known.
  * @param version - The version in the response.
- * @param value - The value in the response; undefined where the key is absent, which is only a contradiction for records
+ * @param value - The value in the response; undefined if the key is absent, which is only a contradiction for records
  * that are never deleted.
  * @returns Why an intact store cannot give this response, or null if it can.
  */
@@ -37,12 +37,15 @@
   return null;
 }
 
-/** Returns whether a record is never deleted. That holds for users' own jobs; jobs of a task graph go with the graph. */
+/**
+ * Returns whether a record is never deleted. That applies to users' own jobs; jobs of a task graph are deleted with the
+ * graph.
+ */
 export function isNeverDeleted(key: string, entry: ReplicaEntry): boolean {
   return key.startsWith(JOB_KEY_PREFIX) && !entry.text.includes('"graph":"');
 }
 
-/** Returns the phase of a job by the JSON of its record, or null where that cannot be read. */
+/** Returns the phase of a job from the JSON of its record, or null if that cannot be read. */
 export function jobPhaseOf(text: string): string | null {
   try {
     return jobPhaseOfValue(JSON.parse(text));
@@ -52,15 +55,15 @@
   }
 }
 
-/** Returns the phase of a job by the value of its record, or null where it has none. */
+/** Returns the phase of a job from the value of its record, or null if it has none. */
 export function jobPhaseOfValue(value: unknown): string | null {
   const phase = typeof value === 'object' && value !== null ? (value as { phase?: unknown }).phase : null;
   return typeof phase === 'string' ? phase : null;
 }
 
 /**
- * Returns whether two JSON texts hold the same value of a key, in whatever order of fields. Records of a job that has
- * ended are the same if the phase is, since one of them may be compacted.
+ * Returns whether two JSON texts hold the same value of a key, regardless of the order of fields. Records of an ended
+ * job only need the same phase, because one of them may be compacted.
  */
 export function isSameValue(key: string, firstJson: string, secondJson: string): boolean {
   if (firstJson === secondJson) return true;
--- a/packages/recovery/src/replica/replica.ts
+++ b/packages/recovery/src/replica/replica.ts
@@ -11,8 +11,8 @@
 import { jobPhaseOfValue } from './replica-entry.js';
 
 /**
- * Every key of the key-value store as this process last read it, apart from the control keys. A job that has ended and has
- * no task records left is compacted: only its id, phase and number of tasks are kept.
+ * The latest state of every key of the key-value store that this process has read, except control keys. A job that has
+ * ended and has no task records left is compacted: only its id, phase and number of tasks are kept.
  */
 export class Replica {
   private readonly entriesByKey = new Map<string, ReplicaEntry>();
@@ -50,7 +50,7 @@
   /** Stores a value unless the key is a control key, or is known at this version or a later one. */
   put(key: string, value: unknown, version: Version): void {
     const known = this.get(key);
-    // An equal version is this process's own commit, which the watch shows after it was confirmed.
+    // An equal version is a commit of this process that was applied on confirmation, before the watch reports it.
     if (isControlKey(key) || (known !== undefined && known.version >= version)) return;
     if (known === undefined) this.countTaskRecord(key, 1);
     if (this.tryCompact(key, value, version)) return;
@@ -68,13 +68,13 @@
     this.compactJobOfLastTaskRecord(key);
   }
 
-  /** Applies a confirmed commit of this process at once, before the watch shows it. */
+  /** Applies a confirmed commit of this process immediately, before the watch reports it. */
   applyCommit(mutations: readonly Mutation[], revision: Revision): void {
-    // When the watch was faster than the response, a record that was deleted since would come back for good here, and later
-    // count as lost.
+    // If the watch was faster than the response, a record that was deleted since would be restored here for good, and
+    // later count as lost.
     if (revision <= this.revision) return;
     const version = revision as number as Version;
-    // Deletions first: they may allow a job of the same commit to be compacted.
+    // Deletions are applied first, because they may allow a job of the same commit to be compacted.
     for (const mutation of mutations) if (!('put' in mutation)) this.remove(mutation.delete, version);
     for (const mutation of mutations) if ('put' in mutation) this.put(mutation.put, mutation.value, version);
   }
@@ -108,7 +108,9 @@
     return bytes + this.compactedJobs.sizeInBytes();
   }
 
-  /** Compacts a job that has ended and has no task records left. Returns false where the record is to be kept as it is. */
+  /**
+   * Compacts a job that has ended and has no task records left. Returns false if the record must be kept uncompacted.
+   */
   private tryCompact(key: string, value: unknown, version: Version): boolean {
     const jobId = jobIdOfJobKey(key);
     if (jobId === null) return false;
--- a/packages/recovery/src/request-priorities.ts
+++ b/packages/recovery/src/request-priorities.ts
@@ -5,8 +5,8 @@
  */
 import type { RequestPriority } from '@spurbridge/net';
 
-/** Of requests that decide whether the store is trusted, or that end an outage: before all others. */
+/** For requests that decide whether the store is trusted, or that end an outage. */
 export const CONTROL_PRIORITY: RequestPriority = 0;
 
-/** Of requests that nothing waits for: after all others. */
+/** For requests that nothing waits for. */
 export const BACKGROUND_PRIORITY: RequestPriority = 3;
--- a/packages/recovery/src/snapshot-source.ts
+++ b/packages/recovery/src/snapshot-source.ts
@@ -18,7 +18,7 @@
   latest(deployment: string | null): Promise<SnapshotReplica | null>;
 }
 
-/** Returns why the store's content cannot be later than a snapshot of it, or null if it can. */
+/** Returns why the store's content must be older than a snapshot of it, or null without such evidence. */
 export function findMissingFromSnapshot(
   snapshot: SnapshotReplica,
   { epoch, records, pendingRepairs, revision }: OpenEpoch,
@@ -31,7 +31,7 @@
   for (const key of snapshot.keys()) {
     const entry = snapshot.get(key);
     const record = current.get(key);
-    // Versions of an earlier epoch do not compare, but a job that is missing is missing in any epoch.
+    // Versions of different epochs cannot be compared, but a missing job is evidence in any epoch.
     if (entry === undefined || (record !== undefined && snapshot.epoch < epoch.number)) continue;
     const contradiction = findContradiction(key, entry, record?.version ?? KEY_ABSENT, record?.value);
     if (contradiction !== null) return `${contradiction} in a snapshot`;
--- a/packages/recovery/src/store-integrity.ts
+++ b/packages/recovery/src/store-integrity.ts
@@ -7,7 +7,7 @@
 
 /**
  * - `unattached`: the controller has not read the store yet.
- * - `trusted`: nothing speaks against the store; its responses are validated and passed on.
+ * - `trusted`: there is no evidence against the store; its responses are validated and passed on.
  * - `suspect`: a response, a peer or a worker gave evidence that the store has lost data. All calls are refused.
  * - `recovering`: the controller takes part in a recovery. All calls are refused.
  */
@@ -38,13 +38,13 @@
     return this.current === 'trusted';
   }
 
-  /** Whether evidence of a loss changes anything: in the other states the loss is known already. */
+  /** Whether evidence of a loss changes the state; in the other states the loss is already known. */
   get canBecomeSuspect(): boolean {
     return this.current === 'trusted' || this.current === 'unattached';
   }
 
   /**
-   * Changes the state; does nothing where it is the state already.
+   * Changes the state; has no effect if the store is already in it.
    *
    * @param evidence - Why the state changes, for the log.
    * @throws InvalidTransitionError if the state cannot follow the current one.
--- a/packages/recovery/src/store-lifecycle.ts
+++ b/packages/recovery/src/store-lifecycle.ts
@@ -1,5 +1,5 @@
 /**
- * The life of the key-value store as one controller sees it: attaching, following, doubting and recovering it.
+ * The lifecycle of the key-value store on one controller: attaching to it, following, suspecting and recovering it.
  *
  * @module
  */
@@ -51,7 +51,10 @@
     });
   }
 
-  /** The store of the epoch that this controller works in, or worked in before it doubted the store; null before that. */
+  /**
+   * The store of the epoch that this controller works in, or worked in before the store became suspect; null before
+   * that.
+   */
   get epochStore(): EpochStore | null {
     return this.latestEpochStore;
   }
@@ -71,17 +74,17 @@
     return this.latestJoinedEpoch;
   }
 
-  /** Whether the epoch is trusted and was followed without a gap: everything that was ever written was read. */
+  /** Whether the epoch is trusted and was followed without a gap, so that everything ever written was read. */
   get isContinuous(): boolean {
     return this.integrity.isTrusted && this.wasFollowedWithoutGap;
   }
 
-  /** When the store was last doubted; null while it is not. */
+  /** When the store became suspect; null while it is not. */
   get doubtedAt(): MonotonicMs | null {
     return this.suspectedAt;
   }
 
-  /** Records that nothing that was written before can be missing any more. */
+  /** Records that no earlier write can be missing any more. */
   confirmContinuous(): void {
     if (this.integrity.isTrusted) this.wasFollowedWithoutGap = true;
   }
@@ -97,16 +100,16 @@
     this.highestLeaseId = Math.max(this.highestLeaseId, lease);
   }
 
-  /** Receives a token that a worker, or a leader record, has shown. */
+  /** Receives a fencing token from a worker or from a leader record. */
   receiveToken(token: FencingToken): void {
     if (!this.observations.receiveToken(token)) return;
     const { epochStore } = this;
     if (epochStore === null || token <= epochStore.epoch.tokenFloor) return;
-    // A leader of this epoch was elected at the revision that its token names: the store must have reached it.
+    // A leader's token contains the revision of its election, so the store must have reached that revision.
     epochStore.noteRevision(token - epochStore.epoch.tokenFloor);
   }
 
-  /** Receives the status of a peer, which may speak against the store. */
+  /** Receives the status of a peer, which may be evidence against the store. */
   receivePeerStatus(status: PeerStatus): void {
     this.observations.receivePeerStatus(status);
     const store = this.trustedStore;
@@ -121,7 +124,7 @@
     if (status.hasContinuousReplica) this.confirmContinuous();
   }
 
-  /** Attaches to the store, follows it and recovers it, for as long as the process runs. */
+  /** Attaches to the store, follows it and recovers it, while the process runs. */
   async run(): Promise<never> {
     const { clock, log } = this.dependencies;
     void this.runAudits().catch((error: unknown) => {
@@ -131,7 +134,7 @@
       try {
         await this.step();
       } catch (error) {
-        // What was read cannot be understood, for whatever reason: a store with such content is not trusted.
+        // Whatever the error, a store whose content cannot be decoded is not trusted.
         log.info({ error: String(error) }, 'store cannot be read');
         if (this.integrity.state === 'recovering') this.integrity.transitionTo('suspect', String(error));
         else this.suspect(String(error));
@@ -182,7 +185,8 @@
     const { epoch, records, pendingRepairs, revision, latestRevision, tookPartInRecovery } = openEpoch;
     this.latestEpochStore = this.createEpochStore(openEpoch);
     this.latestJoinedEpoch = epoch.number;
-    // A controller that comes later only knows from its peers whether the epoch was followed from its opening.
+    // A controller that enters an open epoch learns only from its peers whether the epoch was followed from its
+    // opening.
     const hasInitialized = epoch.isInitial && this.recovery.hasInitiated(epoch);
     this.wasFollowedWithoutGap =
       this.observations.isConfirmedContinuous(epoch.id) ||
