--- a/packages/store/src/http-key-value-store.ts
+++ b/packages/store/src/http-key-value-store.ts
@@ -74,7 +74,7 @@
   readonly path: string;
   readonly body?: unknown;
   readonly timeoutMs: number;
-  /** The outcome of a response; null where its status says that the request was not served. */
+  /** The outcome of a response; null if its status says that the request was not served. */
   readonly interpret: (status: number, body: unknown) => T | null;
 }
 
@@ -224,14 +224,14 @@
       else this.failingFrom ??= this.clock.now();
       return REFUSED;
     } catch (error) {
-      // A `NoResponseError`, or a `ValidationError` where the response cannot be understood.
+      // A `NoResponseError`, or a `ValidationError` if the response cannot be understood.
       this.failingFrom ??= this.clock.now();
       return error instanceof NoResponseError && error.notSent ? REFUSED : { outcome: 'unknown' };
     }
   }
 }
 
-/** Path of the page of a list that begins after the key `from`, or of the first page where that is ''. */
+/** Path of the page of a list that begins after the key `from`, or of the first page if `from` is ''. */
 function listPath(prefix: string, from: string): string {
   const after = from === '' ? '' : `&from=${encodeURIComponent(from)}`;
   return `${PATHS.keys}?starts=${encodeURIComponent(prefix)}${after}&most=${LIST_PAGE_SIZE}`;
--- a/packages/store/src/leadership/leadership-state.ts
+++ b/packages/store/src/leadership/leadership-state.ts
@@ -9,8 +9,8 @@
  * - `following`: another node leads, or none.
  * - `campaigning`: no node leads; this one requests a lease and writes the leader's record.
  * - `leading`: the lease is valid.
- * - `holding`: the lease may have ended, but no other leader is known. Heartbeats may still be answered with the old
- *   token and without commands, for a limited time (docs/design.md); nothing else is allowed.
+ * - `holding`: the lease may have ended, but no other leader is known. Heartbeats may still be responded to with the
+ *   old token and without commands, for a limited time (docs/design.md); nothing else is allowed.
  */
 export type LeadershipState = 'following' | 'campaigning' | 'leading' | 'holding';
 
@@ -28,7 +28,7 @@
   }
 }
 
-/** Throws an `InvalidLeadershipTransitionError` where the transition is not allowed. */
+/** Throws an `InvalidLeadershipTransitionError` if the transition is not allowed. */
 export function checkTransition(from: LeadershipState, to: LeadershipState): void {
   if (!TRANSITIONS[from].includes(to)) throw new InvalidLeadershipTransitionError(from, to);
 }
--- a/packages/store/src/leadership/leadership.ts
+++ b/packages/store/src/leadership/leadership.ts
@@ -81,7 +81,7 @@
     return this.ownToken;
   }
 
-  /** The leader with the highest token known; null where only the token or nothing is known. */
+  /** The leader with the highest token known; null if only the token or nothing is known. */
   knownLeader(): KnownLeader | null {
     return this.highestKnown;
   }
@@ -135,7 +135,7 @@
     if (isLeaderState(previous)) this.listener.onDeposed(reason);
   }
 
-  // --- what this node learns -----------------------------------------------------------------------
+  // --- events --------------------------------------------------------------------------------------
 
   /**
    * To be called with every token received from a peer or a worker; `node` is the leader that it belongs to, if known.
