--- a/packages/cloud/src/http-cloud-provider.ts
+++ b/packages/cloud/src/http-cloud-provider.ts
@@ -52,7 +52,7 @@
       if (response.status === HTTP_STATUS.tooManyRequests) this.requests.drain();
       return rentalOutcomeOf(response);
     } catch {
-      // A `NoResponseError`, or a `ValidationError` where the response cannot be understood.
+      // A `NoResponseError`, or a `ValidationError` if the response cannot be understood.
       return { outcome: 'unknown' };
     }
   }
@@ -95,7 +95,7 @@
   }
 }
 
-/** Path of the page of the list that begins after the machine `from`, or of the first page where that is ''. */
+/** Path of the page of the list that begins after the machine `from`, or of the first page if `from` is ''. */
 function listPath(from: string): string {
   return `${PATHS.rentals}?${from === '' ? '' : `from=${from}&`}most=${LIST_PAGE_SIZE}`;
 }
