--- a/packages/wire/src/graphs/graph-spec.ts
+++ b/packages/wire/src/graphs/graph-spec.ts
@@ -1,5 +1,6 @@
 /**
- * A task graph as its client creates it. Task graphs are an interface of our own beside that of jobs (docs/graphs.md).
+ * A task graph as its client creates it. Task graphs are an interface of spurbridge in addition to that of jobs
+ * (docs/graphs.md).
  *
  * @module
  */
--- a/packages/wire/src/ids.ts
+++ b/packages/wire/src/ids.ts
@@ -1,6 +1,6 @@
 /**
- * Identifiers, versions and tokens. Each is a branded type of its own, so that the compiler does not let one be used in
- * place of another.
+ * Identifiers, versions and tokens. Each is a branded type of its own, so that the compiler prevents using one in place
+ * of another.
  *
  * @module
  */
--- a/packages/wire/src/json-fields.ts
+++ b/packages/wire/src/json-fields.ts
@@ -1,6 +1,6 @@
 /**
- * Readers for the fields of a JSON object. Every message is checked once, where it enters the process; unknown fields are
- * ignored.
+ * Readers for the fields of a JSON object. Every message is validated once, when it enters the process; unknown fields
+ * are ignored.
  *
  * @module
  */
@@ -75,7 +75,7 @@
   return value;
 }
 
-/** A string, or null where the field is null or missing. */
+/** A string, or null if the field is null or missing. */
 export function optionalString(object: JsonObject, field: string): string | null {
   return isAbsent(object[field]) ? null : string(object, field);
 }
@@ -87,7 +87,7 @@
   return value;
 }
 
-/** A boolean, false where the field is null or missing. */
+/** A boolean, false if the field is null or missing. */
 export function booleanOrFalse(object: JsonObject, field: string): boolean {
   return isAbsent(object[field]) ? false : boolean(object, field);
 }
@@ -100,7 +100,7 @@
   return value;
 }
 
-/** An amount of at least 0, or null where the field is null or missing. */
+/** An amount of at least 0, or null if the field is null or missing. */
 export function optionalAmount(object: JsonObject, field: string): number | null {
   return isAbsent(object[field]) ? null : amount(object, field);
 }
@@ -113,7 +113,7 @@
   return value;
 }
 
-/** A count of at least 0, or null where the field is null or missing. */
+/** A count of at least 0, or null if the field is null or missing. */
 export function optionalCount(object: JsonObject, field: string): number | null {
   return isAbsent(object[field]) ? null : count(object, field);
 }
@@ -125,7 +125,7 @@
   return value as T;
 }
 
-/** An array of strings, or null where the field is null or missing. */
+/** An array of strings, or null if the field is null or missing. */
 export function optionalStrings(object: JsonObject, field: string): readonly string[] | null {
   const value = object[field];
   if (isAbsent(value)) return null;
--- a/packages/wire/src/key-value.ts
+++ b/packages/wire/src/key-value.ts
@@ -73,7 +73,7 @@
 
 // --- transactions --------------------------------------------------------------------------------
 
-/** A condition of a transaction: the key has this version, or does not exist where that is `KEY_ABSENT`. */
+/** A condition of a transaction: the key has this version, or does not exist if that is `KEY_ABSENT`. */
 export interface Compare {
   readonly key: string;
   readonly version: Version;
--- a/packages/wire/src/peers/forwarded-heartbeat.ts
+++ b/packages/wire/src/peers/forwarded-heartbeat.ts
@@ -134,7 +134,7 @@
   readonly graceS: number;
 }
 
-/** A forwarded heartbeat as its protobuf type names the fields; the heartbeat is null where none was sent. */
+/** A forwarded heartbeat as its protobuf type names the fields; the heartbeat is null if none was sent. */
 export interface ForwardedHeartbeatFields {
   readonly id: number;
   readonly ageMs: number;
@@ -223,8 +223,8 @@
 }
 
 /**
- * Reads the protobuf form of a forwarded heartbeat; null where the message holds none. Throws a `PeerMessageError` where
- * a task is in a phase that this version does not know.
+ * Reads the protobuf form of a forwarded heartbeat; null if the message holds none. Throws a `PeerMessageError` if a
+ * task is in a phase that this version does not know.
  */
 export function parseForwardedHeartbeat(fields: ForwardedHeartbeatFields): ForwardedHeartbeat | null {
   if (fields.report === null) return null;
@@ -274,7 +274,7 @@
 
 /**
  * Reads the protobuf form of a response to a forwarded heartbeat; a code other than 200 counts as 503. Throws a
- * `PeerMessageError` where this version does not know a command.
+ * `PeerMessageError` if this version does not know a command.
  */
 export function parseForwardedHeartbeatResponse(
   fields: ForwardedHeartbeatResponseFields,
--- a/packages/wire/src/tariff.ts
+++ b/packages/wire/src/tariff.ts
@@ -65,7 +65,7 @@
   /** Where several windows apply, the first one takes precedence. */
   readonly windows: readonly RecurringWindow[];
   readonly holidays: readonly TariffHoliday[];
-  /** In order, without gaps or overlaps where they share zones. */
+  /** In order, without gaps or overlaps between slots that share zones. */
   readonly slots: readonly TariffSlot[];
 }
 
@@ -89,9 +89,9 @@
 const DATE = /^\d{4}-(0[1-9]|1[0-2])-(0[1-9]|[12]\d|3[01])$/;
 const TIME_OF_DAY = /^(?:([01]\d|2[0-3]):([0-5]\d)|24:00)$/;
 
-/** Milliseconds since 1970 of a value that is a time; NaN where it is none. */
+/** Milliseconds since 1970 of a value that is a time; NaN if it is none. */
 function toInstant(value: unknown): number {
-  // TOML has times of its own, which its parser returns as dates.
+  // TOML has date-time values, which its parser returns as `Date`.
   if (value instanceof Date) return value.getTime();
   return typeof value === 'string' && INSTANT.test(value) ? Date.parse(value) : NaN;
 }
@@ -137,7 +137,7 @@
   return `${hours}:${String(minutes % MINUTES_PER_HOUR).padStart(2, '0')}`;
 }
 
-/** Reads an array of objects, none where the field is null or missing. */
+/** Reads an array of objects, none if the field is null or missing. */
 function parseEntries<T>(
   fields: read.JsonObject,
   field: string,
--- a/packages/wire/src/wire-names.ts
+++ b/packages/wire/src/wire-names.ts
@@ -21,7 +21,7 @@
     return this.nameByValue[value];
   }
 
-  /** The value that a field names; throws a `ValidationError` where it names none. */
+  /** The value that a field names; throws a `ValidationError` if it names none. */
   read(object: read.JsonObject, field: string): Value {
     return this.values[read.oneOf(object, field, this.names)] as Value;
   }
--- a/packages/wire/src/worker-commands.ts
+++ b/packages/wire/src/worker-commands.ts
@@ -1,5 +1,5 @@
 /**
- * Commands to workers, in responses to heartbeats and in requests of their own.
+ * Commands to workers, in responses to heartbeats and in direct requests.
  *
  * @module
  */
@@ -87,8 +87,8 @@
 }
 
 /**
- * The node that a response of 421 to a heartbeat names, which the worker is to use from now on; null: none (Protocol,
- * Workers -> controller nodes). Throws a `ValidationError`.
+ * The node that a response of 421 to a heartbeat names, which the worker should use from now on; null if none
+ * (Protocol, Workers -> controller nodes). Throws a `ValidationError`.
  */
 export function parseRedirect(body: unknown): string | null {
   return read.optionalString(read.asObject(body, 'body'), 'foreman');
@@ -102,7 +102,7 @@
   readonly agentEpoch: AgentEpoch;
 }
 
-/** Reads a request of direct commands; throws a `ValidationError` where token or agent epoch is missing. */
+/** Reads a request of direct commands; throws a `ValidationError` if token or agent epoch is missing. */
 export function parseDirectCommands(body: unknown): DirectCommands {
   const fields = read.asObject(body, 'body');
   return {
