--- a/packages/recovery/src/epoch-store/epoch-store.ts
+++ b/packages/recovery/src/epoch-store/epoch-store.ts
@@ -217,7 +217,7 @@
     return { ...listed, items };
   }
 
-  /** Returns the listed records as readers see them, or null where one of them contradicts the replica. */
+  /** Returns the listed records as readers see them, or null if one of them contradicts the replica. */
   private validateListed(listed: Listed): KeyValue[] | null {
     const items: KeyValue[] = [];
     for (const item of listed.items) {
--- a/packages/recovery/src/epoch-store/integrity-auditor.ts
+++ b/packages/recovery/src/epoch-store/integrity-auditor.ts
@@ -55,7 +55,7 @@
     if (lostKey !== null) trust.suspect(`${lostKey} is gone`);
   }
 
-  /** Reads a key whose comparison failed. Returns false where the epoch is no longer trusted. */
+  /** Reads a key whose comparison failed. Returns false if the epoch is no longer trusted. */
   private async checkKey(key: string): Promise<boolean> {
     const { underlyingStore, replica, selector, validator, trust } = this.dependencies;
     const known = replica.get(key);
--- a/packages/recovery/src/epoch-store/response-validator.ts
+++ b/packages/recovery/src/epoch-store/response-validator.ts
@@ -1,5 +1,5 @@
 /**
- * Comparison of the store's responses with what is known of the epoch.
+ * Validation of the store's responses against the known state of the epoch.
  *
  * @module
  */
--- a/packages/recovery/src/epoch-store/transaction-translation.ts
+++ b/packages/recovery/src/epoch-store/transaction-translation.ts
@@ -1,5 +1,5 @@
 /**
- * Translation of a transaction from what readers see, with pending repairs, to what the store holds.
+ * Translation of a transaction from what readers see, with pending repairs, to the records that the store has.
  *
  * @module
  */
--- a/packages/recovery/src/epoch/epoch-record.ts
+++ b/packages/recovery/src/epoch/epoch-record.ts
@@ -10,7 +10,7 @@
 /** Number of one uninterrupted life of the key-value store; `NO_EPOCH` stands for none. */
 export type EpochNumber = Brand<number, 'EpochNumber'>;
 
-/** The number that stands for no epoch at all. */
+/** The epoch number that means that there is no epoch. */
 export const NO_EPOCH = 0 as EpochNumber;
 
 const EPOCH_PHASES = ['gathering', 'open'] as const;
@@ -40,7 +40,7 @@
 
 /** The epoch record as it was read, with the version that a transaction compares to replace it. */
 export interface VersionedEpoch {
-  /** Null where the record is absent or cannot be decoded: either way the epoch is lost. */
+  /** Null if the record is absent or cannot be decoded: either way the epoch is lost. */
   readonly epoch: Epoch | null;
   readonly version: Version;
 }
--- a/packages/recovery/src/peer-observations.ts
+++ b/packages/recovery/src/peer-observations.ts
@@ -22,7 +22,7 @@
   readonly status: PeerStatus;
 }
 
-/** Collects statements of peers and workers. It draws no conclusions by itself. */
+/** Collects the information that peers and workers send about the store. */
 export class PeerObservations {
   private readonly peers = new Map<NodeId, ObservedPeer>();
   /** Workers that have never seen a fencing token. */
--- a/packages/recovery/src/phases/contributed-replicas.ts
+++ b/packages/recovery/src/phases/contributed-replicas.ts
@@ -32,7 +32,7 @@
   }));
 }
 
-/** Merges contributions to one epoch. Returns the repair that stands for each key. */
+/** Merges contributions to one epoch. Returns the repair that takes precedence for each key. */
 export function mergeContributions(contributions: readonly Contribution[]): Map<string, RecordRepair> {
   const replicas = contributions.flatMap((contribution) => toReplicas(contribution.repairs));
   const replacedVersions = new Map(
--- a/packages/recovery/src/phases/store-recovery.ts
+++ b/packages/recovery/src/phases/store-recovery.ts
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Makes one attempt. Returns an epoch that is open and later than that of the replica, or null where another attempt is
+   * Makes one attempt. Returns an epoch that is open and later than that of the replica, or null if another attempt is
    * needed.
    */
   async attempt(): Promise<OpenEpoch | null> {
--- a/packages/recovery/src/recoverable-store.ts
+++ b/packages/recovery/src/recoverable-store.ts
@@ -143,7 +143,7 @@
     this.lifecycle.receivePeerStatus(status);
   }
 
-  /** Receives the token in a worker's heartbeat; 0 where the worker has never seen a leader. */
+  /** Receives the token in a worker's heartbeat; 0 if the worker has never seen a leader. */
   receiveWorkerToken(machine: MachineId, token: FencingToken): void {
     const { integrity, observations } = this.lifecycle;
     if (integrity.state === 'unattached' && token === 0) observations.receiveNewWorker(machine);
--- a/packages/recovery/src/replica/compacted-jobs.ts
+++ b/packages/recovery/src/replica/compacted-jobs.ts
@@ -21,7 +21,7 @@
   readonly phase: 'done' | 'cancelled';
 }
 
-/** Compacted jobs by id. An entry takes about a hundred bytes, where a whole record takes several hundred. */
+/** Compacted jobs by id. An entry takes about a hundred bytes, compared to several hundred for a whole record. */
 export class CompactedJobs {
   private readonly packedById = new Map<string, number>();
 
@@ -36,7 +36,7 @@
     this.packedById.set(id, (version * TASK_COUNT_SPAN + taskCount) * 2 + phaseBit);
   }
 
-  /** Returns the job's compacted record, or undefined where it is not compacted. */
+  /** Returns the job's compacted record, or undefined if it is not compacted. */
   get(id: string): ReplicaEntry | undefined {
     const packed = this.packedById.get(id);
     return packed === undefined ? undefined : unpack(id, packed);
--- a/packages/recovery/src/replica/merge.ts
+++ b/packages/recovery/src/replica/merge.ts
@@ -13,7 +13,7 @@
 export interface EpochReplica {
   /** Number of the epoch in which the records were read; versions of different epochs do not compare. */
   readonly epoch: number;
-  /** Returns the entry of a key, or undefined where the source does not have it. */
+  /** Returns the entry of a key, or undefined if the source does not have it. */
   get(key: string): ReplicaEntry | undefined;
   /** Iterates over all keys of the source. */
   keys(): Iterable<string>;
@@ -27,7 +27,7 @@
 /** The value of a record that is missing or out of date in the store. */
 export interface RecordRepair extends EpochEntry {
   readonly key: string;
-  /** Version of the store's own value that the repair replaces; `KEY_ABSENT` where the store has none. */
+  /** Version of the store's own value that the repair replaces; `KEY_ABSENT` if the store has none. */
   readonly replacedVersion: Version;
 }
 
--- a/packages/recovery/src/replica/repair-overlay.ts
+++ b/packages/recovery/src/replica/repair-overlay.ts
@@ -21,7 +21,7 @@
 }
 
 /**
- * Returns whether a repair still applies where the store has `version` of its key. A version from before the fence does
+ * Returns whether a repair still applies if the store has `version` of its key. A version from before the fence does
  * not show a new write: a store that is being restored may show old records of keys that had been absent.
  */
 export function isRepairApplicable(
--- a/packages/recovery/src/replica/replica-entry.ts
+++ b/packages/recovery/src/replica/replica-entry.ts
@@ -17,7 +17,7 @@
 /**
  * Compares a response with what was known when the request was sent.
  *
- * @param known - The replica's entry at that time; undefined where the key was not known.
+ * @param known - The replica's entry at that time; undefined if the key was not known.
  * @param version - The version in the response.
  * @param value - The value in the response; undefined if the key is absent, which is only a contradiction for records
  * that are never deleted.
--- a/packages/recovery/src/replica/replica.ts
+++ b/packages/recovery/src/replica/replica.ts
@@ -27,7 +27,7 @@
     return this.entriesByKey.size + this.compactedJobs.size;
   }
 
-  /** Returns the entry of a key, or undefined where the key is not known. */
+  /** Returns the entry of a key, or undefined if the key is not known. */
   get(key: string): ReplicaEntry | undefined {
     const entry = this.entriesByKey.get(key);
     if (entry !== undefined) return entry;
