--- a/packages/recovery/src/replica/compacted-jobs.ts
+++ b/packages/recovery/src/replica/compacted-jobs.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs that have ended and have no task records left, each packed into one number.
+ * Compacted records of jobs that have ended and have no task records left, each packed into one number.
  *
  * @module
  */
@@ -14,14 +14,14 @@
 /** Bytes of a packed job besides its id. */
 const PACKED_BYTES = 8;
 
-/** A job that has ended, as far as its users may still ask about it. */
+/** The part of an ended job's record that status requests need. */
 export interface EndedJob {
   readonly version: Version;
   readonly taskCount: number;
   readonly phase: 'done' | 'cancelled';
 }
 
-/** Compacted jobs by id. An entry takes about a hundred bytes, where a whole record takes several hundred. */
+/** Compacted jobs by id. An entry takes about a hundred bytes, compared to several hundred for a whole record. */
 export class CompactedJobs {
   private readonly packedById = new Map<string, number>();
 
@@ -36,7 +36,7 @@
     this.packedById.set(id, (version * TASK_COUNT_SPAN + taskCount) * 2 + phaseBit);
   }
 
-  /** Returns the job's compacted record, or undefined where it is not compacted. */
+  /** Returns the job's compacted record, or undefined if it is not compacted. */
   get(id: string): ReplicaEntry | undefined {
     const packed = this.packedById.get(id);
     return packed === undefined ? undefined : unpack(id, packed);
--- a/packages/wire/src/peers/forwarded-heartbeat.ts
+++ b/packages/wire/src/peers/forwarded-heartbeat.ts
@@ -10,9 +10,11 @@
 import type { WorkerCommand, WorkerCommandOperation } from '../worker-commands.js';
 import { PeerMessageError } from './errors.js';
 
-/** A heartbeat on its way from the node that its worker sent it to, to the leader. */
+/** A heartbeat that the node which received it forwards to the leader. */
 export interface ForwardedHeartbeat {
-  /** Matches the response to the request; 0: no response is expected, since the worker has got one already. */
+  /**
+   * Matches the response to the request. 0 means that no response is expected, because the worker already received one.
+   */
   readonly id: number;
   /** How long ago the node received it, in milliseconds. */
   readonly ageMs: number;
@@ -118,7 +120,7 @@
   readonly session: number;
   readonly seq: number;
   readonly token: number;
-  /** Whether `noticeS` holds anything: protobuf has no null. */
+  /** Whether `noticeS` is set; protobuf has no null. */
   readonly noticed: boolean;
   readonly noticeS: number;
   readonly tasks: readonly TaskFields[];
@@ -132,7 +134,7 @@
   readonly graceS: number;
 }
 
-/** A forwarded heartbeat as its protobuf type names the fields; the heartbeat is null where none was sent. */
+/** A forwarded heartbeat as its protobuf type names the fields; the heartbeat is null if none was sent. */
 export interface ForwardedHeartbeatFields {
   readonly id: number;
   readonly ageMs: number;
@@ -221,8 +223,8 @@
 }
 
 /**
- * Reads the protobuf form of a forwarded heartbeat; null where the message holds none. Throws a `PeerMessageError` where
- * a task is in a phase that this version does not know.
+ * Reads the protobuf form of a forwarded heartbeat; null if the message holds none. Throws a `PeerMessageError` if a
+ * task is in a phase that this version does not know.
  */
 export function parseForwardedHeartbeat(fields: ForwardedHeartbeatFields): ForwardedHeartbeat | null {
   if (fields.report === null) return null;
@@ -272,7 +274,7 @@
 
 /**
  * Reads the protobuf form of a response to a forwarded heartbeat; a code other than 200 counts as 503. Throws a
- * `PeerMessageError` where this version does not know a command.
+ * `PeerMessageError` if this version does not know a command.
  */
 export function parseForwardedHeartbeatResponse(
   fields: ForwardedHeartbeatResponseFields,
--- a/packages/wire/src/wire-names.ts
+++ b/packages/wire/src/wire-names.ts
@@ -21,12 +21,12 @@
     return this.nameByValue[value];
   }
 
-  /** The value that a field names; throws a `ValidationError` where it names none. */
+  /** The value that a field names; throws a `ValidationError` if it names none. */
   read(object: read.JsonObject, field: string): Value {
     return this.values[read.oneOf(object, field, this.names)] as Value;
   }
 
-  /** The value of a name; undefined where this version does not know it. */
+  /** The value of a name; undefined if this version does not know the name. */
   find(wireName: string): Value | undefined {
     return this.values[wireName];
   }
--- a/packages/wire/src/worker-commands.ts
+++ b/packages/wire/src/worker-commands.ts
@@ -1,5 +1,5 @@
 /**
- * Commands to workers, in responses to heartbeats and in requests of their own.
+ * Commands to workers, in responses to heartbeats and in direct requests.
  *
  * @module
  */
@@ -15,7 +15,7 @@
   readonly attempt: Attempt;
 }
 
-/** Starts a task; without effect where the worker has this attempt already. */
+/** Starts a task; has no effect if the worker already has this attempt. */
 export interface StartCommand extends CommandTarget {
   readonly op: 'start';
 }
@@ -23,7 +23,10 @@
 /** Stops a task. */
 export interface StopCommand extends CommandTarget {
   readonly op: 'stop';
-  /** How long the task may take to save, in seconds; below what it needs it exits at once. */
+  /**
+   * Time that the task may take to save a checkpoint, in seconds. If it needs longer, it exits immediately without
+   * saving.
+   */
   readonly graceS: number;
 }
 
@@ -64,7 +67,7 @@
 
 /**
  * Response of 200 to a heartbeat: it renews the worker's lease (Protocol, Workers -> controller nodes, POST
- * /agent/beat). The worker drops it where the token is lower than the highest that it has seen.
+ * /agent/beat). The worker ignores it if the token is lower than the highest that it has seen.
  */
 export interface HeartbeatResponse {
   readonly fencingToken: FencingToken;
@@ -84,22 +87,22 @@
 }
 
 /**
- * The node that a response of 421 to a heartbeat names, which the worker is to use from now on; null: none (Protocol,
- * Workers -> controller nodes). Throws a `ValidationError`.
+ * The node that a response of 421 to a heartbeat names, which the worker should use from now on; null if none
+ * (Protocol, Workers -> controller nodes). Throws a `ValidationError`.
  */
 export function parseRedirect(body: unknown): string | null {
   return read.optionalString(read.asObject(body, 'body'), 'foreman');
 }
 
 /**
- * Commands sent straight to a worker (Protocol, Controller nodes -> workers, POST /commands). They do not renew its
- * lease, and are refused where the token is too low or the agent epoch is another.
+ * Commands sent directly to a worker (Protocol, Controller nodes -> workers, POST /commands). They do not renew its
+ * lease, and are rejected if the token is too low or the agent epoch differs.
  */
 export interface DirectCommands extends HeartbeatResponse {
   readonly agentEpoch: AgentEpoch;
 }
 
-/** Reads a request of direct commands; throws a `ValidationError` where token or agent epoch is missing. */
+/** Reads a request of direct commands; throws a `ValidationError` if token or agent epoch is missing. */
 export function parseDirectCommands(body: unknown): DirectCommands {
   const fields = read.asObject(body, 'body');
   return {
