--- a/packages/controller/src/heartbeats/worker-client.ts
+++ b/packages/controller/src/heartbeats/worker-client.ts
@@ -28,10 +28,10 @@
     commands: readonly WorkerCommand[],
   ): Promise<CommandOutcome>;
   /**
-   * Requests a heartbeat from a worker. Null if it does not respond; `unasked` if this controller could not send the
+   * Requests a heartbeat from a worker. Null if it does not respond; `not-sent` if this controller could not send the
    * request, which is no evidence against the worker.
    */
-  fetchHeartbeat(address: string): Promise<Heartbeat | 'unasked' | null>;
+  fetchHeartbeat(address: string): Promise<Heartbeat | 'not-sent' | null>;
   /** Closes the connections to an address that is no longer used. */
   closeConnection(address: string): void;
 }
@@ -85,12 +85,12 @@
     }
   }
 
-  async fetchHeartbeat(address: string): Promise<Heartbeat | 'unasked' | null> {
+  async fetchHeartbeat(address: string): Promise<Heartbeat | 'not-sent' | null> {
     try {
       const response = await this.clientFor(address).call('GET', PATHS.show, undefined, FETCH_TIMEOUT_MS);
       return response.status === 200 ? parseHeartbeat(response.body) : null;
     } catch (error) {
-      return error instanceof NoResponseError && error.isLocalFault ? 'unasked' : null;
+      return error instanceof NoResponseError && error.isLocalFault ? 'not-sent' : null;
     }
   }
 
--- a/packages/controller/src/machines/leader-isolation.ts
+++ b/packages/controller/src/machines/leader-isolation.ts
@@ -46,7 +46,8 @@
 
   /** Evaluates the numbers of silent and of ready machines; to be called at regular intervals. */
   evaluate(silentCount: number, readyCount: number, now: MonotonicMs): IsolationVerdict {
-    if (this.hearsNoWorker(now)) return { kind: 'isolated', reason: 'no worker is heard: the fault is here' };
+    if (this.receivesNoHeartbeats(now))
+      return { kind: 'isolated', reason: 'no worker is heard: the fault is here' };
     const isMassSilence =
       silentCount >= MIN_SILENT_MACHINES && silentCount >= (silentCount + readyCount) * MASS_SILENCE_SHARE;
     if (!isMassSilence) {
@@ -66,7 +67,7 @@
    * fault of this node silences hundreds of them within a second or two; there is no need to wait for the timeout of
    * each.
    */
-  private hearsNoWorker(now: MonotonicMs): boolean {
+  private receivesNoHeartbeats(now: MonotonicMs): boolean {
     const { settings, leadership, directWorkers } = this.term.context;
     const { size, lastAt } = directWorkers();
     const intervalMs = maxHeartbeatIntervalMs(settings);
--- a/packages/controller/src/machines/machine-prober.ts
+++ b/packages/controller/src/machines/machine-prober.ts
@@ -50,11 +50,11 @@
       });
   }
 
-  private onResult(machine: Machine, result: Heartbeat | 'unasked' | null): void {
+  private onResult(machine: Machine, result: Heartbeat | 'not-sent' | null): void {
     if (!this.term.isActive) return;
     // No socket was available, which is no evidence against the machine. When this counted as a failed probe, hundreds
     // of live machines were released.
-    if (result === 'unasked') {
+    if (result === 'not-sent') {
       machine.probesSent = Math.max(0, machine.probesSent - 1);
       return;
     }
--- a/packages/controller/src/machines/zone-reachability.ts
+++ b/packages/controller/src/machines/zone-reachability.ts
@@ -37,7 +37,7 @@
  */
 const MAX_CUT_OFF_SHARE = 0.05;
 /** Share of machines with recent heartbeats from which a zone counts as reachable. */
-const MIN_HEARD_SHARE = 0.2;
+const MIN_REACHABLE_SHARE = 0.2;
 /** After this time, the machines of an unreachable zone are released like any others. */
 const MAX_AWAY_MS = 90_000;
 
@@ -60,7 +60,7 @@
 interface ZoneSample {
   readonly machineCount: number;
   /** Share of the machines whose last heartbeat is recent. */
-  readonly heardShare: number;
+  readonly reachableShare: number;
 }
 
 /**
@@ -100,7 +100,7 @@
     const samples = new Map([...heartbeats].map(([name, times]) => [name, this.sample(times, now)]));
     for (const [name, sample] of samples) {
       const isAnotherHeard = [...samples].some(
-        ([other, { heardShare }]) => other !== name && heardShare >= MIN_HEARD_SHARE,
+        ([other, { reachableShare }]) => other !== name && reachableShare >= MIN_REACHABLE_SHARE,
       );
       this.updateZone(this.zoneNamed(name, now), sample, isAnotherHeard, now);
     }
@@ -110,7 +110,7 @@
     const machineCount = heartbeats.length;
     const recentMs = Math.max(RECENT_MS, (this.heartbeatIntervalMs / machineCount) * RECENT_INTERVALS);
     const recent = heartbeats.filter((at) => now - at < recentMs);
-    return { machineCount, heardShare: recent.length / machineCount };
+    return { machineCount, reachableShare: recent.length / machineCount };
   }
 
   private zoneNamed(name: string, now: MonotonicMs): Zone {
@@ -123,10 +123,10 @@
   }
 
   private updateZone(zone: Zone, sample: ZoneSample, isAnotherHeard: boolean, now: MonotonicMs): void {
-    const { machineCount, heardShare } = sample;
-    const isCutOff = machineCount >= MIN_MACHINES && heardShare <= MAX_CUT_OFF_SHARE && isAnotherHeard;
+    const { machineCount, reachableShare } = sample;
+    const isCutOff = machineCount >= MIN_MACHINES && reachableShare <= MAX_CUT_OFF_SHARE && isAnotherHeard;
     if (zone.state !== 'away' && isCutOff) this.transitionTo(zone, 'away', now);
-    else if (zone.state === 'away' && heardShare >= MIN_HEARD_SHARE)
+    else if (zone.state === 'away' && reachableShare >= MIN_REACHABLE_SHARE)
       this.transitionTo(zone, 'returning', now);
     // Workers that have tried other nodes meanwhile may take up to two intervals to send a heartbeat here again.
     else if (zone.state === 'returning' && now > addMs(zone.since, 2 * this.heartbeatIntervalMs))
--- a/packages/controller/src/peers/peer-connection.ts
+++ b/packages/controller/src/peers/peer-connection.ts
@@ -44,7 +44,7 @@
    * immediately. Without this, peers reconnected only once a second, and a process that had just started discovered
    * none within a second and became leader although others were running.
    */
-  onPeerHeard(): void {
+  onStatusReceived(): void {
     if (this.state === 'idle') this.reconnectSignal.notify();
   }
 
--- a/packages/controller/src/peers/tcp-peer-transport.ts
+++ b/packages/controller/src/peers/tcp-peer-transport.ts
@@ -107,7 +107,7 @@
       const { status } = message;
       if (status !== undefined) {
         this.storeReports.set(status.node, { receivedAt: clock.now(), isServed: status.isStoreReachable });
-        this.connectionTo(status.node)?.onPeerHeard();
+        this.connectionTo(status.node)?.onStatusReceived();
       }
       host.onMessage(message);
     }
--- a/packages/controller/src/reconciliation/reconciliation.ts
+++ b/packages/controller/src/reconciliation/reconciliation.ts
@@ -36,7 +36,7 @@
 
 const CHECK_INTERVAL_MS = 100;
 /** The set of unconfirmed machines is updated incrementally, and rebuilt at this interval. */
-const REGATHER_INTERVAL_MS = 1000;
+const RECOLLECT_INTERVAL_MS = 1000;
 /** Maximum relative drift between the clocks of two machines. */
 const MAX_CLOCK_DRIFT = 0.001;
 /** Added to the time after which every lease of an earlier leader has expired. */
@@ -54,7 +54,7 @@
   private readonly seenMachines = new Set<MachineId>();
   private readonly unconfirmed: UnconfirmedMachines;
   /** When the set of unconfirmed machines was last rebuilt, and from which of the cloud's lists. */
-  private gatheredAt: MonotonicMs | null = null;
+  private collectedAt: MonotonicMs | null = null;
   private gatheredFromList: MonotonicMs | null = null;
   /** Number of unconfirmed machines at the last check. */
   private previousUnconfirmedCount = 0;
@@ -179,11 +179,11 @@
     const listedAt = this.machinesListedAt();
     const now = this.term.context.clock.now();
     const isCurrent =
-      this.gatheredAt !== null &&
+      this.collectedAt !== null &&
       this.gatheredFromList === listedAt &&
-      now - this.gatheredAt <= REGATHER_INTERVAL_MS;
+      now - this.collectedAt <= RECOLLECT_INTERVAL_MS;
     if (isCurrent) return this.unconfirmed;
-    this.gatheredAt = now;
+    this.collectedAt = now;
     this.gatheredFromList = listedAt;
     this.unconfirmed.clear();
     for (const machine of this.cluster.machines.values())
@@ -215,7 +215,7 @@
     const counts = { heard: this.confirmed.size, unexplained: this.unexplainedTasks };
     this.term.context.log.info({ from: this.state, to: next, why: reason, ...counts }, 'reconciliation');
     this.state = next;
-    this.gatheredAt = null;
+    this.collectedAt = null;
     if (this.allowsPlacement) this.cluster.emit('replanNeeded');
   }
 
--- a/packages/controller/test/peer-connection.test.ts
+++ b/packages/controller/test/peer-connection.test.ts
@@ -33,7 +33,7 @@
   const server = await listen(port, () => (connections += 1));
   await new Promise((resolve) => setTimeout(resolve, 50));
   assert.equal(connections, 0);
-  link.onPeerHeard();
+  link.onStatusReceived();
   await new Promise((resolve) => setTimeout(resolve, 200));
   assert.equal(connections, 1);
   server.close();
--- a/packages/recovery/src/epoch-store/replica-follower.ts
+++ b/packages/recovery/src/epoch-store/replica-follower.ts
@@ -54,7 +54,7 @@
     const sentAt = clock.now();
     const watched = await validator.send(() => underlyingStore.watch('', replica.revision, WATCH_TIMEOUT_MS));
     if (!trust.isCurrent()) return;
-    if (watched.outcome === 'compacted') return this.readAnew();
+    if (watched.outcome === 'compacted') return this.reread();
     if (watched.outcome !== 'events') return clock.sleep(RETRY_MS);
     if (watched.events.some((event) => this.replacesEpoch(event))) await this.checkEpochRecord();
     this.apply(watched.events, watched.revision);
@@ -67,7 +67,7 @@
    * Reads everything after the store has discarded the events since the last watch, and compares it with what was
    * known.
    */
-  private async readAnew(): Promise<void> {
+  private async reread(): Promise<void> {
     const { clock, replica, validator, trust, onReplicaChanged } = this.dependencies;
     const listed = await this.dependencies.listAll();
     if (listed.outcome !== 'listed' || !trust.isCurrent()) return clock.sleep(RETRY_MS);
--- a/packages/recovery/src/recoverable-store.ts
+++ b/packages/recovery/src/recoverable-store.ts
@@ -121,7 +121,7 @@
 
   /** Returns since when the store is not trusted, or has not served requests; null while it works. */
   failingSince(): MonotonicMs | null {
-    return this.lifecycle.doubtedAt ?? this.dependencies.underlyingStore.failingSince();
+    return this.lifecycle.suspectSince ?? this.dependencies.underlyingStore.failingSince();
   }
 
   /** Returns the part of this controller's status that describes the store. */
--- a/packages/recovery/src/store-lifecycle.ts
+++ b/packages/recovery/src/store-lifecycle.ts
@@ -80,7 +80,7 @@
   }
 
   /** When the store became suspect; null while it is not. */
-  get doubtedAt(): MonotonicMs | null {
+  get suspectSince(): MonotonicMs | null {
     return this.suspectedAt;
   }
 
