--- a/packages/planner/src/cluster-snapshot.ts
+++ b/packages/planner/src/cluster-snapshot.ts
@@ -43,11 +43,13 @@
 /** A job with pending tasks or tasks on machines. */
 export interface JobView {
   readonly spec: JobSpec;
-  /** The tasks that may be placed now, as many as one plan looks at. */
+  /** The pending tasks that this plan may place, up to the limit per plan. */
   readonly pendingTasks: readonly number[];
-  /** The number of all pending tasks. */
+  /** The number of all pending tasks, including those beyond the limit per plan. */
   readonly pendingCount: number;
-  /** Whether this is the first task of a job with an overdue start; it is planned by itself, as a starved one. */
+  /**
+   * Whether this is the split-off first task of a job with an overdue start; it is planned as a starved job.
+   */
   readonly isOverdueFirstTask?: boolean;
   /** The number of tasks that are not done. */
   readonly unfinishedCount: number;
@@ -55,21 +57,24 @@
   readonly placedZones: readonly string[];
   /** The waits of the pending tasks in seconds, added up. */
   readonly totalWaitS: number;
-  /** Seconds since the submission. */
+  /** Seconds since the job was submitted. */
   readonly ageS: number;
-  /** The estimate of a task's run time in seconds, corrected by what tasks of the job's class have taken. */
+  /** The estimated run time of a task in seconds, corrected by the observed run times of the job's class. */
   readonly estimateS: number;
-  /** Ages in seconds, rising, by which the objectives of its class want the job to be complete. */
+  /** Job ages in seconds, ascending, by which the objectives of the job's class require completion. */
   readonly completionMilestonesS: readonly number[];
-  /** Ages in seconds, rising, by which the objectives of its class want all tasks to have started. */
+  /**
+   * Job ages in seconds, ascending, by which the objectives of the job's class require all tasks to have
+   * started.
+   */
   readonly startMilestonesS: readonly number[];
   /** Seconds that the job can still wait without missing an objective. */
   readonly toleratedWaitS: number;
-  /** Machines on which the job is not placed, after failures. */
+  /** Machines excluded for this job because its tasks failed there. */
   readonly excludedMachines: ReadonlySet<MachineId>;
   /** The position in the order of submission. */
   readonly submissionOrder: number;
-  /** Whether its tasks may be placed now; not so while it backs off after failures. */
+  /** Whether its tasks may be placed now; false while the job backs off after failures. */
   readonly isStartable: boolean;
 }
 
@@ -78,13 +83,16 @@
   readonly jobs: readonly JobView[];
   readonly machines: readonly MachineView[];
   readonly teams: readonly Team[];
-  /** A job is starved when its tasks have waited for longer than this on average, in seconds. */
+  /** A job is starved when the mean wait of its tasks exceeds this, in seconds. */
   readonly starvationThresholdS: number;
-  /** Replicas are placed ahead on machines where room is expected to come free within so many seconds; 0: none are. */
+  /**
+   * Replicas are placed ahead on machines whose resources are expected to become free within this many
+   * seconds; 0 disables placing ahead.
+   */
   readonly placeAheadS: number;
   /** Whether cost is weighed against speed. */
   readonly isCostAware: boolean;
-  /** The size of task that machines should keep room for; null while none is known. */
+  /** The largest task size for which machines should keep capacity free; null while unknown. */
   readonly typicalTask: { readonly cpus: number; readonly gpus: number; readonly memoryGb: number } | null;
 }
 
--- a/packages/planner/src/fleet/burst-rate.ts
+++ b/packages/planner/src/fleet/burst-rate.ts
@@ -1,5 +1,5 @@
 /**
- * Scales out for the rate at which work arrives in a burst.
+ * Scales out for the rate at which work arrives during a burst.
  *
  * @module
  */
@@ -11,9 +11,9 @@
 import type { ScaleOutRequests } from './scale-out-requests.js';
 import type { FleetInput } from './types.js';
 
-/** Arrivals are uneven: only a rate that needs this many times the fleet is a burst. */
+/** Normal arrivals are uneven; only a rate that needs this many times the present fleet counts as a burst. */
 const BURST_FACTOR = 1.2;
-/** Stands for the CPUs of a task that requests none. */
+/** Used in place of the CPUs of a task that requests none, to avoid division by zero. */
 const MIN_TASK_CPUS = 0.01;
 
 /** A kind of machine that could be requested, and its price per slot. */
@@ -25,10 +25,11 @@
 }
 
 /**
- * Scales out for the work that arrives while machines boot. Scaled out for only once each job was predicted to be late, a burst of
- * a minute had its machines half a minute after its end, and they worked off what was late already.
+ * Scales out for the work that will arrive while machines boot. Waiting until each job is predicted to be
+ * late is too slow: for a burst of one minute, the machines came up half a minute after its end and only
+ * worked off jobs that were late already.
  *
- * @param managementSurcharge - what managing one more machine is taken to cost.
+ * @param managementSurcharge - added to the price of each further machine for the cost of managing it.
  */
 export function scaleOutForBurst(
   input: FleetInput,
@@ -41,7 +42,7 @@
   const capacity = arrayCapacityCpus(input, requests);
   if (policy.burstCpus < capacity * BURST_FACTOR) return;
   const candidates = listCandidates(input, waiting.job.spec, managementSurcharge);
-  // Only the cheapest kind is requested; what the cloud cannot give of it is requested of the next kind after the refusal.
+  // Only the cheapest kind is requested now. If the cloud refuses it, a later plan requests the next kind.
   const [best] = candidates;
   if (best === undefined) return;
   const count = Math.ceil((policy.burstCpus - capacity) / best.type.cpus);
@@ -54,7 +55,7 @@
   return demand.job.spec.kind === 'array' && demand.isWithinLimit && demand.startsInS > 0;
 }
 
-/** The CPUs that arrays can use, on the machines that there are and on those that are requested. */
+/** The CPUs that arrays can use, on existing and on requested machines. */
 function arrayCapacityCpus({ machines, types }: FleetInput, requests: ScaleOutRequests): number {
   let cpus = 0;
   for (const machine of machines)
@@ -64,7 +65,7 @@
   return cpus;
 }
 
-/** Kinds of machines for the job: on-demand ones only after all spot ones, then by the price per slot. */
+/** The kinds of machines that suit the job: spot machines before on-demand ones, then by price per slot. */
 function listCandidates(input: FleetInput, spec: JobSpec, surcharge: number): Candidate[] {
   const candidates: Candidate[] = [];
   for (const type of input.types)
--- a/packages/planner/src/fleet/consolidation.ts
+++ b/packages/planner/src/fleet/consolidation.ts
@@ -1,5 +1,5 @@
 /**
- * Consolidation: a machine whose replicas fit elsewhere is emptied so that it can be scaled in.
+ * Consolidation: drains a machine whose replicas fit elsewhere, so that it can be scaled in.
  *
  * @module
  */
@@ -10,36 +10,43 @@
 import type { SpareCapacity } from './spare-capacity.js';
 import type { FleetInput, FleetMachine, Replica, ScaleOutRequest, ZoneSpread } from './types.js';
 
-/** Queued work that starts within so many seconds is no reason to keep a machine. */
+/** Queued work that starts within this many seconds does not justify keeping a machine. */
 const MAX_QUEUED_S = 10;
-/** The most machines for which one plan looks whether their replicas fit elsewhere. */
+/** The maximum number of machines per plan for which it is checked whether their replicas fit elsewhere. */
 const MAX_CANDIDATES = 8;
-/** A machine is left alone while replicas use more than all but this share of it. */
+/** A machine is only drained if at least this share of it is not used by replicas. */
 const MIN_UNUSED_SHARE = 0.2;
-/** A smaller spot machine does not replace an on-demand one, unless fewer CPUs are missing. */
+/** A replacement has at least this many CPUs, unless fewer are missing. */
 const MIN_REPLACEMENT_CPUS = 8;
 
 /** A machine that can be emptied. */
 export interface Consolidation {
   readonly machine: MachineId;
-  /** Spot CPUs that have to be scaled out to first, so that the work beside the replicas keeps its capacity; 0 for none. */
+  /**
+   * Spot CPUs to scale out to before draining, so that other work on the machine keeps its capacity; 0 for
+   * none.
+   */
   readonly missingCpus: number;
 }
 
 interface Candidate {
   readonly machine: FleetMachine;
-  /** The price that is saved for each replica that has to move. */
+  /** The price saved per replica that has to move. */
   readonly saving: number;
   readonly missingCpus: number;
 }
 
-/** The machine whose emptying saves most for each replica that has to move, if they all fit elsewhere; null for none. */
+/**
+ * The machine that saves most per replica to be moved, among those whose replicas all fit elsewhere; null if
+ * there is none.
+ */
 export function findConsolidation(input: FleetInput, spareCapacity: SpareCapacity): Consolidation | null {
   if (!input.policy.isCostAware || input.unplacedDemand.some(needsCapacity)) return null;
   if (input.machines.some((machine) => machine.isBooting)) return null;
   const ready = input.machines.filter((machine) => machine.isSchedulable);
   const candidates = listCandidates(input, ready, spareCapacity);
-  // Whether all replicas fit elsewhere is expensive to find out, so only the candidates that save most are tried.
+  // Checking whether all replicas fit elsewhere is expensive, so only the candidates that save most are
+  // checked.
   candidates.sort((first, second) => second.saving - first.saving);
   for (const { machine, missingCpus } of candidates.slice(0, MAX_CANDIDATES))
     if (replicasFitElsewhere(machine, ready))
@@ -73,7 +80,10 @@
   return candidates;
 }
 
-/** A spot machine in place of an on-demand one that mostly runs work which may use spot machines; null where none is to be had. */
+/**
+ * A spot machine that can replace an on-demand one running mostly work allowed on spot machines; null if none
+ * is available.
+ */
 export function spotReplacement(input: FleetInput, missingCpus: number): ScaleOutRequest | null {
   let best: { type: MachineType; zone: string; price: number } | null = null;
   for (const type of input.types)
@@ -86,7 +96,7 @@
   return best === null ? null : { type: best.type.name, zone: best.zone, spot: true, count: 1 };
 }
 
-/** A machine with what is free on it. */
+/** A machine and its free resources. */
 interface FreeMachine {
   readonly machine: FleetMachine;
   cpus: number;
@@ -94,7 +104,10 @@
   memoryGb: number;
 }
 
-/** Whether all replicas of a machine fit on the others; the fullest machine that a replica fits on takes it. */
+/**
+ * Whether all replicas of a machine fit on the others, each being placed on the fullest machine that can hold
+ * it.
+ */
 function replicasFitElsewhere(from: FleetMachine, ready: readonly FleetMachine[]): boolean {
   const others = ready
     .filter((machine) => machine.id !== from.id)
--- a/packages/planner/src/fleet/demand-outlook.ts
+++ b/packages/planner/src/fleet/demand-outlook.ts
@@ -1,5 +1,5 @@
 /**
- * How unplaced demand would fare: whether it can wait for the queues, and whether it needs on-demand machines.
+ * Predicts whether unplaced demand can wait for the queues, and whether it needs on-demand machines.
  *
  * @module
  */
@@ -7,24 +7,26 @@
 import type { MachineType } from '@spurbridge/wire';
 import type { UnplacedDemand } from '../scheduling/index.js';
 
-/** Estimates of run times are too short on average: tasks in succession are taken to need this much longer. */
+/** Run times are underestimated on average: the estimate for tasks run in sequence is multiplied by this. */
 const SUCCESSION_FACTOR = 1.2;
-/** No task is estimated to run for less than this. */
+/** Lower bound of estimated run times in seconds; avoids division by zero. */
 const MIN_RUN_S = 0.5;
-/** What a job's run time is taken to be, over its estimate, where its slack is computed. */
+/** The estimated run time is multiplied by this when a job's slack is computed. */
 const SLACK_RUN_FACTOR = 1.5;
-/** A job without a deadline that may use spot machines is given on-demand ones from this age on. */
+/** A job without a deadline that may use spot machines is also given on-demand machines from this age on. */
 const LATE_START_S = 30;
-/** A queue of more than so many times a machine's boot time does not get to the work in time. */
+/** If the queue is longer than this many boot times, the queued work is assumed not to start in time. */
 const LONG_QUEUE_BOOTS = 2;
-/** A job is late when its deadline is closer than a boot and this multiple of its estimate, ... */
+/**
+ * A job counts as late when its deadline is closer than a boot time plus this multiple of its estimate, ...
+ */
 const LATE_RUN_FACTOR = 1.3;
-/** ... and this much more. */
+/** ... plus this many seconds. */
 const LATE_MARGIN_S = 10;
 
 /**
- * How many of the job's tasks one slot on a machine can run one after another before its deadline. With a slot for each waiting
- * task, a start without any machines scaled out to twice as many as were needed.
+ * How many of the job's tasks one slot can run in sequence before the deadline. Requesting a slot for each
+ * waiting task scaled out to twice the machines needed when starting from an empty fleet.
  */
 export function tasksInSuccession(demand: UnplacedDemand, readyInS: number): number {
   const { spec, ageS, estimateS } = demand.job;
@@ -33,14 +35,19 @@
   return Math.max(1, Math.floor(availableS / (Math.max(estimateS, MIN_RUN_S) * SUCCESSION_FACTOR)));
 }
 
-/** Seconds that remain before the deadline if the job is left to the queues; 0 where it must not be left to them. */
+/**
+ * Seconds until the deadline that remain if the job is left to the queues; 0 if it must not be left to them.
+ */
 export function deadlineSlackS(demand: UnplacedDemand): number {
   const { spec, ageS, estimateS } = demand.job;
   if (spec.deadlineS === null || demand.isGuaranteed) return 0;
   return Math.max(0, spec.deadlineS - ageS - estimateS * SLACK_RUN_FACTOR - demand.startsInS);
 }
 
-/** Whether work that may use spot machines gets an on-demand one of this type: only where its deadline would be missed. */
+/**
+ * Whether work that may use spot machines gets an on-demand machine of this type: only if its deadline would
+ * be missed otherwise.
+ */
 export function needsOnDemand(demand: UnplacedDemand, type: MachineType, isBurst: boolean): boolean {
   const { spec, ageS, estimateS, completionMilestonesS } = demand.job;
   const queuedS = ageS + demand.startsInS * SUCCESSION_FACTOR + estimateS * SUCCESSION_FACTOR;
@@ -49,8 +56,9 @@
     (milestoneS) => queuedS > milestoneS && scaledOutS <= milestoneS,
   );
   if (spec.deadlineS === null) return ageS > LATE_START_S || meetsMilestone;
-  // In a burst, waiting until a job is late requests machines that come up when all jobs are late. In a usual minute the queue is
-  // shorter than it seems, and spot machines are enough; before there are any machines, those requested are still booting.
+  // In a burst, waiting until a job is late requests machines that come up when all jobs are late. Normally
+  // the queue is shorter than estimated and spot machines suffice; in an empty fleet, the requested ones are
+  // still booting.
   const isLongQueue = demand.startsInS > type.bootS * LONG_QUEUE_BOOTS && demand.startsInS < Infinity;
   if (meetsMilestone && (isBurst || isLongQueue)) return true;
   return spec.deadlineS - ageS < estimateS * LATE_RUN_FACTOR + type.bootS + LATE_MARGIN_S;
--- a/packages/planner/src/fleet/incoming-machine.ts
+++ b/packages/planner/src/fleet/incoming-machine.ts
@@ -1,5 +1,5 @@
 /**
- * Machines that are booting or about to be requested: the demand they will take is not scaled out for again.
+ * Machines that are booting or about to be requested. Demand assigned to them is not scaled out for again.
  *
  * @module
  */
@@ -10,19 +10,19 @@
 import { countFittingTasks } from './machine-fit.js';
 import type { FleetMachine } from './types.js';
 
-/** A machine that should be up soon, with the resources that are not yet assigned to any demand. */
+/** A machine that is expected to be up soon, with the resources not yet assigned to any demand. */
 export interface IncomingMachine {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** Seconds until it should be up. */
+  /** Estimated seconds until it is up. */
   readonly readyInS: number;
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** A machine that should be up already is expected within this share of its boot time. */
+/** A machine whose boot time has elapsed is expected to be up within this share of the boot time. */
 const MIN_BOOT_SHARE = 0.1;
 
 /** The machines of the fleet that are booting. */
@@ -34,23 +34,25 @@
       zone: machine.zone,
       spot: machine.spot,
       readyInS: Math.max(machine.type.bootS * MIN_BOOT_SHARE, machine.type.bootS - machine.idleS),
-      // After a failover, machines without a heartbeat so far are full of what the records place there: when they were taken for
-      // empty ones that boot, hundreds of them kept a burst from being scaled out for, for half a minute.
+      // After a failover, machines that have sent no heartbeat yet are full of the tasks that the records
+      // place there. Treating them as empty booting machines suppressed the scale-out for a burst for half a
+      // minute.
       cpus: machine.type.cpus - machine.usedCpus,
       gpus: machine.type.gpus - machine.usedGpus,
       memoryGb: machine.type.memoryGb - machine.usedMemoryGb,
     }));
 }
 
-/** A machine that is going to be requested now. */
+/** A machine that this plan requests. */
 export function requestedMachine(type: MachineType, zone: string, spot: boolean): IncomingMachine {
   const { bootS, cpus, gpus, memoryGb } = type;
   return { type, zone, spot, readyInS: bootS, cpus, gpus, memoryGb };
 }
 
 /**
- * The zone in which most tasks of a job bound to one zone fit the incoming machines; null where none fits. Counted over all
- * zones, half a gang fitted each of two zones, and nothing was scaled out to.
+ * The zone in which most tasks of a zone-bound job fit the incoming machines; null if none fits. The zones
+ * are counted separately: counted together, half a gang fitted each of two zones and nothing was scaled out
+ * to.
  */
 export function zoneWithMostRoom(
   demand: UnplacedDemand,
--- a/packages/planner/src/fleet/index.ts
+++ b/packages/planner/src/fleet/index.ts
@@ -1,5 +1,5 @@
 /**
- * The planning of the fleet: scaling out and in, spare capacity and consolidation.
+ * Fleet planning: scaling out and in, spare capacity and consolidation.
  *
  * @module
  */
--- a/packages/planner/src/fleet/machine-fit.ts
+++ b/packages/planner/src/fleet/machine-fit.ts
@@ -1,5 +1,5 @@
 /**
- * How much of a machine tasks take: the resource that runs out first counts.
+ * How much of a machine tasks take, determined by the resource that runs out first.
  *
  * @module
  */
@@ -14,7 +14,7 @@
   readonly memoryGb: number;
 }
 
-/** Stands for a request of nothing, and for the error of sums of decimals. */
+/** Used in place of a request of zero, and as tolerance for rounding errors in sums of decimals. */
 const TINY_AMOUNT = 1e-9;
 
 /** How many tasks of this size fit into free resources. */
@@ -27,8 +27,8 @@
 }
 
 /**
- * What a task takes of the machines that it fits, in CPUs: where accelerators or memory run out first, its CPUs alone say too
- * little.
+ * What a task takes of the machines that it fits, converted to CPUs. Its CPUs alone would be too low where
+ * accelerators or memory run out first.
  */
 export function effectiveCpus(spec: JobSpec, types: readonly MachineType[]): number {
   let least = Infinity;
@@ -37,7 +37,7 @@
   return least === Infinity ? spec.cpus : least;
 }
 
-/** The largest share that a request takes of any resource of a machine. */
+/** The largest share of any of the machine's resources that a request takes. */
 export function dominantShare(request: Resources, type: MachineType): number {
   return Math.max(
     shareOf(request.cpus, type.cpus),
--- a/packages/planner/src/fleet/plan-fleet.ts
+++ b/packages/planner/src/fleet/plan-fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Plans the fleet: what to scale out to for work that the machines cannot take soon, and which machines to scale in.
+ * Plans the fleet: scales out for work that the machines cannot take soon, and selects machines to scale in.
  *
  * @module
  */
@@ -13,11 +13,11 @@
 import { SpareCapacity } from './spare-capacity.js';
 import type { FleetInput, FleetPlan } from './types.js';
 
-/** Decides what to change in the fleet; it changes nothing itself. */
+/** Decides how to change the fleet; has no side effects. */
 export function planFleet(input: FleetInput): FleetPlan {
   const requests = scaleOutForDemand(input);
-  // The spare capacity is open to work that can be preempted until services need it: the replicas of a lost machine must be placed
-  // at once, and a machine that boots then is too late.
+  // Preemptible work may use the spare capacity until services need it. It has to exist beforehand: the
+  // replicas of a lost machine must be placed at once, and a machine that boots only then is too late.
   const spareCapacity = new SpareCapacity(input);
   const scaleIn = findScaleIn(input, spareCapacity);
   const consolidation =
@@ -26,12 +26,12 @@
   const scaleOut = requests.list();
   if (consolidation === null) return { scaleOut, scaleIn, drain: null };
   if (consolidation.missingCpus === 0) return { scaleOut, scaleIn, drain: consolidation.machine };
-  // The machine is drained only once its replacement is up and takes over what is missing.
+  // The machine is drained only by a later plan, once its replacement is up.
   const replacement = spotReplacement(input, consolidation.missingCpus);
   return { scaleOut: replacement === null ? scaleOut : [...scaleOut, replacement], scaleIn, drain: null };
 }
 
-/** Scales out for the demand that there is, and for the rate at which more arrives. */
+/** Scales out for the present demand, and for the arrival rate in a burst. */
 function scaleOutForDemand(input: FleetInput): ScaleOutRequests {
   const requests = new ScaleOutRequests();
   const managementCost = new ManagementCost(input.types, input.policy.manageableMachines);
--- a/packages/planner/src/fleet/scale-in.ts
+++ b/packages/planner/src/fleet/scale-in.ts
@@ -1,5 +1,5 @@
 /**
- * Scales in machines that have been empty for a while.
+ * Scales in machines that have been empty long enough.
  *
  * @module
  */
@@ -9,10 +9,12 @@
 import type { SpareCapacity } from './spare-capacity.js';
 import type { FleetInput, FleetMachine } from './types.js';
 
-/** Spot machines are cheap to keep: they are kept empty for so many times as long. */
+/** Spot machines are cheap, so empty ones are kept this many times longer than on-demand ones. */
 const SPOT_IDLE_FACTOR = 2;
 
-/** The empty machines that are not needed, the most expensive first; they are counted as removed from the spare capacity. */
+/**
+ * The empty machines that are not needed, most expensive first; they are subtracted from the spare capacity.
+ */
 export function findScaleIn(input: FleetInput, spareCapacity: SpareCapacity): MachineId[] {
   const { machines, policy } = input;
   let totalCpus = 0;
@@ -40,7 +42,10 @@
   );
 }
 
-/** Whether unplaced work may use the machine; work that waits for other kinds of machines is no reason to keep this one. */
+/**
+ * Whether unplaced work may use the machine; work that needs other kinds of machines does not justify keeping
+ * it.
+ */
 function isWanted(machine: FleetMachine, { unplacedDemand }: FleetInput): boolean {
   return unplacedDemand.some(
     ({ isWithinLimit, job: { spec } }) =>
--- a/packages/planner/src/fleet/scale-out-requests.ts
+++ b/packages/planner/src/fleet/scale-out-requests.ts
@@ -1,5 +1,5 @@
 /**
- * Collects what one plan of the fleet scales out to.
+ * Collects the machines that one plan of the fleet requests.
  *
  * @module
  */
@@ -9,11 +9,11 @@
 
 type MutableRequest = { -readonly [Field in keyof ScaleOutRequest]: ScaleOutRequest[Field] };
 
-/** Requests of one plan, added up by machine type, zone and whether they are spot machines. */
+/** The requests of one plan, summed by machine type, zone and purchase option (spot or on-demand). */
 export class ScaleOutRequests {
   private readonly requestsByKind = new Map<string, MutableRequest>();
 
-  /** Adds machines to the request of their kind; a count of 0 or less adds nothing. */
+  /** Adds machines to the request for their kind; a count of 0 or less is ignored. */
   add(type: MachineType, zone: string, spot: boolean, count: number): void {
     if (count <= 0) return;
     const kind = `${type.name}/${zone}/${spot}`;
@@ -27,7 +27,7 @@
     return [...this.requestsByKind.values()];
   }
 
-  /** The number of machines over all requests. */
+  /** The number of machines in all requests. */
   get machineCount(): number {
     let count = 0;
     for (const request of this.requestsByKind.values()) count += request.count;
--- a/packages/planner/src/fleet/scale-out.ts
+++ b/packages/planner/src/fleet/scale-out.ts
@@ -1,5 +1,5 @@
 /**
- * Scales out for demand that no machine can take soon.
+ * Scales out for demand that no existing machine can take soon.
  *
  * @module
  */
@@ -15,20 +15,20 @@
 import type { ScaleOutRequests } from './scale-out-requests.js';
 import type { FleetInput } from './types.js';
 
-/** The surcharge on a machine's score for each CPU that its zone has already, which balances the zones. */
+/** The surcharge on a machine's score per CPU that its zone has already; it balances the zones. */
 const ZONE_CROWDING_PER_CPU = 1e-5;
-/** A machine's score doubles for each so many seconds that it takes to boot. */
+/** A machine's score doubles for every such number of seconds of boot time. */
 const BOOT_TIME_SCALE_S = 400;
 
 const SPOT_AND_ON_DEMAND: readonly boolean[] = [true, false];
 const ON_DEMAND_ONLY: readonly boolean[] = [false];
 
-/** Whether spot machines, on-demand machines or both may be used for the job, in the order of preference. */
+/** Which of spot and on-demand machines may be used for the job, in order of preference. */
 export function purchaseOptions(spec: JobSpec): readonly boolean[] {
   return spec.spot ? SPOT_AND_ON_DEMAND : ON_DEMAND_ONLY;
 }
 
-/** A machine that could be requested, and its price per task; the lowest score wins. */
+/** A machine that could be requested, with its score: the adjusted price per task; the lowest score wins. */
 interface Candidate {
   readonly type: MachineType;
   readonly zone: string;
@@ -36,12 +36,12 @@
   readonly score: number;
 }
 
-/** The demand of one job while it is being scaled out for. */
+/** The demand of one job during scale-out. */
 interface OpenDemand {
   readonly demand: UnplacedDemand;
-  /** Tasks that no incoming machine takes so far. */
+  /** Tasks not yet assigned to an incoming machine. */
   tasksLeft: number;
-  /** The zone that the job is bound to; null while it is free to choose. */
+  /** The zone that the job is bound to; null if it is bound to none yet. */
   zone: string | null;
   readonly tasksByZone: Map<string, number>;
   readonly maxPerZone: number;
@@ -61,7 +61,10 @@
     for (const { zone, type } of input.machines) this.addCpus(zone, type.cpus);
   }
 
-  /** Assigns the demand to incoming machines, and requests further machines for the rest as long as that is worth their price. */
+  /**
+   * Assigns the demand to incoming machines, and requests further machines for the rest while they are worth
+   * their price.
+   */
   scaleOutFor(demand: UnplacedDemand): void {
     const open = this.openDemand(demand);
     for (const machine of this.incoming) {
@@ -86,7 +89,8 @@
     let tasksLeft = demand.taskCount;
     const isZoneOpen = spec.zone === null && zone !== null && placedZones.length === 0;
     if (isZoneOpen && zone !== null && !this.canScaleOut(spec, zone)) {
-      // The zone where a part of the job fits has no more capacity: all of the job goes to another one.
+      // The job is bound to one zone and this one has no capacity for the rest: move the whole job to another
+      // zone.
       zone = null;
       tasksLeft = Math.max(tasksLeft, pendingTasks.length);
     }
@@ -96,7 +100,7 @@
     return { demand, tasksLeft, zone, tasksByZone, maxPerZone };
   }
 
-  /** Whether some machine for the job may be had in the zone. */
+  /** Whether some suitable machine may be available in the zone. */
   private canScaleOut(spec: JobSpec, zone: string): boolean {
     const { types, hasCapacity } = this.input;
     return types.some(
@@ -124,7 +128,10 @@
     return best;
   }
 
-  /** A machine that would be ready no sooner than the queues get to the work, or that the job can wait for, is not worth its price. */
+  /**
+   * Whether a machine is worth its price: not if the queues get to the work as soon as it boots, or if the
+   * job can wait for them.
+   */
   private isWorthBooting(demand: UnplacedDemand, type: MachineType, slackS: number): boolean {
     if (demand.startsInS < type.bootS * this.input.policy.minQueueBootShare) return false;
     return slackS <= type.bootS;
@@ -137,7 +144,9 @@
     return !isLastChoice || needsOnDemand(open.demand, type, policy.burstCpus > 0);
   }
 
-  /** The price per task that the machine can run, adjusted for its boot time and its zone; null where it can run none. */
+  /**
+   * The price per task that the machine can run, adjusted for boot time and zone; null if it can run none.
+   */
   private score(
     open: OpenDemand,
     type: MachineType,
@@ -167,7 +176,7 @@
   }
 }
 
-/** Whether one more of the tasks may be on a machine of this kind. */
+/** Whether the job's placement constraints allow one more task on a machine of this kind. */
 function isAllowed(open: OpenDemand, type: MachineType, zone: string, spot: boolean): boolean {
   const { spec } = open.demand.job;
   return (
@@ -182,7 +191,7 @@
   return (open.tasksByZone.get(zone) ?? 0) >= open.maxPerZone;
 }
 
-/** Assigns as many of the tasks to an incoming machine as it can run in time. */
+/** Assigns to an incoming machine as many of the tasks as it can run in time. */
 function assignTasks(open: OpenDemand, machine: IncomingMachine): void {
   const { cpus, gpus, memoryGb } = open.demand.job.spec;
   const { zone } = machine;
--- a/packages/planner/src/fleet/spare-capacity.ts
+++ b/packages/planner/src/fleet/spare-capacity.ts
@@ -1,5 +1,5 @@
 /**
- * Spare on-demand capacity, which services can take at once.
+ * Spare on-demand capacity, which services can use at once.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { ScaleOutRequests } from './scale-out-requests.js';
 import type { FleetInput, FleetMachine } from './types.js';
 
-/** The most machines that one plan requests for spare capacity. */
+/** The maximum number of machines that one plan requests for spare capacity. */
 const MAX_MACHINES_PER_PLAN = 4;
 
 /** A kind of machine that could be requested for spare capacity. */
@@ -16,20 +16,20 @@
   readonly type: MachineType;
   readonly zone: string;
   readonly score: number;
-  /** The spare CPUs that the zone has already; 0 while the zones are even. */
+  /** The zone's present spare CPUs; 0 if zones are not balanced. */
   readonly spareCpus: number;
 }
 
 /**
- * On-demand CPUs that services can take at once: free, or used by work that can be preempted for them. Where services spread over
- * zones, the spare CPUs of a zone count only as far as the other zones have as many: all of them once were in one zone, and half
- * of every new service waited for a machine to boot in another.
+ * On-demand CPUs that services can use at once because they are free or used by preemptible work. If services
+ * spread over zones, the spare CPUs of a zone count only up to what the other zones have: with all of them in
+ * one zone, half of every new service waited for a machine to boot in another.
  */
 export class SpareCapacity {
   private readonly spareCpusByZone = new Map<string, number>();
   /** All on-demand CPUs. */
   private onDemandCpus = 0;
-  /** The part of them that cannot be preempted for services. */
+  /** The part of them whose work cannot be preempted for services. */
   private nonPreemptibleCpus = 0;
 
   constructor(private readonly input: FleetInput) {
@@ -53,14 +53,15 @@
     this.addSpare(machine.zone, -preemptibleCpus(machine));
   }
 
-  /** Scales out for what is missing of the target, in the zone where most is missing. */
+  /** Scales out to the target, in the zone with the largest deficit. */
   scaleOut(requests: ScaleOutRequests): void {
     this.addRequested(requests);
     const missing = this.missingCpus();
     if (missing <= 0) return;
     const best = this.bestCandidate(missing);
     if (best === null) return;
-    // Several at once where much is missing, as after the loss of a zone; the zone that is short of most may change with each.
+    // After the loss of a zone many machines are missing, so several are requested per plan; the zone with
+    // the largest deficit may differ for each.
     const count = Math.min(MAX_MACHINES_PER_PLAN, Math.ceil(missing / best.type.cpus));
     requests.add(best.type, best.zone, false, count);
   }
@@ -69,7 +70,7 @@
     this.spareCpusByZone.set(zone, (this.spareCpusByZone.get(zone) ?? 0) + cpus);
   }
 
-  /** Counts the on-demand machines that are requested already. */
+  /** Counts the on-demand machines that this plan has requested already. */
   private addRequested(requests: ScaleOutRequests): void {
     for (const request of requests.list()) {
       const type = this.input.types.find(({ name }) => name === request.type);
@@ -79,7 +80,7 @@
     }
   }
 
-  /** The spare CPUs that the next services can use, with so many less of them in a zone. */
+  /** The spare CPUs that the next services can use, with `zone` reduced by the given amount. */
   private usableCpus(reducedZone: string | null, reduction: number): number {
     let sum = 0;
     let most = 0;
@@ -91,7 +92,10 @@
     return this.input.policy.spreadsServices ? Math.min(sum, 2 * (sum - most)) : sum;
   }
 
-  /** How many CPUs are missing of the target, with so many less in a zone; negative where there are more. */
+  /**
+   * How many CPUs are missing to the target, with `zone` reduced by the given amount; negative if there is a
+   * surplus.
+   */
   private missingCpus(reducedZone: string | null = null, reduction = 0): number {
     const { targetOnDemandCpus } = this.input.policy;
     return Math.max(
@@ -106,7 +110,7 @@
     let best: Candidate | null = null;
     for (const type of types)
       for (const zone of type.zones) {
-        // More in the zone that has most already helps nobody.
+        // More capacity in the zone that has most already cannot be used by spread services.
         if (!hasCapacity(type.name, zone, false) || this.missingCpus(zone, -type.cpus) >= missing) continue;
         const score = type.price / Math.min(type.cpus, missing);
         const spareCpus = areZonesUneven ? (this.spareCpusByZone.get(zone) ?? 0) : 0;
@@ -123,7 +127,7 @@
   }
 }
 
-/** The zone with less spare capacity goes first, then the lower price. */
+/** Orders by the zone's spare capacity, least first, then by price. */
 function isBetter(candidate: Candidate, best: Candidate): boolean {
   return (
     candidate.spareCpus < best.spareCpus ||
@@ -131,7 +135,7 @@
   );
 }
 
-/** The CPUs of a machine that services can have, by the resource that runs out first. */
+/** The CPUs of a machine that services can use, limited by the resource that runs out first. */
 function preemptibleCpus({ type, nonPreemptibleCpus, nonPreemptibleMemoryGb }: FleetMachine): number {
   const share = Math.max(nonPreemptibleCpus / type.cpus, nonPreemptibleMemoryGb / type.memoryGb);
   return type.cpus * Math.max(0, 1 - share);
--- a/packages/planner/src/fleet/types.ts
+++ b/packages/planner/src/fleet/types.ts
@@ -1,5 +1,5 @@
 /**
- * What the planning of the fleet is given, and what it decides.
+ * Input and output of fleet planning.
  *
  * @module
  */
@@ -16,7 +16,7 @@
   readonly isBooting: boolean;
   /** Whether it may be scaled in when it is not needed. */
   readonly canScaleIn: boolean;
-  /** Seconds since the last task left it; of a booting machine, since it was requested. */
+  /** Seconds since its last task ended; for a booting machine, since it was requested. */
   readonly idleS: number;
   readonly usedCpus: number;
   readonly usedGpus: number;
@@ -26,14 +26,17 @@
   readonly images: ReadonlyMap<string, number>;
   /** The tasks of services on it. */
   readonly replicas: readonly Replica[];
-  /** Of what is used, what cannot be preempted for a service: services and gangs. */
+  /** The part of the used resources that cannot be preempted for a service: services and gangs. */
   readonly nonPreemptibleCpus: number;
   readonly nonPreemptibleMemoryGb: number;
-  /** Whether nothing on it started or was stopped lately, and nothing on it keeps it from being drained. */
+  /**
+   * Whether it can be drained: nothing on it started or was stopped recently, and nothing on it prevents
+   * draining.
+   */
   readonly isStable: boolean;
 }
 
-/** A task of a service, as far as moving it is concerned. */
+/** A task of a service, with what matters for moving it. */
 export interface Replica {
   readonly cpus: number;
   readonly memoryGb: number;
@@ -41,48 +44,56 @@
   readonly spot: boolean;
   readonly types: readonly string[] | null;
   readonly zone: string | null;
-  /** A move must not wait for the image, so only machines that have it in their cache are considered. */
+  /**
+   * Only machines that have the image in their cache are considered, because a move must not wait for a
+   * fetch.
+   */
   readonly image: string;
-  /** What binds the zones of the job's replicas, shared by them all; null when nothing does. */
+  /** The zone constraints shared by all replicas of the job; null if there are none. */
   readonly zoneSpread: ZoneSpread | null;
 }
 
-/** The zones in which a job's replicas are, and what they have to keep to. */
+/** The zones in which a job's replicas run, and the constraints on them. */
 export interface ZoneSpread {
   readonly replicasByZone: ReadonlyMap<string, number>;
   readonly maxPerZone: number;
   readonly oneZone: boolean;
 }
 
-/** What the fleet is sized by. */
+/** The parameters and targets of a fleet plan. */
 export interface FleetPolicy {
-  /** Seconds that an empty on-demand machine is kept. */
+  /** Seconds for which an empty on-demand machine is kept. */
   readonly scaleInIdleS: number;
-  /** CPUs, in use or free, that the demand of the recent past says will be needed. */
+  /** The target of CPUs, used or free, derived from recent demand. */
   readonly targetCpus: number;
-  /** The part of these that has to be on-demand. */
+  /** The part of this target that has to be on-demand. */
   readonly targetOnDemandCpus: number;
-  /** In a burst, the CPUs that would keep up with the arrays that arrive; 0 while they arrive as usual. */
+  /** The CPUs that would keep up with arriving arrays during a burst; 0 outside of bursts. */
   readonly burstCpus: number;
-  /** Whether services spread over the zones: spare on-demand capacity is then kept in more than one. */
+  /** Whether services spread over zones; if so, spare on-demand capacity is kept in more than one zone. */
   readonly spreadsServices: boolean;
-  /** Whether cost is weighed against speed: spare machines are scaled in, and expensive ones are the last choice. */
+  /**
+   * Whether cost is weighed against speed: spare machines are scaled in, and expensive ones are chosen last.
+   */
   readonly isCostAware: boolean;
-  /** Whether to look for a machine that can be emptied; this is expensive and need not be done each time. */
+  /** Whether to look for a machine to consolidate; this is expensive and not needed in every plan. */
   readonly isConsolidating: boolean;
-  /** The number of machines that the controller can manage easily; beyond half of it, larger machines are preferred. */
+  /**
+   * The number of machines that the controller can manage easily; beyond half of it, larger machines are
+   * preferred.
+   */
   readonly manageableMachines: number;
   /** Work that would start within this share of a machine's boot time is left to the queues. */
   readonly minQueueBootShare: number;
 }
 
-/** The state that a plan of the fleet is made from. */
+/** The state that the fleet is planned from. */
 export interface FleetInput {
   readonly types: readonly MachineType[];
   readonly machines: readonly FleetMachine[];
   readonly unplacedDemand: readonly UnplacedDemand[];
   readonly policy: FleetPolicy;
-  /** Whether the cloud may have capacity: false while such a request was refused lately. */
+  /** Whether the cloud may have capacity; false if it refused such a request recently. */
   readonly hasCapacity: (type: string, zone: string, spot: boolean) => boolean;
 }
 
@@ -99,6 +110,6 @@
   readonly scaleOut: readonly ScaleOutRequest[];
   /** Empty machines to release. */
   readonly scaleIn: readonly MachineId[];
-  /** A machine whose replicas fit elsewhere: it is to be drained so that it can be scaled in. */
+  /** A machine whose replicas fit elsewhere; it is drained so that it can be scaled in. */
   readonly drain: MachineId | null;
 }
--- a/packages/planner/src/heap.ts
+++ b/packages/planner/src/heap.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** A binary heap; the least element by `compare` is on top. */
+/** A binary heap; the least element according to `compare` is on top. */
 export class BinaryHeap<Element> {
   private readonly elements: Element[] = [];
 
@@ -43,7 +43,7 @@
     return top;
   }
 
-  /** Puts an element in place of the top one. */
+  /** Replaces the least element. */
   private sink(element: Element): void {
     const { elements } = this;
     let index = 0;
@@ -64,7 +64,7 @@
   }
 }
 
-/** A binary heap of numbers, without the calls of a comparison: the planner makes one for every job that it evaluates. */
+/** A binary heap of numbers. It avoids comparator calls, since the planner creates one per evaluated job. */
 export class NumberHeap {
   private readonly values: number[] = [];
 
@@ -87,7 +87,7 @@
     values[index] = value;
   }
 
-  /** Puts a number in place of the least one. */
+  /** Replaces the least number. */
   replaceTop(value: number): void {
     const { values } = this;
     const size = values.length;
--- a/packages/planner/src/index.ts
+++ b/packages/planner/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The planner: which tasks start where and what is preempted for them, and how the fleet is sized. Plans are computed from a
- * snapshot and change nothing themselves.
+ * The planner: places and preempts tasks, and sizes the fleet. Plans are computed from a snapshot without
+ * side effects.
  *
  * @module
  */
--- a/packages/planner/src/scheduling/assign-job.ts
+++ b/packages/planner/src/scheduling/assign-job.ts
@@ -1,6 +1,6 @@
 /**
- * Assigns the tasks of an evaluated job: starts what can start now, keeps places in the queues for the rest, and preempts others
- * where the job cannot wait.
+ * Assigns the tasks of an evaluated job: starts what can start now, reserves places in the queues for the
+ * rest, and preempts other tasks where the job cannot wait.
  *
  * @module
  */
@@ -13,15 +13,15 @@
 
 const NO_ASSIGNMENTS: ReadonlySet<TaskAssignment> = new Set();
 
-/** What became of the assignments of an evaluation. */
+/** The result of applying an evaluation's assignments. */
 interface AssignmentOutcome {
   /** Assignments that start later. */
   readonly delayed: readonly TaskAssignment[];
-  /** The last assignments, which the team's limit does not allow. */
+  /** The number of last assignments that exceed the team's limit. */
   readonly limitedCount: number;
 }
 
-/** Applies an evaluation to the queues, and starts what can start now. */
+/** Applies an evaluation to the queues, and starts the tasks that can start now. */
 export function assignJob(pass: SchedulingPass, evaluation: JobEvaluation): void {
   if (evaluation.job.spec.kind === 'gang') {
     assignGang(pass, evaluation);
@@ -29,7 +29,7 @@
   }
   const deferred = deferSlowStarts(pass, evaluation);
   const outcome = startWithinLimit(pass, evaluation, deferred);
-  // What the limit keeps back must not hold a place in any queue.
+  // Tasks held back by the team's limit must not occupy places in the queues.
   if (outcome.limitedCount === 0) pass.applyEvaluation(evaluation);
   else pass.applyAllButLast(evaluation, outcome.limitedCount);
   recordUnplacedTasks(pass, evaluation, outcome);
@@ -37,8 +37,8 @@
 }
 
 /**
- * A replica that could start now, but would fetch its image for longer than its objective allows, waits a moment where room can be
- * made for it on a machine with the image.
+ * Delays a replica that could start now but would fetch its image for longer than its objective allows, if
+ * preemption can free resources for it on a machine that has the image.
  */
 function deferSlowStarts(
   pass: SchedulingPass,
@@ -57,7 +57,10 @@
   return new Set(tooSlow.slice(0, deferredCount));
 }
 
-/** Starts what can start now; tasks that start later take their part of the limit as well, in the order of the plan. */
+/**
+ * Starts the tasks that can start now. Tasks that start later also count against the team's limit, in the
+ * order of the plan.
+ */
 function startWithinLimit(
   pass: SchedulingPass,
   { job, assignments }: JobEvaluation,
@@ -94,7 +97,7 @@
   pass.recordUnplaced(job, limitedCount, Infinity, false);
 }
 
-/** Preempts others for tasks that would start later than is tolerated, or never. */
+/** Preempts others for tasks that would start later than tolerated, or never. */
 function preemptForLateTasks(
   pass: SchedulingPass,
   { job, unplacedCount }: JobEvaluation,
--- a/packages/planner/src/scheduling/completion-bounds.ts
+++ b/packages/planner/src/scheduling/completion-bounds.ts
@@ -1,5 +1,5 @@
 /**
- * Lower bounds of completion times, which save evaluating every job after every placement.
+ * Lower bounds of completion times; they avoid evaluating every job after every placement.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { SchedulingPass } from './scheduling-pass.js';
 import type { JobEvaluation } from './types.js';
 
-/** Seconds before which the job cannot complete, by what the pool of all machines could do at best. */
+/** The earliest completion of the job in seconds from now, bounded by the pool of all machines. */
 export function completionLowerBound(pass: SchedulingPass, job: JobView): number {
   const { spec, estimateS, pendingTasks, pendingCount } = job;
   if (spec.kind === 'service') return 0;
@@ -25,7 +25,9 @@
   return completionS * Math.max(1, pendingCount / pendingTasks.length);
 }
 
-/** Seconds in which all waiting work could be done if it were spread evenly over the CPUs that come free. */
+/**
+ * Seconds in which all waiting work could be done if it were spread evenly over the CPUs that become free.
+ */
 export function estimateDrainS(pass: SchedulingPass, jobs: readonly JobView[]): number {
   let work = 0;
   for (const { spec, pendingCount, estimateS } of jobs)
@@ -33,7 +35,7 @@
   return work === 0 ? 0 : pass.resourcePool('cpus').earliestDoneS(work);
 }
 
-/** Whether an evaluation would come out the same now: no queue that it assigned tasks to has changed since. */
+/** Whether an evaluation is still valid: no queue that it assigned tasks to has changed since. */
 export function isStillValid(pass: SchedulingPass, evaluation: JobEvaluation): boolean {
   if (evaluation.passRevision === pass.revision) return true;
   if (evaluation.job.spec.kind === 'service') return false;
--- a/packages/planner/src/scheduling/cotask-scheduler.ts
+++ b/packages/planner/src/scheduling/cotask-scheduler.ts
@@ -23,16 +23,16 @@
 import type { JobEvaluation, PlanOptions, SchedulingPlan } from './types.js';
 
 /**
- * A job that waits as long as all others is not starved, but one that waits for so many times the time in which all waiting work
- * could be done. With a fixed threshold alone, a burst was served in the order of arrival, each job at the last moment and none in
- * time.
+ * A job is starved only if it waits this many times longer than all waiting work would take. With a fixed
+ * threshold alone, every job in a burst became starved, so the burst was served in the order of arrival and
+ * no job was in time.
  */
 const STARVATION_DRAIN_FACTOR = 2;
 
-/** What is done with an evaluation whose turn it is. */
+/** Applies an evaluation once its job has been selected. */
 type Place = (evaluation: JobEvaluation) => void;
 
-/** Plans what the machines do next; nothing is changed but the returned plan. */
+/** Computes the plan of one scheduling pass; it has no side effects. */
 export function planTasks(snapshot: ClusterSnapshot, options: PlanOptions = {}): SchedulingPlan {
   const pass = new SchedulingPass(splitOverdueFirstTasks(snapshot), options);
   const waiting = pass.snapshot.jobs.filter((job) => job.isStartable && job.pendingTasks.length > 0);
@@ -45,7 +45,7 @@
   return pass.plan;
 }
 
-/** The jobs of each tier, the first tier first. */
+/** The jobs of each tier, in the order of the tiers. */
 function groupByTier(pass: SchedulingPass, jobs: readonly JobView[]): readonly (readonly JobView[])[] {
   const jobsByTier = new Map<number, JobView[]>();
   for (const job of jobs) {
@@ -58,9 +58,10 @@
 }
 
 /**
- * Plans one tier by levels of milestones. Under overload, the paper's order alone makes every job late in turn; so a job that would
- * miss its next milestone goes behind those that can still meet theirs, and so on to its last milestone. It comes back to the front
- * once it has waited several times as long, so that no job waits for ever.
+ * Plans one tier by levels of milestones. Under overload, the paper's order alone makes every job late in
+ * turn. So a job that would miss its next milestone is placed after those that can still meet theirs, and
+ * likewise for each further milestone. A job that has waited several times as long returns to the front, so
+ * that none waits forever.
  */
 function planTier(pass: SchedulingPass, jobs: readonly JobView[]): void {
   let group = jobs;
@@ -93,7 +94,10 @@
   return [];
 }
 
-/** Whether the job cannot meet its milestone at the very best; it need not be evaluated among those that may. */
+/**
+ * Whether even the lower bound of the job's completion misses its milestone, so that it need not be evaluated
+ * on this level.
+ */
 function isHopeless(pass: SchedulingPass, job: JobView, level: number): boolean {
   return pass.options.exhaustive !== true && missesMilestone(job, completionLowerBound(pass, job), level);
 }
@@ -107,7 +111,7 @@
   removeFromShape(pass, evaluation.job);
 }
 
-/** Places starved jobs in their order; returns those that are left when nothing can start any more. */
+/** Places starved jobs in their order; returns the remaining jobs once no task can start any more. */
 function placeStarved(pass: SchedulingPass, jobs: JobView[], place: Place): readonly JobView[] {
   jobs.sort(compareStarved);
   for (const [index, job] of jobs.entries()) {
@@ -117,19 +121,21 @@
   return [];
 }
 
-/** Places jobs, the smallest completion first; returns those that are left when nothing can start any more. */
+/**
+ * Places jobs by completion time, smallest first; returns the remaining jobs once no task can start any more.
+ */
 function placeByCompletion(pass: SchedulingPass, jobs: readonly JobView[], place: Place): readonly JobView[] {
   if (pass.options.exhaustive !== true) return placeByBounds(pass, jobs, place);
   placeExhaustively(pass, jobs, place);
   return [];
 }
 
-/** A job by what is known of its completion. */
+/** A job with the lower bound of its completion time. */
 interface RankedJob {
-  /** The job completes no earlier, in seconds from now. */
+  /** Lower bound of the completion, in seconds from now. */
   readonly completionBoundS: number;
   readonly job: JobView;
-  /** The evaluation that the bound comes from; null while there is none. */
+  /** The evaluation that the bound comes from; null if the bound comes from the pool of all machines. */
   readonly evaluation: JobEvaluation | null;
 }
 
@@ -140,9 +146,9 @@
 }
 
 /**
- * Placing a job only delays the others, so an earlier evaluation, or what the pool of all machines could do at best, is a lower
- * bound of a job's completion. The job with the smallest bound is evaluated until it stays the smallest, which finds the same job
- * as evaluating all of them.
+ * Placing a job can only delay the others, so an earlier evaluation, or the bound from the pool of all
+ * machines, is a lower bound of a job's completion. The job with the smallest bound is evaluated until it
+ * stays the smallest. This selects the same job as evaluating all of them.
  */
 function placeByBounds(pass: SchedulingPass, jobs: readonly JobView[], place: Place): readonly JobView[] {
   const ranked = new BinaryHeap<RankedJob>(compareRanked);
@@ -163,14 +169,14 @@
   return [];
 }
 
-/** The jobs of a heap in their order; the heap is empty afterwards. */
+/** Removes and returns the jobs of a heap in their order. */
 function drainJobs(ranked: BinaryHeap<RankedJob>): JobView[] {
   const jobs: JobView[] = [];
   for (let next = ranked.pop(); next !== undefined; next = ranked.pop()) jobs.push(next.job);
   return jobs;
 }
 
-/** The paper's loop as it stands: every waiting cotask is evaluated anew after each placement. */
+/** The paper's loop as published: evaluates every waiting cotask again after each placement. */
 function placeExhaustively(pass: SchedulingPass, jobs: readonly JobView[], place: Place): void {
   const waiting = new Set(jobs);
   while (waiting.size > 0) {
--- a/packages/planner/src/scheduling/earliest-start-index.ts
+++ b/packages/planner/src/scheduling/earliest-start-index.ts
@@ -1,5 +1,6 @@
 /**
- * An index of the queues by when they could start a task of some size, so that a job need not look at all machines.
+ * An index of the queues by the earliest start of a task of a given size, so that a job need not visit all
+ * machines.
  *
  * @module
  */
@@ -8,14 +9,14 @@
 import type { MachineQueue } from './machine-queue.js';
 import type { ResourceRequest } from './resources.js';
 
-/** The least CPUs of a task of each size class. */
+/** The smallest request in CPUs of each size class. */
 const CPU_CLASS_BOUNDS = [0, 0.5, 1, 1.5, 2, 3, 4, 5, 6, 8, 12, 16, 24, 32, 48, 64, 96, 128, 192, 256];
-/** An index is rebuilt after so many stale visits, ... */
+/** An index is rebuilt after this many stale visits, ... */
 const MIN_STALE_VISITS = 64;
-/** ... and so many more for each queue in it. */
+/** ... plus this many for each queue in it. */
 const STALE_VISITS_PER_QUEUE = 4;
 
-/** A class of tasks of similar size: no task in it is smaller than its request. */
+/** A class of tasks of similar size; `request` is the lower bound of their sizes. */
 export interface SizeClass {
   readonly key: string;
   readonly request: ResourceRequest;
@@ -30,24 +31,28 @@
 }
 
 /**
- * Queues in the order of when the smallest task of a size class could start in them. Placing tasks only takes resources away, so a
- * start that was found once is a lower bound for all later ones: whoever searches the best few queues can stop where the bound is
- * worse than what was found.
+ * The queues, ordered by the earliest start of the smallest task of a size class. During a pass, placing
+ * tasks only takes resources away, so a start found once is a lower bound for all later ones. A search for
+ * the best queue can stop as soon as this bound is worse than the best queue found.
  */
 export class EarliestStartIndex {
-  /** The queues in this order, by their index in the pass. */
+  /** The indexes of the queues in the pass, in this order. */
   readonly queueIndexes: Int32Array;
-  /** For each position in the order: no task of the class starts in that queue before this, in seconds from now. */
+  /**
+   * For each position, the lower bound of the start of any task of the class in that queue, in seconds from
+   * now.
+   */
   readonly earliestStartsS: Float64Array;
-  /** The number of queues that can ever start such a task. */
+  /** The number of queues in which such a task can ever start. */
   readonly size: number;
-  /** Visits of queues that had changed since the index was built. */
+  /** The number of visits of queues that had changed since the index was built. */
   private staleVisits = 0;
   private readonly indexedQueues: readonly MachineQueue[];
 
   /**
    * @param request - of the smallest task of the class.
-   * @param queuesByPreference - the indexes of the queues to be indexed; among equal starts, they stay in this order.
+   * @param queuesByPreference - the indexes of the queues to include; queues with equal starts keep this
+   * order.
    * @param grainS - starts within the same multiple of this count as equal.
    */
   constructor(
@@ -75,12 +80,12 @@
     this.indexedQueues = indexes.map((index) => queues[index] as MachineQueue);
   }
 
-  /** Records that the queue at a position was looked at; `queue` is what it is now. */
+  /** Records a visit of the queue at a position; `queue` is its present version. */
   recordVisit(position: number, queue: MachineQueue): void {
     if (this.indexedQueues[position] !== queue) this.staleVisits += 1;
   }
 
-  /** Whether so many visits were in vain that the index is worth being rebuilt. */
+  /** Whether enough visits were stale that rebuilding the index pays off. */
   get isStale(): boolean {
     return this.staleVisits > MIN_STALE_VISITS + STALE_VISITS_PER_QUEUE * this.size;
   }
--- a/packages/planner/src/scheduling/estimate-unplaced.ts
+++ b/packages/planner/src/scheduling/estimate-unplaced.ts
@@ -1,6 +1,6 @@
 /**
- * Estimates when jobs start of which nothing can start now. The fleet is sized by this; the order of the jobs does not matter any
- * more.
+ * Estimates the starts of jobs of which no task can start now. Fleet planning uses these estimates; the order
+ * of the jobs no longer matters.
  *
  * @module
  */
@@ -16,18 +16,19 @@
 import type { Quota } from './resources.js';
 import type { SchedulingPass } from './scheduling-pass.js';
 
-/** Records jobs as unplaced, in their order, with an estimate of their start from the pools of all machines. */
+/** Records jobs as unplaced, in their order, with start estimates from the pools of all machines. */
 export function estimateUnplaced(pass: SchedulingPass, jobs: readonly JobView[]): void {
   const estimate = new PooledEstimate(pass);
   for (const job of jobs) {
     removeFromShape(pass, job);
-    // Which machines come free decides for these jobs, so the pools say too little.
+    // For these jobs it matters which machines become free, so an estimate from the pools would be too
+    // optimistic.
     if (isMachineBound(job.spec)) assignJob(pass, evaluate(pass, job));
     else recordPooled(pass, job, estimate);
   }
 }
 
-/** Whether it matters which machines come free for a job, and not only how much of them. */
+/** Whether a job depends on which machines become free, and not only on the amount of free resources. */
 function isMachineBound(spec: JobSpec): boolean {
   return (
     spec.kind !== 'array' ||
@@ -47,7 +48,7 @@
   pass.recordUnplaced(job, job.pendingCount - countWithinLimit, Infinity, false);
 }
 
-/** How many of a job's pending tasks fit into what remains of its team's limit. */
+/** How many of a job's pending tasks fit into the remaining quota. */
 function countTasksWithin({ spec, pendingCount }: JobView, quota: Quota): number {
   let count = pendingCount;
   for (const dimension of neededDimensions(spec))
@@ -56,10 +57,10 @@
   return Math.max(0, count);
 }
 
-/** Estimates starts as if all waiting work took its turn in the pools. */
+/** Estimates starts as if all waiting work used the pools in turn. */
 class PooledEstimate {
   private readonly pools: { readonly cpus: ResourcePool; readonly gpus: ResourcePool };
-  /** What the jobs so far take, and for how long in sum. */
+  /** The resources of all jobs added so far, and their total work. */
   private readonly taken = { cpus: 0, gpus: 0 };
   private readonly work = { cpus: 0, gpus: 0 };
   private readonly hasQueues: boolean;
@@ -69,7 +70,9 @@
     this.hasQueues = queues.length > 0;
   }
 
-  /** Adds tasks of a job, takes them from the quota and returns the seconds until the last of them starts. */
+  /**
+   * Adds tasks of a job, subtracts them from the quota and returns the seconds until the last of them starts.
+   */
   add({ spec, estimateS }: JobView, taskCount: number, quota: Quota): number {
     const runS = Math.max(estimateS, MIN_RUN_S);
     let startsInS = this.hasQueues ? 0 : Infinity;
--- a/packages/planner/src/scheduling/evaluate.ts
+++ b/packages/planner/src/scheduling/evaluate.ts
@@ -1,6 +1,6 @@
 /**
- * Evaluates a job: where each of its tasks would go, and when the job would complete at the earliest. This is the paper's minimum
- * completion time, found greedily: each task goes to the queue in which it ends first.
+ * Evaluates a job: assigns each of its tasks to a queue, and estimates the job's earliest completion. This is
+ * the paper's minimum completion time, computed greedily: each task goes to the queue in which it ends first.
  *
  * @module
  */
@@ -16,12 +16,12 @@
 import type { JobEvaluation, QueueChange, TaskAssignment } from './types.js';
 import { isMachineAllowed } from './types.js';
 
-/** More than the tasks of one job that a plan puts on one machine. */
+/** Exceeds the number of tasks of one job that a plan puts on one machine. */
 const MAX_TASKS_PER_QUEUE = 1024;
-/** In place of the index of a queue. */
+/** Marks the absence of a queue. */
 const NO_QUEUE = -1;
 
-/** Evaluates a job; nothing changes but the estimates of the pass. */
+/** Evaluates a job; modifies only the pass's estimates. */
 export function evaluate(pass: SchedulingPass, job: JobView): JobEvaluation {
   if (!job.spec.oneZone) return new JobEvaluator(pass, job, null).evaluate();
   let best: JobEvaluation | null = null;
@@ -36,23 +36,25 @@
   return best ?? new JobEvaluator(pass, job, null).evaluate();
 }
 
-/** The zones for a job bound to one: where it has tasks already, or any. */
+/**
+ * The candidate zones of a zone-bound job: the zone of its present tasks if it has any, otherwise all zones.
+ */
 function possibleZones({ snapshot }: SchedulingPass, job: JobView): readonly string[] {
   const [placedZone] = job.placedZones;
   if (placedZone !== undefined) return [placedZone];
   return [...new Set(snapshot.machines.map((machine) => machine.zone))];
 }
 
-/** The search for the best queue among those of one zone, or among all. */
+/** A search for the best queue in one zone, or in all zones. */
 interface QueueSearch {
-  /** The rank keys of the queues estimated so far; the best is on top. */
+  /** The rank keys of the queues estimated so far, the best on top. */
   readonly heap: NumberHeap;
   readonly startIndex: EarliestStartIndex;
-  /** The next position of the index that was not looked at. */
+  /** The next position of the index to visit. */
   nextPosition: number;
 }
 
-/** Evaluates one job in one zone, or in all zones for null. */
+/** Evaluates one job in one zone, or in all zones if the zone is null. */
 class JobEvaluator {
   private readonly isService: boolean;
   /** Whether the tasks are balanced over the zones. */
@@ -63,11 +65,11 @@
   private readonly preferenceRanks: Int32Array;
   private readonly queuesByPreference: readonly number[];
   private readonly zoneIndexes: Int32Array;
-  /** The tasks of the job in each zone, with those assigned so far. */
+  /** The number of the job's tasks in each zone, including those assigned so far. */
   private readonly tasksByZone: Int32Array;
-  /** One search for each zone where the zones are balanced, otherwise a single one. */
+  /** One search per zone if the tasks are balanced over the zones, otherwise a single one. */
   private readonly searches: readonly QueueSearch[];
-  /** No task runs for less than this on any machine. */
+  /** Lower bound of the task's run time on any machine, in seconds. */
   private readonly minRunS: number;
   private readonly changedQueues = new Map<number, QueueChange>();
   private readonly assignments: TaskAssignment[] = [];
@@ -116,7 +118,7 @@
     };
   }
 
-  /** The last end of the assigned tasks, extrapolated to all that are pending. */
+  /** The latest end of the assigned tasks, extrapolated to all pending tasks. */
   private estimateCompletionS(unplacedCount: number): number {
     const { pendingCount, pendingTasks } = this.job;
     if (unplacedCount > 0) return Infinity;
@@ -148,14 +150,20 @@
     return bestQueue;
   }
 
-  /** Compares by cost, then by tasks in the zone, then by the rest of the rank key; negative where the first is better. */
+  /**
+   * Compares by cost, then by tasks in the zone, then by the rest of the rank key; negative if the first is
+   * better.
+   */
   private compareBalanced(key: number, tasksInZone: number, otherKey: number, otherTasks: number): number {
     const keysPerCost = MAX_TASKS_PER_QUEUE * this.queueCount;
     const byCost = Math.floor(key / keysPerCost) - Math.floor(otherKey / keysPerCost);
     return byCost || tasksInZone - otherTasks || key - otherKey;
   }
 
-  /** Estimates further queues of a search, until their lower bound shows that none of the others can be the best. */
+  /**
+   * Estimates further queues of a search until the index's lower bound shows that none of the remaining ones
+   * can be better.
+   */
   private advance(search: QueueSearch): void {
     const { pass, job, estimates } = this;
     const { heap, startIndex } = search;
@@ -177,7 +185,10 @@
     }
   }
 
-  /** The cost, the tasks of the job and the preference of a queue in one number, so that comparing queues is comparing numbers. */
+  /**
+   * Packs cost, number of the job's tasks and preference of a queue into one number, so that queues are
+   * compared cheaply.
+   */
   private rankKey(queueIndex: number): number {
     const { costBuckets, taskCounts } = this.estimates;
     const taskCount = this.isBalanced ? (taskCounts[queueIndex] as number) : 0;
@@ -187,7 +198,7 @@
     );
   }
 
-  /** No rank key of the queue at this position of the index can be lower. */
+  /** A lower bound of the rank key of the queue at this position of the index. */
   private lowerBoundKey(startIndex: EarliestStartIndex, position: number): number {
     const endS = (startIndex.earliestStartsS[position] as number) + this.minRunS;
     const queueIndex = startIndex.queueIndexes[position] as number;
@@ -224,7 +235,7 @@
   }
 }
 
-/** The tasks that the job has in each zone already, by the index of the zone. */
+/** The number of tasks that the job already has in each zone, by zone index. */
 function countTasksByZone(job: JobView, zones: readonly string[]): Int32Array {
   const counts = new Int32Array(zones.length);
   for (const zone of job.placedZones) {
--- a/packages/planner/src/scheduling/job-shapes.ts
+++ b/packages/planner/src/scheduling/job-shapes.ts
@@ -1,5 +1,6 @@
 /**
- * Finds the end of a scheduling pass by the shapes of the jobs that still wait, without looking at each job.
+ * Detects by the shapes of the waiting jobs that nothing more can be placed in a pass, without visiting each
+ * job.
  *
  * @module
  */
@@ -11,7 +12,7 @@
 import type { JobShape } from './types.js';
 import { isMachineAllowed } from './types.js';
 
-/** Counts a waiting job among those of its shape. */
+/** Adds a waiting job to the jobs of its shape. */
 export function addToShape(pass: SchedulingPass, job: JobView): void {
   const isGuaranteed = pass.guaranteedJobs.has(job);
   const key = shapeKey(job, isGuaranteed);
@@ -35,15 +36,15 @@
   return `${spec.kind}|${spec.team}|${spec.priority}|${spec.cpus}|${spec.gpus}|${spec.memoryGb}|${spec.spot}|${spec.zone ?? ''}|${types}|${isGuaranteed}`;
 }
 
-/** The job does not wait any more. */
+/** Removes a job that no longer waits from the jobs of its shape. */
 export function removeFromShape(pass: SchedulingPass, job: JobView): void {
   const shape = pass.shapeOf.get(job);
   if (shape !== undefined) shape.waitingCount -= 1;
 }
 
 /**
- * Whether no waiting task can start now, or have another one preempted for it. Free resources and limits only shrink during a pass,
- * so the rest of the order then changes nothing any more.
+ * Whether no waiting task can start now or be preempted for. Free resources and limits only shrink during a
+ * pass, so the remaining order cannot change the plan any more.
  */
 export function isExhausted(pass: SchedulingPass): boolean {
   if (pass.options.exhaustive === true) return false;
@@ -53,13 +54,13 @@
     const isWithinLimit = quota !== undefined && fitsQuota(spec, 1, quota);
     if (shape.waitingCount > 0 && isWithinLimit && (shape.canPreempt || canStartNow(pass, shape)))
       return false;
-    // What cannot start now cannot start later in the pass either.
+    // A shape that cannot start now cannot start later in the pass either.
     if (shape.waitingCount === 0 || !isWithinLimit || !shape.canPreempt) pass.jobShapes.delete(key);
   }
   return true;
 }
 
-/** Whether some queue can start a task of this shape now, or soon enough to be placed ahead. */
+/** Whether some queue can start a task of this shape now, or soon enough for placing it ahead. */
 function canStartNow(pass: SchedulingPass, shape: JobShape): boolean {
   const { startIndex, exampleJob } = shape;
   const latestStartS = pass.placeAheadS(exampleJob);
--- a/packages/planner/src/scheduling/machine-queue.ts
+++ b/packages/planner/src/scheduling/machine-queue.ts
@@ -1,5 +1,5 @@
 /**
- * The queue of one machine, as the scheduling pass fills it.
+ * The queue of one machine, as filled by the scheduling pass.
  *
  * @module
  */
@@ -8,10 +8,12 @@
 import type { MachineView } from '../cluster-snapshot.js';
 import type { ResourceDimension, ResourceRequest } from './resources.js';
 
-/** A task that may be there counts as being there until it is proven gone, for at least this long, however late it is. */
+/**
+ * The least remaining time of a task in seconds, however overdue: it occupies its machine until proven gone.
+ */
 const MIN_REMAINING_S = 0.2;
 
-/** Resources that are in use until some time. */
+/** Resources in use until a certain time. */
 interface ResourceHold {
   readonly cpus: number;
   readonly gpus: number;
@@ -20,24 +22,25 @@
 }
 
 /**
- * The queue of one machine: what uses its resources, and until when. Tasks start in the order of the queue, so nothing is placed
- * to start before `lastStartS`. What ends before that is dropped, and what is free then is kept as a sum.
+ * The queue of one machine: what uses its resources, and until when. Tasks start in queue order, so no task
+ * is placed to start before `lastStartS`. Uses that end before that are dropped, and only the sum of the free
+ * resources is kept.
  */
 export class MachineQueue {
-  /** When the last task of the queue starts, in seconds from now. */
+  /** The start of the last task of the queue, in seconds from now. */
   private lastStartS = 0;
-  /** What is free at `lastStartS`; negative while more is placed than there is. */
+  /** The resources free at `lastStartS`; negative if more is placed than the machine has. */
   private cpus: number;
   private gpus: number;
   private memoryGb: number;
-  /** What services use, which never comes free. */
+  /** The resources used by services, which never become free. */
   private serviceCpus = 0;
   private serviceGpus = 0;
   private serviceMemoryGb = 0;
 
   private constructor(
     readonly machine: MachineView,
-    /** In the order of their ends. */
+    /** The uses, ordered by their ends. */
     private readonly holds: ResourceHold[],
   ) {
     this.cpus = machine.type.cpus;
@@ -45,7 +48,7 @@
     this.memoryGb = machine.type.memoryGb;
   }
 
-  /** The queue of a machine with what is on it now. */
+  /** The queue of a machine with its present occupants. */
   static of(machine: MachineView): MachineQueue {
     const holds = machine.occupants.map((occupant) => ({
       cpus: occupant.cpus,
@@ -59,7 +62,7 @@
     return queue;
   }
 
-  /** A copy that can be filled by itself. */
+  /** An independent copy. */
   copy(): MachineQueue {
     const copy = new MachineQueue(this.machine, [...this.holds]);
     copy.lastStartS = this.lastStartS;
@@ -72,7 +75,7 @@
     return copy;
   }
 
-  /** The earliest start of a task of this size, in seconds from now; Infinity where it never fits. */
+  /** The earliest start of a task of this size, in seconds from now; Infinity if it never fits. */
   earliestStart(request: ResourceRequest): number {
     const { type } = this.machine;
     if (
@@ -108,8 +111,9 @@
   }
 
   /**
-   * Adds what comes free of a resource to buckets of time, each `grainS` long. What is free at the queue's end counts from there;
-   * what comes free later than the last bucket is counted there.
+   * Adds the amounts of a resource that become free to buckets of time, each `grainS` seconds long. What is
+   * free at the end of the queue counts from that time; what becomes free after the last bucket is counted in
+   * the last one.
    */
   addReleasesTo(buckets: Float64Array, dimension: ResourceDimension, grainS: number): void {
     const free = this[dimension];
@@ -119,7 +123,10 @@
         addToBucket(buckets, hold.endS / grainS, hold[dimension]);
   }
 
-  /** How many tasks of a size fit less beside the services alone when there is one more service. */
+  /**
+   * By how many the number of fitting tasks of this size drops, counting services only, if one more service
+   * is added.
+   */
   slotsLost(service: ResourceRequest, task: ResourceRequest): number {
     const { type } = this.machine;
     const cpus = type.cpus - this.serviceCpus;
@@ -142,7 +149,7 @@
     this.serviceMemoryGb += request.memoryGb;
   }
 
-  /** Drops what has ended by this time and counts it as free. */
+  /** Drops the uses that end by this time and counts their resources as free. */
   private dropEnded(atS: number): void {
     let ended = 0;
     for (const hold of this.holds) {
--- a/packages/planner/src/scheduling/preemption-index.ts
+++ b/packages/planner/src/scheduling/preemption-index.ts
@@ -1,5 +1,5 @@
 /**
- * What may be preempted, and for whom: gathered once for all jobs of a pass that ask for the same.
+ * What may be preempted, and for whom. Computed once for all jobs of a pass with the same requirements.
  *
  * @module
  */
@@ -14,11 +14,11 @@
 /** A machine on which something may be preempted, or is being stopped already. */
 export interface PreemptionCandidate {
   readonly machine: MachineView;
-  /** What may be preempted, that which loses least work first. */
+  /** Tasks that may be preempted, ordered by the work that would be lost, least first. */
   readonly victims: readonly Occupant[];
-  /** Whether something is being stopped there. */
+  /** Whether some task is being stopped there. */
   readonly isStopping: boolean;
-  /** What is free once that has stopped. */
+  /** The resources that are free once those tasks have stopped. */
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
@@ -26,11 +26,11 @@
 
 /** The tasks of one pass that may be preempted. */
 export class PreemptionIndex {
-  /** How many machines were looked at. */
+  /** The number of machines visited. */
   machineVisits = 0;
-  /** The rank of the lowest priority (the highest number) of what may be preempted at all. */
+  /** The rank of the lowest priority (the highest number) among tasks that may be preempted. */
   private lowestRank = NO_RANK;
-  /** The same, of what each team runs beyond its guarantee. */
+  /** The same for the tasks that each team runs beyond its guarantee. */
   private readonly lowestRankBeyondGuarantee = new Map<string, number>();
   private readonly candidatesByPreemptor = new Map<string, readonly PreemptionCandidate[]>();
 
@@ -39,7 +39,7 @@
     private readonly jobsBeyondGuarantee: ReadonlySet<JobId>,
   ) {}
 
-  /** Takes an occupant of a machine into account for `canPreempt`. */
+  /** Includes an occupant of a machine in the result of `canPreempt`. */
   addOccupant(occupant: Occupant): void {
     if (!occupant.isPreemptible || occupant.isStopping) return;
     const rank = PRIORITY_RANK[occupant.priority];
@@ -49,7 +49,7 @@
     this.lowestRankBeyondGuarantee.set(occupant.team, Math.max(lowestRank, rank));
   }
 
-  /** Whether anything runs that may be preempted for the job. */
+  /** Whether any running task may be preempted for the job. */
   canPreempt({ spec }: JobView, isGuaranteed: boolean): boolean {
     const rank = PRIORITY_RANK[spec.priority];
     if (this.lowestRank > rank) return true;
@@ -59,7 +59,7 @@
     return false;
   }
 
-  /** The machines on which something may be preempted for the job, or is being stopped. */
+  /** The machines on which some task may be preempted for the job, or is being stopped. */
   candidatesFor({ spec }: JobView, isGuaranteed: boolean): readonly PreemptionCandidate[] {
     const rank = PRIORITY_RANK[spec.priority];
     const preemptor = isGuaranteed ? `${rank}/${spec.team}` : `${rank}`;
@@ -105,7 +105,10 @@
     return { machine, victims, isStopping, cpus, gpus, memoryGb };
   }
 
-  /** Lower priorities may be preempted; within a guarantee also the same priority of other teams beyond theirs. */
+  /**
+   * Lower priorities may be preempted. Jobs within their guarantee may also preempt the same priority of
+   * other teams that are beyond theirs.
+   */
   private isVictim(occupant: Occupant, rank: number, guaranteedTeam: string | null): boolean {
     if (!occupant.isPreemptible) return false;
     const victimRank = PRIORITY_RANK[occupant.priority];
--- a/packages/planner/src/scheduling/preemption.ts
+++ b/packages/planner/src/scheduling/preemption.ts
@@ -10,40 +10,40 @@
 import type { SchedulingPass } from './scheduling-pass.js';
 import { imageFetchS, isMachineAllowed } from './types.js';
 
-/** Stopping a task and starting another one in its place takes about so long. */
+/** Typical time to stop a task and start another one in its place, in seconds. */
 const TASK_SWITCH_S = 0.3;
-/** Ending sooner by less than this is not worth preempting a task for. */
+/** Preempting a task has to make the other end earlier by at least this, in seconds. */
 const MIN_GAIN_S = 0.7;
-/** What each second of fetching an image weighs against lost work, in CPU seconds. */
+/** The weight of each second of fetching an image against lost work, in CPU seconds. */
 const FETCH_COST = 4;
-/** Stands for the CPUs of a task that requests none. */
+/** Used in place of the CPUs of a task that requests none. */
 const MIN_TASK_CPUS = 0.01;
 
-/** Tasks on one machine whose preemption makes room for one task of the job. */
+/** Tasks on one machine whose preemption frees resources for one task of the job. */
 interface PreemptionOption {
   readonly victims: readonly Occupant[];
-  /** The work that would be lost in CPU seconds, and what fetching the image costs. */
+  /** The lost work in CPU seconds plus the cost of fetching the image. */
   readonly cost: number;
-  /** When the task would end there, in seconds from now. */
+  /** The estimated end of the task there, in seconds from now. */
   readonly endS: number;
   readonly zone: string;
 }
 
-/** What a job could preempt. */
+/** The options of a job for preemption. */
 interface PreemptionOptions {
   readonly options: PreemptionOption[];
-  /** Tasks for which room is being made already by what is stopping. */
+  /** The number of tasks that fit once the tasks being stopped have stopped. */
   roomBeingMade: number;
 }
 
 /**
- * Makes room for tasks of a job by preempting what the rules allow, the least lost work first, and only where a task ends sooner by
- * it than by waiting: room made elsewhere would be taken by others and made again, over and over. For a gang, room is made for all
- * of the tasks or for none.
+ * Preempts running tasks for tasks of a job where the rules allow it, least lost work first, and only where a
+ * task ends earlier than by waiting: otherwise other jobs would take the freed resources and the preemption
+ * would be repeated over and over. For a gang, resources are freed for all of its tasks or for none.
  *
  * @param endsS - when the waiting tasks would end without preemption, in seconds from now.
  * @param zone - the only zone to preempt in; null for all.
- * @returns for how many of the tasks room is being made.
+ * @returns the number of tasks for which resources are being freed.
  */
 export function preemptFor(
   pass: SchedulingPass,
@@ -76,7 +76,7 @@
   return collected;
 }
 
-/** Whether a task fits once everything that is being stopped on the machine has stopped. */
+/** Whether a task fits once all tasks that are being stopped on the machine have stopped. */
 function fitsOnceStopped({ spec }: JobView, { cpus, gpus, memoryGb }: PreemptionCandidate): boolean {
   return cpus >= spec.cpus && gpus >= spec.gpus && memoryGb >= spec.memoryGb;
 }
@@ -87,7 +87,7 @@
   return Math.max(1, Math.min(tasksByGpus, tasksByCpus));
 }
 
-/** Adds an option for each task of the job that fits in the place of victims on the machine. */
+/** Adds an option for each task of the job that fits on the machine in place of preemptible tasks. */
 function addOptions(
   pass: SchedulingPass,
   job: JobView,
@@ -128,7 +128,7 @@
   }
 }
 
-/** The options to take, by cost, for the tasks that would end last; the first `skippedTasks` of these have room already. */
+/** Selects options by cost for the tasks that would end last; the first `skippedTasks` of these need none. */
 function chooseOptions(
   job: JobView,
   options: readonly PreemptionOption[],
--- a/packages/planner/src/scheduling/queue-estimate.ts
+++ b/packages/planner/src/scheduling/queue-estimate.ts
@@ -1,5 +1,5 @@
 /**
- * Estimates what it costs to append a task to a queue: mainly when it would end.
+ * Estimates the cost of appending a task to a queue, which is mainly when the task would end.
  *
  * @module
  */
@@ -11,22 +11,23 @@
 import { COST_GRAIN_S } from './scheduling-pass.js';
 import { imageFetchS } from './types.js';
 
-/** A replica that takes a whole task's slot on a machine is worth waiting so long to avoid. */
+/** To avoid taking a whole task's slot on a machine, a replica may wait this many seconds longer. */
 const FRAGMENTATION_COST_S = 2;
-/** A replica that would serve later than its objective rather takes a whole task's slot. */
+/** If it would serve later than its objective, a replica takes a whole task's slot rather than wait. */
 const LATE_SERVICE_COST_S = 3;
-/** Where cost counts, work that may use spot machines takes them even if it ends this much later. */
+/** If cost counts, work allowed on spot machines prefers them even if it ends this many seconds later. */
 const ON_DEMAND_COST_S = 4;
 /**
- * Resources for a gang are taken to come free later than estimated, the more so the longer it has waited: gangs had waited 50 to
- * 100 s for machines with their image, always about to be free, beside empty ones.
+ * Fixed surcharge, in seconds, on a gang's start that is not immediate. The estimated wait is weighed in
+ * addition, more as the gang grows older: gangs waited 50 to 100 s for machines that had their image and were
+ * always estimated to be free soon, while other machines were empty.
  */
 const GANG_DELAY_COST_S = 5;
-/** The age at which the wait for a gang's resources counts twice. */
+/** The age in seconds at which the surcharge for the estimated wait has doubled. */
 const GANG_DELAY_AGE_S = 15;
 
 /**
- * Estimates the next task of a job in a queue, into the estimates of the pass.
+ * Estimates the next task of a job in a queue, and stores the result in the estimates of the pass.
  *
  * @returns whether the task ever fits there.
  */
@@ -42,7 +43,7 @@
   const startS = queue.earliestStart(spec);
   if (startS === Infinity) return false;
   const readyS = startS + imageFetchS(job, machine);
-  // A service never completes: for it, the time at which it begins to serve counts.
+  // A service never completes; the time at which it begins to serve counts instead.
   const endS =
     spec.kind === 'service' ? readyS : readyS + Math.max(job.estimateS, MIN_RUN_S) * machine.slowness;
   const { estimates } = pass;
@@ -52,7 +53,7 @@
   return true;
 }
 
-/** The end of the task, with a surcharge for what speaks against the queue. */
+/** The end of the task, plus surcharges for disadvantages of the queue. */
 function costS(
   { snapshot }: SchedulingPass,
   job: JobView,
@@ -63,7 +64,7 @@
   const { spec } = job;
   const isExpensive = snapshot.isCostAware && spec.spot && !queue.machine.spot;
   let cost = endS + (isExpensive ? ON_DEMAND_COST_S : 0);
-  // A gang waits for the slowest of its queues, and the estimates of what runs there are inexact.
+  // A gang waits for the slowest of its queues, whose estimates are inexact.
   if (spec.kind === 'gang' && startS > 0)
     cost += GANG_DELAY_COST_S + startS * (1 + job.ageS / GANG_DELAY_AGE_S);
   if (spec.kind === 'service') {
--- a/packages/planner/src/scheduling/queue-order.ts
+++ b/packages/planner/src/scheduling/queue-order.ts
@@ -1,5 +1,6 @@
 /**
- * The fixed order of the queues of one scheduling pass: by zone, and by preference among equals.
+ * The fixed order of the queues within one scheduling pass: by zone, and by preference among queues of equal
+ * cost.
  *
  * @module
  */
@@ -7,15 +8,15 @@
 import type { MachineView } from '../cluster-snapshot.js';
 import type { MachineQueue } from './machine-queue.js';
 
-/** What a CPU's price weighs in the preference against the used share of the machine. */
+/** The weight of a CPU's price in the preference, relative to the used share of the machine. */
 const PRICE_WEIGHT = 10;
 const USED_SHARE_DIVISOR = 10;
 
-/** The order of the queues, which are named by their index in the pass. */
+/** The order of the queues, which are identified by their index in the pass. */
 export class QueueOrder {
-  /** The names of the zones; `zoneIndexes` refers to them. */
+  /** The names of the zones, by zone index. */
   readonly zones: string[] = [];
-  /** The index of each queue's zone. */
+  /** The zone index of each queue. */
   readonly zoneIndexes: Int32Array;
   /** All queues, the preferred ones first. */
   readonly queuesByPreference: readonly number[];
@@ -43,7 +44,7 @@
       );
   }
 
-  /** The queues of one zone, or of all for null, the preferred ones first. */
+  /** The queues of one zone, or of all zones for null, the preferred ones first. */
   inZone(zone: string | null): readonly number[] {
     return this.queuesByZone.get(zone) ?? [];
   }
@@ -59,7 +60,7 @@
   }
 }
 
-/** Among equals the cheaper machine is preferred, then the fuller one, so that others become empty and can be scaled in. */
+/** Prefers cheaper machines, then fuller ones, so that others become empty and can be scaled in. */
 function preferenceScore({ type, spot, occupants }: MachineView): number {
   const price = (spot ? type.spotPrice : type.price) / Math.max(type.cpus, 1);
   let cpus = 0;
@@ -68,7 +69,7 @@
     cpus += occupant.cpus;
     gpus += occupant.gpus;
   }
-  // How full a machine is goes by the resource that runs out first.
+  // The resource that runs out first determines how full a machine is.
   const usedShare = Math.max(cpus / Math.max(type.cpus, 1), type.gpus > 0 ? gpus / type.gpus : 0);
   return price * PRICE_WEIGHT - usedShare / USED_SHARE_DIVISOR;
 }
--- a/packages/planner/src/scheduling/quota-guarantee.ts
+++ b/packages/planner/src/scheduling/quota-guarantee.ts
@@ -1,5 +1,5 @@
 /**
- * Which jobs are within the guaranteed quota of their team.
+ * Determines which jobs are within the guaranteed quota of their team.
  *
  * @module
  */
@@ -10,9 +10,9 @@
 import type { Quota } from './resources.js';
 
 /**
- * The jobs that fit into their team's guarantee along with the team's earlier unfinished jobs. Among the jobs of a team, the
- * guarantee is for those that can still be in time first: when it was for the oldest jobs, all late already in a burst, these went
- * ahead of every job that could still be in time.
+ * The jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. Jobs of a
+ * team that can still be in time use the guarantee first: given to the oldest jobs first, in a burst it went
+ * to jobs that were all late already, ahead of every job that could still be in time.
  */
 export function jobsWithinGuarantee({ jobs, teams }: ClusterSnapshot): Set<JobView> {
   const usedByTeam = new Map<string, Quota>();
@@ -36,7 +36,7 @@
   return guaranteed;
 }
 
-/** How many of its milestones a job misses even if all of it starts now. */
+/** The number of milestones that a job misses even if all of it starts now. */
 function countMissedMilestones(job: JobView): number {
   const { ageS, estimateS, completionMilestonesS, startMilestonesS } = job;
   if (completionMilestonesS.length === 0 || job.pendingTasks.length === 0 || isLongOverdue(job)) return 0;
--- a/packages/planner/src/scheduling/resource-pool.ts
+++ b/packages/planner/src/scheduling/resource-pool.ts
@@ -1,5 +1,6 @@
 /**
- * All machines as one pool of a resource: bounds and estimates of when work can be done that need no look at single machines.
+ * Treats all machines as one pool of a resource, for bounds and estimates of when work can be done without
+ * visiting single machines.
  *
  * @module
  */
@@ -9,22 +10,28 @@
 import type { ResourceDimension } from './resources.js';
 import { MIN_RUN_S } from './resources.js';
 
-/** What would start later than this counts as never starting. */
+/** A start later than this, in seconds from now, counts as never. */
 const HORIZON_S = 4096;
-/** What comes free is counted in buckets of this length, never later than it does: the pool is a lower bound. */
+/**
+ * Bucket length in seconds. Amounts are counted at the start of the bucket in which they become free, never
+ * later, so that the pool yields lower bounds.
+ */
 const GRAIN_S = 0.25;
-/** What comes free after so many buckets is counted in the last one. */
+/** The number of buckets; what becomes free later is counted in the last one. */
 const GRAIN_COUNT = 4096;
-/** How often the interval of a start is halved to find it. */
+/** The number of bisection steps in the search for a start. */
 const BISECTION_STEPS = 8;
 
-/** A resource that comes free over time, over all queues together. No queue can be better than the pool. */
+/**
+ * The amount of a resource that becomes free over time, summed over all queues: a bound that no single queue
+ * can beat.
+ */
 export class ResourcePool {
-  /** Times at which something comes free, in seconds from now, rising. */
+  /** The times at which amounts become free, in seconds from now, ascending. */
   private readonly timesS: number[] = [0];
-  /** What is free from each of these times on, if nothing takes any. */
+  /** The amount that is free from each of these times on if nothing takes any. */
   private readonly freeAmounts: number[] = [0];
-  /** How much work, as amount times seconds, the pool can have done by each of these times. */
+  /** How much work (amount times seconds) the pool can have done by each of these times. */
   private readonly suppliedWork: number[] = [0];
 
   constructor(queues: readonly MachineQueue[], dimension: ResourceDimension) {
@@ -46,12 +53,12 @@
     this.timesS.push(timeS);
   }
 
-  /** When this much is free together for the first time if nothing takes any; Infinity for never. */
+  /** The earliest time at which this amount is free together if nothing takes any; Infinity for never. */
   earliestFreeS(amount: number): number {
     return this.timesS[indexOfAtLeast(this.freeAmounts, amount - EPSILON)] ?? Infinity;
   }
 
-  /** When the pool can have done this much work at the earliest. */
+  /** The earliest time by which the pool can have done this much work. */
   earliestDoneS(work: number): number {
     const index = Math.max(0, indexOfAtLeast(this.suppliedWork, work) - 1);
     const amount = this.freeAmounts[index] as number;
@@ -61,8 +68,9 @@
   }
 
   /**
-   * When this much can have been started if each part of it is used for `runS`: what comes free can be taken again after that. The
-   * bound by work alone lets tasks start before anything is free for them, and machines for a burst were requested a minute late.
+   * The earliest time by which this amount can have been started if each part of it is used for `runS`
+   * seconds and is free again afterwards. The bound by work alone assumes starts before anything is free, and
+   * machines for a burst were requested a minute late.
    */
   earliestStartedS(amount: number, runS: number): number {
     const wanted = amount - EPSILON;
@@ -81,7 +89,7 @@
     return lateS;
   }
 
-  /** How much can have been started by a time; the sum stops once it reaches `enough`. */
+  /** The amount that can have been started by a time; the sum stops once it reaches `enough`. */
   private startedBy(timeS: number, enough: number, runS: number): number {
     const stepS = Math.max(runS, MIN_RUN_S);
     let started = 0;
@@ -95,7 +103,9 @@
   }
 }
 
-/** The index of the first of these rising values that is at least `wanted`; their number when there is none. */
+/**
+ * The index of the first of these ascending values that is at least `wanted`; their number if there is none.
+ */
 function indexOfAtLeast(values: readonly number[], wanted: number): number {
   let low = 0;
   let high = values.length;
--- a/packages/planner/src/scheduling/scheduling-pass.ts
+++ b/packages/planner/src/scheduling/scheduling-pass.ts
@@ -1,5 +1,6 @@
 /**
- * The state of one scheduling pass: the queues as they fill, what remains of the teams' limits, and what was decided so far.
+ * The state of one scheduling pass: the queues as they are filled, the remaining quotas, and the decisions
+ * made so far.
  *
  * @module
  */
@@ -25,16 +26,19 @@
   UnplacedDemand,
 } from './types.js';
 
-/** Differences in completion below this are no reason to prefer one machine to another. */
+/** Costs that differ by less than this, in seconds, count as equal when machines are compared. */
 export const COST_GRAIN_S = 0.5;
 
-/** Estimates for the next task of the job that is being evaluated, by queue; reused by every evaluation. */
+/**
+ * Estimates for the next task of the job being evaluated, by queue; reused by all evaluations to avoid
+ * allocations.
+ */
 export class QueueEstimates {
   readonly startsS: Float64Array;
   readonly endsS: Float64Array;
   /** The cost of each queue as a multiple of `COST_GRAIN_S`. */
   readonly costBuckets: Float64Array;
-  /** How many of the job's tasks each queue was given by the evaluation. */
+  /** The number of the job's tasks that the evaluation assigned to each queue. */
   readonly taskCounts: Int32Array;
 
   constructor(queueCount: number) {
@@ -45,24 +49,24 @@
   }
 }
 
-/** The state that the steps of one scheduling pass share. */
+/** The state shared by the steps of one scheduling pass. */
 export class SchedulingPass {
   /** The queues of the schedulable machines; a queue is replaced by a copy whenever it changes. */
   readonly queues: MachineQueue[];
   readonly queueOrder: QueueOrder;
   readonly estimates: QueueEstimates;
-  /** The least slowness of any machine. */
+  /** The smallest slowness of all machines. */
   readonly leastSlowness: number;
   readonly guaranteedJobs: ReadonlySet<JobView>;
   readonly preemptionIndex: PreemptionIndex;
-  /** What is being preempted by this pass. */
+  /** The tasks that this pass preempts. */
   readonly preempted = new Set<Occupant>();
-  /** The shapes of the jobs that still wait, by what they are alike in. */
+  /** The shapes of the jobs that still wait, by the key of the shape. */
   readonly jobShapes = new Map<string, JobShape>();
   readonly shapeOf = new Map<JobView, JobShape>();
-  /** A job whose tasks have waited for longer than this on average goes first. */
+  /** A job whose tasks' mean wait exceeds this, in seconds, is starved and planned first. */
   starvationThresholdS: number;
-  /** Queues looked at so far. */
+  /** The number of queue visits so far. */
   queueVisits = 0;
   private currentRevision = 0;
   private readonly remainingQuotas: ReadonlyMap<string, Quota>;
@@ -96,12 +100,12 @@
     for (const machine of snapshot.machines) this.countOccupants(machine);
   }
 
-  /** Changes with every assignment. */
+  /** The revision of the pass; it changes with every assignment. */
   get revision(): number {
     return this.currentRevision;
   }
 
-  /** Everything decided so far. */
+  /** The decisions made so far. */
   get plan(): SchedulingPlan {
     return {
       starts: this.starts,
@@ -112,17 +116,17 @@
     };
   }
 
-  /** What remains of a team's limit; undefined for an unknown team. */
+  /** The remaining part of a team's limit; undefined for an unknown team. */
   findQuota(team: string): Quota | undefined {
     return this.remainingQuotas.get(team);
   }
 
-  /** What remains of a team's limit; nothing for an unknown team. */
+  /** The remaining part of a team's limit; zero for an unknown team. */
   remainingQuota(team: string): Quota {
     return this.remainingQuotas.get(team) ?? { cpus: 0, gpus: 0 };
   }
 
-  /** All queues as one pool of a resource, as they were when it was first asked for. */
+  /** All queues as one pool of a resource, in their state at the first request of that pool. */
   resourcePool(dimension: ResourceDimension): ResourcePool {
     let pool = this.resourcePools.get(dimension);
     if (pool === undefined) {
@@ -132,7 +136,10 @@
     return pool;
   }
 
-  /** The queues of one zone, or of all for null, by when they could start the smallest task of the job's size class. */
+  /**
+   * The queues of one zone, or of all zones for null, by the earliest start of the smallest task of the job's
+   * size class.
+   */
   startIndex(spec: JobSpec, zone: string | null): EarliestStartIndex {
     const { key: sizeKey, request } = sizeClassOf(spec);
     const key = zone === null ? sizeKey : `${sizeKey}/${zone}`;
@@ -145,15 +152,16 @@
   }
 
   /**
-   * Within so many seconds a task of the job may be placed ahead of free resources; only replicas are. The tasks of a gang all start
-   * together. Tasks of arrays took what was being freed for a service, were preempted for it and took it again; and placed ahead by
-   * estimates they waited behind longer ones while others found free machines (docs/results.md).
+   * The seconds by which a task of the job may be placed ahead of free resources; greater than 0 only for
+   * replicas. Tasks of a gang all start together. Tasks of arrays placed ahead took the resources being freed
+   * for a service, were preempted for it and took them again; or they waited behind tasks that ran longer
+   * than estimated while other machines became free (docs/results.md).
    */
   placeAheadS(job: JobView): number {
     return job.spec.kind === 'service' ? this.snapshot.placeAheadS : 0;
   }
 
-  /** Starts a task, or queues it ahead, and takes it from what remains of its team's limit. */
+  /** Starts a task, or places it ahead, and subtracts it from its team's remaining quota. */
   start(job: JobView, assignment: TaskAssignment, quota: Quota): void {
     takeQuota(job.spec, quota);
     const { machine } = this.queues[assignment.queueIndex] as MachineQueue;
@@ -180,24 +188,24 @@
     this.unplacedDemand.push({ job, taskCount, startsInS, isWithinLimit, isGuaranteed, zone });
   }
 
-  /** Fills the queues with all assignments of an evaluation. */
+  /** Adds all assignments of an evaluation to the queues. */
   applyEvaluation(evaluation: JobEvaluation): void {
     this.currentRevision += 1;
     for (const [queueIndex, change] of evaluation.changedQueues) this.queues[queueIndex] = change.after;
   }
 
-  /** Fills the queues with the assignments of an evaluation but for the last ones. */
+  /** Adds the assignments of an evaluation to the queues, except for the last `omittedCount` ones. */
   applyAllButLast({ job, assignments }: JobEvaluation, omittedCount: number): void {
     this.currentRevision += 1;
     for (const { queueIndex, startS, endS } of assignments.slice(0, assignments.length - omittedCount)) {
-      // A copy, so that evaluations made from the queue before are known to be out of date.
+      // A new object, so that evaluations based on the previous queue are recognised as outdated.
       const queue = (this.queues[queueIndex] as MachineQueue).copy();
       queue.add(job.spec, startS, job.spec.kind === 'service' ? Infinity : endS);
       this.queues[queueIndex] = queue;
     }
   }
 
-  /** Takes what is on a machine from the teams' limits, and into account for preemption. */
+  /** Subtracts the occupants of a machine from their teams' quotas, and adds them to the preemption index. */
   private countOccupants({ occupants }: MachineView): void {
     for (const occupant of occupants) {
       const quota = this.remainingQuotas.get(occupant.team);
--- a/packages/planner/src/scheduling/types.ts
+++ b/packages/planner/src/scheduling/types.ts
@@ -1,5 +1,5 @@
 /**
- * What a scheduling pass decides, and what its steps hand to one another.
+ * The decisions of a scheduling pass, and the types that its steps exchange.
  *
  * @module
  */
@@ -20,20 +20,20 @@
 export interface TaskPreemption {
   readonly job: JobId;
   readonly task: number;
-  /** The job that it is preempted for. */
+  /** The job in whose favour it is preempted. */
   readonly preemptor: JobId;
 }
 
-/** Work that no machine can take at once; the fleet is sized by it. */
+/** Work that no machine can take at once; input of fleet planning. */
 export interface UnplacedDemand {
   readonly job: JobView;
   readonly taskCount: number;
-  /** Seconds until the last of these tasks would start on the machines that there are; Infinity for never. */
+  /** Seconds until the last of these tasks would start on the existing machines; Infinity for never. */
   readonly startsInS: number;
-  /** Whether the team's limit lets the tasks start now. */
+  /** Whether the team's limit allows the tasks to start now. */
   readonly isWithinLimit: boolean;
   readonly isGuaranteed: boolean;
-  /** The zone that the rest of a job bound to one zone is assigned to, or null. */
+  /** The zone in which the rest of a zone-bound job is placed, or null. */
   readonly zone: string | null;
 }
 
@@ -41,28 +41,31 @@
 export interface SchedulingPlan {
   /** Tasks that start at once. */
   readonly starts: readonly TaskStart[];
-  /** Tasks for the heads of machines' queues: they start when what runs there ends, within `placeAheadS` by the estimates. */
+  /**
+   * Tasks placed at the head of machines' queues: they start when the running tasks there end, within
+   * `placeAheadS` by estimate.
+   */
   readonly queuedStarts: readonly TaskStart[];
   readonly preemptions: readonly TaskPreemption[];
   readonly unplacedDemand: readonly UnplacedDemand[];
-  /** How many times a queue was looked at: the cost of the plan, independent of the computer. */
+  /** The number of queue visits: the cost of the plan, independent of the computer. */
   readonly queueVisits: number;
 }
 
-/** How a plan is computed. */
+/** Options for computing a plan. */
 export interface PlanOptions {
   /**
-   * Evaluates every job anew after every placement, as the paper does, instead of only those that can have changed. The plan is the
-   * same; tests compare the two.
+   * Evaluates every job again after every placement, as the paper does, instead of only those that can have
+   * changed. The plan is the same; tests compare the two.
    */
   readonly exhaustive?: boolean;
 }
 
-/** Where one task would go. */
+/** The queue to which one task is assigned. */
 export interface TaskAssignment {
   readonly task: number;
   readonly queueIndex: number;
-  /** Estimated seconds until it starts and ends. */
+  /** Estimated seconds until its start and its end. */
   readonly startS: number;
   readonly endS: number;
 }
@@ -73,27 +76,27 @@
   readonly after: MachineQueue;
 }
 
-/** Where the tasks of one job would go, and when the job would complete. */
+/** The assignments of one job's tasks, and the job's estimated completion. */
 export interface JobEvaluation {
   readonly job: JobView;
-  /** Estimated seconds until the job completes; Infinity where some task has no machine. */
+  /** Estimated seconds until the job completes; Infinity if some task has no machine. */
   readonly completionS: number;
   readonly assignments: readonly TaskAssignment[];
   /** The queues that would change, by index. */
   readonly changedQueues: ReadonlyMap<number, QueueChange>;
   /** Pending tasks without an assignment. */
   readonly unplacedCount: number;
-  /** The revision of the pass that it was evaluated at. */
+  /** The revision of the pass that the evaluation is based on. */
   readonly passRevision: number;
 }
 
-/** Waiting jobs that are alike in everything that decides whether any of their tasks could start now. */
+/** Waiting jobs that agree in everything that determines whether any of their tasks could start now. */
 export interface JobShape {
-  /** Any of these jobs. */
+  /** A representative of these jobs. */
   readonly exampleJob: JobView;
-  /** How many of them are still to be assigned. */
+  /** The number of them that are still to be assigned. */
   waitingCount: number;
-  /** The queues by when they could start the smallest task of the size class. */
+  /** The queues by the earliest start of the smallest task of the size class. */
   readonly startIndex: EarliestStartIndex;
   /** No queue before this position can start such a task now. */
   startIndexCursor: number;
@@ -105,7 +108,10 @@
   return machine.images.has(spec.image) ? 0 : spec.imageGb / machine.type.fetchGbPerS;
 }
 
-/** Whether the job's tasks may be on the machine, by its type, its zone and whether it is a spot machine. */
+/**
+ * Whether the job's tasks are allowed on the machine by its type, its zone and its purchase option (spot or
+ * on-demand).
+ */
 export function isMachineAllowed({ spec }: JobView, machine: MachineView): boolean {
   return (
     (spec.types === null || spec.types.includes(machine.type.name)) &&
