--- a/packages/model/src/admission.ts
+++ b/packages/model/src/admission.ts
@@ -1,12 +1,12 @@
 /**
- * Admission: which jobs can never run and are therefore rejected.
+ * Admission: rejects jobs that can never run.
  *
  * @module
  */
 
 import type { JobSpec, MachineType } from '@spurbridge/wire';
 
-/** A team's quota. The names of its fields are those of the stored configuration. */
+/** A team's quota. Field names are those of the stored configuration and must not change. */
 export interface Team {
   readonly name: string;
   /** The guaranteed CPUs. */
@@ -19,10 +19,10 @@
   readonly gpusMax: number;
 }
 
-/** Resource amounts are sums of decimals; they count as equal within this. */
+/** Amounts are sums of decimals; they count as equal within this tolerance. */
 export const EPSILON = 1e-6;
 
-/** Fewest zones in which the tasks of a spread gang need to be able to run. */
+/** The minimum number of zones in which the tasks of a spread gang must be able to run. */
 const MIN_SPREAD_ZONES = 2;
 
 /** Whether a machine of this type can ever hold one task of the job. */
@@ -36,7 +36,10 @@
   );
 }
 
-/** The number of zones in which tasks of the job may be at the same time; a type that names no zone may be in any. */
+/**
+ * The number of zones in which tasks of the job may be at the same time. A type that lists no zones may be in
+ * any.
+ */
 function countAllowedZones(spec: JobSpec, fittingTypes: readonly MachineType[]): number {
   if (spec.oneZone || spec.zone !== null) return 1;
   if (fittingTypes.some((type) => type.zones.length === 0)) return Infinity;
@@ -44,7 +47,8 @@
 }
 
 /**
- * Why a job can never run, in words for its user; null if it can. See "What can never run" in docs/design.md.
+ * The reason why a job can never run, as text for its user; null if it can run. See "What can never run" in
+ * docs/design.md.
  */
 export function rejectionReason(
   spec: JobSpec,
@@ -62,7 +66,7 @@
   return null;
 }
 
-/** Whether the tasks that the job needs at the same time are more than its team may ever use. */
+/** Whether the resources that the job needs at the same time exceed its team's limit. */
 function exceedsLimit(spec: JobSpec, team: Team): boolean {
   const concurrentTasks = spec.kind === 'array' ? 1 : spec.tasks;
   return (
--- a/packages/model/src/errors.ts
+++ b/packages/model/src/errors.ts
@@ -6,7 +6,7 @@
 
 import { SpurbridgeError } from '@spurbridge/wire';
 
-/** A state machine was asked for a change of state that its transition table does not list. */
+/** A state machine was to make a transition that its transition table does not list. */
 export class InvalidTransitionError extends SpurbridgeError {
   constructor(
     /** What the state belongs to, such as `job`. */
--- a/packages/model/src/gang.ts
+++ b/packages/model/src/gang.ts
@@ -13,10 +13,10 @@
  *
  * - `gone`: none of its tasks may be on a machine.
  * - `intended`: the intent of some task is not durable yet.
- * - `fetching`: starts are out; some task does not have its image yet.
+ * - `fetching`: starts were sent; some task does not have its image yet.
  * - `waiting`: every placed task waits for the others.
- * - `running`, `saving`: at least one task was reported to do so.
- * - `breaking`: a task was lost or is being stopped; the others have to go before the gang starts again.
+ * - `running`, `saving`: at least one task was reported to be in this state.
+ * - `breaking`: a task was lost or is being stopped; the others must be gone before the gang starts again.
  * - `done`: all tasks are done.
  */
 export type GangState =
@@ -24,7 +24,8 @@
 
 const gangTransitions = new TransitionTable<GangState>('gang', {
   gone: ['intended', 'fetching', 'waiting', 'running', 'saving', 'breaking', 'done'],
-  // Before the gang has started, a lost task may be replaced under the same attempt; hence the transitions back.
+  // Before the gang has started, a lost task may be replaced under the same attempt, which requires
+  // transitions back.
   intended: ['fetching', 'waiting', 'running', 'saving', 'breaking', 'gone', 'done'],
   fetching: ['intended', 'waiting', 'running', 'saving', 'breaking', 'gone', 'done'],
   waiting: ['intended', 'fetching', 'running', 'saving', 'breaking', 'gone', 'done'],
@@ -52,9 +53,9 @@
   }
 
   /**
-   * Derives the state from the placements; to be called after every change to one of them.
+   * Derives the state from the placements; must be called after every change to one of them.
    *
-   * @throws {InvalidTransitionError} when the placements contradict the state so far.
+   * @throws {InvalidTransitionError} when the placements contradict the previous state.
    */
   update(placements: ReadonlyMap<number, Placement>, doneCount: number): void {
     if (this.currentState === 'done') return;
@@ -68,14 +69,15 @@
     if (doneCount === this.taskCount) next = 'done';
     else if (placements.size === 0) next = 'gone';
     else if (this.currentState === 'breaking' || (this.hasStarted && hasLostTask)) next = 'breaking';
-    // A gang that has started stays started, whatever a late heartbeat says.
+    // A heartbeat may arrive late, so a gang that has started never returns to a state before the start.
     else if (this.hasStarted) next = moreSignificantState(this.currentState, next);
     this.transitionTo(next);
   }
 
   /**
-   * Whether a lost task may be replaced under the same attempt. Every other task must have been reported to fetch or to wait:
-   * restored from a record alone, the gang may have been running already, and the replacement would wait for nobody.
+   * Whether a lost task may be replaced under the same attempt. Every other task must have been reported to
+   * fetch or to wait: if the gang was only restored from a record, it may have been running already, and the
+   * replacement would wait forever.
    */
   awaitsReplacement(placements: ReadonlyMap<number, Placement>, doneCount: number): boolean {
     if (this.currentState !== 'fetching' && this.currentState !== 'waiting') return false;
@@ -97,7 +99,9 @@
   }
 }
 
-/** States of single tasks by how much they determine the state of the whole gang, least first. */
+/**
+ * States of single tasks, ordered by how strongly they determine the state of the whole gang, weakest first.
+ */
 const STATES_BY_SIGNIFICANCE: readonly GangState[] = [
   'waiting',
   'fetching',
@@ -111,7 +115,7 @@
   return STATES_BY_SIGNIFICANCE.indexOf(second) > STATES_BY_SIGNIFICANCE.indexOf(first) ? second : first;
 }
 
-/** The state that the gang would have if all its tasks were like this one. */
+/** The state that the gang would have if all its tasks were in the state of this one. */
 function gangStateOf({ state, stopRequest }: Placement): GangState {
   if (state === 'saving') return 'saving';
   if (stopRequest !== null) return stopRequest.graceS > 0 && state === 'running' ? 'saving' : 'breaking';
--- a/packages/model/src/job.ts
+++ b/packages/model/src/job.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs: their state, their tasks' placements, and what of it is durable.
+ * Jobs: their state, the placements of their tasks, and which changes are durable.
  *
  * @module
  */
@@ -17,19 +17,19 @@
 
 /** Consecutive tasks of a job that share one record in the key-value store. */
 export interface TaskChunk {
-  /** The position among the job's chunks. */
+  /** The index among the job's chunks. */
   readonly index: number;
-  /** The version of the record in the store as last seen. */
+  /** The last known version of the record in the store. */
   version: Version;
-  /** Increased by every change in memory. */
+  /** Incremented by every change in memory. */
   revision: number;
-  /** The newest revision that was committed; the record is durable when it equals `revision`. */
+  /** The latest revision that was committed; the record is durable if this equals `revision`. */
   durableRevision: number;
-  /** The highest attempt number given to any of its tasks so far. */
+  /** The highest attempt number used by any of its tasks. */
   attemptsIssued: number;
 }
 
-/** The state of a job. `closing`: all tasks are done, but the job's record does not say so yet. */
+/** The state of a job. `closing`: all tasks are done, but the job's record is not updated yet. */
 export type JobState = 'active' | 'closing' | 'done' | 'cancelled';
 
 const jobTransitions = new TransitionTable<JobState>('job', {
@@ -39,7 +39,7 @@
   cancelled: [],
 });
 
-/** An accepted job and what the leader knows of its tasks. */
+/** An accepted job and the leader's state of its tasks. */
 export class Job {
   private currentState: JobState = 'active';
   private readonly doneTasks: Uint8Array;
@@ -49,29 +49,29 @@
   readonly chunks: TaskChunk[];
   /** The state of the gang; null for other kinds of jobs. */
   readonly gang: Gang | null;
-  /** Machines on which tasks of this job failed one after another, without a success in between. */
+  /** Machines on which tasks of this job failed consecutively, without a success in between. */
   readonly failedMachines = new Set<MachineId>();
   consecutiveFailures = 0;
-  /** No task is placed before this, after failures. */
+  /** Backoff after failures: no task is placed before this time. */
   backoffUntil = 0 as MonotonicMs;
   /** When a task was first reported to run; null before that. */
   firstStartedAt: MonotonicMs | null = null;
-  /** No node confirmed its cancellation before this; null: it is not cancelled, or the time is unknown. */
+  /** Its cancellation was confirmed no earlier than this; null: not cancelled, or the time is unknown. */
   cancelledAt: MonotonicMs | null = null;
-  /** If it is cancelled, this was confirmed to its user after this time; null: at any time. */
+  /** Its cancellation, if any, was confirmed to the user after this time; null: at any time. */
   cancelledAfter: MonotonicMs | null = null;
-  /** No lower task is pending: it saves walking over all tasks of a large job for every plan. */
+  /** No task below this index is pending. Avoids walking over all tasks of a large job for every plan. */
   private firstPendingHint = 0;
-  /** Since when the pending tasks of this job have waited. */
+  /** The time since which the job's pending tasks have been waiting. */
   waitingSince: MonotonicMs;
 
   constructor(
     readonly spec: JobSpec,
     readonly chunkSize: number,
-    /** The version of the job's record in the store as last seen. */
+    /** The last known version of the job's record in the store. */
     public version: Version,
     readonly submittedAt: MonotonicMs,
-    /** The id of the task graph that it is a part of; null for a user's own job. */
+    /** The id of the task graph that it belongs to; null for a job submitted by a user. */
     readonly graph: string | null = null,
   ) {
     this.doneTasks = new Uint8Array(spec.tasks);
@@ -86,13 +86,13 @@
     }));
   }
 
-  /** The state; `transitionTo` changes it. */
+  /** The state; only `transitionTo` changes it. */
   get state(): JobState {
     return this.currentState;
   }
 
   /**
-   * The only function that changes the job's state; the present state is no change.
+   * The only function that changes the job's state. A transition to the present state has no effect.
    *
    * @throws {InvalidTransitionError}
    */
@@ -102,22 +102,22 @@
     this.currentState = next;
   }
 
-  /** Tasks that are done or abandoned. */
+  /** The number of tasks that are done or abandoned. */
   get doneCount(): number {
     return this.doneTaskCount;
   }
 
-  /** Everything that may be on a machine, by task. */
+  /** All placements that may be on a machine, by task. */
   get placements(): ReadonlyMap<number, Placement> {
     return this.placementsByTask;
   }
 
-  /** Whether the task is done or abandoned: either way it is not started any more. */
+  /** Whether the task is done or abandoned: in both cases it is never started again. */
   isDone(task: number): boolean {
     return this.doneTasks[task] === 1;
   }
 
-  /** Tasks abandoned without being done: parts of a task graph that failed there or were cancelled. */
+  /** Tasks abandoned without being done: tasks of a task graph that failed there or were cancelled. */
   get abandoned(): ReadonlySet<number> {
     return this.abandonedTasks;
   }
@@ -135,13 +135,13 @@
     this.markDone(task);
   }
 
-  /** Restores from the record that a task was abandoned; that it is done is restored by `markDone`. */
+  /** Restores from the record that a task was abandoned; `markDone` restores that it is done. */
   restoreAbandoned(task: number): void {
     this.abandonedTasks.add(task);
   }
 
   /**
-   * The chunk whose record the task belongs to.
+   * The chunk that the task belongs to.
    *
    * @throws {UnknownTaskError}
    */
@@ -157,16 +157,16 @@
     return chunk.revision === chunk.durableRevision;
   }
 
-  /** Tasks that are neither done nor may be on a machine. */
+  /** The number of tasks that are neither done nor possibly on a machine. */
   get pendingCount(): number {
     return this.spec.tasks - this.doneTaskCount - this.placementsByTask.size;
   }
 
-  /** At most `limit` of the pending tasks, the lowest first; none unless the job is active. */
+  /** At most `limit` pending tasks, lowest index first; none unless the job is active. */
   pendingTasks(limit: number): number[] {
     const found: number[] = [];
     if (this.currentState !== 'active') return found;
-    // A task that is lost moves the hint back (`removePlacement`), so it may also pass tasks that are on machines.
+    // The hint may also pass placed tasks, because `removePlacement` moves it back when a task is lost.
     while (this.firstPendingHint < this.spec.tasks && !this.isPending(this.firstPendingHint))
       this.firstPendingHint += 1;
     const wanted = Math.min(limit, this.pendingCount);
@@ -180,9 +180,11 @@
   }
 
   /**
-   * Records the intent to run a task on a machine; nothing may be sent before the chunk is durable.
+   * Creates a placement with the intent to run a task on a machine. No start may be sent before the chunk is
+   * durable.
    *
-   * @param sharedAttempt - the attempt that all tasks of a gang share; null gives the task an attempt of its own.
+   * @param sharedAttempt - the attempt that all tasks of a gang share; null gives the task an attempt of its
+   * own.
    * @throws {TaskNotPlaceableError} when the job is not active, or the task is done or placed already.
    */
   recordIntent(
@@ -219,12 +221,14 @@
     this.gang?.update(this.placementsByTask, this.doneTaskCount);
   }
 
-  /** Whether the pending tasks of a gang are to replace lost ones while the others are still placed. */
+  /** Whether pending tasks of a gang replace lost ones while the others are still placed. */
   get awaitsReplacementTask(): boolean {
     return this.gang?.awaitsReplacement(this.placementsByTask, this.doneTaskCount) === true;
   }
 
-  /** The attempt for the next tasks of a gang: the present one while any of its tasks is placed, otherwise a new one. */
+  /**
+   * The attempt for the next tasks of a gang: the present one while any task is placed, otherwise a new one.
+   */
   gangAttempt(): Attempt {
     const shared = this.gang?.attempt ?? null;
     if (shared !== null) return shared;
@@ -239,7 +243,7 @@
     chunk.attemptsIssued = attemptsIssued;
   }
 
-  /** Counts a task as done; a task that the job does not have, or that is done already, changes nothing. */
+  /** Marks a task as done. An unknown task, or one that is done already, has no effect. */
   markDone(task: number): void {
     if (task < this.spec.tasks && this.doneTasks[task] === 0) {
       this.doneTasks[task] = 1;
@@ -272,7 +276,7 @@
     this.updateGang();
   }
 
-  /** Takes over a task that its machine reports although no record places it there. */
+  /** Adopts a task that its machine reports although no record places it there. */
   adoptPlacement(
     task: number,
     machine: MachineId,
@@ -303,13 +307,13 @@
       this.transitionPlacement(placement, this.gang === null ? 'queued' : 'starting', now);
   }
 
-  /** Its machine has the resources free: starts may be sent from here on. */
+  /** Its machine has free resources: starts may be sent from now on. */
   markStarting(task: number, now: MonotonicMs): void {
     const placement = this.placementsByTask.get(task);
     if (placement?.state === 'queued') this.transitionPlacement(placement, 'starting', now);
   }
 
-  /** Applies what a heartbeat says of the task. */
+  /** Applies the task's status from a heartbeat. */
   applyReportedPhase(task: number, phase: Exclude<TaskPhase, 'exited'>, now: MonotonicMs): void {
     const placement = this.placementsByTask.get(task);
     if (placement === undefined) return;
@@ -317,7 +321,10 @@
     if (phase === 'running' && this.firstStartedAt === null) this.firstStartedAt = now;
   }
 
-  /** The task is proven not to be on the machine, by the machine, by its agent's epoch or by the cloud. */
+  /**
+   * Removes the placement of a task proven not to be on the machine: by the machine, by its agent's epoch or
+   * by the cloud.
+   */
   removePlacement(task: number, isDone: boolean, now: MonotonicMs): void {
     const placement = this.placementsByTask.get(task);
     if (placement === undefined) return;
@@ -332,11 +339,14 @@
     this.updateGang();
   }
 
-  /** Decides to stop the task's placement; an earlier decision stands, unless the job is cancelled now. */
+  /**
+   * Records the decision to stop the task's placement. An earlier decision is kept, unless the job is
+   * cancelled now.
+   */
   requestStop(task: number, graceS: number, reason: StopReason, now: MonotonicMs): void {
     const placement = this.placementsByTask.get(task);
     if (placement === undefined) return;
-    // A cancellation overrides a stop with grace: what would be saved is of no use to anybody.
+    // A cancellation overrides a graceful eviction, because the checkpoint would not be used.
     if (
       placement.stopRequest === null ||
       (reason === 'cancelled' && placement.stopRequest.reason !== 'cancelled')
--- a/packages/model/src/machine.ts
+++ b/packages/model/src/machine.ts
@@ -1,5 +1,5 @@
 /**
- * Machines as the leader knows them: their state, the newest heartbeat and how fast they were seen to be.
+ * The leader's state of machines: lifecycle state, latest heartbeat and observed speed.
  *
  * @module
  */
@@ -9,12 +9,13 @@
 import { TransitionTable } from './transition-table.js';
 
 /**
- * The state of a machine: booting -> ready -> silent -> ready | gone; ready -> draining -> releasing -> gone. A machine that was
- * drained only to be scaled in may become ready again.
+ * The state of a machine: booting -> ready -> silent -> ready | gone; ready -> draining -> releasing -> gone.
+ * A machine drained only for scaling in may become ready again.
  *
- * - `silent`: no heartbeat for a while; its tasks still count as being there.
- * - `draining`: takes no new tasks.
- * - `releasing`: a release was sent to the cloud; only its confirmation proves anything.
+ * - `silent`: heartbeats are missing; its tasks still count as being there.
+ * - `draining`: accepts no new tasks.
+ * - `releasing`: a release was sent to the cloud; only the cloud's confirmation proves that the machine is
+ *   gone.
  */
 export type MachineState = 'booting' | 'ready' | 'silent' | 'draining' | 'releasing' | 'gone';
 
@@ -27,16 +28,16 @@
   gone: [],
 });
 
-/** The slowness of a machine is estimated from this many of the last jobs that ran there. */
+/** The number of most recent jobs on a machine that its slowness is estimated from. */
 const SLOWNESS_SAMPLE_JOBS = 10;
-/** Fewer jobs than this do not show that a machine is slow. */
+/** The minimum number of jobs that can show that a machine is slow. */
 const SLOWNESS_MIN_JOBS = 4;
-/** Jobs' worth of evidence that the machine is as fast as any other. */
+/** Weight of the prior that the machine has normal speed, in jobs. */
 const SLOWNESS_PRIOR_JOBS = 2;
 
 /** The run times of one job's tasks on a machine. */
 interface RunTimeSample {
-  /** Sum over the tasks of the logarithm of run time over expected run time. */
+  /** Sum over the tasks of the logarithm of actual over expected run time. */
   readonly sum: number;
   readonly count: number;
 }
@@ -44,48 +45,48 @@
 /** A machine of the fleet. */
 export class Machine {
   private currentState: MachineState = 'booting';
-  /** Where its agent takes commands; empty while unknown. */
+  /** The address at which its agent accepts commands; empty while unknown. */
   address = '';
-  /** The epoch of its agent by the newest heartbeat; null before the first. */
+  /** Its agent's epoch in the newest heartbeat; null before the first one. */
   agentEpoch: AgentEpoch | null = null;
   /** The sequence number of the newest heartbeat in that epoch. */
   lastSequence = -1;
-  /** The fencing token that the agent showed in the newest heartbeat. */
+  /** The fencing token in the newest heartbeat. */
   fencingToken = 0 as FencingToken;
-  /** When the newest heartbeat arrived, by this process' monotonic clock. */
+  /** The arrival of the newest heartbeat, by this process's monotonic clock. */
   lastHeartbeatAt: MonotonicMs | null = null;
-  /** The latest time at which some leader may have renewed its lease by responding to one of its heartbeats. */
+  /** The latest time at which some leader may have renewed its lease by responding to a heartbeat. */
   latestPossibleRenewalAt: MonotonicMs;
-  /** Until when another node may renew its lease under a delegation by this leader. */
+  /** Until when another node may renew its lease by delegation from this leader. */
   leaseDelegatedUntil = 0 as MonotonicMs;
   /** When the cloud's preemption notice arrived; null without one. */
   preemptionNoticeAt: MonotonicMs | null = null;
-  /** When the cloud takes the machine back by that notice. */
+  /** When the cloud takes the machine back according to that notice. */
   preemptionDeadline: MonotonicMs | null = null;
-  /** The images in its cache with their sizes in GB, the most recently used last. */
+  /** The images in its cache with their sizes in GB, least recently used first. */
   readonly images = new Map<string, number>();
-  /** Starts that were sent directly in this agent epoch and not confirmed: they may arrive at any time. */
+  /** Starts sent directly in this agent epoch and not confirmed: they may arrive at any time. */
   readonly unconfirmedStarts = new Set<string>();
-  /** Jobs whose tasks failed here, without a success in between. */
+  /** Jobs whose tasks failed here consecutively, without a success in between. */
   readonly failedJobs = new Set<string>();
   /** Probes sent since the last heartbeat, and how many of them got no response. */
   probesSent = 0;
   probesUnanswered = 0;
-  /** Since when no task has been placed here; null while there is one. */
+  /** The time since which no task has been placed here; null while one is placed. */
   idleSince: MonotonicMs | null;
-  /** No task is started here before this, after a start was refused or a task failed. */
+  /** No task is started here before this time, after a refused start or a failed task. */
   backoffUntil = 0 as MonotonicMs;
-  /** Whether a direct call with commands is under way; there is one at a time. */
+  /** Whether a direct call with commands is in progress; at most one is. */
   isSendingCommands = false;
   /**
-   * Whether the machine is known to exist now: by a record that places on it, by the cloud, or by a heartbeat or response that
-   * shows this leader's token. A heartbeat alone may be an old one of a machine that was released long ago, so nothing is placed
-   * before.
+   * Whether the machine is known to exist now: by a record that places a task on it, by the cloud, or by a
+   * heartbeat or response with this leader's fencing token. Other heartbeats may be delayed ones of a machine
+   * released long ago, so no task is placed before this is known.
    */
   isConfirmed = true;
-  /** Whether the cloud has listed it as running: its agent may have started tasks. */
+  /** Whether the cloud has listed it as running, so that its agent may have started tasks. */
   isListedRunning = false;
-  /** Why it is being drained; empty while it is not. */
+  /** Why it is being drained; empty if it is not. */
   drainReason = '';
   private readonly runTimesByJob = new Map<string, RunTimeSample>();
   private estimatedSlowness = 1;
@@ -96,7 +97,7 @@
     readonly type: string,
     readonly zone: string,
     readonly spot: boolean,
-    /** Whether this service scaled out to it, as opposed to a machine of the fleet that it found. */
+    /** Whether this service scaled out to it; false for a machine that existed already. */
     public isProvisioned: boolean,
     readonly firstSeenAt: MonotonicMs,
   ) {
@@ -104,13 +105,13 @@
     this.idleSince = firstSeenAt;
   }
 
-  /** The state; `transitionTo` changes it. */
+  /** The state; only `transitionTo` changes it. */
   get state(): MachineState {
     return this.currentState;
   }
 
   /**
-   * The only function that changes the machine's state; the present state is no change.
+   * The only function that changes the machine's state. A transition to the present state has no effect.
    *
    * @throws {InvalidTransitionError}
    */
@@ -126,8 +127,9 @@
   }
 
   /**
-   * Records the run time of a task over the expected one. The tasks of one job share the error of its estimate, so the slowness is
-   * the mean over jobs and not over tasks: many tasks of a job that was estimated too short must not condemn a machine.
+   * Records actual over expected run time of a task. The tasks of one job share the error of its estimate, so
+   * the slowness is the mean over jobs, not over tasks: many tasks of one underestimated job must not make
+   * the machine look slow.
    */
   recordRunTime(job: string, ratio: number): void {
     const sample = this.runTimesByJob.get(job) ?? { sum: 0, count: 0 };
@@ -143,17 +145,22 @@
     this.estimatedSlowness = Math.max(1, Math.exp(sumOfMeans / sampleSize));
   }
 
-  /** Observed run time over expected run time, close to 1 while there are few samples; never below 1. */
+  /** Actual over expected run time, shrunk towards 1 while there are few samples; at least 1. */
   get slowness(): number {
     return this.estimatedSlowness;
   }
 
-  /** Whether enough different jobs ran here to say that the machine is slower than others by this factor. */
+  /**
+   * Whether enough different jobs ran here to conclude that the machine is slower than others by this factor.
+   */
   isSlow(factor: number): boolean {
     return this.runTimesByJob.size >= SLOWNESS_MIN_JOBS && this.slowness > factor;
   }
 
-  /** Records that an image was used: it is now in the cache, and the least recently used images beyond the cache's size are not. */
+  /**
+   * Records the use of an image: adds it to the cache and evicts the least recently used images beyond the
+   * cache's size.
+   */
   cacheImage(image: string, sizeGb: number, cacheGb: number): void {
     this.images.delete(image);
     this.images.set(image, sizeGb);
--- a/packages/model/src/objective.ts
+++ b/packages/model/src/objective.ts
@@ -1,10 +1,13 @@
 /**
- * Service-level objectives that the operators configure.
+ * Service-level objectives configured by operators.
  *
  * @module
  */
 
-/** A service-level objective for the jobs of one class, or for all jobs. The names of its fields are stored as they are. */
+/**
+ * A service-level objective for the jobs of one class, or for all jobs. Field names are part of the stored
+ * format.
+ */
 export interface Objective {
   /** `deadline`, `finished`, `wait` or `guarantee`; other kinds are ignored. */
   readonly kind: string;
--- a/packages/model/src/placement.ts
+++ b/packages/model/src/placement.ts
@@ -1,5 +1,5 @@
 /**
- * Placements: one attempt of one task on one machine, from the intent to the proof that it is gone.
+ * Placements: one attempt of one task on one machine, from the intent to the proof that the task is gone.
  *
  * @module
  */
@@ -14,8 +14,8 @@
  * - `intended`: the intent is not durable yet, so no start may be sent.
  * - `queued`: durable, waiting for free resources on its machine; this leader has sent no start.
  * - `starting`: a start may be in flight.
- * - `fetching`, `waiting`, `running`, `saving`: as the machine's agent reported it.
- * - `gone`: proven not to be on the machine any more.
+ * - `fetching`, `waiting`, `running`, `saving`: as reported by the machine's agent.
+ * - `gone`: proven to be no longer on the machine.
  */
 export type PlacementState =
   'intended' | 'queued' | 'starting' | 'fetching' | 'waiting' | 'running' | 'saving' | 'gone';
@@ -40,7 +40,7 @@
 /** The decision to stop a placement. */
 export interface StopRequest {
   readonly at: MonotonicMs;
-  /** Seconds that the task is given to save its progress; 0 stops it at once. */
+  /** Seconds that the task has to save a checkpoint; 0 stops it at once. */
   readonly graceS: number;
   readonly reason: StopReason;
 }
@@ -53,9 +53,9 @@
   readonly agentEpoch: AgentEpoch;
   readonly attempt: Attempt;
   readonly state: PlacementState;
-  /** Whether it was read from a record: an earlier leader may have sent its start. */
+  /** Whether it was restored from a record: an earlier leader may have sent its start. */
   readonly isRestored: boolean;
-  /** When the present state began. */
+  /** When the present state was entered. */
   readonly stateSince: MonotonicMs;
   readonly placedAt: MonotonicMs;
   /** When the task was first reported to run on this machine; null before that. */
@@ -65,8 +65,8 @@
 }
 
 /**
- * Whether no leader can have sent a start for the placement. Such a placement can be given up at once, without any proof from
- * its machine.
+ * Whether no leader can have sent a start for the placement. Such a placement can be removed at once, without
+ * proof from its machine.
  */
 export function isUnsent(placement: Placement): boolean {
   return !placement.isRestored && (placement.state === 'intended' || placement.state === 'queued');
--- a/packages/model/src/record.ts
+++ b/packages/model/src/record.ts
@@ -1,6 +1,6 @@
 /**
- * The stored records of jobs and of their tasks. The JSON names of the fields are fixed: records of earlier versions must stay
- * readable, and nodes of different versions read one another's records.
+ * The stored records of jobs and of their tasks. The JSON field names are fixed: records of earlier versions
+ * must stay readable, and nodes of different versions read one another's records.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 import { ValidationError, formatSubmission, isJobId, parseSubmission, read } from '@spurbridge/wire';
 import type { Job, TaskChunk } from './job.js';
 
-/** Time of day in milliseconds, true only within the platform's clock error. */
+/** Wall-clock time in milliseconds, accurate only within the platform's clock error. */
 export type WallClockMs = Brand<number, 'WallMs'>;
 
 /** Prefix of the keys of job records. */
@@ -32,12 +32,14 @@
   return JOB_KEY_PREFIX + id;
 }
 
-/** The key of the record of a job's tasks with this chunk index. */
+/** The key of the task record with this chunk index. */
 export function chunkKey(id: JobId, index: number): string {
   return `${TASK_KEY_PREFIX}${id}/${index}`;
 }
 
-/** The record of a job as a whole. Any node writes it; tasks have their own records, which only the leader writes. */
+/**
+ * The record of a job as a whole. Any node may write it; only the leader writes the separate task records.
+ */
 export interface JobRecord {
   readonly spec: JobSpec;
   readonly phase: 'active' | 'done' | 'cancelled';
@@ -46,7 +48,10 @@
   readonly chunkSize: number;
   /** The task graph that the job is a part of; absent for a user's own job. */
   readonly graph?: string;
-  /** When its cancellation was requested: it was confirmed no earlier. Absent in records of earlier versions. */
+  /**
+   * When its cancellation was requested, which is never later than its confirmation. Absent in records of
+   * earlier versions.
+   */
   readonly cancelledAt?: WallClockMs;
 }
 
@@ -64,14 +69,14 @@
 }
 
 /**
- * The JSON value of the compacted record of a job that has ended: without what was needed only to run it, but enough to answer
- * its users. `decodeJob` reads it, too.
+ * The JSON value of the compacted record of an ended job: only what is needed to answer its users.
+ * `decodeJob` also reads this form.
  */
 export function encodeCompactedJob(id: string, tasks: number, phase: string): Record<string, unknown> {
   return { over: [id, tasks], phase, at: 0, chunk: 1 };
 }
 
-/** A compacted record holds only the id and the number of tasks: the job needs no resources and belongs to no team. */
+/** A compacted record holds only the id and the number of tasks, so the job has no resources and no team. */
 function compactedJobSpec(fields: readonly unknown[]): JobSpec {
   const [id, tasks] = fields;
   if (typeof id !== 'string' || !isJobId(id)) throw new ValidationError('over', 'a job id');
@@ -124,20 +129,22 @@
   };
 }
 
-/** The phase that a job's user is told. */
+/** The phase that is reported to the job's user. */
 export function jobPhaseForUser(record: JobRecord, runningTasks: number): JobPhase {
   if (record.phase !== 'active') return record.phase;
   return runningTasks > 0 ? 'running' : 'queued';
 }
 
-/** More bytes than one placed task takes in a task record. */
+/** Upper bound of the bytes that one placed task takes in a task record. */
 const MAX_ENCODED_TASK_BYTES = 48;
-/** Bytes of a task record beside its tasks. */
+/** Bytes of a task record apart from its tasks. */
 const CHUNK_OVERHEAD_BYTES = 256;
 const MAX_TASKS_PER_CHUNK = 256;
 const BYTES_PER_KB = 1024;
 
-/** The number of tasks per record with which, even with every task placed, the record fits one value of the store. */
+/**
+ * The number of tasks per record for which a record fits one value of the store even if every task is placed.
+ */
 export function tasksPerChunk(valueKb: number): number {
   const fitting = Math.floor((valueKb * BYTES_PER_KB - CHUNK_OVERHEAD_BYTES) / MAX_ENCODED_TASK_BYTES);
   return Math.max(1, Math.min(MAX_TASKS_PER_CHUNK, fitting));
@@ -159,7 +166,7 @@
   return { ...record, abandoned: [...job.abandoned].filter(isInChunk) };
 }
 
-/** The tasks from `first` to before `end` that are done, as ranges: `0-3,7`. */
+/** The done tasks in the range from `first` up to but excluding `end`, encoded as ranges: `0-3,7`. */
 function formatDoneRanges(job: Job, first: number, end: number): string {
   const ranges: string[] = [];
   for (let task = first; task < end; task += 1) {
@@ -172,7 +179,7 @@
   return ranges.join(',');
 }
 
-/** Marks the tasks of ranges such as `0-3,7` as done. */
+/** Marks the tasks of encoded ranges such as `0-3,7` as done. */
 function restoreDoneRanges(job: Job, ranges: string): void {
   for (const range of ranges.split(',')) {
     if (range === '') continue;
@@ -182,7 +189,7 @@
 }
 
 /**
- * Restores the tasks of one task record into the job that they belong to.
+ * Restores the tasks of one task record in the job that they belong to.
  *
  * @throws {ValidationError} when a field is missing or malformed.
  */
--- a/packages/model/src/service-levels.ts
+++ b/packages/model/src/service-levels.ts
@@ -1,57 +1,60 @@
 /**
- * Service levels: which share of what was requested a class of jobs or a team was given. The log, the checker of the simulated
- * world and the regression measurements share this definition.
+ * Service levels: the share of what a class of jobs or a team requested that it received. The log, the
+ * checker of the simulated environment and the regression measurements share this definition.
  *
  * @module
  */
 
 import type { JobSpec } from '@spurbridge/wire';
 
-/** Below this share of what was requested and could have been served, a class or a team counts as not served. */
+/** A class or team whose share of what was requested and possible is below this counts as not served. */
 export const MIN_SERVED_SHARE = 0.5;
-/** The replicas of a service count as requested from so many seconds after its submission on. */
+/** The replicas of a service count as requested from this many seconds after its submission on. */
 export const REPLICA_GRACE_S = 20;
-/** A job may wait so many seconds for its first task before it counts as not started. */
+/** A job that has waited this many seconds for its first task counts as not started. */
 export const START_GRACE_S = 60;
 
-/** The largest jobs of a class have to start within so many seconds. */
+/** The largest jobs of a class have to start within this many seconds. */
 export const LARGEST_JOB_START_S = 240;
-/** The largest jobs are this share of the jobs of a class. */
+/** The share of a class's jobs that counts as the largest ones. */
 const LARGEST_JOB_SHARE = 0.25;
-/** Among fewer jobs than this, none counts as one of the largest. */
+/** In a class with fewer jobs than this, none counts as one of the largest. */
 const LARGEST_JOB_MIN_COUNT = 8;
-/** A job without a deadline could have ended after this multiple of its estimate, and the time to start. */
+/** A job without a deadline could have ended after this multiple of its estimate, plus the time to start. */
 const EXPECTED_END_ESTIMATES = 4;
 /** A job with a deadline could have ended after this multiple of it. */
 const EXPECTED_END_DEADLINES = 1.5;
 
-/** The size by which the largest jobs of a class are found: all its accelerators, or its CPUs where it needs none. */
+/** The size that ranks the jobs of a class: all its accelerators, or its CPUs if it needs no accelerators. */
 export function jobSize(spec: JobSpec): number {
   return spec.tasks * (spec.gpus > 0 ? spec.gpus : spec.cpus);
 }
 
-/** The size from which on a job is one of the largest of its class; Infinity where there are too few jobs to tell. */
+/** The minimum size of the largest jobs of a class; Infinity if the class has too few jobs. */
 export function largestJobThreshold(sizes: readonly number[]): number {
   if (sizes.length < LARGEST_JOB_MIN_COUNT) return Infinity;
   const sorted = [...sizes].sort((first, second) => second - first);
   return sorted[Math.floor(sorted.length * LARGEST_JOB_SHARE) - 1] ?? Infinity;
 }
 
-/** The age in seconds at which a job that ends by itself could have ended; a younger job counts neither way. */
+/** The age in seconds at which a finite job could have ended; younger jobs are not counted. */
 export function expectedEndAgeS(spec: JobSpec): number {
   return spec.deadlineS === null
     ? START_GRACE_S + EXPECTED_END_ESTIMATES * spec.estimateS
     : EXPECTED_END_DEADLINES * spec.deadlineS;
 }
 
-/** The replicas that can run at the same time: only half of them where they are spread but bound to one zone. */
+/**
+ * The number of replicas that can run at the same time: only half of them if the service is spread but bound
+ * to one zone.
+ */
 export function maxRunnableReplicas(spec: JobSpec): number {
   return spec.zone !== null && spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks;
 }
 
-/** What a class or a team requested, and what it was given. */
+/** What a class or a team requested, and what it received. */
 export interface ServiceLevelCounts {
-  /** Jobs that end by themselves and have ended or could have. */
+  /** Finite jobs that have ended or could have. */
   couldEnd: number;
   /** How many of these have ended. */
   ended: number;
@@ -63,7 +66,7 @@
   couldStart: number;
   /** How many of these have started. */
   started: number;
-  /** Replica seconds that were requested. */
+  /** Requested replica seconds. */
   wantedS: number;
   /** Replica seconds that were run. */
   ranS: number;
@@ -80,11 +83,14 @@
 /** One service level of a class or a team. */
 export interface ServiceLevel {
   readonly indicator: ServiceLevelIndicator;
-  /** The share of what was requested that was given. */
+  /** The received share of what was requested. */
   readonly share: number;
-  /** The share less `MIN_SERVED_SHARE`; below zero the level is missed. */
+  /** The share minus `MIN_SERVED_SHARE`; the level is missed if negative. */
   readonly margin: number;
-  /** Whether a missed level is only a warning: operators may care for it, the definition of being served does not. */
+  /**
+   * Whether missing it is only a warning: relevant to operators, but not part of the definition of being
+   * served.
+   */
   readonly isWarning: boolean;
 }
 
@@ -93,7 +99,7 @@
   return { indicator, share, margin: share - MIN_SERVED_SHARE, isWarning: indicator === 'in time' };
 }
 
-/** The service levels of one class or team, as far as anything was requested. */
+/** The service levels of one class or team, for everything of which anything was requested. */
 export function serviceLevels(counts: ServiceLevelCounts): ServiceLevel[] {
   const levels: ServiceLevel[] = [];
   if (counts.couldEnd > 0) levels.push(serviceLevel('ended', counts.ended, counts.couldEnd));
@@ -103,36 +109,39 @@
   return levels;
 }
 
-/** The service levels that are missed, without those that are only a warning. */
+/** The missed service levels, without those that are only a warning. */
 export function missedServiceLevels(counts: ServiceLevelCounts): ServiceLevel[] {
   return serviceLevels(counts).filter((level) => level.margin < 0 && !level.isWarning);
 }
 
-/** What became of a job so far. */
+/** The outcome of a job so far. */
 export interface JobOutcome {
   readonly spec: JobSpec;
   /** Its age in seconds at its end, or now. */
   readonly ageS: number;
-  /** Its age in seconds at its first start, as far as it is known; null: it has not started. */
+  /** Its age in seconds at its first start, if known; null if it has not started. */
   readonly startedS: number | null;
   readonly isEnded: boolean;
-  /** Cancelled by its user: what it had not reached by then counts neither way. */
+  /** Whether its user cancelled it: outcomes that it had not reached by then are not counted. */
   readonly isCancelled: boolean;
 }
 
-/** Counts a job; the replica seconds of services are counted as they run. */
+/** Counts a job; the replica seconds of services are counted while they run. */
 export function countJob(counts: ServiceLevelCounts, job: JobOutcome): void {
   countStarted(counts, job, START_GRACE_S, Infinity);
   countEnded(counts, job);
 }
 
-/** Counts one of the largest jobs of its class: it has to start in time, not only at all. */
+/** Counts one of the largest jobs of its class: such a job must start in time. */
 export function countLargestJob(counts: ServiceLevelCounts, job: JobOutcome): void {
   countStarted(counts, job, LARGEST_JOB_START_S, LARGEST_JOB_START_S);
   countEnded(counts, job);
 }
 
-/** A job that has not started counts from the age of `graceS` on; started after `withinS`, it counts as not started. */
+/**
+ * Counts the start of a job. A job that has not started is counted once its age reaches `graceS`; one that
+ * started after `withinS` counts as not started. Both in seconds.
+ */
 function countStarted(counts: ServiceLevelCounts, job: JobOutcome, graceS: number, withinS: number): void {
   const isStarted = job.startedS !== null;
   if (!isStarted && (job.isCancelled || job.ageS < graceS)) return;
--- a/packages/model/src/transition-table.ts
+++ b/packages/model/src/transition-table.ts
@@ -1,5 +1,5 @@
 /**
- * Tables of allowed state transitions, which every state machine of spurbridge is checked against.
+ * Tables of allowed state transitions; every state machine of spurbridge checks its transitions against one.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 /** The allowed transitions between the named states of one kind of subject. */
 export class TransitionTable<State extends string> {
   constructor(
-    /** What the states belong to; it is named in errors. */
+    /** What the states belong to; named in errors. */
     private readonly subject: string,
     private readonly allowed: Readonly<Record<State, readonly State[]>>,
   ) {}
