--- a/packages/configuration/src/api.ts
+++ b/packages/configuration/src/api.ts
@@ -32,7 +32,9 @@
   readonly node: string;
   /** Null: the node has not reported its version yet. */
   readonly version: number | null;
-  /** Time since the node last confirmed that its copy of the key-value store was current, in milliseconds. */
+  /**
+   * Time since the node last confirmed that its replica of the key-value store was current, in milliseconds.
+   */
   readonly ageMs: number;
   readonly leads: boolean;
 }
--- a/packages/configuration/src/editor.ts
+++ b/packages/configuration/src/editor.ts
@@ -20,12 +20,12 @@
 import { TransactionBuilder } from './transaction.js';
 import type { Configuration, GuaranteeBound } from './types.js';
 
-/** Less urgent than placements, lease renewals and users' requests. */
+/** Lower priority than placements, lease renewals and users' requests. */
 const REQUEST_PRIORITY = 2;
 const MAX_LOAD_ATTEMPTS = 3;
 const LOAD_RETRY_DELAY_MS = 30;
 
-/** What a {@link ConfigurationEditor} works with. */
+/** Dependencies of a {@link ConfigurationEditor}. */
 export interface ConfigurationEditorOptions {
   readonly store: KeyValueStore;
   readonly clock: Clock;
--- a/packages/configuration/src/replica.ts
+++ b/packages/configuration/src/replica.ts
@@ -1,5 +1,5 @@
 /**
- * A node's own copy of the configuration, which follows the records in the key-value store.
+ * A node's replica of the configuration, updated from the records in the key-value store.
  *
  * @module
  */
@@ -30,7 +30,7 @@
   error(fields: object, message: string): void;
 }
 
-/** What a {@link ConfigurationReplica} reports to. */
+/** Dependencies of a {@link ConfigurationReplica}. */
 export interface ConfigurationReplicaOptions {
   readonly log: ConfigurationLogger;
   /** Called after another version has become the current one. */
@@ -75,7 +75,10 @@
     this.options.log.info({ from: previous, to: next, why: reason, version: this.version }, 'configuration');
   }
 
-  /** Reads the records again. To be called whenever this node's copy of the key-value store may have changed. */
+  /**
+   * Reads the records again. Must be called whenever this node's replica of the key-value store may have
+   * changed.
+   */
   refresh(lookup: RecordLookup): void {
     const headRecordVersion = lookup(HEAD_KEY)?.version ?? null;
     // Every change writes the head record, but in `mixed` the other records may arrive after it.
--- a/packages/configuration/src/requests.ts
+++ b/packages/configuration/src/requests.ts
@@ -1,6 +1,6 @@
 /**
- * Parses and formats the bodies of operators' requests. Parsing is strict: a misspelt field must not pass for a change
- * that was made.
+ * Parses and formats the bodies of operators' requests. Parsing is strict, so that a misspelt field is
+ * rejected rather than silently ignored.
  *
  * @module
  */
--- a/packages/configuration/src/team-pages.ts
+++ b/packages/configuration/src/team-pages.ts
@@ -5,7 +5,7 @@
  */
 import type { ConfiguredTeam } from './types.js';
 
-/** New pages are at most this full, relative to the size limit of a value, so that their teams have room to change. */
+/** Maximum fill of new pages, relative to the size limit of a value, so that their teams can grow. */
 const INITIAL_FILL_RATIO = 0.5;
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
--- a/packages/configuration/src/transaction.ts
+++ b/packages/configuration/src/transaction.ts
@@ -24,7 +24,9 @@
 import type { Configuration } from './types.js';
 
 const BYTES_PER_KIB = 1024;
-/** Field changes of one commit that the history lists; of further ones it keeps the number. */
+/**
+ * Maximum number of field changes per commit that the history lists; of the others it keeps only the number.
+ */
 const MAX_LISTED_FIELD_CHANGES = 40;
 const MAX_TRANSACTION_BYTES = 60 * BYTES_PER_KIB;
 /** Records that a change may write besides the pages: head, objectives and history. */
@@ -131,7 +133,7 @@
     return this.rebuildPages(after);
   }
 
-  /** Distributes all teams anew, over as few pages as they fit. */
+  /** Redistributes all teams over the smallest possible number of pages. */
   private rebuildPages({ version, teams }: Configuration): TeamPage[] {
     const totalBytes = JSON.stringify(encodePage({ version, teams })).length;
     const maxPages = Math.max(1, this.limits.txnOps - NON_PAGE_RECORDS - RESERVED_MUTATIONS);
