--- a/packages/snapshot/src/repository.ts
+++ b/packages/snapshot/src/repository.ts
@@ -89,9 +89,9 @@
   }
 
   /**
-   * Stores a snapshot and removes the oldest ones beyond a number.
+   * Stores a snapshot and removes the oldest ones beyond the limit.
    *
-   * @param maxSnapshots - number of snapshots of all nodes that remain
+   * @param maxSnapshots - maximum number of snapshots of all nodes that are kept
    */
   async save(name: string, bytes: Buffer, maxSnapshots: number): Promise<void> {
     await this.directory.write(name, bytes);
--- a/packages/snapshot/src/restore.ts
+++ b/packages/snapshot/src/restore.ts
@@ -48,8 +48,8 @@
 }
 
 /**
- * A store that was emptied while no controller kept a replica began as a new deployment. Only a person can know that a
- * snapshot is of the deployment before it.
+ * A store that was emptied while no controller held a replica starts as a new deployment. Only an operator
+ * can know that a snapshot belongs to the deployment before it.
  */
 function checkDeployment(
   contents: StoreContents,
@@ -94,14 +94,15 @@
 }
 
 /**
- * Restores a snapshot by beginning a new epoch, as after a data loss: running controllers contribute their replicas, and
- * whatever is newer than the snapshot stays. The new epoch opens as a discontinuous one, so that the next leader asks
- * all machines what they run before it relies on the records.
+ * Restores a snapshot by beginning a new epoch, as after a data loss: running controllers contribute their
+ * replicas, and records newer than the snapshot are kept. The new epoch opens as a discontinuous one, so that
+ * the next leader queries all machines for their tasks before it relies on the records.
  *
  * @param timeoutMs - how long the new epoch may take to open
  * @param acceptedDeployment - id of another deployment whose snapshots are accepted, or null
- * @throws {@link SnapshotToolError} where the store does not respond, the snapshot is of another deployment, or no epoch
- *   opened in time
+ * @throws {@link SnapshotToolError} where the store does not respond, the snapshot is of another deployment,
+ * or no epoch
+ * opened in time
  */
 export async function restoreSnapshot(
   options: SnapshotToolOptions,
@@ -135,7 +136,7 @@
     valueKb,
     log,
     node: RESTORE_NODE,
-    // This command takes part besides all controllers.
+    // This command is a further participant besides all controllers.
     nodes: options.controllerCount + 1,
     localState: () => ({
       replicaEpoch: contents.epoch as EpochNumber,
--- a/packages/snapshot/src/snapshotter.ts
+++ b/packages/snapshot/src/snapshotter.ts
@@ -16,7 +16,7 @@
   error(fields: object, message: string): void;
 }
 
-/** What the snapshotter works with. */
+/** Dependencies of the snapshotter. */
 export interface SnapshotterOptions {
   readonly store: RecoverableStore;
   readonly repository: SnapshotRepository;
--- a/packages/snapshot/src/store-reader.ts
+++ b/packages/snapshot/src/store-reader.ts
@@ -9,13 +9,13 @@
 import type { KeyValueStore } from '@spurbridge/store';
 import { SnapshotToolError } from './errors.js';
 
-/** The list of all keys is requested with less priority than what controllers need to serve requests. */
+/** Listing all keys has a lower priority than the requests that controllers need to serve users. */
 const LIST_PRIORITY = 1;
 /** Duration of one watch request, and the pause after a failed one, in milliseconds. */
 const WATCH_TIMEOUT_MS = 200;
 const MAX_WATCH_ROUNDS = 20;
 
-/** What an operator's snapshot command works with. */
+/** Dependencies of an operator's snapshot command. */
 export interface SnapshotToolOptions {
   /** The key-value store itself, without the checks of a controller. */
   readonly underlyingStore: KeyValueStore;
@@ -62,7 +62,10 @@
   };
 }
 
-/** The list was read page by page: applying what changed meanwhile makes it consistent as of one revision. */
+/**
+ * The list is read page by page while others write: applying the changes since its start makes it consistent
+ * as of one revision.
+ */
 async function catchUp(options: SnapshotToolOptions, replica: Replica, revision: number): Promise<void> {
   for (let round = 0; replica.revision < revision && round < MAX_WATCH_ROUNDS; round += 1) {
     const watched = await options.underlyingStore.watch('', replica.revision, WATCH_TIMEOUT_MS);
