--- a/packages/daemon/src/config-command.ts
+++ b/packages/daemon/src/config-command.ts
@@ -28,7 +28,7 @@
 function nodeOption(): Option {
   return new Option('--node <address>', 'a controller node, IPv4:port; may be given several times')
     .argParser((text: string, previous: readonly string[]) =>
-      // The first address replaces the default ones, further ones are added.
+      // The first address replaces the default ones, further ones are appended.
       appendAddress(text, previous === DEFAULT_NODES ? [] : previous),
     )
     .default(DEFAULT_NODES, 'SPURBRIDGE_NODES, separated by commas');
--- a/packages/daemon/src/configuration-routes.ts
+++ b/packages/daemon/src/configuration-routes.ts
@@ -14,7 +14,7 @@
 const HTTP_UNAVAILABLE = 503;
 const RETRY_AFTER_S = '1';
 
-/** What the routes work with. */
+/** Dependencies of the routes. */
 export interface ConfigurationRouteOptions {
   readonly editor: ConfigurationEditor;
   /** The version of the configuration on each node. */
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -19,7 +19,7 @@
   readonly logLevel?: string;
 }
 
-/** Settings and leader components, which are complete and valid. */
+/** Complete and valid settings, and the leader components. */
 interface CheckedInput {
   readonly settings: Settings;
   readonly leaderComponents: readonly LeaderComponentFactory[];
@@ -54,8 +54,8 @@
 }
 
 /**
- * Reads the command line and the settings file, then runs the node until the process is killed. With `--check` it only
- * says whether they are valid.
+ * Reads the command line and the settings file, then runs the node until the process is killed. With
+ * `--check` it only reports whether they are valid.
  *
  * @param extension - what the program adds to a controller node, or null
  */
--- a/packages/daemon/src/extension.ts
+++ b/packages/daemon/src/extension.ts
@@ -15,17 +15,17 @@
 import type { Command } from 'commander';
 import type { FastifyInstance } from 'fastify';
 
-/** What the routes of an extension work with. */
+/** Dependencies of an extension's routes. */
 export interface RouteContext {
   readonly settings: Settings;
   readonly store: KeyValueStore;
-  /** The machine types that this node knows now. */
+  /** The machine types currently known to this node. */
   readonly machineTypes: () => readonly MachineType[];
   /** The version of the configuration on each node. */
   readonly configurationStatus: () => readonly NodeConfigurationStatus[];
 }
 
-/** What the background task of an extension works with. */
+/** Dependencies of an extension's background task. */
 export interface BackgroundTaskContext {
   readonly settings: Settings;
   readonly store: RecoverableStore;
--- a/packages/daemon/src/heap.ts
+++ b/packages/daemon/src/heap.ts
@@ -14,10 +14,10 @@
 const MIN_GROWTH_PERCENT = 5;
 /** V8 collects the old generation at the latest when it has doubled. */
 const MAX_GROWTH_PERCENT = 100;
-/** Smaller changes of the growth are not set. */
+/** Smaller changes of the growth are ignored, to avoid setting it in every sample. */
 const MIN_GROWTH_CHANGE_PERCENT = 3;
 const SAMPLE_INTERVAL_MS = 1000;
-/** Enough samples that one of them was taken shortly after a collection. */
+/** Number of samples kept: enough that one of them was taken shortly after a collection. */
 const SAMPLE_COUNT = 20;
 const BYTES_PER_MB = 1e6;
 
@@ -34,7 +34,7 @@
   return Math.max(MIN_GROWTH_PERCENT, Math.min(MAX_GROWTH_PERCENT, growthPercent));
 }
 
-/** Adjusts how far the heap may grow between collections to the size of the live objects. */
+/** Adapts how far the heap may grow between collections to the size of the live objects. */
 export class HeapGovernor {
   /** Megabytes in use at the last samples. */
   private readonly samplesMb: number[] = [];
--- a/packages/daemon/src/number-option.ts
+++ b/packages/daemon/src/number-option.ts
@@ -14,7 +14,7 @@
   readonly min: number;
   /** Infinity: no upper bound. */
   readonly max: number;
-  /** Rejects fractions; they are accepted by default. */
+  /** Whether fractions are rejected; by default they are accepted. */
   readonly integer?: boolean;
 }
 
--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -28,7 +28,9 @@
   return read.asArray(value, field).map((entry) => read.asObject(entry, field));
 }
 
-/** The platform writes 0 for a limit that it does not set. Taken as a limit of nothing, it made every job be refused. */
+/**
+ * The platform writes 0 for an unset limit. Interpreted as a limit of 0, it caused every job to be rejected.
+ */
 function limitOf(amount: number): number {
   return amount === 0 ? Infinity : amount;
 }
--- a/packages/daemon/src/snapshot-tool-command.ts
+++ b/packages/daemon/src/snapshot-tool-command.ts
@@ -28,7 +28,7 @@
 import { printInspections, printRestoreDifference } from './snapshot-tool-output.js';
 
 const RESTORE_TIMEOUT_MS = 30_000;
-/** Stands in for a node's name in the names of snapshots that this command takes. */
+/** Used in place of a node's name in the file names of snapshots that this command takes. */
 const COMMAND_NODE_NAME = 'command';
 
 interface DirectoryFlags {
