--- a/packages/tariff/src/admission-states.ts
+++ b/packages/tariff/src/admission-states.ts
@@ -1,16 +1,14 @@
 /**
- * Which deferrable jobs are scheduled already.
+ * The admission state of deferrable jobs.
  *
  * @module
  */
 import type { JobId } from '@spurbridge/wire';
 
-/** `undecided`: just learned of. `waiting`: deferred. `admitted`: scheduled like any other job. */
+/** `undecided`: not evaluated yet. `waiting`: deferred. `admitted`: scheduled like any other job. */
 export type AdmissionState = 'undecided' | 'waiting' | 'admitted';
 
-/**
- * Admission of deferrable jobs that are known, until they start or end. A job that is not in it is admitted.
- */
+/** Admission states of deferrable jobs until they start or end. A job without an entry is admitted. */
 export class AdmissionStates {
   private readonly states = new Map<JobId, AdmissionState>();
 
@@ -37,7 +35,7 @@
     return state === undefined || state === 'admitted';
   }
 
-  /** Jobs that are not admitted, in the order in which they became known. */
+  /** Jobs that are not admitted, in the order in which they were added. */
   notAdmitted(): JobId[] {
     return [...this.states.keys()].filter((job) => !this.isAdmitted(job));
   }
--- a/packages/tariff/src/calendar.ts
+++ b/packages/tariff/src/calendar.ts
@@ -1,6 +1,6 @@
 /**
- * Prices of a tariff over time: local times and weekdays are resolved to instants by the calendar of the
- * tariff's zone.
+ * Prices of a tariff over time: resolves local times and weekdays to instants by the calendar of the tariff's
+ * time zone.
  *
  * @module
  */
@@ -10,8 +10,8 @@
 import { Temporal } from 'temporal-polyfill';
 
 /**
- * How certain a price is: `known` while the document states it, `pattern` when only its recurring windows
- * continue beyond its validity, `unsure` once nothing says anything.
+ * How certain a price is: `known` while the document states it, `pattern` if it is extrapolated from
+ * recurring windows beyond the document's validity, `unsure` after that.
  */
 export type PriceCertainty = 'known' | 'pattern' | 'unsure';
 
@@ -20,7 +20,7 @@
   readonly starts: readonly WallClockMs[];
   readonly until: WallClockMs;
   readonly certainty: readonly PriceCertainty[];
-  /** For each zone asked for, in that order: price and carbon of each piece; NaN where unsure. */
+  /** For each requested zone, in that order: price and carbon of each piece; NaN where unsure. */
   readonly price: readonly Float64Array[];
   readonly carbon: readonly Float64Array[];
 }
@@ -31,7 +31,7 @@
   readonly until: WallClockMs;
 }
 
-/** What the clocks of the tariff's time zone show at an instant. */
+/** The local date and time in the tariff's time zone at an instant. */
 interface LocalTime {
   /** Minutes after midnight. */
   readonly minute: number;
@@ -43,7 +43,7 @@
 const NO_RATE: TariffRate = { price: NaN, carbon: NaN };
 
 /**
- * Refuses a tariff whose time zone or holidays this machine's calendar does not know.
+ * Rejects a tariff whose time zone or holidays the calendar of this machine does not know.
  *
  * @throws MalformedError naming the field
  */
@@ -66,7 +66,8 @@
 
 /**
  * Prices in each zone over a span of time. Windows are local times: an instant is in a window exactly when
- * local clocks say so, so that a missing hour is in none and a doubled hour in both its turns.
+ * the local clock reads so. An hour skipped by a clock change is in no window, and both passes of a repeated
+ * hour are.
  *
  * @param windowExtensionS seconds beyond `validUntil` for which the recurring windows still count
  */
@@ -129,7 +130,7 @@
   return changes;
 }
 
-/** Instants at which the clocks of the tariff's time zone leap. */
+/** Instants at which the UTC offset of the tariff's time zone changes. */
 function clockChanges(tariff: TariffDocument, span: Span): number[] {
   const changes: number[] = [];
   let change = zonedTime(span.from, tariff.timeZone).getTimeZoneTransition('next');
@@ -144,7 +145,10 @@
   return Temporal.Instant.fromEpochMilliseconds(instant).toZonedDateTimeISO(timeZone);
 }
 
-/** Both instants that a local time may mean: in a doubled hour two, in a missing one those beside it. */
+/**
+ * Both instants that a local time may denote: in a repeated hour two, in a skipped one those on either side
+ * of it.
+ */
 function instantsOf(date: Temporal.PlainDate, minute: number, timeZone: string): number[] {
   const day = minute === MINUTES_PER_DAY ? date.add({ days: 1 }) : date;
   const minuteOfDay = minute % MINUTES_PER_DAY;
@@ -156,7 +160,10 @@
 
 // --- rates -------------------------------------------------------------------------------------
 
-/** Finds the rate that applies at an instant: a slot's, else the first window's, else the base rate. */
+/**
+ * Finds the rate at an instant: that of a slot, otherwise of the first matching window, otherwise the base
+ * rate.
+ */
 class RateTable {
   private readonly holidays: ReadonlyMap<string, Weekday>;
 
--- a/packages/tariff/src/capacity.ts
+++ b/packages/tariff/src/capacity.ts
@@ -1,38 +1,38 @@
 /**
- * How much capacity deferred work can count on.
+ * Estimates the capacity that deferred work can rely on.
  *
  * @module
  */
 import type { Team } from '@spurbridge/model';
 import { read } from '@spurbridge/wire';
 
-/** After this time an observed peak counts half. */
+/** Half-life of an observed peak. */
 const PEAK_HALF_LIFE_MS = 12 * 3600 * 1000;
-/** After this time an observed usage counts half. */
+/** Half-life of an observed usage. */
 const USAGE_HALF_LIFE_MS = 20 * 60 * 1000;
-/** Share of the capacity that is counted on; the rest is left to what nobody foresees. */
+/** Share of the capacity that is relied on; the rest is a reserve for unforeseen demand. */
 const USABLE_SHARE = 0.85;
 
 /** CPUs taken by a team's work that is never deferred. */
 interface TeamUsage {
   readonly services: number;
-  /** Urgent work that ends, as a running mean. */
+  /** Running means of urgent work that ends. */
   readonly urgent: number;
 }
 
-/** Estimates capacity from what was observed: machines that never were there are not counted on. */
+/** Estimates capacity from observations only, so that machines that never existed are not relied on. */
 export class CapacityEstimator {
   private peakCpus = 0;
   private observedAtMs: number | null = null;
   private readonly usageByTeam = new Map<string, TeamUsage>();
 
   /**
-   * Takes an observation into account.
+   * Adds an observation.
    *
    * @param atMs monotonic time
-   * @param cpus CPUs of all machines that take tasks
-   * @param services CPUs that each team's services take or wait for
-   * @param urgent CPUs that each team's other work that is never deferred takes now
+   * @param cpus CPUs of all machines that accept tasks
+   * @param services CPUs that each team's services use or wait for
+   * @param urgent CPUs that each team's other non-deferrable work uses now
    */
   observe(
     atMs: number,
@@ -58,7 +58,7 @@
     return usage === undefined ? 0 : usage.services + usage.urgent;
   }
 
-  /** The most CPUs that were observed, less the longer ago that was. */
+  /** The observed peak of CPUs, decayed with its age. */
   get peak(): number {
     return this.peakCpus;
   }
@@ -70,7 +70,9 @@
     return Math.max(0, this.peakCpus * USABLE_SHARE - used);
   }
 
-  /** CPUs for a team's deferred work: what it is guaranteed, or what the others leave, up to its limit. */
+  /**
+   * CPUs for a team's deferred work: the larger of its guarantee and what the others leave, up to its limit.
+   */
   cpusFor(team: Team): number {
     let usedByOthers = 0;
     for (const name of this.usageByTeam.keys()) if (name !== team.name) usedByOthers += this.usedBy(name);
@@ -78,13 +80,13 @@
     return Math.max(0, Math.min(team.cpusMax, available) * USABLE_SHARE - this.usedBy(team.name));
   }
 
-  /** What the next leader needs to know. */
+  /** The state that the next leader restores. */
   encode(): Record<string, unknown> {
     return { peakCpus: this.peakCpus };
   }
 
   /**
-   * Takes over what an earlier leader observed.
+   * Restores the observations of an earlier leader.
    *
    * @throws MalformedError naming the field
    */
--- a/packages/tariff/src/cost-forecast.ts
+++ b/packages/tariff/src/cost-forecast.ts
@@ -8,17 +8,18 @@
 import type { PriceSeries } from './calendar.js';
 import { expandTariff } from './calendar.js';
 
-/** A forecast is made anew after this time. */
+/** Maximum age of a cached forecast before it is recomputed. */
 const MAX_AGE_MS = 600_000;
-/** A forecast reaches this far beyond what was asked for. */
+/** A forecast extends this far beyond the requested time, so that it can be reused. */
 const EXTRA_MS = 2 * 3600 * 1000;
-/** Stands for all zones where none is known. */
+/** Represents all zones while none is known. */
 const ANY_ZONE = '*';
-/** Prices and carbon are weighed by their usual values, which must not be zero. */
+/** Price and carbon are normalised by their typical values, which must not be zero. */
 const MIN_USUAL = 1e-9;
 
 /**
- * Cost of a CPU second over time, price and carbon weighed into one figure; index 0 is the mean of the zones.
+ * Cost of a CPU second over time, a weighted combination of price and carbon; index 0 is the mean of the
+ * zones.
  */
 export interface CostForecast {
   readonly starts: readonly WallClockMs[];
@@ -26,7 +27,7 @@
   readonly cost: readonly Float64Array[];
 }
 
-/** What operators state about costs. */
+/** The operators' settings about costs. */
 export interface CostOptions {
   /** 0: price alone; 1: carbon alone. */
   readonly carbonShare: number;
@@ -41,9 +42,9 @@
 }
 
 /**
- * Forecasts costs. It goes by the document alone, not by when the feed last responded, so that every leader
- * sees the same: what the document states until its validity ends, its recurring windows for a while beyond,
- * and then nothing.
+ * Forecasts costs from the document alone, independent of when the feed last responded, so that every leader
+ * computes the same: the stated prices until its validity ends, its recurring windows for some time beyond,
+ * then unknown.
  */
 export class CostForecaster {
   private cached: CachedForecast | null = null;
--- a/packages/tariff/src/deferral-controller.ts
+++ b/packages/tariff/src/deferral-controller.ts
@@ -1,5 +1,5 @@
 /**
- * Makes deferrable jobs wait for cheaper or cleaner hours.
+ * Defers jobs to cheaper or cleaner hours.
  *
  * @module
  */
@@ -20,17 +20,17 @@
 import { ReleaseScheduler } from './release-scheduler.js';
 import { TariffRepository } from './tariff-repository.js';
 
-/** Shortest and longest pause between two decisions, in milliseconds. */
+/** Minimum and maximum pause between two decisions, in milliseconds. */
 const MIN_DECISION_PAUSE_MS = 250;
 const MAX_DECISION_PAUSE_MS = 5000;
-/** After a decision, this many times as long as it took is left to everything else. */
+/** The pause after a decision is at least this multiple of its duration, to leave time for other work. */
 const PAUSE_PER_DECISION_TIME = 20;
-/** Pause between two writes of what was observed, in milliseconds. */
+/** Pause between two writes of observations, in milliseconds. */
 const OBSERVATION_PAUSE_MS = 60_000;
 
 /**
- * Keeps deferrable jobs from being scheduled until their release. It decides only when a job is admitted; an
- * admitted job is treated like any other, and no start, quota or stop is touched.
+ * Keeps deferrable jobs from being scheduled until their release. It only decides when a job is admitted; an
+ * admitted job is treated like any other, and starts, quotas and stops are not affected.
  */
 class DeferralController implements LeaderComponent {
   private readonly repository: TariffRepository;
@@ -110,7 +110,7 @@
 
   // --- failures --------------------------------------------------------------------------------
 
-  /** Deferral only saves cost: should it fail, the leader continues without it. */
+  /** Deferral only saves cost, so the leader continues without it if it fails. */
   private async contain(loop: () => Promise<void>): Promise<void> {
     try {
       await loop();
@@ -131,8 +131,8 @@
   // --- state -----------------------------------------------------------------------------------
 
   /**
-   * A feed's tariff that an earlier leader stored is newer than this node's file, unless the file says
-   * otherwise.
+   * A feed's tariff stored by an earlier leader takes precedence over this node's file, unless the file is
+   * newer.
    */
   private async restoreDocument(): Promise<void> {
     const fromFile = this.options.document;
@@ -140,7 +140,7 @@
     const isAcceptable = stored === null || (fromFile !== null && rejectionReason(fromFile, stored) === null);
     if (fromFile !== null && isAcceptable && fromFile.revision !== stored?.revision)
       await this.replaceDocument(fromFile);
-    // A file's tariff is used even if it cannot be stored: every node has it.
+    // A file's tariff is used even if it cannot be stored, because every node has the file.
     this.repository.document ??= fromFile;
   }
 
@@ -186,7 +186,9 @@
 
   // --- loops -----------------------------------------------------------------------------------
 
-  /** An instant that the calendar refused once deposed one leader after the other: errors stay here. */
+  /**
+   * Errors must not escape: an instant that the calendar rejected once made one leader after another resign.
+   */
   private decide(): void {
     try {
       this.scheduler.decide();
@@ -226,7 +228,7 @@
   }
 }
 
-/** Makes the component of the leader that defers jobs. */
+/** Creates the leader component that defers jobs. */
 export function deferralControllerFactory(options: TariffOptions): LeaderComponentFactory {
   return (term, cluster) => new DeferralController(term, cluster, options);
 }
--- a/packages/tariff/src/deferral-table.ts
+++ b/packages/tariff/src/deferral-table.ts
@@ -1,5 +1,5 @@
 /**
- * All deferrals, kept in a few records: a write for each of thousands would use up the key-value store's rate
+ * All deferrals, stored in a few records: one write per deferral would use up the key-value store's rate
  * limit.
  *
  * @module
@@ -11,18 +11,18 @@
 /** Keys of pages of deferrals. */
 export const DEFERRAL_PREFIX = 'd/';
 
-/** What one deferral takes of a page at the most. */
+/** Upper bound of the bytes of one deferral in a page. */
 const ENTRY_BYTES = 190;
-/** What a page takes beside its deferrals. */
+/** Bytes of a page apart from its deferrals. */
 const PAGE_BYTES = 64;
 
-/** One record: some deferrals, whichever found room in it. */
+/** One record: an arbitrary subset of the deferrals. */
 export interface DeferralPage {
   readonly index: number;
   version: Version;
-  /** Rises with every change. */
+  /** Incremented by every change. */
   generation: number;
-  /** The generation that is in the key-value store; equal to `generation` when the page is durable. */
+  /** The generation in the key-value store; equal to `generation` if the page is durable. */
   durableGeneration: number;
   readonly entries: Map<JobId, Deferral>;
 }
@@ -43,7 +43,7 @@
   private readonly pageByJob = new Map<JobId, DeferralPage>();
   private readonly entriesPerPage: number;
 
-  /** @param valueKb size of the largest value that the key-value store takes, in KiB */
+  /** @param valueKb size limit of a value in the key-value store, in KiB */
   constructor(valueKb: number) {
     this.entriesPerPage = Math.max(1, Math.floor((valueKb * 1024 - PAGE_BYTES) / ENTRY_BYTES));
   }
@@ -58,7 +58,7 @@
     for (const page of this.pages) yield* page.entries.values();
   }
 
-  /** Whether the job's deferral is in the key-value store as it is here. */
+  /** Whether the job's deferral in the key-value store equals the one in memory. */
   isDurable(id: JobId): boolean {
     const page = this.pageByJob.get(id);
     return page === undefined || page.generation === page.durableGeneration;
@@ -85,13 +85,13 @@
     return this.pages[index] as DeferralPage;
   }
 
-  /** The job's deferral was changed. */
+  /** Marks the job's deferral as changed. */
   markChanged(id: JobId): void {
     const page = this.pageByJob.get(id);
     if (page !== undefined) page.generation += 1;
   }
 
-  /** Drops a job's deferral. */
+  /** Removes a job's deferral. */
   remove(id: JobId): void {
     const page = this.pageByJob.get(id);
     if (page === undefined) return;
@@ -106,7 +106,7 @@
   }
 
   /**
-   * Takes over a page that an earlier leader wrote.
+   * Restores a page that an earlier leader wrote.
    *
    * @throws MalformedError naming the field
    */
--- a/packages/tariff/src/deferral.ts
+++ b/packages/tariff/src/deferral.ts
@@ -12,8 +12,8 @@
 import { RELEASE_REASONS } from './release-decision.js';
 
 /**
- * deferred -> released | forced. `released`: at the moment that was thought best. `forced`: because waiting
- * longer was not safe.
+ * deferred -> released | forced. `released`: at the planned moment. `forced`: because waiting longer was not
+ * safe.
  */
 export type DeferralState = 'deferred' | 'released' | 'forced';
 
@@ -41,7 +41,7 @@
     return this.currentState;
   }
 
-  /** When the job is to be released, as things stand; once it is, when that was. */
+  /** The planned time of the release; after the release, its actual time. */
   get until(): WallClockMs {
     return this.currentUntil;
   }
@@ -56,9 +56,9 @@
   }
 
   /**
-   * The only function that changes a deferral: its state, or what it waits for.
+   * The only function that changes a deferral: its state, or its planned release.
    *
-   * @throws DeferralEndedError where it has ended already
+   * @throws DeferralEndedError if it has ended already
    */
   change(next: DeferralState, until: WallClockMs, reason: ReleaseReason, revision: number): void {
     if (next !== this.currentState) transitions.assertAllowed(this.currentState, next);
--- a/packages/tariff/src/document-record.ts
+++ b/packages/tariff/src/document-record.ts
@@ -1,5 +1,5 @@
 /**
- * The stored form of a tariff: compressed, and cut into parts that each fit into one value.
+ * The stored form of a tariff: compressed, and split into parts that each fit into one value.
  *
  * @module
  */
@@ -7,20 +7,20 @@
 import type { TariffDocument } from '@spurbridge/wire';
 import { formatTariff, parseTariff, read } from '@spurbridge/wire';
 
-/** What a part's value takes beside its text. */
+/** Bytes of a part's value apart from its text. */
 const PART_RESERVE_BYTES = 64;
 
 /** A tariff in its stored form. */
 export interface PackedDocument {
-  /** Value of the record that says how many parts there are. */
+  /** Value of the record that holds the number of parts. */
   readonly head: { readonly revision: number; readonly parts: number };
   /** Values of the parts, in order. */
   readonly parts: readonly { readonly text: string }[];
-  /** Size of all parts together. */
+  /** Total size of all parts. */
   readonly bytes: number;
 }
 
-/** @param valueKb size of the largest value that the key-value store takes, in KiB */
+/** @param valueKb size limit of a value in the key-value store, in KiB */
 export function packDocument(document: TariffDocument, valueKb: number): PackedDocument {
   const text = brotliCompressSync(JSON.stringify(formatTariff(document))).toString('base64');
   const partBytes = valueKb * 1024 - PART_RESERVE_BYTES;
--- a/packages/tariff/src/eligibility.ts
+++ b/packages/tariff/src/eligibility.ts
@@ -16,12 +16,12 @@
   return job.state === 'active' && !mayHaveStarted(job);
 }
 
-/** Whether a job's priority forbids to defer it. */
+/** Whether a job's priority excludes it from deferral. */
 export function isUrgent(spec: JobSpec): boolean {
   return spec.priority === 'production' || spec.priority === 'high';
 }
 
-/** Whether a task of the job may ever have been started: then the job is never deferred. */
+/** Whether a task of the job may ever have been started; such a job is never deferred. */
 export function mayHaveStarted(job: Job): boolean {
   return job.doneCount > 0 || job.placements.size > 0 || job.chunks.some((chunk) => chunk.attemptsIssued > 0);
 }
--- a/packages/tariff/src/errors.ts
+++ b/packages/tariff/src/errors.ts
@@ -6,7 +6,7 @@
 import type { JobId } from '@spurbridge/wire';
 import { SpurbridgeError } from '@spurbridge/wire';
 
-/** A job's deferral is to change although it has ended. */
+/** A job's deferral was to be changed although it has ended. */
 export class DeferralEndedError extends SpurbridgeError {
   constructor(
     readonly job: JobId,
--- a/packages/tariff/src/feed-poller.ts
+++ b/packages/tariff/src/feed-poller.ts
@@ -22,24 +22,22 @@
 /** asking -> fresh | failing; fresh -> failing -> silent; failing, silent -> fresh. */
 export type FeedState = 'asking' | 'fresh' | 'failing' | 'silent';
 
-/** What a poller works with. */
+/** Dependencies of a poller. */
 export interface FeedPollerOptions {
   readonly source: TariffFeedSource;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Seed of the spread of the requests. */
+  /** Seed of the jitter of the requests. */
   readonly seed: number;
   /** Seconds without a good response after which the feed counts as silent. */
   readonly silentS: number;
-  /** The last tariff that was accepted. */
+  /** The latest accepted tariff. */
   readonly last: () => TariffDocument | null;
-  /** Stores and applies a tariff; false when it cannot be stored, with the reason logged. */
+  /** Stores and applies a tariff; false if it cannot be stored, with the reason logged. */
   readonly take: (tariff: TariffDocument) => Promise<boolean>;
 }
 
-/**
- * Why a well-formed document is not accepted after the last one, or null where it is.
- */
+/** Why a well-formed document is rejected as a successor of the last one, or null if it is accepted. */
 export function rejectionReason(next: TariffDocument, last: TariffDocument | null): string | null {
   if (last === null) return null;
   if (next.revision < last.revision)
@@ -55,7 +53,7 @@
   | { readonly outcome: 'fresh'; readonly detail: string }
   | { readonly outcome: 'failed'; readonly why: string; readonly retryAfterS: number | null };
 
-/** Polls a feed while its node leads, and hands over tariffs that are new and good. */
+/** Polls a feed while its node leads, and passes on tariffs that are new and valid. */
 export class TariffFeedPoller {
   private currentState: FeedState = 'asking';
   private consecutiveFailures = 0;
@@ -82,7 +80,9 @@
     }
   }
 
-  /** Seconds until the next request, spread by a quarter so that nodes and sites do not ask in step. */
+  /**
+   * Seconds until the next request, with a jitter of a quarter so that nodes and sites do not send in step.
+   */
   private pauseS(retryAfterS: number | null): number {
     const baseS = this.consecutiveFailures > 0 ? this.backoffS(retryAfterS) : this.intervalS(retryAfterS);
     return baseS * (0.75 + 0.5 * uniformFloat64(this.random));
@@ -98,7 +98,7 @@
     return Math.min(MAX_INTERVAL_S, Math.max(MIN_INTERVAL_S, wantedS));
   }
 
-  /** Sends one request; returns the seconds until the next one that the feed asks for, if it does. */
+  /** Sends one request; returns the seconds until the next one if the feed states them. */
   private async poll(): Promise<number | null> {
     const { clock, silentS } = this.options;
     const result = await this.request();
@@ -133,7 +133,7 @@
     }
   }
 
-  /** Null when the document was accepted or is known already; otherwise what is wrong with it. */
+  /** Null if the document was accepted or is known already; otherwise the reason for rejecting it. */
   private async accept(body: unknown): Promise<string | null> {
     let next: TariffDocument;
     try {
--- a/packages/tariff/src/feed-source.ts
+++ b/packages/tariff/src/feed-source.ts
@@ -1,5 +1,5 @@
 /**
- * Where published tariffs come from.
+ * Sources of published tariffs.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   | {
       readonly outcome: 'failed';
       readonly why: string;
-      /** What the feed's `Retry-After` header asks for, in seconds. */
+      /** Value of the feed's `Retry-After` header, in seconds. */
       readonly retryAfterS: number | null;
     };
 
@@ -22,7 +22,7 @@
   fetch(etag: string | null): Promise<FeedResponse>;
 }
 
-/** A feed that has not responded after this time is taken to be unreachable, in milliseconds. */
+/** Timeout of a request to the feed, in milliseconds. */
 const RESPONSE_TIMEOUT_MS = 5000;
 const OK = 200;
 const NOT_MODIFIED = 304;
@@ -56,7 +56,7 @@
   return Number.isFinite(seconds) && seconds > 0 ? seconds : null;
 }
 
-/** @throws MalformedError where the body is larger than a tariff may be */
+/** @throws MalformedError if the body exceeds the size limit of a tariff */
 async function readBody(response: Response): Promise<unknown> {
   const chunks: Uint8Array[] = [];
   let bytes = 0;
--- a/packages/tariff/src/index.ts
+++ b/packages/tariff/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Tariff-aware timing: jobs with time wait for cheaper or cleaner hours.
+ * Tariff-aware scheduling: deferrable jobs wait for cheaper or cleaner hours.
  *
  * @module
  */
--- a/packages/tariff/src/job-estimates.ts
+++ b/packages/tariff/src/job-estimates.ts
@@ -1,5 +1,5 @@
 /**
- * What a deferrable job needs, and by when.
+ * Estimates the resources, run times and finish time of a deferrable job.
  *
  * @module
  */
@@ -13,13 +13,13 @@
 import type { DeferrableJob } from './release-decision.js';
 import type { TariffRepository } from './tariff-repository.js';
 
-/** Nearly all boots and image fetches take up to this many times their nominal time. */
+/** Nearly all boots and image fetches take at most this multiple of their nominal time. */
 const SLOW_START_FACTOR = 1.6;
-/** From the release of a job until it is planned, in seconds. */
+/** Time between the release of a job and its planning, in seconds. */
 const PLANNING_S = 2;
-/** A failover takes up to this time, in seconds. */
+/** Upper bound of the duration of a failover, in seconds. */
 const FAILOVER_S = 12;
-/** Boot time of a machine where no fitting type states one, in seconds. */
+/** Assumed boot time of a machine if no suitable type states one, in seconds. */
 const ASSUMED_BOOT_S = 60;
 
 /** What a job is estimated for. */
@@ -33,7 +33,7 @@
   readonly deadlineS: number;
 }
 
-/** Estimates jobs by what was observed of their classes and by what operators state. */
+/** Estimates jobs from the observations of their classes and from the operators' settings. */
 export class JobEstimator {
   constructor(
     private readonly term: LeaderTerm,
@@ -42,7 +42,7 @@
     private readonly options: TariffOptions,
   ) {}
 
-  /** The job as the release decision sees it. */
+  /** The job as input of the release decision. */
   estimate(job: Job, { isWaiting, team, zones, deadlineS }: EstimateContext): DeferrableJob {
     const { spec } = job;
     const runTimes = this.repository.runTimes(spec.class);
@@ -71,7 +71,7 @@
   }
 
   /**
-   * By when the job must be complete: its deadline, or what an objective of its class says if that is sooner.
+   * The time by which the job must complete: its deadline, or an objective of its class if that is sooner.
    */
   private finishBy(job: Job, deadlineS: number): WallClockMs {
     let withinS = deadlineS;
@@ -85,7 +85,7 @@
     return (this.submittedAt(job) + withinS * 1000) as WallClockMs;
   }
 
-  /** By when the job must start, if an objective of its class says so. */
+  /** The time by which the job must start, if an objective of its class sets one. */
   private startBy(job: Job): WallClockMs | null {
     let withinS = Infinity;
     for (const objective of this.term.context.configuration().objectives)
@@ -97,7 +97,7 @@
   /** Seconds from a job's release until its first task runs. */
   private leadTimeS(spec: JobSpec): number {
     const types = this.term.context.machineTypes().filter((type) => fitsMachineType(spec, type));
-    // Machines boot for a job only where the fleet is scaled with the demand.
+    // Machines boot for a job only if the fleet is scaled with the demand.
     const bootS = this.cluster.minimizesCost
       ? Math.max(...types.map((type) => type.bootS), 0) || ASSUMED_BOOT_S
       : 0;
--- a/packages/tariff/src/options.ts
+++ b/packages/tariff/src/options.ts
@@ -1,5 +1,5 @@
 /**
- * What operators state about deferral.
+ * The operators' settings of deferral.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 /** A feed, and how it is polled. */
 export interface FeedOptions {
   readonly source: TariffFeedSource;
-  /** Seed of the spread of the requests. */
+  /** Seed of the jitter of the requests. */
   readonly seed: number;
   /** Seconds without a good response after which the feed counts as silent. */
   readonly silentS: number;
@@ -25,17 +25,17 @@
   readonly carbonShare: number;
   /** Seconds beyond a tariff's validity for which its recurring windows still count. */
   readonly windowExtensionS: number;
-  /** Share of its cost that a wait must save. */
+  /** Minimum share of its cost that a wait must save. */
   readonly minSaving: number;
-  /** A task is taken to run no longer than this share of them do. */
+  /** Quantile of the observed run times that is taken as a task's maximum run time. */
   readonly runTimeQuantile: number;
-  /** Lost runs of a task that a finish time must survive. */
+  /** Number of lost runs of a task for which the finish time must still be met. */
   readonly spareRuns: number;
   /** Classes that may be deferred, or null for all that have a deadline. */
   readonly classes: readonly string[] | null;
 }
 
-/** Options where operators state no others; a tariff or a feed must be stated. */
+/** Default options; a tariff or a feed must be set in addition. */
 export const DEFAULT_TARIFF_OPTIONS: TariffOptions = {
   document: null,
   feed: null,
--- a/packages/tariff/src/release-decision.ts
+++ b/packages/tariff/src/release-decision.ts
@@ -1,5 +1,5 @@
 /**
- * What the release decision is given, and what it decides.
+ * Input and output of the release decision.
  *
  * @module
  */
@@ -9,33 +9,33 @@
 /** A job that may wait. All durations are in seconds. */
 export interface DeferrableJob {
   readonly id: JobId;
-  /** Whether it was deferred before: then it goes in its turn, and not as soon as waiting saves little. */
+  /** Whether it was deferred before: it is then released in its turn, not as soon as waiting saves little. */
   readonly deferred: boolean;
   /** Index of its team. */
   readonly team: number;
   /** Index into the prices: the zone that the job is bound to, or the mean of all. */
   readonly priceIndex: number;
-  /** CPUs that its unfinished tasks take while all of them run. */
+  /** CPUs that its unfinished tasks use while all of them run. */
   readonly cpus: number;
   /** CPU seconds of all its unfinished tasks. */
   readonly workCpuS: number;
-  /** A task's run time that is hardly ever exceeded. */
+  /** Upper estimate of a task's run time. */
   readonly taskRunTimeS: number;
   /** From its release until its first task runs: boot, image fetch. */
   readonly leadTimeS: number;
-  /** Kept between the expected end and the finish time: lost machines, a failover, clocks. */
+  /** Margin between the expected end and the finish time, for lost machines, a failover and clock errors. */
   readonly marginS: number;
   readonly finishBy: WallClockMs;
   /** Latest start of its first task, or null. */
   readonly startBy: WallClockMs | null;
 }
 
-/** Capacity that deferred work can count on, and what was released to it before. */
+/** Capacity that deferred work can rely on, and the released work that uses it. */
 export interface Capacity {
   readonly cpus: number;
-  /** CPU seconds of released work that are still to be done. */
+  /** CPU seconds of released work that remain. */
   readonly backlogCpuS: number;
-  /** CPUs that released work would take if all of its tasks ran now. */
+  /** CPUs that released work would use if all of its tasks ran now. */
   readonly demandCpus: number;
 }
 
@@ -47,13 +47,13 @@
   readonly teams: readonly Capacity[];
   /** All teams together. */
   readonly pool: Capacity;
-  /** Starts of the pieces of time that prices are stated for, from `now` on. */
+  /** Starts of the time pieces of the prices, from `now` on. */
   readonly starts: readonly WallClockMs[];
   /** End of the last piece. */
   readonly until: WallClockMs;
-  /** Cost of a CPU second in each piece; NaN where nothing is known. */
+  /** Cost of a CPU second in each piece; NaN if unknown. */
   readonly prices: readonly Float64Array[];
-  /** A wait that saves less than this share of its cost is not worth it. */
+  /** A wait that saves less than this share of the cost is not worthwhile. */
   readonly minSaving: number;
 }
 
@@ -61,12 +61,12 @@
  * Why a job is released or waits.
  *
  * - `cheaper`: a cheaper moment is safe.
- * - `turn`: its time has come, but released work takes all the capacity, and a moment later is safe, too.
- * - `blind`: no price is known; it waits for news as long as that is safe.
+ * - `turn`: its turn has come, but released work uses all the capacity, and a later moment is safe, too.
+ * - `blind`: no price is known; it waits for a tariff while that is safe.
  * - `cheapest`: the cheapest safe moment is now.
  * - `no-saving`: waiting saves too little.
- * - `latest`: there is a cheaper moment, but not safely before the finish time.
- * - `no-room`: no moment is safe any more, and neither is now.
+ * - `latest`: there is a cheaper moment, but it is not safe with respect to the finish time.
+ * - `no-room`: no later moment is safe, and neither is now.
  */
 export type ReleaseReason = (typeof RELEASE_REASONS)[number];
 
@@ -84,9 +84,9 @@
 /** When a job is to be released. */
 export interface ReleaseDecision {
   readonly id: JobId;
-  /** Now, or when it should be released as things stand. */
+  /** Now, or the planned time of the release. */
   readonly at: WallClockMs;
   readonly reason: ReleaseReason;
-  /** Cost at this moment over the cost of starting at once. */
+  /** Cost of starting at this moment relative to starting at once. */
   readonly costRatio: number;
 }
--- a/packages/tariff/src/release-planner.ts
+++ b/packages/tariff/src/release-planner.ts
@@ -1,5 +1,5 @@
 /**
- * Plans one deferrable job after another on the capacity that is left: the working state of one release
+ * Plans deferrable jobs one after another on the remaining capacity: the working state of one release
  * decision.
  *
  * @module
@@ -11,7 +11,9 @@
 
 /** Amounts below this are rounding errors. */
 const EPSILON = 1e-6;
-/** A job whose turn has come is decided anew this much later while released work takes all the capacity. */
+/**
+ * Delay until the next decision about a job whose turn has come while released work uses all the capacity.
+ */
 const TURN_DELAY_MS = 1000;
 
 /** A run of a job that starts in a piece of the grid. */
@@ -30,16 +32,16 @@
   readonly isCheaperTooLate: boolean;
 }
 
-/** Plans jobs in the order in which they are given; each takes its capacity from those that follow. */
+/** Plans jobs in the given order; each reduces the capacity for those that follow. */
 export class ReleasePlanner {
   private readonly grid: TimeGrid;
-  /** CPU seconds that are free in each piece: of all teams together, and of each team. */
+  /** Free CPU seconds in each piece: in total, and per team. */
   private readonly freeInPool: Float64Array;
   private readonly freeByTeam: readonly Float64Array[];
   private readonly prices: readonly Float64Array[];
   /** For each price series, the pieces in the order in which a job tries them. */
   private readonly pieceOrders: readonly Int32Array[];
-  /** CPUs that released work would take: of each team, and in the last place of all. */
+  /** CPUs that released work would use: per team, and the total in the last element. */
   private readonly demandCpus: Float64Array;
   private readonly isBlind: boolean;
   private readonly hasWaitingJobs: boolean;
@@ -58,7 +60,7 @@
     this.hasWaitingJobs = input.jobs.some((job) => job.deferred);
   }
 
-  /** Decides about one job, and takes the capacity that it will use. */
+  /** Decides about one job, and reserves the capacity that it will use. */
   decide(job: DeferrableJob): ReleaseDecision {
     const { now } = this.input;
     const earliest = this.runFrom(job, this.earliestPiece(job));
@@ -74,8 +76,8 @@
       this.reserve(job, cheapest.run);
       return { id: job.id, at, reason: this.isBlind ? 'blind' : 'cheaper', costRatio };
     }
-    // The cheapest run is safe, and so is the earliest one where there is capacity now; the job takes what it
-    // uses.
+    // Both the cheapest run and the earliest one on available capacity are safe; the job uses the capacity of
+    // whichever is chosen.
     const chosen = at <= now || costNow === Infinity ? cheapest.run : earliest;
     const waitsForTurn = this.mustWaitForTurn(job, chosen);
     this.reserve(job, chosen);
@@ -88,8 +90,8 @@
   }
 
   /**
-   * Jobs that wait are released as capacity becomes free. Once the rest of the wait was short enough to save
-   * little, hundreds were released together, and those with little time left stood behind the others.
+   * Waiting jobs are released only as capacity becomes free. Released as soon as the remaining wait saved
+   * little, hundreds were released together, and those with little time left queued behind the others.
    */
   private isWorthWaiting(job: DeferrableJob, costNow: number, lowestCost: number): boolean {
     if (job.deferred || this.isBlind || costNow === Infinity) return true;
@@ -97,8 +99,8 @@
   }
 
   /**
-   * Released all at once, a window's jobs filled the fleet to the last place, and urgent work waited. New
-   * jobs stand behind those that wait: released at once, they took the capacity of some with less time left.
+   * Released all at once, the jobs of a window filled the fleet completely and urgent work waited. New jobs
+   * queue behind waiting ones: released at once, they took the capacity of jobs with less time left.
    */
   private mustWaitForTurn(job: DeferrableJob, run: Run): boolean {
     if (!(job.deferred || this.hasWaitingJobs) || !this.isCrowded(job)) return false;
@@ -137,7 +139,8 @@
     for (const piece of this.pieceOrders[job.priceIndex] as Int32Array) {
       if (piece < earliest) continue;
       const price = prices[piece] as number;
-      // Starting in a dearer piece costs no less than what was found, but for what spills over.
+      // Pieces are tried in order of cost, so a later one cannot be cheaper, except for work that spills over
+      // into other pieces.
       if (cheapestPiece !== null && (this.isBlind || price * job.workCpuS >= lowestCost - EPSILON)) break;
       const startsAt = this.startsAt(job, piece);
       if (startsAt >= job.finishBy) continue;
@@ -158,17 +161,17 @@
 
   // --- capacity --------------------------------------------------------------------------------
 
-  /** Cost of a run, or Infinity where it would not safely end in time. */
+  /** Cost of a run, or Infinity if it would not safely end in time. */
   private cost(job: DeferrableJob, run: Run): number {
     return this.simulate(job, run.piece, run.startsAt, false);
   }
 
-  /** Takes the capacity of a run, up to the point where it would not safely end in time. */
+  /** Reserves the capacity of a run, up to the point where it would not safely end in time. */
   private reserve(job: DeferrableJob, run: Run): void {
     this.simulate(job, run.piece, run.startsAt, true);
   }
 
-  /** Runs the job piece by piece, as much of it at a time as is free; its cost, or Infinity. */
+  /** Runs the job piece by piece on the free capacity; returns its cost, or Infinity. */
   private simulate(job: DeferrableJob, firstPiece: number, startsAt: number, reserves: boolean): number {
     const { starts, lengthsS } = this.grid;
     const freeInTeam = this.freeByTeam[job.team] as Float64Array;
@@ -195,7 +198,7 @@
       if (left > EPSILON) continue;
       const workEndsAt =
         from + (lengthS * 1000 * used) / Math.max(EPSILON, Math.min(free, job.cpus * lengthS));
-      // Behind other work the last tasks start when this much is done, and run their whole time from there.
+      // Behind other work the last tasks start when this much is done, and run their whole time from then on.
       const endsAt = isHeldBack
         ? workEndsAt + job.taskRunTimeS * 1000
         : Math.max(workEndsAt, startsAt + job.taskRunTimeS * 1000);
@@ -204,7 +207,7 @@
     return Infinity;
   }
 
-  /** Whether released work takes all the capacity that there is for the job: its team's, or that of all. */
+  /** Whether released work uses all the capacity available to the job: its team's, or the total. */
   private isCrowded(job: DeferrableJob): boolean {
     const { teams, pool } = this.input;
     const exceeds = (index: number, cpus: number): boolean => {
@@ -214,17 +217,14 @@
     return exceeds(job.team, teams[job.team]?.cpus ?? 0) || exceeds(teams.length, pool.cpus);
   }
 
-  /** The job is released: it takes CPUs from now on. */
+  /** Accounts for the CPUs of a job that is released. */
   private addDemand(job: DeferrableJob): void {
     for (const index of [job.team, this.input.teams.length])
       this.demandCpus[index] = (this.demandCpus[index] as number) + job.cpus;
   }
 }
 
-/**
- * Pieces from the cheapest to the dearest, and of equal ones the earliest first; with no price known, the
- * latest first.
- */
+/** Pieces by cost, cheapest first, then by time; with no price known, the latest first. */
 function pieceOrder(prices: Float64Array, isBlind: boolean): Int32Array {
   return Int32Array.from(prices.keys()).sort((left, right) =>
     isBlind ? right - left : (prices[left] as number) - (prices[right] as number) || left - right,
--- a/packages/tariff/src/release-scheduler.ts
+++ b/packages/tariff/src/release-scheduler.ts
@@ -19,16 +19,19 @@
 import type { Backlog, Workload } from './workload.js';
 import { measureWorkload } from './workload.js';
 
-/** Commits of one round of decisions. */
+/** Maximum number of commits per round of decisions. */
 const MAX_FLUSHES = 20;
-/** A new planned moment is recorded only when it differs by more than this, in milliseconds. */
+/** A changed planned release is recorded only if it differs by more than this, in milliseconds. */
 const MIN_RECORDED_MOVE_MS = 60_000;
-/** A gang needs all its places at once: one wider than this share of its team's capacity is not deferred. */
+/**
+ * A gang needs all its places at once: one that needs more than this share of its team's capacity is not
+ * deferred.
+ */
 const MAX_GANG_SHARE = 0.5;
 
 /** Decides which jobs wait for cheaper or cleaner hours, and admits the others. */
 export class ReleaseScheduler {
-  /** When the next job is to be released, as things stand. */
+  /** The planned time of the next release. */
   nextReleaseAt: WallClockMs | null = null;
   private readonly forecaster: CostForecaster;
   private readonly estimator: JobEstimator;
@@ -55,7 +58,7 @@
     if (undecided.length === 0) return;
     const now = this.term.context.wallNow();
     if (document === null) {
-      // Without a tariff there is nothing to wait for.
+      // Without a tariff there is no reason to defer.
       for (const id of undecided) this.apply({ id, at: now, reason: 'no-saving', costRatio: 1 }, now, 0);
       return;
     }
@@ -124,7 +127,7 @@
     );
   }
 
-  /** Measures the work of admitted jobs, and takes the capacity that is there into account. */
+  /** Measures the work of admitted jobs and the available capacity. */
   private observeWorkload(): Workload {
     const workload = measureWorkload(this.admittedJobs(), this.term.context.machineTypes(), (jobClass) =>
       this.repository.runTimes(jobClass),
@@ -204,7 +207,10 @@
     return true;
   }
 
-  /** Once a start of the job is durable, or the job is over, its task records say everything. */
+  /**
+   * Deletes a deferral once a start of the job is durable or the job has ended: from then on its task records
+   * suffice.
+   */
   private removeIfOver({ job: id }: Deferral): void {
     const job = this.cluster.jobs.get(id);
     if (job === undefined || job.state !== 'active' || hasTaskRecord(job))
@@ -217,8 +223,8 @@
 }
 
 /**
- * Whether a wait changed enough to be recorded. Hundreds of jobs whose turn comes nearer by seconds are not:
- * recorded each time, they used up the writes that urgent starts needed.
+ * Whether a wait changed enough to be recorded. Small shifts of hundreds of jobs in turn are not recorded:
+ * writing each of them used up the rate limit that urgent starts needed.
  */
 function isWorthRecording(known: Deferral, decision: ReleaseDecision): boolean {
   if (Math.abs(known.until - decision.at) > MIN_RECORDED_MOVE_MS) return true;
--- a/packages/tariff/src/release.ts
+++ b/packages/tariff/src/release.ts
@@ -8,12 +8,11 @@
 import { ReleasePlanner } from './release-planner.js';
 
 /**
- * When each job should be released: at the cheapest moment that is still safe with everything else that
- * waits.
+ * The release time of each job: the cheapest moment that is safe given all other waiting jobs.
  *
- * Jobs choose in the order of their latest safe release, each from what those before it left; so the whole
- * result is a schedule that meets every finish time, and no job waits that has no place in it. Where each job
- * needs one place and windows nest, as with finish times alone, that order is optimal.
+ * Jobs are planned in the order of their latest safe release, each on the capacity that the earlier ones
+ * left. The result is a schedule that meets every finish time, and no job waits without a place in it. If
+ * each job needs one place and the windows are nested, as with finish times alone, this order is optimal.
  */
 export function decideReleases(input: ReleaseInput): ReleaseDecision[] {
   const planner = new ReleasePlanner(input);
--- a/packages/tariff/src/run-times.ts
+++ b/packages/tariff/src/run-times.ts
@@ -1,5 +1,5 @@
 /**
- * How long tasks run compared with what their owners estimate.
+ * Run times of tasks relative to their owners' estimates.
  *
  * @module
  */
@@ -9,11 +9,11 @@
 
 const RELATIVE_ACCURACY = 0.05;
 const MAX_BINS = 256;
-/** Jobs after which the older half of what was observed is dropped. */
+/** Number of jobs in a generation; beyond it the older generation is dropped. */
 const GENERATION_JOBS = 150;
 /**
- * What is assumed of a class before anything was observed: owners' estimates are often wrong by half,
- * sometimes by more, and on some days mostly too low. Run time over estimate, and weight in jobs.
+ * The prior of a class without observations: owners' estimates are often wrong by half, sometimes by more,
+ * and on some days mostly too low. Run time over estimate, and weight in jobs.
  */
 const PRIOR: readonly (readonly [ratio: number, weight: number])[] = [
   [0.5, 1],
@@ -39,20 +39,21 @@
 }
 
 /**
- * Distribution of the run times of one class, as ratios to the estimates. It holds two generations, of which
- * the older is dropped when the younger is full.
+ * Distribution of the run times of one class, as ratios to the estimates. It keeps two generations; when the
+ * younger is full, the older is dropped.
  */
 export class RunTimeEstimator {
   private older: Sketch = newSketch();
   private younger: Sketch = newSketch();
   private sums: RatioSums = { older: 0, younger: 0 };
-  /** Both generations and the prior; null where it is to be made anew. */
+  /** Both generations and the prior, merged; null if it has to be recomputed. */
   private merged: Sketch | null = null;
-  /** Whether something was observed that is not stored. */
+  /** Whether there are observations that are not stored yet. */
   isDirty = false;
 
   /**
-   * A task of the job ran for `runTimeS` seconds. All tasks of one job share its error, so a job counts once.
+   * Records that a task of the job ran for `runTimeS` seconds. All tasks of one job share its estimation
+   * error, so a job counts once.
    */
   observe(spec: JobSpec, runTimeS: number): void {
     if (spec.estimateS <= 0) return;
@@ -79,12 +80,12 @@
     return this.merged;
   }
 
-  /** Seconds that a task takes at most, with the given probability. */
+  /** Upper bound of a task's run time in seconds that holds with the given probability. */
   quantileS(estimateS: number, probability: number): number {
     return this.distribution().getValueAtQuantile(probability) * estimateS;
   }
 
-  /** Seconds that a task takes on average. */
+  /** Mean run time of a task in seconds. */
   meanS(estimateS: number): number {
     let sum = this.sums.older + this.sums.younger;
     for (const [ratio, weight] of PRIOR) sum += ratio * weight;
--- a/packages/tariff/src/tariff-repository.ts
+++ b/packages/tariff/src/tariff-repository.ts
@@ -1,5 +1,5 @@
 /**
- * What deferral knows beyond the jobs' own records, kept in the key-value store for the next leader.
+ * The state of deferral beyond the jobs' own records, stored in the key-value store for the next leader.
  *
  * @module
  */
@@ -18,17 +18,17 @@
 const CAPACITY_KEY = `${TARIFF_PREFIX}capacity`;
 const DOCUMENT_PART_PREFIX = `${TARIFF_PREFIX}part/`;
 const RUN_TIMES_PREFIX = `${TARIFF_PREFIX}class/`;
-/** Priority of reads at a leader's start, and of releases: they are the start of work. */
+/** Priority of reads by a new leader, and of releases: work cannot start before them. */
 const RELEASE_PRIORITY = 1;
-/** Priority of what was observed: it can wait. */
+/** Priority of writing observations, which can wait. */
 const OBSERVATION_PRIORITY = 2;
 const MAX_COMMIT_BYTES = 48 * 1024;
-/** What a page's key, its version and the JSON around them take of a commit. */
+/** Bytes in a commit for a page's key, version and the surrounding JSON. */
 const PAGE_OVERHEAD_BYTES = 100;
 const MAX_KEY_BYTES = 200;
-/** Pause before a request that failed is sent again, in milliseconds. */
+/** Pause before a failed request is retried, in milliseconds. */
 const RETRY_DELAY_MS = 300;
-/** The capacity is stored when it changed by more than this share. */
+/** The capacity is stored again if it changed by more than this share. */
 const MIN_PEAK_CHANGE = 0.02;
 
 /** A page as it is being written. */
@@ -40,13 +40,13 @@
 }
 
 /**
- * Holds the tariff, the deferrals and what was observed, and writes them on condition that this node still
+ * Holds the tariff, the deferrals and the observations, and writes them on condition that this node still
  * leads.
  */
 export class TariffRepository {
   readonly deferrals: DeferralTable;
   readonly capacity = new CapacityEstimator();
-  /** The tariff that decisions go by. */
+  /** The tariff in force. */
   document: TariffDocument | null = null;
   private readonly runTimesByClass = new Map<string, RunTimeEstimator>();
   private readonly versions = new Map<string, Version>();
@@ -68,7 +68,7 @@
 
   // --- loading ---------------------------------------------------------------------------------
 
-  /** Reads all records; resolves early when this node leads no more. */
+  /** Reads all records; resolves early if this node no longer leads. */
   async load(): Promise<void> {
     const { store, clock, log } = this.term.context;
     while (this.term.isActive) {
@@ -116,7 +116,7 @@
       });
   }
 
-  /** A record that cannot be read is logged and passed over. */
+  /** Logs and skips a record that cannot be read. */
   private tryRestore(key: string, restore: () => void): void {
     try {
       restore();
@@ -127,7 +127,7 @@
 
   // --- the tariff and observations -------------------------------------------------------------
 
-  /** Replaces the tariff, all parts at once; false where it is too large or could not be written. */
+  /** Replaces the tariff, all parts in one transaction; false if it is too large or could not be written. */
   async storeDocument(document: TariffDocument): Promise<boolean> {
     const { settings, log } = this.term.context;
     const packed = packDocument(document, settings.storeLimits.valueKb);
@@ -143,7 +143,7 @@
     return isStored;
   }
 
-  /** Writes what was observed since it was last written. */
+  /** Writes the observations that changed since the last write. */
   async storeObservations(): Promise<void> {
     const mutations: Mutation[] = [];
     const written: RunTimeEstimator[] = [];
@@ -181,7 +181,7 @@
 
   // --- deferrals -------------------------------------------------------------------------------
 
-  /** Writes pages that changed, as many as one commit takes; true when nothing is left to write. */
+  /** Writes changed pages, as many as fit one commit; true if none is left to write. */
   async flush(): Promise<boolean> {
     const { store, leadership } = this.term.context;
     const writes = this.pageWrites();
--- a/packages/tariff/src/time-grid.ts
+++ b/packages/tariff/src/time-grid.ts
@@ -1,13 +1,13 @@
 /**
- * The time until the last finish time, cut into pieces in which prices are constant.
+ * The time until the last finish time, divided into pieces with constant prices.
  *
  * @module
  */
 import type { Capacity, ReleaseInput } from './release-decision.js';
 
-/** Pieces that the whole time is cut into, where prices do not change more often. */
+/** Target number of pieces, if prices do not change more often. */
 const TARGET_PIECES = 160;
-/** Pieces are not cut shorter than this, in milliseconds. */
+/** Minimum length of a piece, in milliseconds. */
 export const MIN_PIECE_MS = 15_000;
 
 /** Pieces of time, by index. */
@@ -19,7 +19,7 @@
   readonly pricePieces: Int32Array;
 }
 
-/** Cuts the price pieces up to `end` further, so that releases spread over a long window. */
+/** Subdivides the price pieces up to `end`, so that releases spread over a long window. */
 export function buildTimeGrid(input: ReleaseInput, end: number): TimeGrid {
   const maxPieceMs = Math.max(MIN_PIECE_MS, (end - input.now) / TARGET_PIECES);
   const starts: number[] = [];
@@ -43,7 +43,7 @@
   };
 }
 
-/** CPU seconds that are free in each piece of the grid, after the work that was released before. */
+/** Free CPU seconds in each piece of the grid, after the work released earlier. */
 export function freeCapacity(capacity: Capacity, grid: TimeGrid): Float64Array {
   let backlogCpuS = capacity.backlogCpuS;
   return grid.lengthsS.map((lengthS) => {
@@ -61,7 +61,7 @@
   readonly isBlind: boolean;
 }
 
-/** Prices on the grid: where nothing is known, the highest that is known, so that no job waits for it. */
+/** Prices on the grid. Unknown ones are set to the highest known price, so that no job waits for them. */
 export function pricesOnGrid(input: ReleaseInput, grid: TimeGrid): GridPrices {
   let isBlind = true;
   const series = input.prices.map((prices) => {
--- a/packages/tariff/src/workload.ts
+++ b/packages/tariff/src/workload.ts
@@ -1,5 +1,5 @@
 /**
- * What admitted jobs take of the cluster: the work that stands ahead of deferred jobs.
+ * The load of admitted jobs on the cluster, which precedes deferred jobs.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import { isUrgent } from './eligibility.js';
 import type { RunTimeEstimator } from './run-times.js';
 
-/** Work that is admitted and not done. */
+/** Admitted work that is not done. */
 export interface Backlog {
   readonly workCpuS: number;
-  /** CPUs that it would take if all of it ran now. */
+  /** CPUs that it would use if all of it ran now. */
   readonly demandCpus: number;
 }
 
@@ -20,9 +20,9 @@
 export interface Workload {
   readonly backlogs: ReadonlyMap<string, Backlog>;
   readonly totalBacklog: Backlog;
-  /** CPUs that services take or wait for. */
+  /** CPUs that services use or wait for. */
   readonly serviceCpus: ReadonlyMap<string, number>;
-  /** CPUs that other work that is never deferred takes now. */
+  /** CPUs that other non-deferrable work uses now. */
   readonly urgentCpus: ReadonlyMap<string, number>;
 }
 
@@ -60,7 +60,7 @@
       sum.workCpuS += workCpuS;
       sum.demandCpus += cpus * tasksLeft;
     }
-    // Urgent work comes as a stream: there will be as much of it in an hour.
+    // Urgent work arrives continuously, so as much of it is expected in an hour.
     if (spec.deadlineS === null || isUrgent(spec))
       increase(urgentCpus, spec.team, cpus * job.placements.size);
   }
