--- a/packages/graph/src/batch-record.ts
+++ b/packages/graph/src/batch-record.ts
@@ -1,5 +1,5 @@
 /**
- * States of one batch's tasks as they are recorded: small enough that a whole batch fits into one record.
+ * The recorded states of one batch's tasks, encoded so compactly that a whole batch fits into one record.
  *
  * @module
  */
@@ -7,26 +7,26 @@
 import type { ResultState, TaskState } from './task-state.js';
 import { FAILURE_KINDS, RESULT_STATES, TASK_STATES } from './task-state.js';
 
-/** Values by position in the batch; positions without an entry have none. */
+/** Values by position in the batch; sparse. */
 export type SparseList = readonly (readonly [position: number, value: number])[];
 
 /** States of one batch's tasks, in the order of the batch. Stored as it is. */
 export interface TaskStatesRecord {
   /** For each task a digit: its position in {@link TASK_STATES}. */
   readonly states: string;
-  /** For each task a digit: its result's position in {@link RESULT_STATES}. */
+  /** For each task a digit: the position of its result's state in {@link RESULT_STATES}. */
   readonly kept: string;
-  /** For each task `1` where a client holds its result, else `0`. */
+  /** For each task `1` if a client holds its result, otherwise `0`. */
   readonly held: string;
-  /** How many runs of a task failed. */
+  /** The number of failed runs per task. */
   readonly errors: SparseList;
-  /** Index in the graph of the task whose end ended this one. */
+  /** Graph index of the task whose end caused the end of this one. */
   readonly endedBy: SparseList;
   /** Position in {@link FAILURE_KINDS}, counted from 1. */
   readonly failures: SparseList;
 }
 
-/** The record of one batch's tasks. Indices in it hold as long as batches are added in the same order. */
+/** The record of one batch's tasks. Its indices are valid only while batches are added in the same order. */
 export function encodeTaskStates(tasks: readonly TaskEntry[]): TaskStatesRecord {
   return {
     states: tasks.map((task) => TASK_STATES.indexOf(task.state)).join(''),
@@ -47,7 +47,7 @@
   });
 }
 
-/** Gives the tasks of one batch the states that {@link encodeTaskStates} recorded. */
+/** Restores the states of one batch's tasks from a record of {@link encodeTaskStates}. */
 export function restoreTaskStates(tasks: readonly TaskEntry[], record: TaskStatesRecord): void {
   tasks.forEach((task, position) => {
     task.state = TASK_STATES[Number(record.states[position])] as TaskState;
--- a/packages/graph/src/errors.ts
+++ b/packages/graph/src/errors.ts
@@ -1,5 +1,5 @@
 /**
- * Errors of task graphs. A call that throws one leaves the graph as it was.
+ * Errors of task graphs. A call that throws one leaves the graph unchanged.
  *
  * @module
  */
@@ -7,10 +7,10 @@
 import { SpurbridgeError } from '@spurbridge/wire';
 import type { TaskState } from './task-state.js';
 
-/** A call names something that the graph does not have, or asks for what a task's state does not allow. */
+/** A call names an unknown element of the graph, or is not allowed in a task's present state. */
 export abstract class GraphError extends SpurbridgeError {}
 
-/** A task is named that the graph does not have. */
+/** A task is named that is not in the graph. */
 export class UnknownTaskError extends GraphError {
   constructor(
     readonly graph: GraphId,
@@ -20,7 +20,7 @@
   }
 }
 
-/** A batch is named that the graph does not have. */
+/** A batch is named that is not in the graph. */
 export class UnknownBatchError extends GraphError {
   constructor(
     readonly graph: GraphId,
@@ -30,7 +30,7 @@
   }
 }
 
-/** A run of a task is said to have failed while no run of it is under way. */
+/** A run of a task was reported to have failed although none is in progress. */
 export class TaskNotSubmittedError extends GraphError {
   constructor(
     readonly task: GraphTaskId,
--- a/packages/graph/src/index.ts
+++ b/packages/graph/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Graphs of tasks that take each other's results.
+ * Graphs of tasks that depend on each other's results.
  *
  * @module
  */
--- a/packages/graph/src/task-entry.ts
+++ b/packages/graph/src/task-entry.ts
@@ -1,12 +1,12 @@
 /**
- * One task of a graph, as it is held in memory.
+ * The in-memory representation of one task of a graph.
  *
  * @module
  */
 import type { BatchId, TaskShape } from '@spurbridge/wire';
 import type { FailureKind, ResultState, TaskState } from './task-state.js';
 
-/** Stands for no task where an index is expected. */
+/** Marks the absence of a task where an index is expected. */
 export const NO_TASK = -1;
 
 /** One task. All references to tasks are indices in the graph's table. */
@@ -15,28 +15,28 @@
   /** Position in the batch. */
   readonly position: number;
   readonly shape: TaskShape;
-  /** Tasks whose results it takes. */
+  /** The tasks that it depends on. */
   readonly dependencies: readonly number[];
-  /** Tasks that take its result. */
+  /** The tasks that depend on it. */
   readonly dependents: number[];
   /** The task that spawned it, or {@link NO_TASK}. */
   readonly parent: number;
   readonly children: number[];
   state: TaskState;
   result: ResultState;
-  /** Dependencies whose results are not kept. */
+  /** The number of dependencies whose results are not kept. */
   missingInputs: number;
-  /** Dependents that have not ended: each still refers to the result. */
+  /** The number of dependents that have not ended and therefore still refer to the result. */
   pendingDependents: number;
-  /** Whether a client refers to the result. */
+  /** Whether a client holds the result. */
   isHeld: boolean;
   failedRuns: number;
-  /** The task whose end ended this one, or {@link NO_TASK}. */
+  /** The task whose end caused the end of this one, or {@link NO_TASK}. */
   endedBy: number;
   failure: FailureKind | null;
 }
 
-/** A task that was just added: it waits, and nothing is counted of it yet. */
+/** Creates a task that was just added: it is waiting, and its counters are zero. */
 export function newTaskEntry(
   batch: BatchId,
   position: number,
--- a/packages/graph/src/task-graph.ts
+++ b/packages/graph/src/task-graph.ts
@@ -1,5 +1,6 @@
 /**
- * One graph of tasks: which tasks are ready, which ended and why, and which results are still needed.
+ * One graph of tasks: tracks which tasks are ready, which have ended and why, and which results are still
+ * needed.
  *
  * @module
  */
@@ -15,22 +16,21 @@
 /** Why a task ended without a result. */
 export interface TaskFailure {
   readonly kind: FailureKind;
-  /** The task that failed first, which may be the task itself. */
+  /** The task that failed first, possibly the task itself. */
   readonly first: GraphTaskId;
-  /** From the task that failed first to this one. */
+  /** The chain from the task that failed first to this one. */
   readonly chain: readonly GraphTaskId[];
 }
 
-/** A batch, and what was recorded of its tasks; null for a batch that no leader has seen yet. */
+/** A batch with the recorded states of its tasks; null for a batch that no leader has processed yet. */
 export interface RecordedBatch {
   readonly batch: Batch;
   readonly record: TaskStatesRecord | null;
 }
 
 /**
- * A graph of tasks. It knows nothing of machines: ready tasks are handed out, and whoever places them says
- * what became of them. Functions that take the name of a task throw an `UnknownTaskError` where the graph has
- * no such task.
+ * A graph of tasks. It is independent of machines: callers take ready tasks, place them and report the
+ * outcome. Functions that take the name of a task throw an `UnknownTaskError` if the graph has no such task.
  */
 export class TaskGraph {
   private readonly table: TaskTable;
@@ -43,17 +43,17 @@
     this.criticalPaths = new CriticalPaths(this.table);
   }
 
-  /** How many tasks there are. */
+  /** The number of tasks. */
   get size(): number {
     return this.table.size;
   }
 
-  /** How many tasks are in each state. */
+  /** The number of tasks in each state. */
   get counts(): Readonly<Record<TaskState, number>> {
     return this.table.counts;
   }
 
-  /** Whether no task can change any more except by the loss of a result. */
+  /** Whether only the loss of a result can still change a task. */
   get isComplete(): boolean {
     const { done, failed, cancelled } = this.counts;
     return done + failed + cancelled === this.size;
@@ -67,9 +67,9 @@
   }
 
   /**
-   * Adds a batch whole. The same batch again changes nothing.
+   * Adds a whole batch. Adding the same batch again has no effect.
    *
-   * @throws UnknownTaskError where it refers to a task that is not there; the graph stays as it was
+   * @throws UnknownTaskError if it refers to an unknown task; the graph is then unchanged
    */
   addBatch(batch: Batch): void {
     if (this.hasBatch(batch.id)) return;
@@ -79,7 +79,7 @@
 
   // --- running ---------------------------------------------------------------------------------
 
-  /** Tasks that can run now, those with the longest chain behind them first. */
+  /** The ready tasks, those with the longest chain after them first. */
   readyTasks(): GraphTaskId[] {
     const lengthS = (index: number): number => this.criticalPaths.lengthS(index);
     return [...this.table.readyIndices]
@@ -87,12 +87,12 @@
       .map((index) => this.table.idAt(index));
   }
 
-  /** A ready task is part of a cotask from now on. */
+  /** Marks a ready task as submitted in a cotask. */
   markSubmitted(id: GraphTaskId): void {
     this.lifecycle.transition(this.table.indexOf(id), 'submitted');
   }
 
-  /** The task ran to its end; one that was cancelled meanwhile stays cancelled. */
+  /** Records that the task completed; one that was cancelled meanwhile stays cancelled. */
   markDone(id: GraphTaskId): void {
     const index = this.table.indexOf(id);
     if (this.table.at(index).state === 'cancelling') return this.lifecycle.transition(index, 'cancelled');
@@ -101,10 +101,10 @@
   }
 
   /**
-   * A run of the task failed. It is tried again, or has failed for good and with it all that waits for its
-   * result.
+   * Records a failed run of the task. The task is retried, or fails permanently together with all tasks that
+   * wait for its result.
    *
-   * @throws TaskNotSubmittedError where no run of the task is under way
+   * @throws TaskNotSubmittedError if no run of the task is in progress
    */
   markFailed(id: GraphTaskId): void {
     const index = this.table.indexOf(id);
@@ -117,7 +117,7 @@
     else this.lifecycle.returnToPending(index);
   }
 
-  /** A task that was cancelled, or withdrawn from its cotask, is proven to be on no machine. */
+  /** Records that a task that was cancelled, or withdrawn from its cotask, is proven to be on no machine. */
   markStopped(id: GraphTaskId): void {
     const index = this.table.indexOf(id);
     const { state } = this.table.at(index);
@@ -127,17 +127,17 @@
 
   // --- results ---------------------------------------------------------------------------------
 
-  /** A client refers to a result from now on, or does so no more. */
+  /** Records that a client holds or releases a result. */
   setHeld(id: GraphTaskId, isHeld: boolean): void {
     this.lifecycle.setHeld(this.table.indexOf(id), isHeld);
   }
 
-  /** A result is gone from where it was kept. Its task runs again, once, if anything still needs it. */
+  /** Records the loss of a result. Its task runs again, once, if the result is still needed. */
   markResultLost(id: GraphTaskId): void {
     this.lifecycle.loseResult(this.table.indexOf(id));
   }
 
-  /** Results that nothing refers to any more since this was last called: they can be deleted. */
+  /** Takes the results that became unreferenced since the last call: they can be deleted. */
   takeDroppedResults(): GraphTaskId[] {
     return this.lifecycle.takeDropped().map((index) => this.table.idAt(index));
   }
@@ -145,9 +145,9 @@
   // --- cancelling ------------------------------------------------------------------------------
 
   /**
-   * Cancels tasks, all that waits for them and, if `recursive`, all that they spawned.
+   * Cancels tasks, all tasks that wait for them and, if `recursive`, all tasks that they spawned.
    *
-   * @returns those that may be on machines: they count until `markStopped`
+   * @returns those that may be on machines: they stay in the cancelling state until `markStopped`
    */
   cancel(ids: Iterable<GraphTaskId>, recursive: boolean): GraphTaskId[] {
     const indices = [...ids].map((id) => this.table.indexOf(id));
@@ -182,7 +182,7 @@
     return this.criticalPaths.lengthS(this.table.indexOf(id));
   }
 
-  /** Why a task failed, or null where it did not. */
+  /** Why a task failed; null if it did not fail. */
   failure(id: GraphTaskId): TaskFailure | null {
     const index = this.table.indexOf(id);
     const { failure: kind, endedBy } = this.table.at(index);
@@ -198,7 +198,7 @@
     return { kind, first: names[0] ?? id, chain: names };
   }
 
-  /** Tasks that failed by themselves, at most `limit`, in the order in which they were added. */
+  /** At most `limit` tasks that failed by themselves, in the order in which they were added. */
   rootFailures(limit: number): GraphTaskId[] {
     const found: GraphTaskId[] = [];
     for (let index = 0; index < this.size && found.length < limit; index += 1)
@@ -208,7 +208,7 @@
 
   // --- records ---------------------------------------------------------------------------------
 
-  /** Batches with tasks that changed since this was last called: their records are behind. */
+  /** Takes the batches whose tasks changed since the last call: their records are outdated. */
   takeChangedBatches(): Set<BatchId> {
     return this.table.takeChangedBatches();
   }
@@ -222,7 +222,7 @@
     return this.table.encodeBatch(batch);
   }
 
-  /** A graph from its batches, in an order in which none refers to a later one, and from their records. */
+  /** Restores a graph from its batches and their records; no batch may refer to a later one. */
   static restore(id: GraphId, batches: readonly RecordedBatch[]): TaskGraph {
     const graph = new TaskGraph(id);
     for (const { batch } of batches) graph.table.insert(batch);
--- a/packages/graph/src/task-lifecycle.ts
+++ b/packages/graph/src/task-lifecycle.ts
@@ -1,6 +1,5 @@
 /**
- * What follows for a graph when a task or a result changes: tasks become ready, end with others, or run
- * again.
+ * Propagates changes of tasks and results through a graph: tasks become ready, end with others, or run again.
  *
  * @module
  */
@@ -10,16 +9,16 @@
 import { isCancelled, isPending, isTerminal } from './task-state.js';
 import type { TaskTable } from './task-table.js';
 
-/** A task that is to end without a result. */
+/** A task that will end without a result. */
 interface PendingEnd {
   readonly index: number;
   readonly endedBy: number;
   readonly failure: FailureKind | null;
 }
 
-/** Applies changes to the tasks of a table, with all that follows from them. */
+/** Applies changes to the tasks of a table, with all their consequences. */
 export class TaskLifecycle {
-  /** Results that nothing refers to any more, since they were last taken. */
+  /** Results that became unreferenced and were not taken yet. */
   private dropped: number[] = [];
 
   constructor(private readonly table: TaskTable) {}
@@ -37,26 +36,23 @@
     }
   }
 
-  /** Whether a task that is not submitted is waiting or ready follows from what it takes. */
+  /** Derives from its dependencies whether a task that is not submitted is waiting or ready. */
   private updateReadiness(index: number): void {
     const { state, missingInputs } = this.table.at(index);
     if (state === 'waiting' && missingInputs === 0) this.transition(index, 'ready');
     else if (state === 'ready' && missingInputs > 0) this.transition(index, 'waiting');
   }
 
-  /**
-   * A submitted task is in no cotask any more: it becomes ready, or waits for results that were lost
-   * meanwhile.
-   */
+  /** A submitted task leaves its cotask: it becomes ready, or waits for results that were lost meanwhile. */
   returnToPending(index: number): void {
     this.transition(index, this.table.at(index).missingInputs > 0 ? 'waiting' : 'ready');
   }
 
   // --- new tasks -------------------------------------------------------------------------------
 
-  /** Ends those of some new tasks that can never run; makes the others ready as far as they can be. */
+  /** Ends those new tasks that can never run, and makes the others ready whose dependencies are met. */
   activate(indices: readonly number[]): void {
-    // Those that can never run end first, so that nothing runs again for their sake.
+    // Tasks that can never run end first, so that no lost result is recomputed for them.
     for (const index of indices) this.endIfUnrunnable(index);
     for (const index of indices) {
       if (this.table.at(index).state !== 'waiting') continue;
@@ -81,7 +77,7 @@
 
   // --- ends ------------------------------------------------------------------------------------
 
-  /** Ends a task without a result, and with it everything that waits for that result. */
+  /** Ends a task without a result, and with it every task that waits for that result. */
   end(
     first: number,
     state: 'failed' | 'cancelled',
@@ -92,7 +88,7 @@
     for (let next = work.pop(); next !== undefined; next = work.pop()) {
       const { index } = next;
       const entry = this.table.at(index);
-      // A dependent that is submitted has what it takes, and one that has ended stays as it is.
+      // A submitted dependent has its inputs already, and an ended one does not change.
       if (index !== first && !isPending(entry.state)) continue;
       entry.endedBy = next.endedBy;
       entry.failure = next.failure;
@@ -104,9 +100,9 @@
   }
 
   /**
-   * Cancels tasks, what waits for them and, if `recursive`, what they spawned.
+   * Cancels tasks, those that wait for them and, if `recursive`, those that they spawned.
    *
-   * @returns those that may be on machines: they are cancelling until they are proven to be on none
+   * @returns those that may be on machines: they are cancelling until proven to be on none
    */
   cancel(indices: readonly number[], recursive: boolean): number[] {
     const work = [...indices];
@@ -139,7 +135,7 @@
     return isHeld || pendingDependents > 0;
   }
 
-  /** The task is done, and its result can be taken. */
+  /** Completes the task and makes its result available. */
   storeResult(index: number): void {
     const entry = this.table.at(index);
     entry.result = 'kept';
@@ -167,7 +163,7 @@
     }
   }
 
-  /** A client refers to the result from now on, or does so no more. */
+  /** Records that a client holds or releases the result. */
   setHeld(index: number, isHeld: boolean): void {
     const entry = this.table.at(index);
     if (entry.isHeld === isHeld) return;
@@ -177,7 +173,7 @@
     else this.dropIfUnneeded(index);
   }
 
-  /** A kept result is gone. Its task runs again, once, if anything still needs it. */
+  /** Records the loss of a kept result. Its task runs again, once, if the result is still needed. */
   loseResult(index: number): void {
     const entry = this.table.at(index);
     if (entry.result !== 'kept') return;
@@ -185,7 +181,9 @@
     if (this.isNeeded(entry)) this.recompute(index);
   }
 
-  /** Runs a done task again whose result is not there, and before it those whose results it takes itself. */
+  /**
+   * Runs a done task whose result is lost again, after those of its dependencies whose results are lost, too.
+   */
   private recompute(first: number): void {
     const work = [first];
     const restarted: number[] = [];
@@ -197,11 +195,11 @@
       restarted.push(index);
       work.push(...entry.dependencies);
     }
-    // Furthest upstream first: whether a task can run again depends on whether those that it depends on can.
+    // Furthest upstream first, because whether a task can run again depends on its dependencies.
     for (const index of restarted.reverse()) this.resume(index);
   }
 
-  /** Makes a task that is to run again ready, or ends it where it depends on one that cannot run any more. */
+  /** Makes a task that runs again ready, or ends it if one of its dependencies cannot run any more. */
   private resume(index: number): void {
     const { state, dependencies } = this.table.at(index);
     if (state !== 'waiting') return;
@@ -213,7 +211,7 @@
     else this.updateReadiness(index);
   }
 
-  /** Results that nothing refers to any more, since this was last called. */
+  /** Takes the results that became unreferenced since the last call. */
   takeDropped(): number[] {
     const { dropped } = this;
     this.dropped = [];
--- a/packages/graph/src/task-state.ts
+++ b/packages/graph/src/task-state.ts
@@ -8,9 +8,9 @@
 /**
  * waiting -> ready -> submitted -> done | failed.
  *
- * `submitted`: part of a cotask that the scheduler has. `cancelling`: cancelled, and may still be on a
- * machine. done -> waiting: the result is lost and something still needs it. A ready task waits again when a
- * result that it takes is lost.
+ * `submitted`: part of a cotask in the scheduler. `cancelling`: cancelled, but possibly still on a machine.
+ * done -> waiting: the result is lost and still needed. A ready task waits again if a result that it depends
+ * on is lost.
  */
 export type TaskState = 'waiting' | 'ready' | 'submitted' | 'cancelling' | 'done' | 'failed' | 'cancelled';
 
@@ -25,7 +25,7 @@
   'cancelled',
 ];
 
-/** The transitions that a task's state may make. */
+/** The allowed transitions of a task's state. */
 export const taskTransitions = new TransitionTable<TaskState>('graph task', {
   waiting: ['ready', 'failed', 'cancelled'],
   ready: ['waiting', 'submitted', 'failed', 'cancelled'],
@@ -36,30 +36,30 @@
   cancelled: [],
 });
 
-/** Whether a task in this state has ended: only the loss of its result can change it any more. */
+/** Whether a task in this state has ended: only the loss of its result can still change it. */
 export function isTerminal(state: TaskState): boolean {
   return state === 'done' || state === 'failed' || state === 'cancelled';
 }
 
-/** Whether a task in this state is not with the scheduler yet. */
+/** Whether a task in this state has not been submitted to the scheduler. */
 export function isPending(state: TaskState): boolean {
   return state === 'waiting' || state === 'ready';
 }
 
-/** Whether a task in this state is cancelled, or will be once it is proven to be on no machine. */
+/** Whether a task in this state is cancelled, or will be once proven to be on no machine. */
 export function isCancelled(state: TaskState): boolean {
   return state === 'cancelled' || state === 'cancelling';
 }
 
-/** none -> kept -> dropped | lost. `dropped`: nothing refers to the result any more. */
+/** none -> kept -> dropped | lost. `dropped`: the result is no longer referenced. */
 export type ResultState = 'none' | 'kept' | 'dropped' | 'lost';
 
 /** All states of a result; records hold a state as its position in this list. */
 export const RESULT_STATES: readonly ResultState[] = ['none', 'kept', 'dropped', 'lost'];
 
 /**
- * Why a task ended without a result. `error`: its own runs failed. `upstream`: a task whose result it takes
- * failed. `lineage`: its result was lost, and a task that is needed to make it again cannot run any more.
+ * Why a task ended without a result. `error`: its own runs failed. `upstream`: a task that it depends on
+ * failed. `lineage`: its result was lost, and a task needed to recompute it cannot run any more.
  */
 export type FailureKind = 'error' | 'upstream' | 'lineage';
 
--- a/packages/graph/src/task-table.ts
+++ b/packages/graph/src/task-table.ts
@@ -1,5 +1,5 @@
 /**
- * The tasks of one graph, by index and by name, with what is counted over them.
+ * The tasks of one graph, by index and by name, with counters over them.
  *
  * @module
  */
@@ -19,7 +19,7 @@
   readonly size: number;
 }
 
-/** Holds tasks, and follows which are ready, which changed, and how many are in which state. */
+/** Holds tasks, and tracks which are ready, which have changed, and how many are in each state. */
 export class TaskTable {
   private readonly entries: TaskEntry[] = [];
   private readonly batches = new Map<BatchId, BatchRange>();
@@ -49,7 +49,7 @@
     return this.ready;
   }
 
-  /** The task at an index that is known to be there. */
+  /** The task at a valid index. */
   at(index: number): TaskEntry {
     return this.entries[index] as TaskEntry;
   }
@@ -77,7 +77,7 @@
     return this.batches.has(batch);
   }
 
-  /** Indices of a batch's tasks; none for a batch that is not known. */
+  /** Indices of a batch's tasks; none for an unknown batch. */
   indicesOf(batch: BatchId): number[] {
     const range = this.batches.get(batch);
     if (range === undefined) return [];
@@ -87,9 +87,9 @@
   // --- growing ---------------------------------------------------------------------------------
 
   /**
-   * Adds the tasks of a batch, all of them waiting.
+   * Adds the tasks of a batch in the waiting state.
    *
-   * @throws UnknownTaskError where it refers to a task that is not there; nothing is added then
+   * @throws UnknownTaskError if it refers to an unknown task; nothing is added then
    */
   insert(batch: Batch): void {
     const first = this.size;
@@ -134,7 +134,7 @@
 
   // --- states ----------------------------------------------------------------------------------
 
-  /** Changes a task's state and what is counted of it, but nothing that follows for other tasks. */
+  /** Changes a task's state and the counters, without consequences for other tasks. */
   setState(index: number, next: TaskState): void {
     const entry = this.at(index);
     taskTransitions.assertAllowed(entry.state, next);
@@ -146,12 +146,12 @@
     this.markChanged(index);
   }
 
-  /** The task's record is behind. */
+  /** Marks the task's record as outdated. */
   markChanged(index: number): void {
     this.changed.add(index);
   }
 
-  /** Batches with tasks that changed since this was last called. */
+  /** Takes the batches whose tasks changed since the last call. */
   takeChangedBatches(): Set<BatchId> {
     const batches = new Set<BatchId>();
     for (const index of this.changed) batches.add(this.at(index).batch);
@@ -168,7 +168,7 @@
     return encodeTaskStates(this.entries.slice(range.first, range.first + range.size));
   }
 
-  /** Gives the tasks of a batch their recorded states; {@link rebuildCounters} must follow. */
+  /** Sets the recorded states of a batch's tasks; {@link rebuildCounters} must be called afterwards. */
   restoreBatch(batch: BatchId, record: TaskStatesRecord): void {
     restoreTaskStates(
       this.indicesOf(batch).map((index) => this.at(index)),
@@ -176,7 +176,7 @@
     );
   }
 
-  /** Counts anew everything that follows from the states of tasks and results. */
+  /** Recomputes all counters from the states of tasks and results. */
   rebuildCounters(): void {
     for (const state of TASK_STATES) this.countByState[state] = 0;
     this.ready.clear();
