--- a/packages/graph-client/src/batch-sender.ts
+++ b/packages/graph-client/src/batch-sender.ts
@@ -1,5 +1,5 @@
 /**
- * Collects the tasks that a client asks for, and sends them in batches.
+ * Collects the tasks that a client creates, and sends them in batches.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { MAX_BATCH_TASKS, formatGraphTaskId, parseGraphTaskId } from '@spurbridge/wire';
 import type { RequestSender } from './requests.js';
 
-/** What a task takes; only the first three have no default. */
+/** Properties of a task; only the first three are required. */
 export interface TaskOptions {
   readonly cpus: number;
   readonly image: string;
@@ -45,7 +45,7 @@
     return `${this.namePrefix}~${index}` as BatchId;
   }
 
-  /** Adds a task to the batch that is being filled; a full one is sent. */
+  /** Adds a task to the present batch, and sends the batch once it is full. */
   add(options: TaskOptions, after: readonly GraphTaskId[]): GraphTaskId {
     const task = formatGraphTaskId(this.batchName(this.closedBatches), this.requested.length);
     this.requested.push({ options, after });
@@ -53,7 +53,7 @@
     return task;
   }
 
-  /** Sends what was added, and waits until all batches are accepted. */
+  /** Sends all added tasks, and waits until all batches are accepted. */
   async flush(): Promise<void> {
     this.close();
     await this.sending;
@@ -66,7 +66,7 @@
     this.requested = [];
     this.closedBatches += 1;
     this.sending = this.sending.then(() => this.send(batch, tasks));
-    // The next flush throws the error; until then nobody waits for it.
+    // The next flush throws the error; until then the promise must not count as an unhandled rejection.
     this.sending.catch(() => undefined);
   }
 
@@ -83,12 +83,12 @@
   }
 }
 
-/** A task that runs again asks under the same names, so that nothing is spawned twice. */
+/** A task that runs again uses the same batch names, so that nothing is spawned twice. */
 function spawnPrefix(parent: GraphTaskId): string {
   return `s${createHash('sha256').update(parent).digest('hex').slice(0, 24)}`;
 }
 
-/** A task of the same batch is named by its position. */
+/** A task of the same batch is referred to by its position. */
 function relativeTo(batch: BatchId, id: GraphTaskId): GraphTaskId | number {
   const reference = parseGraphTaskId(id);
   return reference.batch === batch ? reference.task : id;
--- a/packages/graph-client/src/client-graph.ts
+++ b/packages/graph-client/src/client-graph.ts
@@ -1,5 +1,6 @@
 /**
- * One graph as its client sees it: functions make futures, and futures as arguments make the dependencies.
+ * The client's view of one graph: calls of functions return futures, and futures as arguments create
+ * dependencies.
  *
  * @module
  */
@@ -11,19 +12,19 @@
 import { FinalStates } from './final-states.js';
 import type { RequestSender, ResponseBody } from './requests.js';
 
-/** A task that was asked for. Given to another one as an argument, it runs before that. */
+/** A created task. Passed to another one as an argument, it becomes a dependency of that one. */
 export interface Future {
   readonly task: GraphTaskId;
 }
 
-/** Which of some tasks have ended. */
+/** Tasks, divided by whether they have ended. */
 export interface WaitResult {
-  /** Those that have ended, in whatever way. */
+  /** Those that have ended, with any outcome. */
   readonly ready: Future[];
   readonly pending: Future[];
 }
 
-/** A change of what is known of results. */
+/** A client's update of results. */
 interface ResultUpdate {
   readonly lost?: readonly GraphTaskId[];
   readonly hold?: readonly GraphTaskId[];
@@ -48,7 +49,7 @@
     this.path = `/graphs/${id}`;
   }
 
-  /** A function whose calls are tasks; its arguments are the tasks whose results it takes. */
+  /** A function whose calls create tasks; its arguments are the tasks that it depends on. */
   remote(options: TaskOptions): (...args: readonly Future[]) => Future {
     return (...args) => {
       const after = [...new Set(tasksOf(args))];
@@ -56,26 +57,26 @@
     };
   }
 
-  /** Resolves when everything asked for so far is durably accepted. */
+  /** Resolves once all tasks created so far are durably accepted. */
   async flush(): Promise<void> {
     await this.batches.flush();
   }
 
-  /** Nothing more will be asked for: the graph ends with its tasks. */
+  /** Seals the graph: no more tasks will be added, and it ends with its tasks. */
   async seal(): Promise<void> {
     await this.flush();
     await this.requests.post(`${this.path}/seal`, {});
   }
 
-  /** Phase of the graph and counts of its tasks, as the server tells them. */
+  /** The server's report of the graph's phase and task counts. */
   async status(signal?: AbortSignal): Promise<ResponseBody> {
     return this.requests.get(this.path, signal);
   }
 
   /**
-   * Cancels tasks and all that waits for them, or without any the whole graph.
+   * Cancels tasks together with all tasks that wait for them; without arguments, the whole graph.
    *
-   * @param recursive also what they spawned
+   * @param recursive also cancels the tasks that they spawned
    */
   async cancel(futures?: readonly Future[], recursive = true): Promise<void> {
     await this.flush();
@@ -85,18 +86,18 @@
 
   // --- results ---------------------------------------------------------------------------------
 
-  /** Reports results that are gone from where they were kept: their tasks run again, if they are needed. */
+  /** Reports lost results: their tasks run again if the results are still needed. */
   async lost(futures: readonly Future[]): Promise<void> {
     await this.updateResults({ lost: tasksOf(futures) });
     for (const future of futures) this.finalStates.forget(future.task);
   }
 
-  /** Keeps results although no task waits for them, until they are released. */
+  /** Holds results, so that they are kept without a waiting task until they are released. */
   async hold(futures: readonly Future[]): Promise<void> {
     await this.updateResults({ hold: tasksOf(futures) });
   }
 
-  /** Ends a hold. */
+  /** Releases held results. */
   async release(futures: readonly Future[]): Promise<void> {
     await this.updateResults({ release: tasksOf(futures) });
   }
@@ -110,9 +111,9 @@
   // --- waiting ---------------------------------------------------------------------------------
 
   /**
-   * Waits until `count` of the tasks have ended, in whatever way.
+   * Waits until `count` of the tasks have ended, with any outcome.
    *
-   * @returns which have ended, and which have not when enough of them have or the time is over
+   * @returns which had ended, and which had not, when enough had ended or the timeout passed
    */
   async wait(
     futures: readonly Future[],
@@ -145,7 +146,7 @@
     for await (const future of this.results(all, signal)) void future;
   }
 
-  /** Yields the tasks as they are done, in the order in which they end. Throws as `get` does. */
+  /** Yields the tasks in the order in which they end. Throws the same errors as `get`. */
   async *results(futures: readonly Future[], signal?: AbortSignal): AsyncGenerator<Future> {
     let pending = [...futures];
     while (pending.length > 0) {
@@ -165,7 +166,7 @@
       const { failure, chain } = await this.requests.get(`${this.path}/failures/${task}`);
       return new TaskFailedError(this.id, task, String(failure), chain as GraphTaskId[]);
     } catch (error) {
-      // The records of a graph that has ended are deleted, and the reason with them.
+      // The records of an ended graph are deleted, including the reason of the failure.
       return new TaskFailedError(this.id, task, 'over', [task], { cause: error });
     }
   }
--- a/packages/graph-client/src/errors.ts
+++ b/packages/graph-client/src/errors.ts
@@ -6,7 +6,7 @@
 import type { GraphTaskId } from '@spurbridge/wire';
 import { SpurbridgeError } from '@spurbridge/wire';
 
-/** The server's final response to a request: it is malformed, or what it asks for is impossible. */
+/** The server's final rejection of a request: it is malformed, or cannot be satisfied. */
 export class RefusedError extends SpurbridgeError {
   constructor(
     /** HTTP status code. */
@@ -17,21 +17,21 @@
   }
 }
 
-/** No server gave a final response within the time that the client allows for a request. */
+/** No server gave a final response within the client's timeout for a request. */
 export class RequestTimeoutError extends SpurbridgeError {
   constructor(method: string, path: string, lastProblem: string, options?: ErrorOptions) {
     super('GRAPH_REQUEST_TIMEOUT', `${method} ${path}: no answer in time; last: ${lastProblem}`, options);
   }
 }
 
-/** A task that was waited for failed, or cannot run since another one failed. */
+/** An awaited task failed, or cannot run because another one failed. */
 export class TaskFailedError extends SpurbridgeError {
   constructor(
     readonly graph: string,
     readonly task: GraphTaskId,
-    /** `error`, `upstream`, `lineage`, or `over` where the graph has ended and no longer tells. */
+    /** `error`, `upstream`, `lineage`, or `over` if the graph has ended and its records are deleted. */
     readonly kind: string,
-    /** From the task that failed first to this one. */
+    /** The chain from the task that failed first to this one. */
     readonly chain: readonly GraphTaskId[],
     options?: ErrorOptions,
   ) {
@@ -45,7 +45,7 @@
   }
 }
 
-/** A task that was waited for was cancelled. */
+/** An awaited task was cancelled. */
 export class TaskCancelledError extends SpurbridgeError {
   constructor(
     readonly graph: string,
--- a/packages/graph-client/src/final-states.ts
+++ b/packages/graph-client/src/final-states.ts
@@ -1,5 +1,5 @@
 /**
- * What is known for good of a graph's tasks.
+ * Final states of a graph's tasks.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { RefusedError } from './errors.js';
 import type { RequestSender, ResponseBody } from './requests.js';
 
-/** How a task ended; `over`: the graph has ended, and no longer tells how this task did. */
+/** How a task ended; `over`: the graph has ended, and how this task ended is no longer recorded. */
 export type FinalState = 'done' | 'failed' | 'cancelled' | 'over';
 
 const NOT_FOUND = 404;
@@ -19,7 +19,7 @@
   readonly state: string;
 }
 
-/** Asks for the states of tasks, and remembers those that have ended. */
+/** Queries the states of tasks, and caches the final ones. */
 export class FinalStates {
   private readonly states = new Map<GraphTaskId, FinalState>();
 
@@ -28,17 +28,17 @@
     private readonly requests: RequestSender,
   ) {}
 
-  /** How a task ended, if that is known. */
+  /** How a task ended, if known. */
   get(task: GraphTaskId): FinalState | undefined {
     return this.states.get(task);
   }
 
-  /** The task may run again. */
+  /** Discards the final state of a task that may run again. */
   forget(task: GraphTaskId): void {
     this.states.delete(task);
   }
 
-  /** Asks for the states of those tasks that are not known to have ended. */
+  /** Queries the states of those tasks that are not known to have ended. */
   async update(tasks: readonly GraphTaskId[], signal?: AbortSignal): Promise<void> {
     const positionsByBatch = new Map<BatchId, Set<number>>();
     for (const id of tasks) {
@@ -60,7 +60,7 @@
     }
   }
 
-  /** A page of the batch's tasks, or null where the server has no records of the batch. */
+  /** A page of the batch's tasks, or null if the server has no records of the batch. */
   private async readPage(batch: BatchId, from: number, signal?: AbortSignal): Promise<ResponseBody | null> {
     try {
       return await this.requests.get(`/graphs/${this.graph}/tasks/${batch}?from=${from}`, signal);
@@ -71,7 +71,8 @@
   }
 
   /**
-   * The graph has ended and its tasks' records are deleted: its phase tells of tasks that all ended alike.
+   * The graph has ended and its tasks' records are deleted: if all tasks ended alike, its phase still shows
+   * how.
    */
   private async updateFromPhase(
     batch: BatchId,
--- a/packages/graph-client/src/graph-client.ts
+++ b/packages/graph-client/src/graph-client.ts
@@ -1,5 +1,5 @@
 /**
- * Creates graphs on a cluster, and finds those that are there.
+ * Creates graphs on a cluster, and opens existing ones.
  *
  * @module
  */
@@ -10,23 +10,23 @@
 import type { Transport } from './transport.js';
 import { httpTransport } from './transport.js';
 
-/** How a client reaches the cluster. */
+/** Connection settings of a client. */
 export interface ClientOptions {
   /** Such as `http://127.0.0.1:8080`; tried in turn. */
   readonly servers: readonly string[];
-  /** Milliseconds for which a request is tried in all. */
+  /** Total time for all attempts of a request, in milliseconds. */
   readonly patienceMs?: number;
-  /** Milliseconds between two questions what became of tasks. */
+  /** Poll interval for the states of tasks, in milliseconds. */
   readonly pollMs?: number;
   readonly transport?: Transport;
   readonly sleep?: (ms: number) => Promise<void>;
-  /** Milliseconds since any fixed moment. */
+  /** Monotonic time in milliseconds. */
   readonly now?: () => number;
 }
 
-/** What a client states of a graph. */
+/** Properties of a new graph. */
 export interface GraphOptions {
-  /** Chosen at random where it is not stated. */
+  /** Random by default. */
   readonly name?: string;
   readonly team: string;
   readonly class: string;
@@ -53,7 +53,7 @@
     });
   }
 
-  /** Creates a graph, or goes on with the one of that name, team, class and priority. */
+  /** Creates a graph, or opens the existing one of that name, team, class and priority. */
   async graph(options: GraphOptions): Promise<ClientGraph> {
     const id = `gr-${options.name ?? randomBytes(8).toString('hex')}`;
     await this.requests.post('/graphs', {
@@ -65,7 +65,10 @@
     return new ClientGraph(id, this.requests, this.pollMs, null);
   }
 
-  /** The graph that a running task belongs to: what it asks for is spawned by it, the same on every run. */
+  /**
+   * The graph of a running task: the tasks created through it count as spawned by that task, and are the same
+   * on every run.
+   */
   within(graph: string, task: GraphTaskId): ClientGraph {
     return new ClientGraph(graph, this.requests, this.pollMs, task);
   }
--- a/packages/graph-client/src/index.ts
+++ b/packages/graph-client/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Client of task graphs: functions make futures, and futures as arguments make the dependencies between
- * tasks.
+ * Client of task graphs: calls of functions return futures, and futures as arguments create dependencies
+ * between tasks.
  *
  * @module
  */
--- a/packages/graph-client/src/requests.ts
+++ b/packages/graph-client/src/requests.ts
@@ -1,21 +1,21 @@
 /**
- * Requests that are tried on one server after another until there is a final response.
+ * Sends requests to one server after another until there is a final response.
  *
  * @module
  */
 import { RefusedError, RequestTimeoutError } from './errors.js';
 import type { Method, Reply, Transport } from './transport.js';
 
-/** Where requests are sent, and how they are tried again. */
+/** Servers, and how requests are retried. */
 export interface RetryOptions {
   readonly servers: readonly string[];
   readonly transport: Transport;
-  /** Milliseconds for which a request is tried in all. */
+  /** Total time for all attempts of a request, in milliseconds. */
   readonly patienceMs: number;
   readonly sleep: (ms: number) => Promise<void>;
-  /** Milliseconds since any fixed moment. */
+  /** Monotonic time in milliseconds. */
   readonly now: () => number;
-  /** From 0 up to 1; spreads clients that wait. */
+  /** A random number from 0 up to 1; spreads the retries of clients. */
   readonly random: () => number;
 }
 
@@ -35,7 +35,7 @@
   readonly retryAfterS: number;
 }
 
-/** Sends requests. All of them are idempotent, so that one without a response can be sent again. */
+/** Sends requests. All of them are idempotent, so one without a response can be retried. */
 export class RequestSender {
   constructor(readonly options: RetryOptions) {}
 
@@ -75,7 +75,7 @@
         if (reply.status === 200 || reply.status === 201) return reply.body;
         last = retryable(reply);
       } catch (error) {
-        // Either the server's refusal, or the transport's own error, which may be of any type.
+        // Either the server's rejection, or the transport's own error, which may be of any type.
         if (error instanceof RefusedError) throw error;
         signal?.throwIfAborted();
         last = {
@@ -90,7 +90,7 @@
     throw new RequestTimeoutError(method, path, last.problem, { cause: last.cause });
   }
 
-  /** Doubles after each round over all servers. */
+  /** The delay doubles after each round over all servers. */
   private backoffMs(attempt: number): number {
     const rounds = Math.floor(attempt / this.options.servers.length);
     return Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** Math.min(MAX_BACKOFF_DOUBLINGS, rounds));
--- a/packages/graph-client/src/transport.ts
+++ b/packages/graph-client/src/transport.ts
@@ -1,10 +1,10 @@
 /**
- * How requests reach one server.
+ * Sends requests to one server.
  *
  * @module
  */
 
-/** HTTP methods that the graph interface uses. */
+/** HTTP methods used by the graph interface. */
 export type Method = 'GET' | 'POST';
 
 /** A server's response. */
@@ -12,11 +12,11 @@
   /** HTTP status code. */
   readonly status: number;
   readonly body: Readonly<Record<string, unknown>>;
-  /** What the server's `Retry-After` header asks for, in seconds. */
+  /** Value of the server's `Retry-After` header, in seconds. */
   readonly retryAfterS: number | null;
 }
 
-/** Sends one request to one server; rejects when no response arrives. */
+/** Sends one request to one server; rejects if no response arrives. */
 export type Transport = (
   server: string,
   method: Method,
@@ -25,7 +25,7 @@
   signal: AbortSignal | undefined,
 ) => Promise<Reply>;
 
-/** A server that has not responded after this time is taken to be unreachable, in milliseconds. */
+/** Timeout of a request to one server, in milliseconds. */
 const RESPONSE_TIMEOUT_MS = 5000;
 
 /** Sends JSON over HTTP. */
@@ -41,7 +41,7 @@
   const retryAfterS = Number(response.headers.get('retry-after') ?? NaN);
   return {
     status: response.status,
-    // A body that is not JSON says nothing: the status decides.
+    // A body that is not JSON is ignored: the status code decides.
     body: (await response.json().catch(() => ({}))) as Record<string, unknown>,
     retryAfterS: Number.isFinite(retryAfterS) ? retryAfterS : null,
   };
