--- a/packages/simulated-worker/src/agent-state.ts
+++ b/packages/simulated-worker/src/agent-state.ts
@@ -1,5 +1,6 @@
 /**
- * The agent process of a simulated worker: whether it lives or hangs, its lease, its epoch and its fencing token.
+ * The agent process of a simulated worker: whether it runs or hangs, its lease, its epoch and its fencing
+ * token.
  *
  * @module
  */
@@ -7,15 +8,17 @@
 
 const LEASE_CHECK_INTERVAL_MS = 100;
 
-/** What an agent needs of its worker. */
+/** Callbacks of an agent to its worker. */
 export interface AgentStateOptions {
   readonly time: Timeline;
   readonly leaseMs: number;
-  /** The lease ended at this time: everything on the worker is killed and forgotten. */
+  /** The lease ended at this time: the worker kills all tasks and discards its state. */
   readonly onLeaseEnded: (atMs: number) => void;
 }
 
-/** Keeps the lease: once it is over, a new epoch begins and nothing of the old one acts any more. */
+/**
+ * Tracks the lease. When it expires, a new epoch begins and nothing from the old one takes effect any more.
+ */
 export class AgentState {
   alive = true;
   private epochNumber = 1;
@@ -30,12 +33,12 @@
     this.checkLeaseAtIntervals();
   }
 
-  /** The epoch; it rises with each lease that ended. */
+  /** The epoch; incremented when a lease expires. */
   get epoch(): number {
     return this.epochNumber;
   }
 
-  /** The highest fencing token that was seen. */
+  /** The highest fencing token seen so far. */
   get fencingToken(): number {
     return this.token;
   }
@@ -44,50 +47,51 @@
     return this.hanging;
   }
 
-  /** The number of the next heartbeat of this epoch. */
+  /** The sequence number of the next heartbeat of this epoch. */
   nextSequence(): number {
     this.sequenceNumber += 1;
     return this.sequenceNumber;
   }
 
-  /** Takes a fencing token in; whether it is higher than all before. */
+  /** Records a fencing token; returns whether it is higher than all before. */
   observeToken(token: number): boolean {
     if (token <= this.token) return false;
     this.token = token;
     return true;
   }
 
-  /** A heartbeat sent at this time was accepted: the lease runs from then. */
+  /** A heartbeat sent at this time was accepted: the lease is extended from then on. */
   renewLease(sentAtMs: number): void {
     this.leaseFromMs = Math.max(this.leaseFromMs, sentAtMs);
   }
 
-  /** The process stands still; what it has to do waits. */
+  /** Suspends the process; its actions are deferred. */
   hang(): void {
     this.hanging = true;
   }
 
-  /** The process goes on with what has waited. */
+  /** Resumes the process and runs its deferred actions. */
   resume(): void {
     this.hanging = false;
-    // The lease is checked first: what it ended must not act any more.
+    // The lease is checked first, because actions of an expired lease must not take effect.
     this.checkLease();
     for (const run of this.onResume.splice(0)) run();
   }
 
-  /** Runs now, or as soon as the process no longer hangs, or never where it is dead. */
+  /** Runs the action now; if the process hangs, once it resumes; if it is dead, never. */
   act(run: () => void): void {
     if (!this.alive) return;
     if (this.hanging) {
       this.onResume.push(run);
       return;
     }
-    // A process that stood still runs its late timers in any order: what the lease ended must not act any more.
+    // A resumed process runs its overdue timers in any order; actions of an expired lease must not take
+    // effect.
     this.checkLease();
     run();
   }
 
-  /** Acts after this many milliseconds. */
+  /** Runs the action after this many milliseconds. */
   actAfter(ms: number, run: () => void): void {
     this.options.time.after(ms, () => {
       this.act(run);
--- a/packages/simulated-worker/src/gang-task-runner.ts
+++ b/packages/simulated-worker/src/gang-task-runner.ts
@@ -1,5 +1,6 @@
 /**
- * The part of a simulated worker's tasks that depends on the other tasks of a gang: they start, run, save and end together.
+ * The behaviour of gang tasks on a simulated worker, which depends on the gang's other tasks: they start,
+ * run, save and end together.
  *
  * @module
  */
@@ -10,18 +11,18 @@
 
 const MIN_WATCH_MS = 1;
 
-/** What the tasks of gangs need of their worker. */
+/** What gang tasks need from their worker. */
 export interface GangTaskRunnerOptions {
   readonly host: WorkerHost;
   readonly agent: AgentState;
   readonly end: (task: WorkerTask, cause: ExitCause, isSaved?: boolean) => void;
 }
 
-/** Plays the tasks of gangs on one worker. */
+/** Simulates the gang tasks of one worker. */
 export class GangTaskRunner {
   constructor(private readonly options: GangTaskRunnerOptions) {}
 
-  /** The task waits for the others; with the last one all begin to run. */
+  /** The task waits for the others; when the last one arrives, all begin to run. */
   awaitPeers(task: WorkerTask): void {
     const { host, agent, end } = this.options;
     const { job, attempt } = task;
@@ -36,7 +37,7 @@
     });
   }
 
-  /** A running task that lost another one, or was not told of a stop in time, exits. */
+  /** A running task exits if another task of its gang is lost, or was not told to stop in time. */
   watchPeers(task: WorkerTask): void {
     const { host, agent, end } = this.options;
     const { job, attempt } = task;
@@ -50,7 +51,7 @@
     });
   }
 
-  /** The task's run is over: the gang is completed with it, unless a task is missing; false: one is. */
+  /** The task's run is over, and with it the gang's, unless a task is missing; returns false in that case. */
   complete({ job, task, attempt }: WorkerTask): boolean {
     const { gangs, observer } = this.options.host;
     if (observer.isTaskDone(job.id, task)) return true;
@@ -59,7 +60,9 @@
     return true;
   }
 
-  /** A graceful stop holds only if every task of the gang hears of it in time after the first. */
+  /**
+   * A graceful stop succeeds only if every task of the gang receives it within the limit after the first one.
+   */
   save(task: WorkerTask): void {
     const { host, agent, end } = this.options;
     const { job, attempt } = task;
@@ -72,7 +75,7 @@
     agent.actAfter(Math.max(0, gang.firstStopAtMs + host.gangPeerMs - host.time.now), () => {
       if (task.phase === 'saving' && gang.toldToStop.size < job.tasks) end(task, 'stopped');
     });
-    // A task that was told but is lost before it has saved leaves the others with nothing to wait for.
+    // If a task that was told to stop is lost before it has saved, the others need not wait for it.
     agent.actAfter(job.saveS * 1000 + 2 * host.gangPeerMs, () => {
       if (task.phase === 'saving') end(task, 'stopped');
     });
--- a/packages/simulated-worker/src/gangs.ts
+++ b/packages/simulated-worker/src/gangs.ts
@@ -1,50 +1,50 @@
 /**
- * Gangs on simulated workers: what the tasks of one attempt know of each other.
+ * Gangs on simulated workers: the state shared by the tasks of one attempt.
  *
  * @module
  */
 import type { Attempt, JobId, JobSpec, TaskPhase } from '@spurbridge/wire';
 
-/** What the tasks of one attempt of a gang know of each other. */
+/** The state shared by the tasks of one attempt of a gang. */
 export interface GangAttempt {
-  /** All tasks were there at once, and began to run. */
+  /** Whether all tasks were present at once and began to run. */
   started: boolean;
-  /** When the first of its tasks was told to stop, in milliseconds; null: none was. */
+  /** When the first of its tasks was told to stop, in milliseconds; null if none was. */
   firstStopAtMs: number | null;
   readonly toldToStop: Set<number>;
   readonly savedTasks: Set<number>;
-  /** All had saved when the first of them exited. */
+  /** Whether all tasks had saved a checkpoint when the first of them exited. */
   isCheckpointed: boolean;
 }
 
-/** A worker as the other tasks of a gang see it. */
+/** A worker, as visible to the other tasks of a gang. */
 export interface GangWorker {
   readonly alive: boolean;
   readonly isHanging: boolean;
-  /** The attempt at a task that is on the worker; null: there is none. */
+  /** The attempt at a task that is on the worker; null if there is none. */
   attemptOf(job: JobId, task: number): { readonly attempt: Attempt; readonly phase: TaskPhase } | null;
-  /** All tasks of the gang are there: this one begins to run. */
+  /** All tasks of the gang are present: this one begins to run. */
   runGangTask(job: JobSpec, task: number): void;
-  /** All tasks of the gang have saved: this one exits. */
+  /** All tasks of the gang have saved a checkpoint: this one exits. */
   finishCheckpoint(job: JobSpec, task: number): void;
 }
 
-/** A task of a gang and the worker that it is on. */
+/** A task of a gang and its worker. */
 export interface GangMember {
   readonly worker: GangWorker;
   readonly task: number;
 }
 
-/** Phases in which a task can't, or can no longer, act together with the others. */
+/** Phases in which a task cannot act together with the others yet, or any more. */
 const INACTIVE_PHASES: ReadonlySet<TaskPhase> = new Set(['fetching', 'exited']);
 
-/** Every attempt of every gang on a set of workers that see each other. */
+/** All attempts of all gangs on a set of workers that can reach each other. */
 export class GangRegistry {
   private readonly byKey = new Map<string, GangAttempt>();
 
   constructor(private readonly workers: () => Iterable<GangWorker>) {}
 
-  /** The attempt of a gang; it begins with the first call. */
+  /** The attempt of a gang; created by the first call. */
   attempt(job: JobSpec, attempt: Attempt): GangAttempt {
     const key = `${job.id}#${attempt}`;
     const known = this.byKey.get(key);
@@ -60,7 +60,7 @@
     return gang;
   }
 
-  /** Tasks that wait, run or save under the same attempt on workers that do not hang. */
+  /** Tasks of the same attempt that wait, run or save on workers that do not hang. */
   activeMembers(job: JobSpec, attempt: Attempt): GangMember[] {
     const members: GangMember[] = [];
     for (const worker of this.workers()) {
@@ -73,7 +73,7 @@
     return members;
   }
 
-  /** How many attempts of each gang reached a worker. */
+  /** The number of attempts of each gang that reached a worker. */
   get attemptCounts(): ReadonlyMap<string, number> {
     const counts = new Map<string, number>();
     for (const key of this.byKey.keys()) {
@@ -83,7 +83,7 @@
     return counts;
   }
 
-  /** The attempts whose progress was saved by a graceful stop, as `job#attempt`. */
+  /** The attempts whose checkpoints were saved by a graceful stop, as `job#attempt`. */
   get checkpointedAttempts(): string[] {
     return [...this.byKey].filter(([, gang]) => gang.isCheckpointed).map(([key]) => key);
   }
--- a/packages/simulated-worker/src/heartbeat-loop.ts
+++ b/packages/simulated-worker/src/heartbeat-loop.ts
@@ -1,5 +1,5 @@
 /**
- * The heartbeats of a simulated worker: when they are sent, to which node, and what the responses change.
+ * The heartbeats of a simulated worker: when and to which node they are sent, and how responses are applied.
  *
  * @module
  */
@@ -7,20 +7,22 @@
 import type { AgentState } from './agent-state.js';
 import type { HeartbeatResult, HeartbeatSender, WorkerHost } from './worker-host.js';
 
-/** Heartbeats are this share of the interval apart at least, and up to `INTERVAL_SPREAD` hundredths more. */
+/**
+ * Minimum distance of heartbeats as a share of the interval; up to `INTERVAL_SPREAD` hundredths are added.
+ */
 const MIN_INTERVAL_SHARE = 0.75;
 const INTERVAL_SPREAD = 50;
-/** Changes are sent soon, but heartbeats are this far apart. */
+/** Minimum distance of heartbeats sent early because of a change, in milliseconds. */
 const MIN_GAP_MS = 500;
-/** Rounding of timers may bring a heartbeat this early. */
+/** Tolerance for timer rounding, by which a heartbeat may be early. */
 const TIMER_TOLERANCE_MS = 1;
-/** A response that comes later than this is dropped. */
+/** A response that arrives later than this is ignored. */
 const RESPONSE_VALID_MS = 4000;
 const NEXT_NODE_DELAY_MS = 1000;
-/** Workers that were redirected together come at moments drawn up to this. */
+/** Upper bound of the random delay that spreads workers that were redirected together. */
 const REDIRECT_SPREAD_MS = 500;
 
-/** What the loop needs of its worker. */
+/** What the loop needs from its worker. */
 export interface HeartbeatLoopOptions {
   readonly host: WorkerHost;
   readonly agent: AgentState;
@@ -29,21 +31,21 @@
   readonly execute: (commands: readonly WorkerCommand[]) => void;
 }
 
-/** Sends heartbeats at intervals and after changes; goes from node to node until one accepts them. */
+/** Sends heartbeats at intervals and after changes; tries one node after another until one accepts them. */
 export class HeartbeatLoop {
-  /** Counts on with each node that was given up. */
+  /** Incremented when the loop gives up on a node. */
   private node = 0;
   private isWaiting = false;
   private lastSentMs = -Infinity;
 
   constructor(private readonly options: HeartbeatLoopOptions) {}
 
-  /** Index of the node that the heartbeats go to. */
+  /** Index of the node that receives the heartbeats. */
   get nodeIndex(): number {
     return this.node % this.options.host.nodes.length;
   }
 
-  /** Sends the first heartbeat now; the loop ends with the agent's life. */
+  /** Sends the first heartbeat now; the loop ends with the agent. */
   start(): void {
     const { agent, host } = this.options;
     if (!agent.alive) return;
@@ -54,7 +56,7 @@
     });
   }
 
-  /** Something changed that the controllers should know. */
+  /** Sends a heartbeat soon, because of a change that is relevant to the controllers. */
   sendSoon(): void {
     const { agent, host } = this.options;
     const waitMs = Math.max(0, this.lastSentMs + MIN_GAP_MS - host.time.now);
@@ -64,7 +66,7 @@
     });
   }
 
-  /** Takes a fencing token in; a new one is shown to the controllers soon. */
+  /** Records a fencing token; a new one is reported to the controllers soon. */
   observeToken(token: number): void {
     if (this.options.agent.observeToken(token)) this.sendSoon();
   }
@@ -96,7 +98,7 @@
         this.tryNextNode();
         return;
       case 200:
-        // A response for an earlier epoch, or from a leader that has been replaced, is dropped.
+        // Ignore a response for an earlier epoch, or from a leader that has been replaced.
         if (epoch !== agent.epoch || response.fencingToken < agent.fencingToken) return;
         agent.renewLease(sentAtMs);
         this.observeToken(response.fencingToken);
--- a/packages/simulated-worker/src/index.ts
+++ b/packages/simulated-worker/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Workers without real tasks, for simulated worlds and for runs with real processes.
+ * Simulated workers, which run no real tasks, for simulated environments and for runs with real processes.
  *
  * @module
  */
--- a/packages/simulated-worker/src/task-runner.ts
+++ b/packages/simulated-worker/src/task-runner.ts
@@ -1,5 +1,5 @@
 /**
- * The tasks of a simulated worker: they are timers that fetch an image, run, save and exit as the protocol says.
+ * The tasks of a simulated worker: timers that fetch an image, run, save and exit according to the protocol.
  *
  * @module
  */
@@ -11,22 +11,22 @@
 import type { WorkerTask } from './worker-task.js';
 import { taskKey } from './worker-task.js';
 
-/** Time to start from an image that is on the machine already. */
+/** Time to start a task whose image is in the machine's cache. */
 const CACHED_IMAGE_MS = 5;
 
-/** What the tasks need of their worker. */
+/** What the tasks need from their worker. */
 export interface TaskRunnerOptions {
   readonly host: WorkerHost;
   readonly agent: AgentState;
   readonly type: MachineType;
   readonly placement: TaskPlacement;
-  /** A task changed: the controllers should know soon. */
+  /** A task changed, which the controllers should learn soon. */
   readonly onChange: () => void;
 }
 
 /** Starts, runs and stops tasks, at most one attempt of each. */
 export class TaskRunner {
-  /** While set, every task that starts here fails. */
+  /** While true, every task that starts here fails. */
   failsAllTasks = false;
   private readonly tasks = new Map<string, WorkerTask>();
   private readonly images = new Set<string>();
@@ -43,22 +43,22 @@
     });
   }
 
-  /** All tasks, also those that exited and are not forgotten. */
+  /** All tasks, including exited ones that were not discarded yet. */
   get all(): readonly WorkerTask[] {
     return [...this.tasks.values()];
   }
 
-  /** The tasks that take resources, also those that fetch their image. */
+  /** The tasks that use resources, including those that fetch their image. */
   get occupying(): readonly WorkerTask[] {
     return this.all.filter((task) => task.phase !== 'exited');
   }
 
-  /** The attempt at a task that is here. */
+  /** The attempt at a task on this worker. */
   find(job: JobId, task: number): WorkerTask | undefined {
     return this.tasks.get(taskKey(job, task));
   }
 
-  /** Kills and forgets everything; how many tasks had not exited. */
+  /** Kills and discards all tasks; returns how many had not exited. */
   clear(atMs: number): number {
     const { host, placement } = this.options;
     const killed = this.occupying;
@@ -68,7 +68,7 @@
     return killed.length;
   }
 
-  /** Carries commands out, in their order. */
+  /** Executes commands in their order. */
   execute(commands: readonly WorkerCommand[]): void {
     for (const command of commands) {
       const { job, task: index, attempt } = command;
@@ -90,14 +90,14 @@
     onChange();
     if (job.kind === 'service') return;
     agent.actAfter(host.taskRunMs(job, isGang ? 0 : index), () => {
-      // What was cleared with an earlier epoch completes nothing.
+      // A task of an earlier epoch was discarded and must not complete anything.
       if (task.phase !== 'running' || this.find(job.id, index) !== task) return;
       this.finishRun(task);
     });
     if (isGang) this.gangTasks.watchPeers(task);
   }
 
-  /** All tasks of the gang have saved: their progress is safe, and this one exits. */
+  /** All tasks of the gang have saved a checkpoint, and this one exits. */
   finishCheckpoint(job: JobSpec, index: number): void {
     const task = this.find(job.id, index);
     if (task?.phase === 'saving') this.end(task, 'stopped', true);
@@ -136,7 +136,7 @@
     return cpus <= type.cpus + EPSILON && gpus <= type.gpus + EPSILON && memoryGb <= type.memoryGb + EPSILON;
   }
 
-  /** The image is there. */
+  /** The image was fetched. */
   private begin(task: WorkerTask): void {
     const { host, placement, onChange } = this.options;
     const { job, task: index, attempt } = task;
@@ -182,7 +182,7 @@
   private end(task: WorkerTask, cause: ExitCause, isSaved = false): void {
     const { host, placement, onChange } = this.options;
     const { job, task: index } = task;
-    // What was cleared with an earlier epoch has ended already.
+    // A task of an earlier epoch was discarded and has ended already.
     if (this.find(job.id, index) !== task || task.phase === 'exited') return;
     task.phase = 'exited';
     task.cause = cause;
--- a/packages/simulated-worker/src/timeline.ts
+++ b/packages/simulated-worker/src/timeline.ts
@@ -1,5 +1,5 @@
 /**
- * Time as a stand-in sees it: simulated, or that of this machine.
+ * The source of time of a stand-in: simulated time, or the clock of this machine.
  *
  * @module
  */
@@ -9,13 +9,16 @@
 
 /** A monotonic clock with timers. */
 export interface Timeline {
-  /** Milliseconds on a clock that never goes back. */
+  /** Monotonic time in milliseconds. */
   readonly now: number;
   /** Runs the callback once, this many milliseconds from now. */
   after(ms: number, run: () => void): void;
 }
 
-/** The machine's monotonic clock: the same for all of its processes, so that their events can be put in order. */
+/**
+ * The machine's monotonic clock, which is the same for all its processes, so that their events can be
+ * ordered.
+ */
 export class MonotonicTimeline implements Timeline {
   private readonly originMs = Number(process.hrtime.bigint()) / NANOSECONDS_PER_MS - performance.now();
 
--- a/packages/simulated-worker/src/worker-host.ts
+++ b/packages/simulated-worker/src/worker-host.ts
@@ -1,5 +1,5 @@
 /**
- * What a simulated worker needs of the world that it is in.
+ * The interface between a simulated worker and its environment.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 import type { GangRegistry } from './gangs.js';
 import type { Timeline } from './timeline.js';
 
-/** What a controller answers to a heartbeat, by the status code of the response. */
+/** A controller's response to a heartbeat, by its status code. */
 export type HeartbeatResult =
   /** The lease is renewed, and the commands are to be executed. */
   | { readonly code: 200; readonly fencingToken: FencingToken; readonly commands: readonly WorkerCommand[] }
@@ -32,17 +32,17 @@
   readonly spot: boolean;
 }
 
-/** Is told of what happens to tasks on a worker. */
+/** Observes the tasks on a worker. */
 export interface TaskObserver {
-  /** Tasks that ended with a lease that nobody renewed. */
+  /** Tasks that ended because their worker's lease expired. */
   killedByLease: number;
-  /** The task has its image and is on the machine from now on. */
+  /** The task's image was fetched, and the task occupies the machine from now on. */
   taskStarted(job: JobSpec, task: number, attempt: Attempt, at: TaskPlacement): void;
-  /** The task is off the machine; since `atMs` at the latest, where that is before now. */
+  /** The task left the machine, at `atMs` at the latest if that is before now. */
   taskStopped(job: JobId, task: number, machine: MachineId, isDone: boolean, atMs?: number): void;
-  /** All tasks of a gang are done at once. */
+  /** All tasks of a gang completed together. */
   gangCompleted(job: JobSpec, attempt: Attempt): void;
-  /** Whether the task was done before: its result is kept. */
+  /** Whether the task was done before, in which case its result is kept. */
   isTaskDone(job: JobId, task: number): boolean;
 }
 
@@ -51,7 +51,7 @@
   readonly id: MachineId;
 }
 
-/** The surroundings of a worker: time, controllers, jobs and the observer of its tasks. */
+/** The environment of a worker: time, controllers, jobs and the observer of its tasks. */
 export interface WorkerHost {
   readonly time: Timeline;
   readonly observer: TaskObserver;
@@ -61,21 +61,23 @@
   readonly heartbeatIntervalMs: number;
   /** Length of the worker's lease, in milliseconds. */
   readonly leaseMs: number;
-  /** How long a gang's task waits for the others to start, in milliseconds. */
+  /** How long a gang task waits for the others to start, in milliseconds. */
   readonly gangWaitMs: number;
-  /** Within this the tasks of a gang notice that one is gone, and have to hear of a stop, in milliseconds. */
+  /**
+   * Limit within which gang tasks detect the loss of another, and must all be told to stop, in milliseconds.
+   */
   readonly gangPeerMs: number;
   readonly gangs: GangRegistry;
-  /** A random whole number from 0 up to `below`, without it. */
+  /** A random integer from 0 to `below` - 1. */
   readonly random: (below: number) => number;
   /** Whether this run of the task ends with an error. */
   readonly taskFails: (job: JobSpec, task: number) => boolean;
-  /** The description of a job; undefined: there is no such job. */
+  /** The description of a job; undefined if there is no such job. */
   findJob(id: JobId): JobSpec | undefined;
-  /** How long the task runs, in milliseconds. */
+  /** The run time of the task, in milliseconds. */
   taskRunMs(job: JobSpec, task: number): number;
-  /** The address at which the worker takes direct commands. */
+  /** The address at which the worker accepts direct commands. */
   addressOf(id: MachineId): string;
-  /** Sends a heartbeat to a node; null: no response in time. */
+  /** Sends a heartbeat to a node; null if there was no response in time. */
   sendHeartbeat(worker: HeartbeatSender, node: string, heartbeat: Heartbeat): Promise<HeartbeatResult | null>;
 }
--- a/packages/simulated-worker/src/worker-task.ts
+++ b/packages/simulated-worker/src/worker-task.ts
@@ -5,19 +5,19 @@
  */
 import type { Attempt, ExitCause, JobId, JobSpec, TaskPhase } from '@spurbridge/wire';
 
-/** One attempt at a task, as the worker reports it. */
+/** One attempt at a task, as reported by the worker. */
 export interface WorkerTask {
   readonly job: JobSpec;
   readonly task: number;
   readonly attempt: Attempt;
   phase: TaskPhase;
-  /** Why it exited; null while it has not. */
+  /** Why it exited; null if it has not. */
   cause: ExitCause | null;
   /** Whether its progress was saved when it exited. */
   saved: boolean;
 }
 
-/** The key under which a worker keeps a task: at most one attempt of each. */
+/** The key of a task on a worker, of which there is at most one attempt. */
 export function taskKey(job: JobId, task: number): string {
   return `${job}/${task}`;
 }
--- a/packages/simulated-worker/src/worker.ts
+++ b/packages/simulated-worker/src/worker.ts
@@ -1,6 +1,6 @@
 /**
- * A worker without real tasks: it keeps the protocol's fencing tokens, epochs, lease, images and gangs, and its tasks are
- * timers. The same code runs under simulated time and on the machine's own clock.
+ * A worker without real tasks: it implements the protocol's fencing tokens, epochs, lease, images and gangs,
+ * but its tasks are timers. The same code runs under simulated time and on the machine's own clock.
  *
  * @module
  */
@@ -23,7 +23,7 @@
 
 /** One machine with its agent and its tasks. */
 export class SimulatedWorker implements GangWorker {
-  /** When the cloud takes the machine away, in milliseconds; null: no notice was given. */
+  /** When the cloud takes the machine back, in milliseconds; null without a preemption notice. */
   preemptionAtMs: number | null = null;
   private readonly agent: AgentState;
   private readonly heartbeats: HeartbeatLoop;
@@ -70,7 +70,7 @@
     return this.agent.alive;
   }
 
-  /** Whether the machine stands still. */
+  /** Whether the machine hangs. */
   get isHanging(): boolean {
     return this.agent.isHanging;
   }
@@ -80,12 +80,12 @@
     return this.agent.fencingToken;
   }
 
-  /** Index of the node that the heartbeats go to, in the order of the host's nodes. */
+  /** Index of the node that receives the heartbeats, in the order of the host's nodes. */
   get heartbeatNodeIndex(): number {
     return this.heartbeats.nodeIndex;
   }
 
-  /** While set, every task that starts here fails. */
+  /** While true, every task that starts here fails. */
   get failsAllTasks(): boolean {
     return this.tasks.failsAllTasks;
   }
@@ -94,28 +94,30 @@
     this.tasks.failsAllTasks = fails;
   }
 
-  /** The tasks that take resources of the machine, also those that fetch their image. */
+  /** The tasks that use the machine's resources, including those that fetch their image. */
   occupyingTasks(): readonly WorkerTask[] {
     return this.tasks.occupying;
   }
 
-  /** The machine is gone with everything on it. */
+  /** Removes the machine with everything on it. */
   die(): void {
     this.agent.alive = false;
     this.tasks.clear(this.host.time.now);
   }
 
-  /** The machine stands still until it resumes. */
+  /** Suspends the machine until it is resumed. */
   hang(): void {
     this.agent.hang();
   }
 
-  /** The machine goes on; whatever its lease ended meanwhile is gone. */
+  /** Resumes the machine; tasks whose lease expired meanwhile are gone. */
   resume(): void {
     this.agent.resume();
   }
 
-  /** The state of the machine and its tasks; each call makes a new heartbeat with the next sequence number. */
+  /**
+   * The state of the machine and its tasks; each call creates a new heartbeat with the next sequence number.
+   */
   makeHeartbeat(): Heartbeat {
     const { host, agent, preemptionAtMs } = this;
     const sequence = agent.nextSequence();
@@ -141,7 +143,7 @@
     };
   }
 
-  /** Direct commands of a controller; `respond` is called once they were executed or rejected. */
+  /** Executes a controller's direct commands; `respond` is called once they were executed or rejected. */
   receiveCommands(
     token: number,
     epoch: number,
