--- a/packages/testkit/src/clock.ts
+++ b/packages/testkit/src/clock.ts
@@ -1,5 +1,5 @@
 /**
- * Simulated time, and the clocks of the processes in it.
+ * Simulated time, and the clocks of simulated processes.
  *
  * @module
  */
@@ -16,7 +16,7 @@
   return a.at - b.at || a.order - b.order;
 }
 
-/** True time of a simulated world: timers run in order, and the code between them takes no time. */
+/** The true time of a simulated environment: timers run in order, and the code between them takes no time. */
 export class SimTime {
   private nowMs = 0;
   private order = 0;
@@ -27,12 +27,15 @@
     return this.nowMs;
   }
 
-  /** Calls back once, this many milliseconds from now; timers for the same moment run in the order of these calls. */
+  /**
+   * Calls back once, after this many milliseconds; timers for the same moment run in the order in which they
+   * were set.
+   */
   after(ms: number, run: () => void): void {
     this.timers.push({ at: this.nowMs + Math.max(0, ms), order: this.order++, run });
   }
 
-  /** Runs everything that is due until then; promises settle after each timer. */
+  /** Runs all timers due until then; promises settle after each timer. */
   async runUntil(untilMs: number): Promise<void> {
     for (;;) {
       const next = this.timers.peek();
@@ -46,11 +49,11 @@
   }
 }
 
-/** The monotonic clock of one process, a little fast; a process that has ended never wakes. */
+/** The monotonic clock of one process, which runs slightly fast; timers of an ended process never fire. */
 export class ProcessClock implements Clock {
   /** False once the process has ended. */
   alive = true;
-  /** Until then the process stands still, though its clock runs on. */
+  /** The process is suspended until then, though its clock runs on. */
   private frozenUntil = 0;
 
   constructor(
@@ -59,17 +62,17 @@
     private readonly offset: number,
   ) {}
 
-  /** Milliseconds on this clock. */
+  /** The time in milliseconds on this clock. */
   now(): MonotonicMs {
     return (this.time.now * this.rate + this.offset) as MonotonicMs;
   }
 
-  /** The process does nothing until then; its timers go off late. */
+  /** Suspends the process until then; its timers fire late. */
   freeze(untilMs: number): void {
     this.frozenUntil = Math.max(this.frozenUntil, untilMs);
   }
 
-  /** Resolves after this long on this clock, or never where the process has ended. */
+  /** Resolves after this time on this clock, or never if the process has ended. */
   sleep(ms: number): Promise<void> {
     return new Promise((resolve) => {
       const wake = (): void => {
--- a/packages/testkit/src/cloud-client.ts
+++ b/packages/testkit/src/cloud-client.ts
@@ -1,5 +1,5 @@
 /**
- * The cloud provider as one controller process reaches it over the simulated network.
+ * The cloud provider, as reached by one controller process over the simulated network.
  *
  * @module
  */
@@ -12,18 +12,18 @@
 
 const RESPONSE_TIMEOUT_MS = 4000;
 
-/** Who asks, and by which way. */
+/** The calling process and its network path. */
 export interface CloudClientOptions {
   /** The host of the process. */
   readonly host: string;
-  /** Names the process, so that a rental request repeated by another one is noticed. */
+  /** Identifies the process, so that a rental request repeated by another process is detected. */
   readonly requester: string;
   readonly network: SimNetwork;
   readonly cloud: SimCloud;
   readonly recorder: TrafficRecorder;
 }
 
-/** A provider whose calls take time, and are lost with the network's partitions. */
+/** A provider whose calls take time and can be lost to network partitions. */
 export function createCloudClient(options: CloudClientOptions): CloudProvider {
   const { host, requester, network, cloud, recorder } = options;
   const call = <T>(handle: () => T): Promise<T | null> =>
--- a/packages/testkit/src/cloud.ts
+++ b/packages/testkit/src/cloud.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in of the cloud provider: rentals by name, lists that lag, and machines that boot.
+ * A stand-in for the cloud provider: idempotent rentals, delayed lists of machines, and boot times.
  *
  * @module
  */
@@ -7,24 +7,24 @@
 import type { Timeline } from '@spurbridge/simulated-worker';
 import type { ListedMachine, MachineId, MachineType, RentalRequest } from '@spurbridge/wire';
 
-/** Lists of machines are this late, and up to twice as late, in milliseconds. */
+/** Minimum delay of lists of machines in milliseconds; the maximum is twice as much. */
 export const LIST_LAG_MS = 4000;
-/** A machine that failed by itself is listed as running for this long. */
+/** A failed machine is still listed as running for this long, in milliseconds. */
 const FAILURE_DETECTION_MS = 30_000;
 const ID_DIGITS = 6;
 
-/** What a cloud is made of, and whom it tells of its machines. */
+/** Configuration of a cloud, and its callbacks. */
 export interface SimCloudOptions {
   readonly types: readonly MachineType[];
-  /** How many machines there are of each type, zone and kind (spot or not). */
+  /** The number of machines of each type, zone and purchase option (spot or not). */
   readonly capacity: number;
-  /** Lists are this late, and up to twice as late, in milliseconds. */
+  /** Minimum delay of lists in milliseconds; the maximum is twice as much. */
   readonly listLagMs: number;
-  /** A random whole number from 0 up to `below`, without it. */
+  /** A random integer from 0 to `below` - 1. */
   readonly random: (below: number) => number;
-  /** How long a machine of the type boots, in milliseconds. */
+  /** The boot time of a machine of the type, in milliseconds. */
   readonly bootMs: (type: MachineType) => number;
-  /** A machine is up from now on. */
+  /** A machine came up. */
   readonly onMachineUp: (id: MachineId, type: MachineType, zone: string, spot: boolean) => void;
   /** A machine is gone with everything on it. */
   readonly onMachineEnded: (id: MachineId) => void;
@@ -44,7 +44,7 @@
 
 /** The cloud itself; controllers reach it through a cloud client. */
 export class SimCloud {
-  /** Names of rental requests that one process took after another had used them. */
+  /** Names of rental requests that one process used after another process had used them. */
   readonly reusedRequestNames: string[] = [];
   private readonly requests = new Map<string, FulfilledRequest>();
   private readonly rented: RentedMachine[] = [];
@@ -57,19 +57,19 @@
     private readonly options: SimCloudOptions,
   ) {}
 
-  /** The machine types that can be rented. */
+  /** The machine types on offer. */
   get types(): readonly MachineType[] {
     return this.options.types;
   }
 
-  /** Adds a machine of the initial fleet, up at once. */
+  /** Adds a machine of the initial fleet, which is up at once. */
   addRunningMachine(type: MachineType, zone: string): MachineId {
     const id = this.addMachine(type, zone, false);
     this.options.onMachineUp(id, type, zone, false);
     return id;
   }
 
-  /** Carries a rental request out; a repeated one gets the machines of the first. */
+  /** Executes a rental request; a repeated one returns the machines of the first. */
   rent(request: RentalRequest, requester: string): RentalOutcome {
     const fulfilled = this.requests.get(request.request);
     if (fulfilled !== undefined) {
@@ -85,7 +85,7 @@
     return { outcome: 'rented', machines };
   }
 
-  /** The machines and everything on them are gone from now on; unknown names are ignored. */
+  /** Removes the machines and everything on them; unknown names are ignored. */
   release(ids: readonly MachineId[]): true {
     for (const id of ids) {
       if (!this.goneAt.has(id)) this.goneAt.set(id, this.time.now);
@@ -94,13 +94,13 @@
     return true;
   }
 
-  /** A machine stops by itself: the list shows it only later. */
+  /** Fails a machine; lists show it only later. */
   failMachine(id: MachineId): void {
     if (!this.failedAt.has(id)) this.failedAt.set(id, this.time.now);
     this.options.onMachineEnded(id);
   }
 
-  /** All machines as they were when the list was made, some time ago. */
+  /** All machines, as of the time when the delayed list was made. */
   list(): ListedMachine[] {
     const { listLagMs, random } = this.options;
     const asOfMs = this.time.now - listLagMs - random(listLagMs);
--- a/packages/testkit/src/combined-faults.ts
+++ b/packages/testkit/src/combined-faults.ts
@@ -1,6 +1,6 @@
 /**
- * Faults that come together: two or more that begin within a few seconds of each other, drawn from a world's seed. Rules
- * were once broken where two of these met.
+ * Combined faults: two or more faults that begin within a few seconds of each other, generated from a seed.
+ * Combinations of two faults were found to break rules that hold under each fault alone.
  *
  * @module
  */
@@ -41,10 +41,10 @@
 const MIN_FAULT_MS = 2000;
 const FAULT_LENGTH_SPREAD_MS = 40_000;
 
-/** A fault that begins now and is over after this many milliseconds. */
+/** Begins a fault now that ends after this many milliseconds. */
 type CombinableFault = (world: World, forMs: number) => void;
 
-/** The faults that are combined, by their names; the position is what the seed draws. */
+/** The faults that are combined, by name; the seed selects them by position, so the order must not change. */
 export const COMBINABLE_FAULTS: Readonly<Record<string, CombinableFault>> = {
   'delayed writes': shareOfMessages('delayedWrites'),
   'duplicate heartbeats': shareOfMessages('duplicateHeartbeats'),
@@ -89,8 +89,8 @@
 };
 
 /**
- * Draws two faults, or up to `max`, that begin within a few seconds of each other and are over by `FAULTS_END_MS`.
- * Returns their names.
+ * Generates two faults, or up to `max`, that begin within a few seconds of each other and end by
+ * `FAULTS_END_MS`. Returns their names.
  */
 export function injectCombinedFaults(world: World, max = 3): string[] {
   const names = Object.keys(COMBINABLE_FAULTS);
@@ -106,7 +106,7 @@
   return drawn;
 }
 
-/** Jobs of one task, four a second, a quarter of them cancelled soon after. */
+/** Jobs of one task, four a second, a quarter of which are cancelled soon afterwards. */
 export function startSingleTaskJobs(world: World, forMs: number): void {
   const first = world.checker.submitted.size;
   let count = 0;
@@ -142,7 +142,7 @@
   });
 }
 
-/** Machines are taken away, and new ones are up at once. */
+/** Removes machines, and lets new ones boot at once. */
 function replaceMachines(world: World, forMs: number): void {
   world.faults.fastBoots = true;
   for (const id of someMachines(world)) world.reclaimMachine(id);
@@ -170,7 +170,7 @@
   });
 }
 
-/** Running jobs are cancelled, and some of the machines that they are on hang. */
+/** Cancels running jobs, and lets some of their machines hang. */
 function cancelAndHang(world: World, forMs: number): void {
   const count = MIN_CANCELLED_JOBS + world.random(CANCELLED_JOBS_SPREAD);
   const cancelled = new Set(world.users.cancelRunningJobs(count).map((spec) => spec.id));
@@ -232,13 +232,13 @@
     });
 }
 
-/** Each machine that is up, with a chance of one half. */
+/** Selects each machine that is up with probability one half. */
 function someMachines(world: World): MachineId[] {
   const up = [...world.workers.values()].filter((worker) => worker.alive).map((worker) => worker.id);
   return up.filter(() => world.random(2) === 0);
 }
 
-/** The leader, or any node where none leads. */
+/** The leader, or a random node if there is none. */
 function leaderOrAny(world: World): number {
   const leader = leaderIndex(world);
   return leader < 0 ? world.random(world.nodes.length) : leader;
@@ -248,7 +248,7 @@
   return world.nodes.filter((_, index) => index !== node).map(({ name }) => name);
 }
 
-/** Runs at these intervals, the first time now, for this long. */
+/** Calls back at these intervals, first now, for this long. */
 function repeat(world: World, intervalMs: number, forMs: number, run: () => void): void {
   for (let ms = 0; ms < forMs; ms += intervalMs) world.time.after(ms, run);
 }
--- a/packages/testkit/src/configuration.ts
+++ b/packages/testkit/src/configuration.ts
@@ -1,5 +1,5 @@
 /**
- * Changes of the configuration in a simulated world.
+ * Changes of the configuration in a simulated environment.
  *
  * @module
  */
@@ -13,12 +13,12 @@
 import type { World } from './world.js';
 
 const CHECK_INTERVAL_MS = 25;
-/** A proposal that got no response after this many checks never gets one. */
+/** Maximum number of checks for a response to a proposal. */
 const MAX_CHECKS = 200;
 
 let changeCount = 0;
 
-/** A node was named that the world does not have. */
+/** A node was named that does not exist. */
 export class NoSuchNodeError extends SpurbridgeError {
   constructor(readonly index: number) {
     super('NO_SUCH_NODE', `there is no node ${index}`);
@@ -26,7 +26,7 @@
 }
 
 /**
- * An author at one node: does what a request to that node's program does.
+ * An author at one node: behaves like a request to that node's program.
  *
  * @throws NoSuchNodeError
  */
@@ -43,13 +43,16 @@
   });
 }
 
-/** A change id that was not used in this process. */
+/** A change id that is unique in this process. */
 export function nextChangeId(): string {
   changeCount += 1;
   return `change-${changeCount}`;
 }
 
-/** Asks a node for changes on top of `baseVersion`, or of the version that it goes by; lets time pass until it answers. */
+/**
+ * Proposes changes to a node, based on `baseVersion` or on the node's own version; lets time pass until it
+ * responds.
+ */
 export async function proposeChanges(
   world: World,
   index: number,
@@ -66,24 +69,27 @@
     });
   for (let checks = 0; checks < MAX_CHECKS && answer === null; checks += 1)
     await world.runUntil(world.time.now + CHECK_INTERVAL_MS);
-  // A process that has ended answers nobody.
+  // An ended process never responds.
   return answer ?? { outcome: 'unsure' };
 }
 
-/** The version in force on each running node; null where a node has none. */
+/** The version in force on each running node; null if a node has none. */
 export function configurationVersions(world: World): (number | null)[] {
   return world.nodes
     .filter((node) => node.clock.alive)
     .map((node) => node.controller.configurationStatus()[0]?.version ?? null);
 }
 
-/** Whether the version is in force on every node, the leader's plans included. */
+/** Whether the version is in force on every node, including the leader's plans. */
 export function isInForceEverywhere(world: World, version: number): boolean {
   const all = configurationVersions(world);
   return all.length === world.nodes.length && all.every((found) => found !== null && found >= version);
 }
 
-/** Runs until the version is in force everywhere; how long that took in milliseconds, or null after `timeoutMs`. */
+/**
+ * Runs until the version is in force on all nodes; returns how long that took in milliseconds, or null after
+ * `timeoutMs`.
+ */
 export async function runUntilInForce(
   world: World,
   version: number,
--- a/packages/testkit/src/data-loss.ts
+++ b/packages/testkit/src/data-loss.ts
@@ -1,5 +1,5 @@
 /**
- * Losses of the key-value store's data, and what else goes wrong around them.
+ * Losses of the key-value store's data, and accompanying faults.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import type { World } from './world.js';
 import { partitionZone } from './zone-partition.js';
 
-/** What a key-value store can lose. */
+/** The kinds of data loss. */
 export const DATA_LOSSES = [
   'rolled back 20 s',
   'rolled back 2 s',
@@ -23,10 +23,10 @@
   'fills up again',
 ] as const;
 
-/** One of the losses. */
+/** A kind of data loss. */
 export type DataLoss = (typeof DATA_LOSSES)[number];
 
-/** What else happens around a loss. */
+/** The faults that may accompany a loss. */
 export const ACCOMPANYING_FAULTS = [
   'nothing',
   'leader crashes',
@@ -36,12 +36,12 @@
   'a zone cut off',
 ] as const;
 
-/** One of the faults around a loss. */
+/** A fault that accompanies a loss. */
 export type AccompanyingFault = (typeof ACCOMPANYING_FAULTS)[number];
 
 const LONG_ROLLBACK_MS = 20_000;
 const SHORT_ROLLBACK_MS = 2000;
-/** One record in so many is lost or unreadable. */
+/** One record in this many is lost or unreadable. */
 const LOST_ONE_IN = 3;
 const ROLLED_BACK_REVISION = 3;
 const RESTORED_KEYS_AT_ONCE = 3;
@@ -49,7 +49,7 @@
 const JOB_PREFIX = 'j/';
 const TASK_PREFIX = 't/';
 
-/** When, relative to the loss, each accompanying fault comes, in milliseconds. */
+/** When each accompanying fault occurs relative to the loss, in milliseconds. */
 const CRASH_AFTER_LOSS_MS = 1;
 const FAILOVER_BEFORE_LOSS_MS = 500;
 const SECOND_LOSS_AFTER_MS = 9000;
@@ -57,7 +57,7 @@
 const ZONE_CUT_BEFORE_MS = 4000;
 const CUT_ZONE = 'b';
 
-/** Has the key-value store lose data at this time, in milliseconds since the begin. */
+/** Schedules a loss of data at this time, in milliseconds since the start of the simulation. */
 export function injectDataLoss(world: World, loss: DataLoss, atMs: number): void {
   let checkpoint: StoreCheckpoint | null = null;
   const rollbackMs = loss === 'rolled back 2 s' ? SHORT_ROLLBACK_MS : LONG_ROLLBACK_MS;
@@ -70,7 +70,7 @@
   });
 }
 
-/** Has something else go wrong around a loss at this time. */
+/** Schedules an accompanying fault of a loss at this time. */
 export function injectAccompanyingFault(
   world: World,
   fault: AccompanyingFault,
@@ -95,7 +95,7 @@
   }
 }
 
-/** From now on a node reads a store of its own, as it was at the checkpoint. */
+/** From now on a node reads a separate store, restored from the checkpoint. */
 export function forkStore(world: World, index: number, checkpoint: StoreCheckpoint): SimKeyValueStore {
   const fork = new SimKeyValueStore(world.time, AMPLE_STORE_LIMITS);
   fork.restore(checkpoint);
--- a/packages/testkit/src/fault-injector.ts
+++ b/packages/testkit/src/fault-injector.ts
@@ -1,23 +1,23 @@
 /**
- * Faults of messages and machines of a simulated world, for as long as they are set.
+ * Injects faults into messages and machines of a simulated environment while they are enabled.
  *
  * @module
  */
 import type { MachineId } from '@spurbridge/wire';
 
-/** A transaction without a response is carried out this much later, in milliseconds. */
+/** Delay of a transaction that is executed without a response, in milliseconds. */
 const WRITE_DELAY_MS = { least: 2000, most: 12_000 };
-/** A duplicate of a heartbeat arrives this late at least, and this many leases later at most. */
+/** Minimum delay of a duplicated heartbeat in milliseconds, and the maximum in worker leases. */
 const MIN_DUPLICATE_DELAY_MS = 2000;
 const MAX_DUPLICATE_DELAY_LEASES = 1.5;
-/** A direct command, or its response, is delayed by up to this. */
+/** Maximum delay of a direct command, and of its response, in milliseconds. */
 const MAX_COMMAND_DELAY_MS = 9000;
-/** Machines that boot fast are up within this. */
+/** Maximum boot time under fast boots, in milliseconds. */
 const FAST_BOOT_MS = 1900;
-/** Shares are drawn in thousandths. */
+/** Rates are drawn in thousandths. */
 const SHARE_STEPS = 1000;
 
-/** Faults that a share of messages or events has, and that are counted. */
+/** Faults that affect a share of the messages or events, and are counted. */
 export type CountedFault =
   | 'delayedWrites'
   | 'lostResponses'
@@ -33,31 +33,33 @@
   readonly back: number;
 }
 
-/** Decides which messages have which faults. Nothing is drawn for a fault that is not set. */
+/** Decides which messages are affected by which faults. No random number is drawn for a disabled fault. */
 export class FaultInjector {
-  /** Share of transactions that get no response and are carried out late, after newer ones of the same node. */
+  /** Share of transactions that get no response and are executed late, after newer ones of the same node. */
   delayedWrites = 0;
-  /** Share of transactions that are carried out at once, but of which the response is lost. */
+  /** Share of transactions that are executed at once, but whose response is lost. */
   lostResponses = 0;
-  /** Each request to the key-value store and each response of it is late by up to this, in milliseconds. */
+  /**
+   * Maximum additional delay of each request to the key-value store and of each response, in milliseconds.
+   */
   storeLatencyMs = 0;
-  /** New machines are up within two seconds. */
+  /** Whether new machines are up within two seconds. */
   fastBoots = false;
-  /** Share of heartbeats of which a copy is kept, and reaches every node as the next leader begins. */
+  /** Share of heartbeats that are copied; the copies are sent to every node when the next leader begins. */
   replayedHeartbeats = 0;
-  /** Share of the jobs that end which are cancelled at that moment. */
+  /** Share of ending jobs that are cancelled at that moment. */
   cancellationsAtCompletion = 0;
   /** Share of news to users after which they poll all nodes within milliseconds. */
   pollBursts = 0;
-  /** Share of heartbeats of which a copy arrives again, late. */
+  /** Share of heartbeats that are duplicated, with the duplicate arriving late. */
   duplicateHeartbeats = 0;
-  /** Share of direct commands that are delayed, on their way there or back. */
+  /** Share of direct commands that are delayed, in either direction. */
   delayedCommands = 0;
-  /** Machines that reach no controller, while direct commands reach them. */
+  /** Machines that cannot reach any controller, though direct commands reach them. */
   readonly outboundPartitioned = new Set<MachineId>();
-  /** Machines whose heartbeats arrive while responses and direct commands to them are lost. */
+  /** Machines whose heartbeats arrive, but to which responses and direct commands are lost. */
   readonly inboundPartitioned = new Set<MachineId>();
-  /** How many of each kind came about. */
+  /** The number of injected faults of each kind. */
   readonly counts: Record<CountedFault, number> = {
     delayedWrites: 0,
     lostResponses: 0,
@@ -73,15 +75,18 @@
     private readonly leaseMs: number,
   ) {}
 
-  /** Whether this message or event has the fault; it is counted if so. */
+  /** Whether this message or event is affected; if so, the fault is counted. */
   shouldInject(kind: CountedFault): boolean {
-    // Nothing is drawn where nothing is set: days without these faults go as they always did.
+    // Nothing is drawn for a disabled fault, so that runs without it keep their random sequence.
     if (this[kind] <= 0 || this.random(SHARE_STEPS) >= this[kind] * SHARE_STEPS) return false;
     this.counts[kind] += 1;
     return true;
   }
 
-  /** How much later this transaction is carried out, without a response, in milliseconds; null: at once. */
+  /**
+   * The delay after which this transaction is executed without a response, in milliseconds; null if it is not
+   * affected.
+   */
   writeDelayMs(): number | null {
     const { least, most } = WRITE_DELAY_MS;
     return this.shouldInject('delayedWrites') ? least + this.random(most - least) : null;
@@ -92,24 +97,24 @@
     return this.shouldInject('lostResponses');
   }
 
-  /** How much later one message to or from the key-value store arrives, in milliseconds. */
+  /** The additional delay of one message to or from the key-value store, in milliseconds. */
   storeMessageDelayMs(): number {
     return this.storeLatencyMs > 0 ? this.random(this.storeLatencyMs) : 0;
   }
 
-  /** How long a machine takes to be up, where it usually takes `usualMs`. */
+  /** The boot time of a machine whose usual boot time is `usualMs`. */
   bootMs(usualMs: number): number {
     return this.fastBoots ? this.random(FAST_BOOT_MS) : usualMs;
   }
 
-  /** How much later a copy of this heartbeat arrives, in milliseconds; null: there is none. */
+  /** The delay of a duplicate of this heartbeat, in milliseconds; null if there is none. */
   duplicateHeartbeatDelayMs(): number | null {
     if (!this.shouldInject('duplicateHeartbeats')) return null;
     const most = this.leaseMs * MAX_DUPLICATE_DELAY_LEASES;
     return MIN_DUPLICATE_DELAY_MS + this.random(most - MIN_DUPLICATE_DELAY_MS);
   }
 
-  /** By how much a direct command is delayed on its way, and its response on the way back. */
+  /** The delays of a direct command and of its response, in milliseconds. */
   commandDelayMs(): CommandDelay {
     if (!this.shouldInject('delayedCommands')) return { there: 0, back: 0 };
     const ms = this.random(MAX_COMMAND_DELAY_MS);
--- a/packages/testkit/src/generated-jobs.ts
+++ b/packages/testkit/src/generated-jobs.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs drawn from a world's seed, and their users.
+ * Generates jobs from a seed, and starts their users.
  *
  * @module
  */
@@ -23,7 +23,7 @@
   readonly cancelAt: number | null;
 }
 
-/** Jobs of every shape; some are cancelled, services always. */
+/** Generates jobs of every shape; some are cancelled, services always. */
 export function generateJobs(world: World): GeneratedJob[] {
   return Array.from({ length: JOB_COUNT }, (_, index) => generateJob(world, index));
 }
@@ -36,14 +36,14 @@
     });
 }
 
-/** Arrays that are neither done nor cancelled by their records. */
+/** Arrays that are neither done nor cancelled according to their records. */
 export function unfinishedArrays(world: World): JobId[] {
   return [...world.checker.submitted.values()]
     .filter(({ kind, id }) => kind === 'array' && !FINAL_PHASES.includes(String(world.recordedPhaseOf(id))))
     .map(({ id }) => id);
 }
 
-/** The order of the draws is part of the seed's meaning: it must not change. */
+/** The order of the random draws determines the meaning of a seed and must not change. */
 function generateJob(world: World, index: number): GeneratedJob {
   const kind = KINDS[world.random(KINDS.length)] ?? 'array';
   const at = world.random(SUBMITTED_WITHIN_MS);
--- a/packages/testkit/src/heartbeat-replay.ts
+++ b/packages/testkit/src/heartbeat-replay.ts
@@ -1,5 +1,5 @@
 /**
- * Copies of heartbeats that are kept and delivered late, as if they had been under way all the time.
+ * Replays copies of heartbeats late, as if they had been delayed by the network.
  *
  * @module
  */
@@ -8,11 +8,11 @@
 import type { SimNetwork } from './network.js';
 import type { NodeDirectory } from './sim-node.js';
 
-/** Copies that are kept for the next leader. */
+/** Maximum number of copies kept for the next leader. */
 const MAX_KEPT = 400;
 const LEADER_CHECK_MS = 5;
 
-/** Delivers copies of heartbeats; the response to a copy finds nobody who waits for it. */
+/** Delivers copies of heartbeats; responses to copies are ignored. */
 export class HeartbeatReplay {
   private readonly kept: Heartbeat[] = [];
 
@@ -31,7 +31,7 @@
     );
   }
 
-  /** Keeps a copy until a node begins to lead; all copies then reach all nodes at once. */
+  /** Keeps a copy until a node becomes leader; all copies are then sent to all nodes at once. */
   keepForNextLeader(heartbeat: Heartbeat): void {
     this.kept.push(heartbeat);
     if (this.kept.length > MAX_KEPT) this.kept.shift();
--- a/packages/testkit/src/hosts.ts
+++ b/packages/testkit/src/hosts.ts
@@ -1,5 +1,5 @@
 /**
- * Names of the simulated network's hosts that are neither controllers nor machines.
+ * Names of hosts in the simulated network other than controllers and machines.
  *
  * @module
  */
--- a/packages/testkit/src/in-memory-snapshot-directory.ts
+++ b/packages/testkit/src/in-memory-snapshot-directory.ts
@@ -1,12 +1,12 @@
 /**
- * A directory of snapshots that outlives the nodes of a simulated world.
+ * A directory of snapshots that outlives the nodes of a simulated environment.
  *
  * @module
  */
 import type { SnapshotDirectory } from '@spurbridge/snapshot';
 import { SpurbridgeError } from '@spurbridge/wire';
 
-/** A file was read that is not there. */
+/** A file was read that does not exist. */
 export class MissingSnapshotError extends SpurbridgeError {
   constructor(readonly file: string) {
     super('SNAPSHOT_MISSING', `${file} is not there`);
@@ -21,7 +21,7 @@
     return Promise.resolve([...this.files.keys()].sort());
   }
 
-  /** Rejects with a MissingSnapshotError where there is no such file. */
+  /** Rejects with a MissingSnapshotError if there is no such file. */
   read(name: string): Promise<Buffer> {
     const bytes = this.files.get(name);
     return bytes === undefined ? Promise.reject(new MissingSnapshotError(name)) : Promise.resolve(bytes);
--- a/packages/testkit/src/index.ts
+++ b/packages/testkit/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * A simulated world of controllers, key-value store, cloud, workers and users for tests and measurements: stand-ins that
- * follow the protocol, faults, and a checker that judges what happens by the protocol's rules.
+ * A simulated environment of controllers, key-value store, cloud, workers and users, for tests and
+ * measurements: stand-ins that follow the protocol, faults, and a checker of the protocol's rules.
  *
  * @module
  */
--- a/packages/testkit/src/job-lifetimes.ts
+++ b/packages/testkit/src/job-lifetimes.ts
@@ -1,5 +1,5 @@
 /**
- * When jobs were submitted, began and ended, and what each class and team asked for and got.
+ * Submission, start and end times of jobs, and what each class and team requested and received.
  *
  * @module
  */
@@ -37,11 +37,11 @@
 
   constructor(
     private readonly now: () => number,
-    /** How many tasks of the job are on machines. */
+    /** The number of the job's tasks that are on machines. */
     private readonly runningTasksOf: (id: JobId) => number,
   ) {}
 
-  /** The job was submitted; a repeated submission changes only its description. */
+  /** Records a submission; a repeated one only changes the description. */
   recordSubmission(spec: JobSpec): void {
     this.submitted.set(spec.id, spec);
     const lifetime = { submittedMs: this.now(), startedMs: null, endedMs: null, cancellationMs: null };
@@ -58,7 +58,7 @@
     if (lifetime !== undefined) lifetime.cancellationMs ??= this.now();
   }
 
-  /** The job ends now if all of its tasks are done; its description, where it had not ended before. */
+  /** Ends the job now if all of its tasks are done; returns its description if it had not ended before. */
   recordCompletion(id: JobId, doneTasks: number): JobSpec | null {
     const lifetime = this.lifetimes.get(id);
     const spec = this.submitted.get(id);
@@ -67,12 +67,12 @@
     return spec;
   }
 
-  /** Whether the job's last task completed; also true for a job that nobody submitted. */
+  /** Whether the job's last task completed; also true for a job that was not submitted. */
   isCompleted(id: JobId): boolean {
     return this.lifetimes.get(id)?.endedMs !== null;
   }
 
-  /** Adds the time since the last call to what services wanted and got. */
+  /** Adds the replica seconds that services requested and received since the last call. */
   countReplicaTime(): void {
     const now = this.now();
     const elapsedS = (now - this.countedUntilMs) / 1000;
@@ -90,7 +90,7 @@
     }
   }
 
-  /** What every class and team asked for and got until now. */
+  /** What every class and team requested and received until now. */
   demandByGroup(): Map<string, ServiceLevelCounts> {
     const groups = new Map<string, ServiceLevelCounts>();
     const thresholds = this.largestJobThresholds();
@@ -131,7 +131,7 @@
     };
   }
 
-  /** From which size on a job is among the largest of its class. */
+  /** The minimum size of the largest jobs of a class. */
   private largestJobThresholds(): Map<string, number> {
     const sizes = new Map<string, number[]>();
     for (const spec of this.submitted.values())
--- a/packages/testkit/src/key-value-store.ts
+++ b/packages/testkit/src/key-value-store.ts
@@ -1,5 +1,6 @@
 /**
- * A stand-in of the key-value store: strongly consistent, with transactions, leases, watches, outages and losses of data.
+ * A stand-in for the key-value store: strongly consistent, with transactions, leases, watches, outages and
+ * data losses.
  *
  * @module
  */
@@ -20,29 +21,29 @@
 import type { StoreLimits } from './store-rate-limit.js';
 import { StoreRateLimit } from './store-rate-limit.js';
 
-/** A transaction may not be larger than this as JSON. */
+/** Size limit of a transaction as JSON. */
 const MAX_TRANSACTION_BYTES = 64 * 1024;
 const BYTES_PER_KB = 1024;
-/** Compares in one transaction, as a multiple of its mutations. */
+/** Maximum number of compares in a transaction, as a multiple of that of mutations. */
 const COMPARES_PER_MUTATION = 4;
-/** What a corrupted value reads as: JSON, but no record. */
+/** The value of a corrupted record: JSON, but not a valid record. */
 const CORRUPT_VALUE = '"?"';
 
 interface Entry {
-  /** JSON. */
+  /** The value as JSON. */
   readonly value: string;
   readonly version: number;
   readonly lease: number | null;
 }
 
-/** Is told of a transaction and what came of it. */
+/** Observes a transaction and its outcome. */
 export type CommitListener = (
   compares: readonly Compare[],
   mutations: readonly Mutation[],
   outcome: CommitOutcome,
 ) => void;
 
-/** Everything that the store holds at one moment. */
+/** The complete contents of the store at one moment. */
 export interface StoreCheckpoint {
   readonly entries: ReadonlyMap<string, Entry>;
   readonly leases: ReadonlyMap<number, StoreLease>;
@@ -61,9 +62,9 @@
 
 /** The store itself; controllers reach it through a `SimStoreClient`. */
 export class SimKeyValueStore {
-  /** Is told of every transaction that reached the store, when it has been carried out or refused. */
+  /** Called for every transaction that reached the store, once it has been executed or rejected. */
   onCommit: CommitListener | null = null;
-  /** Transactions over the limits of the protocol: a real store would refuse them for good. */
+  /** The number of transactions over the protocol's limits, which a real store would always reject. */
   oversizedCommits = 0;
   private readonly entries = new Map<string, Entry>();
   private readonly leases: LeaseTable;
@@ -84,27 +85,27 @@
     });
   }
 
-  /** Requests that were let through. */
+  /** The number of admitted requests. */
   get requests(): number {
     return this.rateLimit.requests;
   }
 
-  /** Mutations that were let through. */
+  /** The number of admitted mutations. */
   get mutations(): number {
     return this.rateLimit.mutations;
   }
 
-  /** Whether the store is out of service. */
+  /** Whether the store is in an outage. */
   get isDown(): boolean {
     return this.isOut;
   }
 
-  /** Whether the limits let a request with this many mutations through now. */
+  /** Whether the rate limits admit a request with this many mutations now. */
   admits(mutations: number): boolean {
     return this.rateLimit.tryAcquire(mutations);
   }
 
-  /** Begins or ends an outage. After it every lease has its full time again. */
+  /** Begins or ends an outage. Afterwards every lease is renewed to its full length. */
   setOutage(isOut: boolean): void {
     if (this.isOut && !isOut) this.leases.renewAll();
     this.isOut = isOut;
@@ -118,13 +119,13 @@
     return [...this.entries.keys()].sort();
   }
 
-  /** The value of a key without any request; undefined: there is none. */
+  /** The value of a key, read without a request; undefined if there is none. */
   peek(key: string): unknown {
     const entry = this.entries.get(key);
     return entry === undefined ? undefined : JSON.parse(entry.value);
   }
 
-  /** The key's value, or that there is none. */
+  /** The record of a key, or its absence. */
   read(key: string): ReadOutcome {
     this.expireLeases();
     const entry = this.entries.get(key);
@@ -143,7 +144,7 @@
     return { outcome: 'listed', items, revision, latest: revision };
   }
 
-  /** Carries all mutations out, provided that every compare holds and every lease exists. */
+  /** Executes all mutations, provided that every compare holds and every lease exists. */
   commit(compares: readonly Compare[], mutations: readonly Mutation[]): CommitOutcome {
     const outcome = this.execute(compares, mutations);
     this.onCommit?.(compares, mutations, outcome);
@@ -155,12 +156,12 @@
     return this.revision as Revision;
   }
 
-  /** Begins a lease of this length in milliseconds. */
+  /** Creates a lease of this length in milliseconds. */
   grantLease(ttlMs: number): LeaseGrantOutcome {
     return { outcome: 'granted', lease: this.leases.grant(ttlMs) as LeaseId };
   }
 
-  /** Gives a lease its full time again. */
+  /** Renews a lease to its full length. */
   renewLease(id: number): LeaseRenewalOutcome {
     this.expireLeases();
     return { outcome: this.leases.renew(id) ? 'renewed' : 'ended' };
@@ -174,33 +175,33 @@
     this.wakeWatches();
   }
 
-  /** Ends the leases that are over, except in an outage. */
+  /** Ends expired leases, except during an outage. */
   expireLeases(): void {
     if (this.isOut) return;
     for (const id of this.leases.expiredIds()) this.endLease(id);
   }
 
-  /** Events of keys with the prefix, after the revision. */
+  /** Events of keys with the prefix after the revision. */
   eventsSince(prefix: string, after: number): WatchEvent[] {
     return this.history.since(prefix, after);
   }
 
-  /** Whether all events after this revision are still kept. */
+  /** Whether all events after this revision are still retained. */
   hasEventsSince(after: number): boolean {
     return this.history.reachesBackTo(after);
   }
 
-  /** Drops all but the latest events; whoever asks for earlier ones has to read the keys again. */
+  /** Drops all but the latest events; a watch from an earlier revision requires reading the keys again. */
   trimHistory(keep: number): void {
     this.history.trim(keep);
   }
 
-  /** Calls back once, when a key with the prefix changes after the revision or the time is over. */
+  /** Calls back once, when a key with the prefix changes after the revision or the timeout passes. */
   waitForChange(prefix: string, after: number, timeoutMs: number, wake: () => void): void {
     this.history.wait(prefix, after, timeoutMs, wake);
   }
 
-  /** A consistent point, to be restored later. */
+  /** A consistent checkpoint, to be restored later. */
   checkpoint(): StoreCheckpoint {
     return {
       entries: new Map(this.entries),
@@ -211,17 +212,17 @@
     };
   }
 
-  /** Goes back to an earlier point, revisions and leases too; every lease has its full time again. */
+  /** Restores a checkpoint, including revisions and leases; every lease is renewed to its full length. */
   restore(checkpoint: StoreCheckpoint): void {
     this.replaceAll(checkpoint, checkpoint.entries);
   }
 
-  /** Loses everything. */
+  /** Loses all data. */
   clear(): void {
     this.restore(EMPTY_CHECKPOINT);
   }
 
-  /** Goes back to a point without its keys, which then come back a few at a time while requests are answered. */
+  /** Restores a checkpoint without its keys; these return a few at a time while requests are served. */
   restoreGradually(checkpoint: StoreCheckpoint, keysAtOnce: number, everyMs: number): void {
     this.replaceAll(checkpoint, new Map());
     const remaining = [...checkpoint.entries];
@@ -233,14 +234,14 @@
     restoreSome();
   }
 
-  /** Loses keys without a deletion that anybody could watch; how many. */
+  /** Removes keys without watchable deletions; returns how many. */
   dropKeys(isDropped: (key: string) => boolean): number {
     const dropped = [...this.entries.keys()].filter(isDropped);
     for (const key of dropped) this.entries.delete(key);
     return dropped.length;
   }
 
-  /** Makes values unreadable, at their old versions; how many. */
+  /** Corrupts values without changing their versions; returns how many. */
   corruptValues(isCorrupted: (key: string) => boolean): number {
     let count = 0;
     for (const [key, entry] of this.entries) {
@@ -251,7 +252,7 @@
     return count;
   }
 
-  /** Sets only the counter of revisions back. */
+  /** Resets only the revision counter. */
   rollBackRevision(revision: number): void {
     this.revision = Math.min(this.revision, revision);
     this.history.wakeAll();
--- a/packages/testkit/src/known-failures.ts
+++ b/packages/testkit/src/known-failures.ts
@@ -1,21 +1,21 @@
 /**
- * Tests that may fail: the file `KNOWN-RED.txt`, and how a run is judged by it.
+ * Known failures: the tests listed in `KNOWN-RED.txt`, and how a test run is judged by this list.
  *
  * @module
  */
 import { SpurbridgeError } from '@spurbridge/wire';
 
-/** A test that fails for a real fault not mended yet: one line of the file, "test | cause | issue N". */
+/** A test that fails because of a known fault: one line of the file, "test | cause | issue N". */
 export interface KnownFailure {
   readonly test: string;
   readonly cause: string;
   readonly issue: number;
 }
 
-/** At most this many tests may be listed at once. */
+/** The maximum number of listed tests. */
 export const MAX_KNOWN_FAILURES = 3;
 
-/** A line of the file is wrong. */
+/** A line of the file is malformed. */
 export class KnownFailuresFormatError extends SpurbridgeError {
   constructor(
     readonly line: number,
@@ -25,22 +25,22 @@
   }
 }
 
-/** What came of every test, by its name; of several with one name, all must have passed. */
+/** The outcome of every test by name; if several tests share a name, all must have passed. */
 export interface TestResults {
   readonly passed: ReadonlySet<string>;
   readonly failed: ReadonlySet<string>;
 }
 
-/** How a run is judged. */
+/** The verdict on a test run. */
 export interface RunVerdict {
-  /** What makes the run fail. */
+  /** The reasons why the run fails. */
   readonly faults: string[];
   /** A line to be printed for each listed test. */
   readonly said: string[];
 }
 
 /**
- * Reads the file; blank lines and those that begin with # say nothing.
+ * Parses the file; blank lines and lines that begin with # are ignored.
  *
  * @throws KnownFailuresFormatError naming the line and what is wrong with it
  */
@@ -58,7 +58,7 @@
   return found;
 }
 
-/** Every listed test must have been run, and no other may have failed. */
+/** Every listed test must have been run, and no other test may have failed. */
 export function judgeRun(known: readonly KnownFailure[], { passed, failed }: TestResults): RunVerdict {
   const faults: string[] = [];
   const said: string[] = [];
--- a/packages/testkit/src/leadership.ts
+++ b/packages/testkit/src/leadership.ts
@@ -1,5 +1,5 @@
 /**
- * Which node of a simulated world leads, and a watch for two that do.
+ * Finds the leader of a simulated environment, and detects two simultaneous leaders.
  *
  * @module
  */
@@ -8,24 +8,24 @@
 
 const WATCH_INTERVAL_MS = 50;
 
-/** Two nodes held the leader's lease surely at the same moment. */
+/** Two nodes were certain to hold the leader's lease at the same moment. */
 export class TwoLeadersError extends SpurbridgeError {
   constructor(readonly atMs: number) {
     super('TWO_LEADERS', `two leaders at ${atMs}`);
   }
 }
 
-/** Index of the running node that holds the leader's lease surely; -1: none does. */
+/** Index of the running node that is certain to hold the leader's lease; -1 if there is none. */
 export function leaderIndex(world: World): number {
   return world.nodes.findIndex((node) => node.clock.alive && node.controller.leadership.holdsValidLease());
 }
 
-/** The same, or the first node where none leads. */
+/** The same, or the first node if there is none. */
 export function leaderOrFirst(world: World): number {
   return Math.max(0, leaderIndex(world));
 }
 
-/** Calls back whenever two nodes hold the lease surely at the same moment; looks every 50 ms. */
+/** Calls back whenever two nodes are certain to hold the lease at the same moment; checks every 50 ms. */
 export function watchForTwoLeaders(world: World, onTwoLeaders: (atMs: number) => void): void {
   const watch = (): void => {
     const leaders = world.nodes.filter(
--- a/packages/testkit/src/malformed-submissions.ts
+++ b/packages/testkit/src/malformed-submissions.ts
@@ -1,5 +1,5 @@
 /**
- * Submissions that must not be accepted.
+ * Submissions that must be rejected.
  *
  * @module
  */
@@ -10,18 +10,18 @@
 const TOO_MANY = 1000;
 const TOO_MUCH_MEMORY_GB = 1_000_000;
 
-/** Fields of a submission that may be null, and so may be left out. */
+/** Fields of a submission that may be null and therefore may be omitted. */
 const OPTIONAL_FIELDS: ReadonlySet<string> = new Set(['builds', 'yard', 'dueS']);
-/** The job's name: without it the request has no job at all. */
+/** The job's name; without it, the request identifies no job. */
 const NAME_FIELD = 'nameId';
 
-/** A submission that must not be accepted, and what is wrong with it. */
+/** A submission that must be rejected, and the reason. */
 export interface MalformedSubmission {
   readonly defect: string;
   readonly body: Record<string, unknown>;
 }
 
-/** The job in every form in which it can never run, and once without each required field. */
+/** Variants of the job that can never run, and one variant without each required field. */
 export function malformedSubmissions(spec: JobSpec): MalformedSubmission[] {
   const body = formatSubmission(spec);
   const required = Object.keys(body).filter((field) => field !== NAME_FIELD && !OPTIONAL_FIELDS.has(field));
--- a/packages/testkit/src/network.ts
+++ b/packages/testkit/src/network.ts
@@ -1,22 +1,22 @@
 /**
- * The network of a simulated world.
+ * The network of a simulated environment.
  *
  * @module
  */
 import type { SimTime } from './clock.js';
 
-/** What happens to messages on a partitioned link: they wait until it heals, or are lost. */
+/** What happens to messages on a partitioned link: they are held until it heals, or lost. */
 export type PartitionMode = 'hold' | 'drop';
 
-/** A message takes this long at least, and up to `LATENCY_SPREAD_MS` more. */
+/** Minimum latency of a message; up to `LATENCY_SPREAD_MS` is added. */
 const MIN_LATENCY_MS = 1;
 const LATENCY_SPREAD_MS = 8;
-/** Messages that were held back arrive within this after the link healed. */
+/** Held messages arrive within this time after the link healed, in milliseconds. */
 const HELD_SPREAD_MS = 5;
 
-/** Messages between named hosts: late, lost with a partition, or held back by it and delivered after. */
+/** Delivers messages between named hosts with latency; partitions lose or hold them. */
 export class SimNetwork {
-  /** Every message is late by up to this much more, in milliseconds. */
+  /** Maximum additional latency of every message, in milliseconds. */
   extraLatencyMs = 0;
   private readonly partitions = new Map<string, PartitionMode>();
   private readonly heldBack = new Map<string, (() => void)[]>();
@@ -26,17 +26,17 @@
     private readonly random: (below: number) => number,
   ) {}
 
-  /** One key for the link between two hosts, in whichever order they are named. */
+  /** The key of the link between two hosts, independent of their order. */
   static linkKey(host: string, other: string): string {
     return host < other ? `${host}|${other}` : `${other}|${host}`;
   }
 
-  /** From now on no message gets through between the hosts. */
+  /** Partitions the link between the hosts. */
   partition(host: string, other: string, mode: PartitionMode): void {
     this.partitions.set(SimNetwork.linkKey(host, other), mode);
   }
 
-  /** Messages get through again; those that were held back arrive soon. */
+  /** Heals the link; held messages arrive soon. */
   heal(host: string, other: string): void {
     const link = SimNetwork.linkKey(host, other);
     this.partitions.delete(link);
@@ -60,8 +60,9 @@
   }
 
   /**
-   * A request and its response; null where none comes in time, or where `handle` returns null. The request may be carried
-   * out all the same. `extraDelayMs` says for each of the two messages how much later than usual it is, in milliseconds.
+   * Sends a request and returns its response; null if none arrives in time or `handle` returns null. The
+   * request may have been executed even then. `extraDelayMs` gives an additional delay for each of the two
+   * messages, in milliseconds.
    */
   call<T>(
     from: string,
@@ -88,7 +89,7 @@
     });
   }
 
-  /** Runs this much later, or at once where that is no time at all. */
+  /** Calls back after this delay; without a delay, immediately. */
   afterDelay(ms: number, run: () => void): void {
     if (ms > 0) this.time.after(ms, run);
     else run();
--- a/packages/testkit/src/node-factory.ts
+++ b/packages/testkit/src/node-factory.ts
@@ -1,5 +1,6 @@
 /**
- * Starts the processes of controllers: each with its clock, its clients of store, cloud and workers, and its snapshots.
+ * Starts controller processes, each with its clock, its snapshots, and its clients of store, cloud and
+ * workers.
  *
  * @module
  */
@@ -34,16 +35,19 @@
 
 const HEARTBEAT_INTERVAL_S = 3;
 const MAX_SNAPSHOTS = 9;
-/** Wall clocks of the nodes are off by up to this, in milliseconds. */
+/** Maximum error of the nodes' wall clocks, in milliseconds. */
 const WALL_CLOCK_ERROR_MS = 20;
-/** Monotonic clocks run fast by less than this many parts in `CLOCK_DRIFT_UNIT`. */
+/**
+ * Exclusive upper bound of the drift of monotonic clocks, as parts in `CLOCK_DRIFT_UNIT`; they never run
+ * slow.
+ */
 const MAX_CLOCK_DRIFT = 5;
 const CLOCK_DRIFT_UNIT = 10_000;
 const MAX_CLOCK_ORIGIN_MS = 1_000_000;
 
 const SILENT_LOGGER: Logger = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
-/** What the processes of one world share. */
+/** What the processes of one simulated environment share. */
 export interface NodeFactoryOptions {
   readonly world: WorldOptions;
   readonly time: SimTime;
@@ -65,19 +69,19 @@
   readonly log: Logger;
 }
 
-/** Makes one controller process after another; each is told apart by its incarnation. */
+/** Creates controller processes; their incarnations distinguish them. */
 export class NodeFactory {
   private incarnations = 0;
   private ids = 0;
 
   constructor(private readonly options: NodeFactoryOptions) {}
 
-  /** How many controllers the world has. */
+  /** The number of controllers. */
   get nodeCount(): number {
     return this.options.world.nodes ?? DEFAULT_NODE_COUNT;
   }
 
-  /** Starts the process of the controller with this index. */
+  /** Starts a process of the controller with this index. */
   start(index: number): SimNode {
     const { time, network, random, world, cloud: provider, recorder } = this.options;
     const name = nodeName(index);
--- a/packages/testkit/src/peer-network.ts
+++ b/packages/testkit/src/peer-network.ts
@@ -1,5 +1,5 @@
 /**
- * Connections between the controllers of a simulated world.
+ * Connections between the controllers of a simulated environment.
  *
  * @module
  */
@@ -12,10 +12,10 @@
 import type { TrafficRecorder } from './traffic-recorder.js';
 
 const STATUS_INTERVAL_MS = 700;
-/** A peer's status says something of the key-value store for this long. */
+/** A peer's status is valid evidence about the key-value store for this long, in milliseconds. */
 const STATUS_VALID_MS = 4000;
 
-/** What a controller hands to its transport. */
+/** Callbacks of a controller's transport. */
 export interface PeerEndpoint {
   readonly name: NodeId;
   readonly clock: ProcessClock;
@@ -31,11 +31,11 @@
   readonly isStoreServing: boolean;
 }
 
-/** Carries encoded messages between controllers, and refuses connections on demand. */
+/** Carries encoded messages between controllers, and can refuse connections. */
 export class PeerNetwork {
-  /** Frames and bytes that controllers sent each other. */
+  /** Frames and bytes sent between controllers. */
   readonly traffic = { frames: 0, bytes: 0 };
-  /** Nodes of a version that knows nothing of shards. */
+  /** Nodes of a version without worker shards. */
   readonly previousVersionNodes = new Set<string>();
   private readonly endpoints = new Map<string, PeerEndpoint>();
   private readonly refusedLinks = new Set<string>();
@@ -46,7 +46,7 @@
     private readonly recorder: TrafficRecorder,
   ) {}
 
-  /** The transport of a process that has just begun; it replaces that of the process before. */
+  /** The transport of a new process; it replaces that of the previous process. */
   connect(endpoint: PeerEndpoint): PeerTransport {
     const { name, clock, status, receive } = endpoint;
     const received = new Map<string, ReceivedStatus>();
@@ -79,7 +79,7 @@
     };
   }
 
-  /** From now on connections between two controllers are refused, or accepted again. */
+  /** Begins or ends refusing connections between two controllers. */
   setLinkRefused(host: string, other: string, refused: boolean): void {
     const link = SimNetwork.linkKey(host, other);
     if (!refused) {
@@ -91,7 +91,7 @@
     this.endpoints.get(other)?.closed(host as NodeId);
   }
 
-  /** The other running nodes notice, a message later, that the process has ended. */
+  /** The other running nodes detect, after one message delay, that the process has ended. */
   announceEnd(name: NodeId): void {
     for (const other of this.directory.nodes)
       if (other.name !== name && other.clock.alive)
@@ -105,7 +105,7 @@
   }
 
   private send({ name, clock }: PeerEndpoint, to: NodeId, message: PeerMessage): boolean {
-    // A dead process refuses at once; a host behind a partition is silent.
+    // A dead process refuses connections at once; a partitioned host does not respond.
     const target = this.directory.findRunning(to);
     if (target === null || this.isRefused(name, to)) return false;
     const frame = encodePeerMessage(this.asUnderstoodBy(name, message));
@@ -126,7 +126,7 @@
   }
 }
 
-/** What a node of the version before shards writes, and reads, of a message. */
+/** The parts of a message that a node of the version before worker shards writes and reads. */
 function withoutShardFields({ status, jobProgress }: PeerMessage): PeerMessage {
   const unset = {
     acceptsForwardedHeartbeats: false,
--- a/packages/testkit/src/random-faults.ts
+++ b/packages/testkit/src/random-faults.ts
@@ -1,5 +1,5 @@
 /**
- * Faults drawn one by one from a world's seed: ends of processes, partitions, outages, lost and hanging machines.
+ * Single faults generated from a seed: ended processes, partitions, outages, lost and hanging machines.
  *
  * @module
  */
@@ -9,9 +9,9 @@
 import { nodeName } from './sim-node.js';
 import type { World } from './world.js';
 
-/** Length of a generated day, in milliseconds. */
+/** Length of a generated run, in milliseconds. */
 export const DAY_LENGTH_MS = 200_000;
-/** All faults of a generated day are over by then, in milliseconds. */
+/** The time by which all faults of a generated run are over, in milliseconds. */
 export const FAULTS_END_MS = 110_000;
 
 const NODE_COUNT = 3;
@@ -20,19 +20,19 @@
 const MIN_FAULT_MS = 2000;
 const FAULT_LENGTH_SPREAD_MS = 25_000;
 
-/** A process that has ended is back after one of these, in milliseconds. */
+/** Possible times until an ended process is restarted, in milliseconds. */
 const RESTARTS_MS = [50, 100, 200, 500, 2000, 8000, 10_000] as const;
 const DEFAULT_RESTART_MS = 8000;
-/** As many of `RESTARTS_MS` as count as quick. */
+/** The number of `RESTARTS_MS` that count as quick. */
 const QUICK_RESTARTS = 3;
-/** A node that ends again and again does so this often, up to so far apart. */
+/** How often a repeatedly ending node ends, and the maximum distance of these ends. */
 const REPEATED_CRASHES = 6;
 const REPEATED_CRASH_SPREAD_MS = 3000;
 
-/** What a fault was drawn with. */
+/** The parameters of a generated fault. */
 interface FaultDraw {
   readonly world: World;
-  /** Index of the node that is concerned. */
+  /** Index of the affected node. */
   readonly node: number;
   readonly mode: PartitionMode;
   readonly atMs: number;
@@ -42,7 +42,7 @@
 
 type Fault = (draw: FaultDraw) => void;
 
-/** One fault of each kind; the position is what the seed draws. */
+/** One fault of each kind; the seed selects them by position, so the order must not change. */
 const FAULTS: readonly Fault[] = [
   crashNode,
   crashNodes,
@@ -61,12 +61,12 @@
   crashRepeatedly,
 ];
 
-/** Time until an ended process is back, in milliseconds. */
+/** Time until an ended process is restarted, in milliseconds. */
 export function randomRestartMs(world: World): number {
   return RESTARTS_MS[world.random(RESTARTS_MS.length)] ?? DEFAULT_RESTART_MS;
 }
 
-/** Draws one fault; it is over by `FAULTS_END_MS`. Without `allMayCrash` no more than one node ends with it. */
+/** Generates one fault, which ends by `FAULTS_END_MS`. Without `allMayCrash`, it ends at most one node. */
 export function injectRandomFault(world: World, allMayCrash = true): void {
   const atMs = FIRST_FAULT_MS + world.random(FAULT_SPREAD_MS);
   const untilMs = Math.min(FAULTS_END_MS, atMs + MIN_FAULT_MS + world.random(FAULT_LENGTH_SPREAD_MS));
@@ -76,7 +76,7 @@
   fault?.({ world, node, mode, atMs, untilMs, allMayCrash });
 }
 
-/** Begins something at the fault's time; what it returns ends it. */
+/** Calls `begin` at the fault's time; the function that it returns ends the fault. */
 function schedule({ world, atMs, untilMs }: FaultDraw, begin: () => (() => void) | null): void {
   world.time.after(atMs, () => {
     const end = begin();
@@ -170,7 +170,7 @@
   });
 }
 
-/** A machine that is up; null: none is. */
+/** A machine that is up; null if there is none. */
 function randomMachine(world: World): MachineId | null {
   const up = [...world.workers.values()].filter((worker) => worker.alive);
   return up[world.random(up.length)]?.id ?? null;
--- a/packages/testkit/src/response-rules.ts
+++ b/packages/testkit/src/response-rules.ts
@@ -1,5 +1,6 @@
 /**
- * Rules about what users are told: nothing is forgotten, invented, said too early or taken back.
+ * Rules about responses to users: no accepted job is lost, and no state is invented, reported too early or
+ * revoked.
  *
  * @module
  */
@@ -7,11 +8,11 @@
 import type { RuleViolations } from './rule-violations.js';
 import type { UserCall } from './user-call.js';
 
-/** An accepted job is forgotten when its polls fail for longer than this, while most others get responses. */
+/** An accepted job counts as lost if its polls fail for longer than this while most others get responses. */
 const FORGOTTEN_MS = 90_000;
-/** The same once all faults are over, however others fare. */
+/** The same once all faults are over, independent of other jobs. */
 const FORGOTTEN_AFTER_FAULTS_MS = 75_000;
-/** Responses that say that a job is unknown or wrong. */
+/** Responses that state that a job is unknown or invalid. */
 const REJECTIONS: ReadonlySet<number> = new Set([400, 404, 422]);
 
 interface ResponseCounts {
@@ -24,33 +25,33 @@
   readonly before: ResponseCounts;
 }
 
-/** A response of a controller to a user. */
+/** A controller's response to a user. */
 export interface UserResponse {
   readonly id: JobId;
   readonly call: UserCall;
   readonly code: number;
   readonly phase: JobPhase | null;
   /**
-   * When the request was sent, where several of a user's requests were under way at once: what was learned after that is
-   * no reason to expect it in the response.
+   * When the request was sent, for users with several requests in flight: the response need not reflect what
+   * the user learned after that time.
    */
   readonly askedMs: number;
 }
 
-/** What the rules need to know of jobs. */
+/** What the rules need to know about jobs. */
 export interface ResponseRulesOptions {
   readonly now: () => number;
   readonly violations: RuleViolations;
   readonly submitted: ReadonlyMap<JobId, JobSpec>;
-  /** How many tasks of the job are done. */
+  /** The number of completed tasks of the job. */
   readonly doneTasksOf: (id: JobId) => number;
 }
 
-/** Judges every response, and remembers when users were told what. */
+/** Checks every response, and records when users were told what. */
 export class ResponseRules {
-  /** From then on all faults are over. */
+  /** The time from which on all faults are over. */
   faultsEndMs = Infinity;
-  /** Longest time for which requests about an accepted job went unanswered since then. */
+  /** Longest time for which requests about an accepted job got no response after that. */
   longestUnansweredMs = 0;
   private readonly acceptedAt = new Map<JobId, number>();
   private readonly cancelledAt = new Map<JobId, number>();
@@ -62,12 +63,12 @@
 
   constructor(private readonly options: ResponseRulesOptions) {}
 
-  /** Jobs of which users were told that they are cancelled. */
+  /** Jobs that were reported to users as cancelled. */
   get cancelledJobs(): Iterable<JobId> {
     return this.cancelledAt.keys();
   }
 
-  /** When the user was first told that the job is cancelled. */
+  /** When the job was first reported to the user as cancelled. */
   cancelledAtMs(id: JobId): number | undefined {
     return this.cancelledAt.get(id);
   }
@@ -88,12 +89,12 @@
     this.cancellationRequests.add(id);
   }
 
-  /** When the user was told something new of the job, in order. */
+  /** The times at which the user learned something new about the job, ascending. */
   statusChangesOf(id: string): readonly number[] {
     return this.statusChanges.get(id) ?? [];
   }
 
-  /** Judges a response; whether the user was told something new. */
+  /** Checks a response; returns whether it told the user something new. */
   receive(response: UserResponse): boolean {
     const { id, code, call } = response;
     const { violations, submitted } = this.options;
@@ -109,7 +110,7 @@
     return this.receiveStatus(spec, response);
   }
 
-  /** A submission that must not be accepted got this response. */
+  /** Checks the response to a submission that must be rejected. */
   receiveInvalidSubmission(id: JobId, defect: string, code: number): void {
     if (code === 200 || code === 201)
       this.options.violations.report('accepted_wrongly', `${id} with ${defect}`);
@@ -131,7 +132,7 @@
   private receiveDone(spec: JobSpec): boolean {
     const { violations, doneTasksOf } = this.options;
     if (spec.kind === 'service' || doneTasksOf(spec.id) < spec.tasks) violations.report('not_done', spec.id);
-    // Both are final: whichever was asked for first, they can't both be true.
+    // Both states are final: whichever was requested first, they cannot both hold.
     if (this.cancelledAt.has(spec.id)) violations.report('went_back', `${spec.id} was cancelled, now done`);
     return this.tell(this.doneAt, spec.id);
   }
@@ -148,20 +149,20 @@
     return this.tell(this.cancelledAt, id);
   }
 
-  /** Whether the user knew it when the request was sent. */
+  /** Whether the user had learned it when the request was sent. */
   private isKnown(toldAt: ReadonlyMap<JobId, number>, { id, askedMs }: UserResponse): boolean {
     const at = toldAt.get(id);
     return at !== undefined && at <= askedMs;
   }
 
-  /** The user is told now; true: for the first time. */
+  /** Records that the user learned it now; returns true the first time. */
   private tell(toldAt: Map<JobId, number>, id: JobId): boolean {
     if (toldAt.has(id)) return false;
     toldAt.set(id, this.options.now());
     return true;
   }
 
-  /** An accepted job whose every poll fails for long is forgotten, too, while most others get responses. */
+  /** An accepted job also counts as lost if all its polls fail for long while most others get responses. */
   private countResponse(id: JobId, call: UserCall, isGiven: boolean): void {
     const now = this.options.now();
     const { given, refused } = this.counts;
--- a/packages/testkit/src/rule-checker.ts
+++ b/packages/testkit/src/rule-checker.ts
@@ -1,5 +1,5 @@
 /**
- * Judges what machines do and what users are told by the rules of the protocol.
+ * Checks the behaviour of machines and the responses to users against the rules of the protocol.
  *
  * @module
  */
@@ -15,19 +15,19 @@
 import { RunningTasks } from './running-tasks.js';
 import type { UserCall } from './user-call.js';
 
-/** Is told of everything that happens in a world, and keeps the violations. */
+/** Observes all events of a simulated environment, and records violations. */
 export class RuleChecker implements TaskObserver {
-  /** All starts of tasks. */
+  /** The number of starts of tasks. */
   starts = 0;
-  /** Tasks killed because nobody renewed their worker's lease in time. */
+  /** The number of tasks killed because their worker's lease was not renewed in time. */
   killedByLease = 0;
-  /** Starts of tasks that were done already: they end at once, but their place is taken. */
+  /** Starts of tasks that were done already: they end at once, but occupy resources until then. */
   startsOfCompletedTasks = 0;
-  /** Starts after the user was told that the job is cancelled, also those that were gone in time. */
+  /** Starts after the job was reported to the user as cancelled, including those that were gone in time. */
   startsOfCancelledJobs = 0;
-  /** Is told of every job whose last task completed. */
+  /** Called for every job whose last task completed. */
   onJobCompleted: ((spec: JobSpec) => void) | null = null;
-  /** Is told of every run that ends. */
+  /** Called for every run that ends. */
   onRunEnded: ((run: TaskRun) => void) | null = null;
   private readonly running = new RunningTasks();
   private readonly doneTasks = new Map<JobId, Set<number>>();
@@ -50,7 +50,7 @@
     });
   }
 
-  /** Violations until now, in their order. */
+  /** Violations so far, in order. */
   get violations(): RuleViolation[] {
     return this.ruleViolations.all;
   }
@@ -60,7 +60,7 @@
     return this.jobs.submitted;
   }
 
-  /** From then on all faults are over, in milliseconds. */
+  /** The time from which on all faults are over, in milliseconds. */
   get faultsEndMs(): number {
     return this.responses.faultsEndMs;
   }
@@ -69,12 +69,12 @@
     this.responses.faultsEndMs = atMs;
   }
 
-  /** Longest time for which requests about an accepted job went unanswered after all faults. */
+  /** Longest time for which requests about an accepted job got no response after all faults. */
   get longestUnansweredMs(): number {
     return this.responses.longestUnansweredMs;
   }
 
-  /** Called at intervals: tasks that stay on a machine break rules without anything happening. */
+  /** Must be called at intervals: a task that stays on a machine can break rules without any event. */
   sweep(): void {
     for (const id of this.responses.cancelledJobs) this.checkCancelled(id);
     this.jobs.countReplicaTime();
@@ -124,37 +124,37 @@
     return this.doneTasks.get(job)?.has(task) === true;
   }
 
-  /** How many tasks of the job are on machines now. */
+  /** The number of the job's tasks that are on machines now. */
   runningTasksOf(id: JobId): number {
     return this.running.countOfJob(id);
   }
 
-  /** How many tasks of jobs of this kind are on machines now. */
+  /** The number of tasks of jobs of this kind that are on machines now. */
   runningTasksOfKind(kind: JobSpec['kind']): number {
     return this.running.countOfKind(kind);
   }
 
-  /** A job waits for so long though it could run. */
+  /** Records that a job has waited too long although it could run. */
   jobStarved(id: JobId, forMs: number): void {
     this.ruleViolations.report('left_waiting', `${id} for ${forMs} ms`);
   }
 
   // --- what users ask and are told -------------------------------------------------------------
 
-  /** A user submits the job, perhaps not for the first time. */
+  /** Records a submission by a user, possibly a repeated one. */
   jobSubmitted(spec: JobSpec): void {
     this.jobs.recordSubmission(spec);
   }
 
-  /** A user asks to cancel the job. */
+  /** Records a user's request to cancel the job. */
   cancellationRequested(id: JobId): void {
     this.responses.cancellationRequested(id);
     this.jobs.recordCancellationRequest(id);
   }
 
   /**
-   * A user got a response. Where several of a user's requests were under way at once, `askedMs` is when this one was
-   * sent. Returns whether the user was told something new.
+   * Checks a response to a user. For users with several requests in flight, `askedMs` is when this request
+   * was sent. Returns whether the response told the user something new.
    */
   responseReceived(
     id: JobId,
@@ -166,27 +166,27 @@
     return this.responses.receive({ id, call, code, phase, askedMs });
   }
 
-  /** A submission that can never run, or that lacks a field, got a response. */
+  /** Checks the response to a submission that can never run, or that lacks a field. */
   invalidSubmissionAnswered(id: JobId, defect: string, code: number): void {
     this.responses.receiveInvalidSubmission(id, defect, code);
   }
 
-  /** Whether a user was told that the job is accepted. */
+  /** Whether the job was reported to its user as accepted. */
   isAccepted(id: JobId): boolean {
     return this.responses.isAccepted(id);
   }
 
-  /** Whether a user was told that the job is done. */
+  /** Whether the job was reported to its user as done. */
   isReportedDone(id: JobId): boolean {
     return this.responses.isReportedDone(id);
   }
 
-  /** Whether a user asked to cancel the job. */
+  /** Whether a user requested the job's cancellation. */
   isCancellationRequested(id: JobId): boolean {
     return this.responses.isCancellationRequested(id);
   }
 
-  /** When users were told something new of a job, in order. */
+  /** The times at which users learned something new about a job, ascending. */
   statusChangesOf(id: string): readonly number[] {
     return this.responses.statusChangesOf(id);
   }
@@ -198,7 +198,7 @@
     return this.jobs.isCompleted(id);
   }
 
-  /** What every class and team asked for and got until now. */
+  /** What every class and team requested and received until now. */
   demandByGroup(): Map<string, ServiceLevelCounts> {
     return this.jobs.demandByGroup();
   }
@@ -244,7 +244,10 @@
   return job.spot || !at.spot;
 }
 
-/** Whether the job's tasks would be in several zones, or too many of them in one, against its wish. */
+/**
+ * Whether the job's tasks would violate its zone constraints: be in several zones, or too many of them in
+ * one.
+ */
 function breaksSpread(job: JobSpec, at: TaskPlacement, others: readonly RunningTask[]): boolean {
   if (job.oneZone && others.some((other) => other.zone !== at.zone)) return true;
   const inZone = others.filter((other) => other.zone === at.zone).length;
--- a/packages/testkit/src/rule-violations.ts
+++ b/packages/testkit/src/rule-violations.ts
@@ -1,5 +1,5 @@
 /**
- * The rules of the protocol that a simulated world is judged by, and the violations that were found.
+ * The rules of the protocol that are checked in a simulated environment, and their violations.
  *
  * @module
  */
@@ -29,20 +29,20 @@
   /** A submission that can never run, or that lacks a field, was accepted. */
   | 'accepted_wrongly';
 
-/** A rule that was broken, when (in milliseconds) and by what. */
+/** A violated rule, with the time (in milliseconds) and the cause. */
 export interface RuleViolation {
   readonly rule: RuleName;
   readonly atMs: number;
   readonly what: string;
 }
 
-/** All violations, in the order in which they were found. */
+/** All violations, in the order of their detection. */
 export class RuleViolations {
   readonly all: RuleViolation[] = [];
 
   constructor(private readonly now: () => number) {}
 
-  /** Adds a violation that happens now. */
+  /** Records a violation at the present time. */
   report(rule: RuleName, what: string): void {
     this.all.push({ rule, atMs: Math.round(this.now()), what });
   }
--- a/packages/testkit/src/running-tasks.ts
+++ b/packages/testkit/src/running-tasks.ts
@@ -1,5 +1,5 @@
 /**
- * The tasks that are on machines now, as the rule checker knows them.
+ * The tasks that are on machines now, for the rule checker.
  *
  * @module
  */
@@ -15,7 +15,7 @@
   readonly sinceMs: number;
 }
 
-/** A task's time on a machine, from its start until it left. */
+/** The interval in which a task was on a machine, from its start until it left. */
 export interface TaskRun extends RunningTask {
   readonly untilMs: number;
   readonly done: boolean;
@@ -27,7 +27,7 @@
   readonly gpus: number;
 }
 
-/** Tasks in groups: a fleet of thousands of machines is not searched for each start. */
+/** Tasks in groups, so that a start need not search a fleet of thousands of machines. */
 class TaskIndex<Group extends string> {
   private readonly groups = new Map<Group, Map<string, RunningTask>>();
 
@@ -71,7 +71,7 @@
     this.byTeam.set(running.job.team, key, running);
   }
 
-  /** Removes the task from the machine; undefined: it was not there. */
+  /** Removes the task from the machine; returns undefined if it was not there. */
   remove(job: JobId, task: number, machine: MachineId): RunningTask | undefined {
     const key = keyOf(machine, job, task);
     const running = this.byJob.get(job, key);
--- a/packages/testkit/src/sim-node.ts
+++ b/packages/testkit/src/sim-node.ts
@@ -1,5 +1,5 @@
 /**
- * The controllers of a simulated world and which of them run.
+ * The controllers of a simulated environment.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { ProcessClock } from './clock.js';
 import type { SimStoreClient } from './store-client.js';
 
-/** One controller process with everything that it is made of. */
+/** One controller process and its parts. */
 export interface SimNode {
   readonly name: NodeId;
   readonly zone: string;
@@ -24,22 +24,22 @@
   return `spur-${index}` as NodeId;
 }
 
-/** The latest process of every controller, in the order of their indices. */
+/** The latest process of every controller, by index. */
 export class NodeDirectory {
   readonly nodes: SimNode[] = [];
 
-  /** The process of this name, or null where it has ended. */
+  /** The process of this name, or null if it has ended. */
   findRunning(name: string): SimNode | null {
     const node = this.nodes.find((candidate) => candidate.name === name);
     return node?.clock.alive === true ? node : null;
   }
 
-  /** Names of all controllers but this one. */
+  /** Names of all other controllers. */
   namesExcept(name: string): NodeId[] {
     return this.nodes.filter((node) => node.name !== name).map((node) => node.name);
   }
 
-  /** The highest fencing token under which a running node leads; 0: none leads. */
+  /** The highest fencing token under which a running node leads; 0 if none leads. */
   highestLeadingToken(): number {
     const leading = this.nodes.filter(
       (node) => node.clock.alive && node.controller.leadership.state === 'leading',
--- a/packages/testkit/src/small-world.ts
+++ b/packages/testkit/src/small-world.ts
@@ -1,5 +1,5 @@
 /**
- * A small world, in which most things that can happen to a large one happen soon.
+ * A small simulated environment, in which rare situations of a large one occur soon.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 const LEASE_S = 12;
 const CANCEL_S = 26;
 
-/** A world of three controllers and a few machines; `overrides` replaces single options. */
+/** An environment of three controllers and a few machines; `overrides` replaces single options. */
 export function smallWorld(seed: number, overrides: Partial<WorldOptions> = {}): World {
   return new World({
     seed,
@@ -27,7 +27,7 @@
 }
 
 /**
- * A small world in which two leaders at the same moment end the test.
+ * A small environment in which two simultaneous leaders end the test.
  *
  * @throws TwoLeadersError while simulated time passes
  */
--- a/packages/testkit/src/starvation.ts
+++ b/packages/testkit/src/starvation.ts
@@ -1,5 +1,5 @@
 /**
- * A watch for jobs that are left waiting although they could run.
+ * Detects jobs that keep waiting although they could run.
  *
  * @module
  */
@@ -8,11 +8,11 @@
 import type { JobId, JobSpec } from '@spurbridge/wire';
 import type { World } from './world.js';
 
-/** Once all faults are over no job waits for this long though it could run, in milliseconds. */
+/** Once all faults are over, no job may wait for this long although it could run, in milliseconds. */
 export const STARVATION_LIMIT_MS = 90_000;
 const CHECK_INTERVAL_MS = 1000;
 
-/** Whether the job could begin at once: one task of an array or a service, all tasks of a gang. */
+/** Whether the job could start at once: one task of an array or a service, all tasks of a gang. */
 export function couldStart(world: World, spec: JobSpec): boolean {
   const leastTasks = spec.kind === 'gang' ? spec.tasks : 1;
   if (!hasQuota(world, spec, leastTasks)) return false;
@@ -24,7 +24,7 @@
   });
 }
 
-/** From the end of all faults on, reports every job that is left waiting; looks once a second. */
+/** Reports every starved job once all faults are over; checks once a second. */
 export function watchForStarvation(world: World): void {
   const waitingSince = new Map<JobId, number>();
   const check = (): void => {
@@ -60,7 +60,9 @@
   );
 }
 
-/** Whether this many tasks of the job are within its team's limits, beside what the team has on machines. */
+/**
+ * Whether this many tasks of the job are within its team's limits, including the team's tasks on machines.
+ */
 function hasQuota(world: World, spec: JobSpec, tasks: number): boolean {
   const team = world.teams.find((candidate) => candidate.name === spec.team);
   if (team === undefined) return false;
@@ -75,7 +77,7 @@
   return cpus <= team.cpusMax + EPSILON && gpus <= team.gpusMax + EPSILON;
 }
 
-/** How many tasks of the job still fit on the machine. */
+/** The number of the job's tasks that still fit on the machine. */
 function fittingTasks(worker: SimulatedWorker, spec: JobSpec): number {
   if (!isAllowedOn(worker, spec)) return 0;
   let { cpus, gpus, memoryGb } = worker.type;
--- a/packages/testkit/src/store-client.ts
+++ b/packages/testkit/src/store-client.ts
@@ -1,5 +1,5 @@
 /**
- * The key-value store as one controller reaches it over the simulated network.
+ * The key-value store, as reached by one controller over the simulated network.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 import type { SimNetwork } from './network.js';
 
 const RESPONSE_TIMEOUT_MS = 1500;
-/** A watch is given up this long after it should have been answered. */
+/** A watch is abandoned this long after its response was due, in milliseconds. */
 const WATCH_GRACE_MS = 3000;
 const OUTAGE_CHECK_MS = 100;
 
@@ -32,16 +32,16 @@
   readonly outcome: 'refused' | 'unknown';
 }
 
-/** A client whose requests take time, are lost with partitions and suffer the store's faults. */
+/** A client whose requests take time, can be lost to partitions and are subject to injected faults. */
 export class SimStoreClient implements KeyValueStore {
   readonly isTrusted = true;
   readonly generation = 0;
-  /** While set, every request of this node alone is refused, as by the status 503. */
+  /** While true, every request of this node is rejected as if with the status 503. */
   isRefused = false;
   private failingSinceMs: MonotonicMs | null = null;
 
   constructor(
-    /** Set to another store where a node reads another one than its peers. */
+    /** Set to another store if a node reads a different one from its peers. */
     public backend: SimKeyValueStore,
     private readonly network: SimNetwork,
     private readonly host: string,
@@ -100,7 +100,7 @@
       await new Promise<void>((resolve) => {
         this.backend.waitForChange(prefix, after, waitMs, resolve);
       });
-    // An open watch waits through an outage, and through a refusal of its node alone.
+    // An open watch keeps waiting during an outage, and while its node's requests are rejected.
     const giveUpAt = this.clock.now() + WATCH_GRACE_MS;
     while ((this.backend.isDown || this.isRefused) && this.clock.alive) {
       if (this.clock.now() > giveUpAt) return { outcome: 'unknown' };
@@ -113,7 +113,7 @@
     }));
   }
 
-  /** The transaction gets no response and is carried out later, unless the store is down by then. */
+  /** Executes the transaction later and without a response, unless the store is down by then. */
   private commitLate(
     compares: readonly Compare[],
     mutations: readonly Mutation[],
@@ -127,7 +127,10 @@
     return this.call<CommitOutcome>(() => null, mutations.length);
   }
 
-  /** A request; where `handle` returns null its response is lost. Never resolves once the process has ended. */
+  /**
+   * Sends a request; if `handle` returns null, the response is lost. Never resolves once the process has
+   * ended.
+   */
   private async call<T extends { readonly outcome: string }>(
     handle: () => T | null,
     mutations = 0,
--- a/packages/testkit/src/store-faults.ts
+++ b/packages/testkit/src/store-faults.ts
@@ -1,20 +1,23 @@
 /**
- * What goes wrong between the simulated key-value store and its clients.
+ * Faults between the simulated key-value store and its clients.
  *
  * @module
  */
 
-/** Faults that are drawn for each request. */
+/** Faults that are decided for each request. */
 export interface StoreFaults {
-  /** How much later a transaction without a response is carried out, in milliseconds; null: at once, with a response. */
+  /**
+   * The delay after which a transaction is executed without a response, in milliseconds; null: at once, with
+   * a response.
+   */
   writeDelayMs(): number | null;
-  /** Whether a transaction is carried out and only its response is lost. */
+  /** Whether a transaction is executed and only its response is lost. */
   losesResponse(): boolean;
-  /** How much later than usual one message arrives, in milliseconds. */
+  /** The additional delay of one message, in milliseconds. */
   storeMessageDelayMs(): number;
 }
 
-/** A store with which nothing goes wrong. */
+/** No faults. */
 export const NO_STORE_FAULTS: StoreFaults = {
   writeDelayMs: () => null,
   losesResponse: () => false,
--- a/packages/testkit/src/store-history.ts
+++ b/packages/testkit/src/store-history.ts
@@ -1,5 +1,5 @@
 /**
- * The watch events of the simulated key-value store, and the watches that wait for the next one.
+ * The watch events of the simulated key-value store, and the watches that wait for them.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   readonly wake: () => void;
 }
 
-/** Events in the order of their versions; the oldest may be dropped. */
+/** Events in the order of their versions; the oldest ones may be dropped. */
 export class StoreHistory {
   private readonly events: WatchEvent[] = [];
   private droppedUpTo = 0;
@@ -20,14 +20,14 @@
 
   constructor(private readonly time: Timeline) {}
 
-  /** Appends an event; its version is at least that of the last one. */
+  /** Appends an event; its version must not be lower than that of the last one. */
   append(event: WatchEvent): void {
     this.events.push(event);
   }
 
-  /** Events of keys with the prefix, after the revision. */
+  /** Events of keys with the prefix after the revision. */
   since(prefix: string, after: number): WatchEvent[] {
-    // In the order of versions, so that only the end is looked at.
+    // Events are ordered by version, so only the end has to be searched.
     const found: WatchEvent[] = [];
     for (let i = this.events.length - 1; i >= 0; i -= 1) {
       const event = this.events[i] as WatchEvent;
@@ -37,7 +37,7 @@
     return found.reverse();
   }
 
-  /** Whether all events after this revision are still there. */
+  /** Whether all events after this revision are still retained. */
   reachesBackTo(revision: number): boolean {
     return revision >= this.droppedUpTo;
   }
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Calls back once, when there is an event after the revision, and at the latest after `timeoutMs`: watches of processes
-   * that have ended would otherwise be kept for good.
+   * Calls back once, when there is an event after the revision or `timeoutMs` has passed. The timeout also
+   * removes watches of ended processes, which would otherwise be retained forever.
    */
   wait(prefix: string, after: number, timeoutMs: number, wake: () => void): void {
     const waiter: Waiter = { prefix, after, wake };
@@ -71,7 +71,7 @@
     });
   }
 
-  /** Wakes the watches for which there is an event. */
+  /** Notifies the watches for which there is an event. */
   wakeReady(): void {
     const waiting = this.waiters;
     this.waiters = [];
@@ -80,7 +80,7 @@
       else this.waiters.push(waiter);
   }
 
-  /** Wakes all watches. */
+  /** Notifies all watches. */
   wakeAll(): void {
     for (const waiter of this.waiters.splice(0)) waiter.wake();
   }
--- a/packages/testkit/src/store-leases.ts
+++ b/packages/testkit/src/store-leases.ts
@@ -5,32 +5,32 @@
  */
 import type { Timeline } from '@spurbridge/simulated-worker';
 
-/** A look at a lease's end comes no sooner than this. */
+/** Minimum delay of the check whether a lease has expired, in milliseconds. */
 const MIN_EXPIRY_CHECK_MS = 50;
 
-/** A lease's length and the moment at which it ends unless it is renewed, both in milliseconds. */
+/** A lease's length and the time at which it expires unless renewed, both in milliseconds. */
 export interface StoreLease {
   readonly ttlMs: number;
   readonly endsAtMs: number;
 }
 
-/** Leases by their ids; each is looked at when it is due to end. */
+/** Leases by id; each is checked when it is due to expire. */
 export class LeaseTable {
   private readonly leases = new Map<number, StoreLease>();
   private nextId = 1;
 
   constructor(
     private readonly time: Timeline,
-    /** Ends what is over; called when a lease may have ended. */
+    /** Ends expired leases; called when a lease may have expired. */
     private readonly checkExpiry: () => void,
   ) {}
 
-  /** The id that the next lease gets. */
+  /** The id of the next lease. */
   get nextLeaseId(): number {
     return this.nextId;
   }
 
-  /** Begins a lease; its id. */
+  /** Creates a lease and returns its id. */
   grant(ttlMs: number): number {
     const id = this.nextId;
     this.nextId += 1;
@@ -38,7 +38,7 @@
     return id;
   }
 
-  /** Gives the lease its full time again; false: there is no such lease. */
+  /** Renews the lease to its full length; returns false if there is no such lease. */
   renew(id: number): boolean {
     const lease = this.leases.get(id);
     if (lease === undefined) return false;
@@ -46,7 +46,7 @@
     return true;
   }
 
-  /** Gives every lease its full time again. */
+  /** Renews every lease to its full length. */
   renewAll(): void {
     for (const id of this.leases.keys()) this.renew(id);
   }
@@ -55,12 +55,12 @@
     return this.leases.has(id);
   }
 
-  /** Removes the lease; false: there is no such lease. */
+  /** Removes the lease; returns false if there is no such lease. */
   remove(id: number): boolean {
     return this.leases.delete(id);
   }
 
-  /** Leases that are over by now. */
+  /** Leases that have expired. */
   expiredIds(): number[] {
     return [...this.leases].filter(([, lease]) => lease.endsAtMs <= this.time.now).map(([id]) => id);
   }
@@ -70,7 +70,7 @@
     return new Map(this.leases);
   }
 
-  /** Replaces all leases; each has its full time again. */
+  /** Replaces all leases; each is renewed to its full length. */
   replace(leases: ReadonlyMap<number, StoreLease>, nextLeaseId: number): void {
     this.leases.clear();
     for (const [id, lease] of leases) this.begin(id, lease.ttlMs);
--- a/packages/testkit/src/store-rate-limit.ts
+++ b/packages/testkit/src/store-rate-limit.ts
@@ -1,11 +1,11 @@
 /**
- * Limits of the simulated key-value store on requests and writes.
+ * Rate limits of the simulated key-value store on requests and mutations.
  *
  * @module
  */
 import type { Timeline } from '@spurbridge/simulated-worker';
 
-/** What the key-value store takes, as in a controller's settings. */
+/** The limits of the key-value store, as in a controller's settings. */
 export interface StoreLimits {
   /** Requests a second. */
   readonly rps: number;
@@ -17,13 +17,13 @@
   readonly txnOps: number;
 }
 
-/** Two token buckets, each as deep as one second's worth. */
+/** Two token buckets with a capacity of one second's worth of tokens each. */
 export class StoreRateLimit {
-  /** Requests that were let through. */
+  /** The number of admitted requests. */
   requests = 0;
-  /** Mutations that were let through. */
+  /** The number of admitted mutations. */
   mutations = 0;
-  /** Requests that were refused, as by the status 429. */
+  /** The number of requests rejected as if with the status 429. */
   refusals = 0;
   private requestTokens: number;
   private writeTokens: number;
@@ -37,7 +37,7 @@
     this.writeTokens = limits.writeRps;
   }
 
-  /** Whether a request with this many mutations is let through now; it is counted either way. */
+  /** Whether a request with this many mutations is admitted now; counts it in both cases. */
   tryAcquire(mutations: number): boolean {
     this.refill();
     if (this.requestTokens < 1 || this.writeTokens < mutations) {
--- a/packages/testkit/src/tariff-feed.ts
+++ b/packages/testkit/src/tariff-feed.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in tariff feed of a simulated world.
+ * A stand-in for the tariff feed in a simulated environment.
  *
  * @module
  */
@@ -11,15 +11,15 @@
 
 const RESPONSE_TIMEOUT_MS = 5000;
 
-/** Publishes documents, falls silent, and serves malformed ones on demand. */
+/** Publishes documents; can stop responding and serve malformed documents. */
 export class SimTariffFeed {
-  /** While set, requests get no response. */
+  /** While true, requests get no response. */
   isSilent = false;
-  /** Requests that arrived. */
+  /** The number of requests that arrived. */
   requests = 0;
-  /** Responses that said that the document is unchanged. */
+  /** The number of responses that the document is unchanged. */
   unchangedResponses = 0;
-  /** Of any type, so that what is malformed can be published, too. */
+  /** Of any type, so that malformed documents can be published. */
   private body: unknown = null;
   private edition = 0;
 
@@ -36,7 +36,7 @@
     this.edition += 1;
   }
 
-  /** The feed as a process on this host reaches it. */
+  /** The feed, as reached by a process on this host. */
   source(host: string): TariffFeedSource {
     return {
       fetch: async (tag) => {
--- a/packages/testkit/src/traffic-digest.ts
+++ b/packages/testkit/src/traffic-digest.ts
@@ -1,6 +1,7 @@
 /**
- * A digest of everything that the programs of a simulated world send: two versions of the sources that behave alike have
- * the same digest. All payloads are in the form in which they are sent, so that names inside the sources do not matter.
+ * A digest of everything that the programs of a simulated environment send: two versions of the sources with
+ * the same behaviour have the same digest. All payloads are in the form in which they are sent, so that names
+ * inside the sources do not matter.
  *
  * @module
  */
@@ -8,7 +9,7 @@
 
 /** One message between two hosts, or one transaction of the key-value store. */
 export interface TrafficEvent {
-  /** True time of the simulated world, in milliseconds. */
+  /** True time of the simulated environment, in milliseconds. */
   readonly atMs: number;
   readonly kind:
     | 'transaction'
@@ -26,12 +27,12 @@
   readonly payload: unknown;
 }
 
-/** Is told of every message, in the order in which they are sent. */
+/** Observes every message, in the order of sending. */
 export interface TrafficObserver {
   observe(event: TrafficEvent): void;
 }
 
-/** Hashes all traffic of a simulated world. */
+/** Hashes all traffic of a simulated environment. */
 export class TrafficDigest implements TrafficObserver {
   private readonly hash = createHash('sha256');
   private events = 0;
@@ -42,7 +43,7 @@
     this.hash.update(JSON.stringify([atMs, kind, from, to, payload]));
   }
 
-  /** How many events were seen, and the first half of their SHA-256 in hexadecimal. Ends the digest. */
+  /** The number of events, and the first half of their SHA-256 in hexadecimal. Ends the digest. */
   finish(): string {
     return `${this.events}:${this.hash.digest('hex').slice(0, 32)}`;
   }
--- a/packages/testkit/src/traffic-recorder.ts
+++ b/packages/testkit/src/traffic-recorder.ts
@@ -1,12 +1,12 @@
 /**
- * Passes what the programs of a simulated world send to an observer, where there is one.
+ * Passes everything that the programs of a simulated environment send to an observer, if there is one.
  *
  * @module
  */
 import type { SimTime } from './clock.js';
 import type { TrafficEvent, TrafficObserver } from './traffic-digest.js';
 
-/** Stamps each message with the simulated time and hands it to the observer. */
+/** Stamps each message with the simulated time and passes it to the observer. */
 export class TrafficRecorder {
   constructor(
     private readonly time: SimTime,
--- a/packages/testkit/src/user-call.ts
+++ b/packages/testkit/src/user-call.ts
@@ -4,5 +4,5 @@
  * @module
  */
 
-/** What a user asks of a controller. */
+/** A user's request to a controller. */
 export type UserCall = 'submit' | 'poll' | 'cancel';
--- a/packages/testkit/src/user-environment.ts
+++ b/packages/testkit/src/user-environment.ts
@@ -1,5 +1,5 @@
 /**
- * What the users of a simulated world need of it.
+ * The interface between simulated users and their environment.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { SimNode } from './sim-node.js';
 import type { TrafficRecorder } from './traffic-recorder.js';
 
-/** The world as its users see it. */
+/** The environment as visible to its users. */
 export interface UserEnvironment {
   readonly time: SimTime;
   readonly network: SimNetwork;
@@ -18,6 +18,6 @@
   readonly faults: FaultInjector;
   readonly checker: RuleChecker;
   readonly recorder: TrafficRecorder;
-  /** A random whole number from 0 up to `below`, without it. */
+  /** A random integer from 0 to `below` - 1. */
   random(below: number): number;
 }
--- a/packages/testkit/src/users.ts
+++ b/packages/testkit/src/users.ts
@@ -1,5 +1,6 @@
 /**
- * The users of a simulated world: what they ask, of which node and when. All responses are judged by the rule checker.
+ * The users of a simulated environment: which requests they send, to which node and when. The rule checker
+ * checks all responses.
  *
  * @module
  */
@@ -14,16 +15,16 @@
 import type { UserCall } from './user-call.js';
 import type { UserEnvironment } from './user-environment.js';
 
-/** Least time between two polls for an accepted job, in milliseconds, where a world does not say otherwise. */
+/** Default minimum time between two polls for an accepted job, in milliseconds. */
 export const DEFAULT_POLL_MS = 1500;
 const RESUBMIT_MS = 1500;
-/** A final response is asked for again with this chance, one in so many: it must stay the same. */
+/** One final response in this many is requested again: it must stay the same. */
 const FINAL_POLLS = 4;
-/** After news the user polls every node, at moments drawn up to each of these, in milliseconds. */
+/** After news the user polls every node, at random times up to each of these, in milliseconds. */
 const BURST_WITHIN_MS = [3, 10, 30, 90, 250] as const;
-/** In a burst, one request in so many repeats the submission. */
+/** In a burst, one request in this many repeats the submission. */
 const RESUBMISSIONS_IN_BURST = 3;
-/** One job in so many is cancelled right after news of it. */
+/** One job in this many is cancelled right after news of it. */
 const CANCELLATIONS_AFTER_NEWS = 6;
 const RETRY_CANCEL_MS = 1000;
 const RETRY_CANCEL_SPREAD_MS = 500;
@@ -33,10 +34,10 @@
 
 type ResponseListener = (response: JobOutcome) => void;
 
-/** Plays all users of a world. */
+/** Simulates all users of an environment. */
 export class Users {
   private readonly cancelAtMs = new Map<JobId, number>();
-  /** Jobs about which several requests may be under way at once: it then matters which was sent first. */
+  /** Jobs that may have several requests in flight, for which the order of sending matters. */
   private readonly concurrentlyAsked = new Set<JobId>();
   private malformedCount = 0;
 
@@ -45,12 +46,12 @@
     private readonly pollMs: number,
   ) {}
 
-  /** The job's user asks to cancel it, this much later. */
+  /** The job's user requests its cancellation after this delay. */
   scheduleCancellation(id: JobId, inMs: number): void {
     this.cancelAtMs.set(id, this.world.time.now + inMs);
   }
 
-  /** Submits until accepted or refused for good, then polls and cancels at `cancelAtMs`, where that is set. */
+  /** Submits until accepted or finally rejected, then polls, and cancels at `cancelAtMs` if that is set. */
   startUser(spec: JobSpec, cancelAtMs: number | null): void {
     const { world } = this;
     world.checker.jobSubmitted(spec);
@@ -70,7 +71,10 @@
     ask();
   }
 
-  /** One request to one node; `onResponse` is called when the response arrives, never where the process has ended. */
+  /**
+   * Sends one request to one node; `onResponse` is called when the response arrives, and never if the process
+   * has ended.
+   */
   sendRequest(
     node: number,
     call: UserCall,
@@ -92,7 +96,7 @@
     });
   }
 
-  /** Asks to cancel until a final response comes back. */
+  /** Requests cancellation until there is a final response. */
   cancelUntilConfirmed(spec: JobSpec): void {
     const { world } = this;
     this.concurrentlyAsked.add(spec.id);
@@ -107,7 +111,7 @@
     ask();
   }
 
-  /** Users cancel up to this many running arrays and gangs within a fifth of a second; which ones. */
+  /** Users cancel up to this many random running arrays and gangs within a fifth of a second. */
   cancelRunningJobs(count: number): JobSpec[] {
     const { world } = this;
     const { checker } = world;
@@ -123,7 +127,10 @@
     return chosen;
   }
 
-  /** Repeats a known submission, also in part, cancels what is done, and sends what must not be accepted. */
+  /**
+   * Repeats known submissions, also in part, cancels jobs that are done, and sends submissions that must be
+   * rejected.
+   */
   sendMalformedRequest(): void {
     const { world } = this;
     const known = [...world.checker.submitted.values()].filter(({ id }) => world.checker.isAccepted(id));
@@ -155,7 +162,9 @@
     if (isNews && world.faults.shouldInject('pollBursts')) this.startPollBurst(spec);
   }
 
-  /** Asks all nodes, again and again within milliseconds, and repeats the submission; now and then cancels at once. */
+  /**
+   * Polls all nodes repeatedly within milliseconds, and repeats the submission; sometimes cancels at once.
+   */
   private startPollBurst(spec: JobSpec): void {
     const { world } = this;
     this.concurrentlyAsked.add(spec.id);
@@ -209,7 +218,7 @@
   }
 }
 
-/** The body of a response as it is sent; the texts of errors are for people and may change. */
+/** The body of a response as it is sent, without error texts, which are meant for people and may change. */
 function formatResponseBody(response: JobOutcome): unknown {
   return 'status' in response ? formatJobStatus(response.status) : null;
 }
--- a/packages/testkit/src/worker-transport.ts
+++ b/packages/testkit/src/worker-transport.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between the workers and the controllers of a simulated world: heartbeats and direct commands.
+ * Messages between workers and controllers of a simulated environment: heartbeats and direct commands.
  *
  * @module
  */
@@ -15,14 +15,14 @@
 import type { NodeDirectory } from './sim-node.js';
 import type { TrafficRecorder } from './traffic-recorder.js';
 
-/** A worker gives a heartbeat up after this. */
+/** Timeout of a worker's heartbeat, in milliseconds. */
 const HEARTBEAT_TIMEOUT_MS = 4000;
-/** A machine that can open no connection notices so soon. */
+/** Time after which a machine that cannot open a connection detects it, in milliseconds. */
 const CONNECTION_FAILURE_MS = 300;
 const COMMAND_TIMEOUT_MS = 2000;
 const STATUS_TIMEOUT_MS = 1500;
 
-/** What the transport needs of the world. */
+/** What the transport needs from the environment. */
 export interface WorkerTransportOptions {
   readonly time: SimTime;
   readonly network: SimNetwork;
@@ -33,11 +33,11 @@
   readonly recorder: TrafficRecorder;
 }
 
-/** Carries heartbeats to controllers and commands to workers, with the faults that are set. */
+/** Carries heartbeats to controllers and commands to workers, subject to the injected faults. */
 export class WorkerTransport {
   constructor(private readonly options: WorkerTransportOptions) {}
 
-  /** Sends a worker's heartbeat to a node; null: no response in time. */
+  /** Sends a worker's heartbeat to a node; null if there was no response in time. */
   sendHeartbeat(
     worker: HeartbeatSender,
     node: string,
@@ -65,7 +65,7 @@
     });
   }
 
-  /** The workers as the controller on this host reaches them. */
+  /** The workers, as reached by the controller on this host. */
   clientFor(host: string): WorkerClient {
     return {
       sendCommands: (address, token, epoch, commands) =>
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -1,6 +1,6 @@
 /**
- * A simulated world: controllers, key-value store, cloud, workers and users under one simulated time, judged by the
- * rules of the protocol. The same seed gives the same run.
+ * A simulated environment: controllers, key-value store, cloud, workers and users under one simulated time,
+ * checked against the rules of the protocol. Runs with the same seed are identical.
  *
  * @module
  */
@@ -39,11 +39,11 @@
 const DEFAULT_RESTART_MS = 8000;
 const HEARTBEAT_INTERVAL_MS = 3000;
 const RULE_CHECK_INTERVAL_MS = 500;
-/** A boot takes this many thousandths of the type's usual time at least, and up to `BOOT_SPREAD` more. */
+/** Minimum boot time in thousandths of the type's usual boot time; up to `BOOT_SPREAD` is added. */
 const MIN_BOOT = 600;
 const BOOT_SPREAD = 900;
 
-/** Controllers, key-value store, cloud, workers and users in one simulated world. */
+/** Controllers, key-value store, cloud, workers and users in one simulated environment. */
 export class World {
   readonly time = new SimTime();
   readonly network: SimNetwork;
@@ -105,27 +105,27 @@
     return this.directory.nodes;
   }
 
-  /** Frames and bytes that controllers sent each other. */
+  /** Frames and bytes sent between controllers. */
   get peerTraffic(): { readonly frames: number; readonly bytes: number } {
     return this.peers.traffic;
   }
 
-  /** Names of nodes of the version before worker shards; may be added to at any time. */
+  /** Names of nodes of the version before worker shards; names may be added at any time. */
   get previousVersionNodes(): Set<string> {
     return this.peers.previousVersionNodes;
   }
 
-  /** Names of rental requests that one process took after another had used them. */
+  /** Names of rental requests that one process used after another process had used them. */
   get reusedRentalNames(): readonly string[] {
     return this.cloud.reusedRequestNames;
   }
 
-  /** How many attempts of each gang reached a machine. */
+  /** The number of attempts of each gang that reached a machine. */
   get gangAttempts(): ReadonlyMap<string, number> {
     return this.gangs.attemptCounts;
   }
 
-  /** Attempts of gangs whose progress was saved by a graceful stop. */
+  /** Attempts of gangs whose checkpoints were saved by a graceful stop. */
   get checkpointedGangs(): string[] {
     return this.gangs.checkpointedAttempts;
   }
@@ -140,17 +140,17 @@
     return this.options.teams;
   }
 
-  /** Time of day at the simulation's begin, in milliseconds since 1970. */
+  /** Wall-clock time at the start of the simulation, in milliseconds since 1970. */
   get wallClockStartMs(): number {
     return this.options.wallClockStartMs ?? DEFAULT_WALL_CLOCK_START_MS;
   }
 
-  /** The next draw of the world's generator: a whole number from 0 up to `below`, without it. */
+  /** Draws the next random integer from 0 to `below` - 1. */
   random(below: number): number {
     return below <= 0 ? 0 : uniformInt(this.generator, 0, below - 1);
   }
 
-  /** Lets simulated time pass until then, in milliseconds since the begin. */
+  /** Lets simulated time pass until then, in milliseconds since the start of the simulation. */
   async runUntil(untilMs: number): Promise<void> {
     const sweep = (): void => {
       this.checker.sweep();
@@ -160,7 +160,7 @@
     await this.time.runUntil(untilMs);
   }
 
-  /** Ends a node's process; it is back after `backMs`, with nothing of what it knew. */
+  /** Ends a node's process; it is restarted after `backMs`, without its in-memory state. */
   crash(index: number, backMs = DEFAULT_RESTART_MS): void {
     const node = this.nodes[index];
     if (node === undefined || !node.clock.alive) return;
@@ -171,7 +171,7 @@
     });
   }
 
-  /** A node stands still for a while: what it is sent waits, and its timers go off late. */
+  /** Suspends a node for a while: messages to it wait, and its timers fire late. */
   freeze(index: number, forMs: number): void {
     const node = this.nodes[index];
     if (node === undefined || !node.clock.alive) return;
@@ -183,12 +183,12 @@
     });
   }
 
-  /** From now on connections between two controllers are refused, or accepted again. */
+  /** Begins or ends refusing connections between two controllers. */
   setLinkRefused(host: string, other: string, refused: boolean): void {
     this.peers.setLinkRefused(host, other, refused);
   }
 
-  /** Number of machines whose workers send their heartbeats to each node, in the order of the nodes. */
+  /** The number of machines whose workers send their heartbeats to each node, by node index. */
   machinesPerNode(): number[] {
     const counts = this.nodes.map(() => 0);
     for (const { alive, heartbeatNodeIndex: node } of this.workers.values())
@@ -196,27 +196,30 @@
     return counts;
   }
 
-  /** A machine is up from now on. */
+  /** Handles a machine that came up. */
   addWorker(id: MachineId, type: MachineType, zone: string, spot: boolean): void {
     this.workers.set(id, new SimulatedWorker(id, type, zone, spot, this.createWorkerHost()));
   }
 
-  /** The cloud takes a machine away. */
+  /** The cloud takes a machine back. */
   reclaimMachine(id: MachineId): void {
     this.cloud.release([id]);
   }
 
-  /** The job's user asks to cancel it, this much later. */
+  /** The job's user requests its cancellation after this delay. */
   scheduleCancellation(id: JobId, inMs: number): void {
     this.users.scheduleCancellation(id, inMs);
   }
 
-  /** A user submits until accepted or refused for good, then polls and cancels at `cancelAtMs`, where that is set. */
+  /**
+   * Starts a user who submits until accepted or finally rejected, then polls, and cancels at `cancelAtMs` if
+   * that is set.
+   */
   startUser(spec: JobSpec, cancelAtMs: number | null): void {
     this.users.startUser(spec, cancelAtMs);
   }
 
-  /** The phase of the job's record; undefined where there is no record. */
+  /** The phase in the job's record; undefined if there is no record. */
   recordedPhaseOf(id: JobId): unknown {
     return (this.store.peek(`j/${id}`) as { phase?: unknown } | undefined)?.phase;
   }
--- a/packages/testkit/src/zone-partition.ts
+++ b/packages/testkit/src/zone-partition.ts
@@ -1,5 +1,5 @@
 /**
- * A zone that is cut off from everything else.
+ * Partitions a zone from everything else.
  *
  * @module
  */
@@ -7,10 +7,13 @@
 import { CLOUD_HOST, STORE_HOST } from './hosts.js';
 import type { World } from './world.js';
 
-/** Machines that come up meanwhile are cut off within this. */
+/** Machines that come up during the partition are included within this time, in milliseconds. */
 const NEW_MACHINES_INTERVAL_MS = 200;
 
-/** Cuts a zone's machines, also those that come up meanwhile, and its nodes off from everything else. */
+/**
+ * Partitions the machines of a zone, including those that come up meanwhile, and its nodes from everything
+ * else.
+ */
 export function partitionZone(world: World, zone: string, fromMs: number, untilMs: number): void {
   const links = new Map<string, readonly [string, string]>();
   const cutNewLinks = (): void => {
@@ -31,7 +34,7 @@
   });
 }
 
-/** Machines that are up in a zone. */
+/** Machines of a zone that are up. */
 export function machinesInZone(world: World, zone: string): MachineId[] {
   return [...world.workers.values()]
     .filter((worker) => worker.alive && worker.zone === zone)
