--- a/packages/measure/src/configuration.ts
+++ b/packages/measure/src/configuration.ts
@@ -1,3 +1,8 @@
+/**
+ * Changes of the live configuration in the simulated world: how long until they are in force on all nodes.
+ *
+ * @module
+ */
 import type { JobId } from '@spurbridge/wire';
 import {
   World,
@@ -9,19 +14,20 @@
 } from '@spurbridge/testkit';
 import { parallel } from './parallel.js';
 
+/** One run: the size of the fleet, the rate of changes and of crashes. */
 export interface ConfigurationPart {
   readonly workers: number;
   readonly changesAnHour: number;
-  /** The leader ends this often, in seconds, and is back at once; 0: never. */
+  /** The leader crashes this often, in seconds, and is back after 200 ms; 0: never. */
   readonly endLeaderS: number;
   readonly seconds: number;
 }
 
 interface ConfigurationResult extends ConfigurationPart {
   readonly made: number;
-  /** Asked again because of a takeover or of another change. */
+  /** Retries because of a failover or of another change. */
   readonly askedAgain: number;
-  /** From the first request to being in force on every node, in simulated milliseconds; null: none was. */
+  /** From the first request until the change is in force on every node, in simulated milliseconds; null without any. */
   readonly inForceMs: { readonly p50: number; readonly p99: number; readonly most: number } | null;
   readonly late: number;
   readonly brokenRules: number;
@@ -29,6 +35,7 @@
 }
 
 const TEAMS = 350;
+const NODES = 3;
 const ZONES = ['a', 'b', 'c', 'd'];
 const UP_MS = 30_000;
 const HOUR_MS = 3_600_000;
@@ -38,9 +45,9 @@
 const TYPE = { ...machineType('w20', 20), bootS: 4 };
 const FULL = { workers: 2700 };
 
-function world(p: ConfigurationPart): World {
-  const cpus = p.workers * TYPE.cpus;
-  const w = new World({
+function createWorld(part: ConfigurationPart): World {
+  const cpus = part.workers * TYPE.cpus;
+  const world = new World({
     seed: 17,
     teams: Array.from({ length: TEAMS }, (_, n) => ({
       name: `team-${n}`,
@@ -51,76 +58,97 @@
     })),
     types: [TYPE],
     zones: ZONES,
-    nodes: 3,
-    capacity: Math.ceil(p.workers / ZONES.length / 2),
+    nodes: NODES,
+    capacity: Math.ceil(part.workers / ZONES.length / 2),
     leaseS: 22,
     cancelS: 42,
     storeLimits: { rps: 600, writeRps: 250, valueKb: 16, txnOps: 12 },
-    taskRunMs: () => 10 * p.seconds * 1000,
+    taskRunMs: () => 10 * part.seconds * 1000,
   });
-  for (let n = 0; n * 100 < p.workers; n += 1)
-    w.startUser(
+  for (let n = 0; n * 100 < part.workers; n += 1)
+    world.startUser(
       jobSpec({
         id: `wk-${String(n).padStart(6, '0')}` as JobId,
         team: `team-${n % TEAMS}`,
-        tasks: Math.min(100, p.workers - n * 100),
+        tasks: Math.min(100, part.workers - n * 100),
         cpus: 15,
         memoryGb: 30,
         estimateS: 600,
       }),
       null,
     );
-  return w;
+  return world;
 }
 
-export async function configurationPart(p: ConfigurationPart): Promise<ConfigurationResult> {
-  const w = world(p);
-  await w.runUntil(UP_MS);
-  const took: number[] = [];
-  let askedAgain = 0;
-  let late = 0;
-  const until = w.time.now + p.seconds * 1000;
-  let endsAt = p.endLeaderS === 0 ? Infinity : w.time.now + p.endLeaderS * 1000;
-  for (let n = 0, dueAt = w.time.now; w.time.now < until; n += 1) {
-    dueAt += HOUR_MS / p.changesAnHour;
-    if (w.time.now < dueAt) await w.runUntil(dueAt);
-    if (w.time.now >= endsAt) {
-      w.crash(leaderIndex(w), BACK_MS);
-      endsAt += p.endLeaderS * 1000;
-    }
-    const began = w.time.now;
-    const changes = [{ team: `team-${n % TEAMS}`, cpusMax: 1000 + (n % 50) }];
-    let outcome = await proposeChanges(w, n % 3, changes);
-    while (outcome.outcome !== 'committed' && w.time.now - began < MOST_WAIT_MS) {
-      askedAgain += 1;
-      await w.runUntil(w.time.now + RETRY_MS);
-      outcome = await proposeChanges(w, (n + askedAgain) % 3, changes);
+/** Proposes changes one after the other and records how long each takes to be in force. */
+class ChangeClient {
+  readonly tookMs: number[] = [];
+  retries = 0;
+  late = 0;
+
+  constructor(private readonly world: World) {}
+
+  async change(index: number): Promise<void> {
+    const { world } = this;
+    const beganMs = world.time.now;
+    const changes = [{ team: `team-${index % TEAMS}`, cpusMax: 1000 + (index % 50) }];
+    let outcome = await proposeChanges(world, index % NODES, changes);
+    while (outcome.outcome !== 'committed' && world.time.now - beganMs < MOST_WAIT_MS) {
+      this.retries += 1;
+      await world.runUntil(world.time.now + RETRY_MS);
+      outcome = await proposeChanges(world, (index + this.retries) % NODES, changes);
     }
     const waitedMs =
-      outcome.outcome === 'committed' ? await runUntilInForce(w, outcome.version, MOST_WAIT_MS) : null;
-    if (waitedMs === null) late += 1;
-    else took.push(w.time.now - began);
+      outcome.outcome === 'committed' ? await runUntilInForce(world, outcome.version, MOST_WAIT_MS) : null;
+    if (waitedMs === null) this.late += 1;
+    else this.tookMs.push(world.time.now - beganMs);
   }
-  took.sort((a, b) => a - b);
+}
+
+/** Median, 99th percentile and maximum; null without any values. */
+function summarize(values: readonly number[]): ConfigurationResult['inForceMs'] {
+  if (values.length === 0) return null;
+  const sorted = [...values].sort((a, b) => a - b);
   const at = (share: number): number =>
-    Math.round(took[Math.min(took.length - 1, Math.floor(took.length * share))] ?? 0);
+    Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0);
+  return { p50: at(0.5), p99: at(0.99), most: at(1) };
+}
+
+/** Plays one run. */
+export async function configurationPart(part: ConfigurationPart): Promise<ConfigurationResult> {
+  const world = createWorld(part);
+  await world.runUntil(UP_MS);
+  const client = new ChangeClient(world);
+  const untilMs = world.time.now + part.seconds * 1000;
+  const crashEveryMs = part.endLeaderS === 0 ? Infinity : part.endLeaderS * 1000;
+  let crashAtMs = world.time.now + crashEveryMs;
+  let dueAtMs = world.time.now;
+  for (let index = 0; world.time.now < untilMs; index += 1) {
+    dueAtMs += HOUR_MS / part.changesAnHour;
+    if (world.time.now < dueAtMs) await world.runUntil(dueAtMs);
+    if (world.time.now >= crashAtMs) {
+      world.crash(leaderIndex(world), BACK_MS);
+      crashAtMs += crashEveryMs;
+    }
+    await client.change(index);
+  }
   return {
-    ...p,
-    made: took.length,
-    askedAgain,
-    inForceMs: took.length === 0 ? null : { p50: at(0.5), p99: at(0.99), most: at(1) },
-    late,
-    brokenRules: w.checker.violations.length,
-    killedByLease: w.checker.killedByLease,
+    ...part,
+    made: client.tookMs.length,
+    askedAgain: client.retries,
+    inForceMs: summarize(client.tookMs),
+    late: client.late,
+    brokenRules: world.checker.violations.length,
+    killedByLease: world.checker.killedByLease,
   };
 }
 
-/** Changes of configuration at the planned rate, at 20 times it, and with the leader ended every 30 s; simulated. */
-export async function measureConfiguration(say: (line: string) => void): Promise<unknown> {
+/** Changes of configuration at the planned rate, at 20 times that, and with the leader crashing every 30 s. */
+export async function measureConfiguration(printLine: (line: string) => void): Promise<unknown> {
   const parts: ConfigurationPart[] = [
     { ...FULL, changesAnHour: 54, endLeaderS: 0, seconds: 400 },
     { ...FULL, changesAnHour: 1083, endLeaderS: 0, seconds: 120 },
     { ...FULL, changesAnHour: 1083, endLeaderS: 30, seconds: 120 },
   ];
-  return { simulated: true, results: await parallel('configuration', parts, say) };
+  return { simulated: true, results: await parallel('configuration', parts, printLine) };
 }
--- a/packages/measure/src/digest.ts
+++ b/packages/measure/src/digest.ts
@@ -1,6 +1,6 @@
 /**
  * The digest of behaviour: days of the simulated world, generated from fixed seeds, and one hash a day over everything that
- * its programs sent. A change that must not alter behaviour is held against the digests of the version before.
+ * its programs sent. Refactoring must leave all digests as they were in the version before.
  *
  * @module
  */
@@ -23,14 +23,14 @@
 import type { World, WorldOptions } from '@spurbridge/testkit';
 import { parallel } from './parallel.js';
 
-/** The digests that the sources are held against. */
+/** File of the expected digests. */
 export const EXPECTED_DIGESTS = 'docs/digest.json';
 const LOSS_AT_MS = 60_000;
 const SNAPSHOTS_EVERY_MS = 10_000;
 const MOST_COMBINED = 4;
 const CONFIGURATION_CHANGES_AT_MS = [30_000, 50_000, 70_000] as const;
 
-/** One day of the digest: what goes wrong in it, and the seed that everything else is drawn from. */
+/** One day of the digest: its kind of faults, and the seed from which everything else is generated. */
 export interface DigestDay {
   readonly name: string;
   readonly kind: 'faults' | 'combined' | 'loss' | 'configuration';
@@ -82,7 +82,7 @@
   }
 }
 
-/** Plays one day; its digest. */
+/** Plays one day and returns its digest. */
 export async function digestPart(day: DigestDay): Promise<string> {
   const traffic = new TrafficDigest();
   const options: Partial<WorldOptions> =
@@ -101,14 +101,15 @@
   return JSON.parse(readFileSync(EXPECTED_DIGESTS, 'utf8')) as Record<string, string>;
 }
 
-/** Plays all days and says which have another digest than expected; any that has makes the process exit with 1. */
-export async function measureDigest(say: (line: string) => void): Promise<Record<string, string>> {
+/** Plays all days and lists those with another digest than expected; if there are any, the process exits with 1. */
+export async function measureDigest(printLine: (line: string) => void): Promise<Record<string, string>> {
   const digests = (await parallel('digest', DAYS, () => undefined)) as string[];
   const found = Object.fromEntries(DAYS.map((day, n) => [day.name, digests[n] ?? '']));
   const expected = readExpected();
   const moved = DAYS.filter(({ name }) => found[name] !== expected[name]);
-  for (const { name } of moved) say(`moved: ${name}: ${expected[name] ?? 'none'} -> ${found[name] ?? ''}`);
-  say(`${DAYS.length - moved.length} of ${DAYS.length} days as expected`);
+  for (const { name } of moved)
+    printLine(`moved: ${name}: ${expected[name] ?? 'none'} -> ${found[name] ?? ''}`);
+  printLine(`${DAYS.length - moved.length} of ${DAYS.length} days as expected`);
   if (moved.length > 0) process.exitCode = 1;
   return found;
 }
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -1,3 +1,8 @@
+/**
+ * The command `measure`: runs one measurement, or one part of it, and prints the result as one line of JSON.
+ *
+ * @module
+ */
 import { capacityCommand, scaleCommand } from '@spurbridge/scale';
 import { Command } from 'commander';
 import type { ConfigurationPart } from './configuration.js';
@@ -8,87 +13,94 @@
 import { graphsPart, measureGraphs } from './graphs.js';
 import type { PlansPart } from './plans.js';
 import { measurePlans, plansPart } from './plans.js';
+import type { LossPart } from './store-data-loss-part.js';
+import { storeDataLossPart } from './store-data-loss-part.js';
+import { measureStoreDataLoss } from './store-data-loss.js';
 import type { WorkerShardsPart } from './worker-shards.js';
 import { measureWorkerShards, workerShardsPart } from './worker-shards.js';
-import type { LossPart } from './store-data-loss.js';
-import { measureStoreDataLoss, storeDataLossPart } from './store-data-loss.js';
 import { measureTariff, tariffPart } from './tariff.js';
-import type { Pair } from './tariff.js';
+import type { TariffPart } from './tariff.js';
+
+const EXIT_UNKNOWN_NAME = 2;
 
 interface Measurement {
-  readonly what: string;
-  readonly all: (say: (line: string) => void) => Promise<unknown>;
+  /** Shown in the help of the command. */
+  readonly description: string;
+  /** Runs all parts, in processes of their own, and sums them up. */
+  readonly all: (printLine: (line: string) => void) => Promise<unknown>;
+  /** Runs one part in this process. */
   readonly part: (part: unknown) => Promise<unknown>;
 }
 
 const MEASUREMENTS: Readonly<Record<string, Measurement>> = {
   tariff: {
-    what: 'nights with and without deferral in the simulated world',
+    description: 'nights with and without deferral in the simulated world',
     all: measureTariff,
-    part: (p) => tariffPart(p as Pair),
+    part: (part) => tariffPart(part as TariffPart),
   },
   graphs: {
-    what: 'task graphs: fairness, orders, takeovers, scale',
+    description: 'task graphs: fairness, orders, takeovers, scale',
     all: measureGraphs,
-    part: (p) => graphsPart(p as GraphsPart),
+    part: (part) => graphsPart(part as GraphsPart),
   },
   plans: {
-    what: 'what one plan costs by the size of the fleet',
+    description: 'what one plan costs by the size of the fleet',
     all: measurePlans,
-    part: (p) => Promise.resolve(plansPart(p as PlansPart)),
+    part: (part) => Promise.resolve(plansPart(part as PlansPart)),
   },
   configuration: {
-    what: 'changes of configuration until they are in force, at 2,700 simulated workers',
+    description: 'changes of configuration until they are in force, at 2,700 simulated workers',
     all: measureConfiguration,
-    part: (p) => configurationPart(p as ConfigurationPart),
+    part: (part) => configurationPart(part as ConfigurationPart),
   },
   shares: {
-    what: 'workers held by every node: ends of nodes with and without shares',
+    description: 'workers held by every node: ends of nodes with and without shares',
     all: measureWorkerShards,
-    part: (p) => workerShardsPart(p as WorkerShardsPart),
+    part: (part) => workerShardsPart(part as WorkerShardsPart),
   },
   digest: {
-    what: 'whether the programs behave as before: a hash over all that they send on generated days',
+    description: 'whether the programs behave as before: a hash over all that they send on generated days',
     all: measureDigest,
-    part: (p) => digestPart(p as DigestDay),
+    part: (part) => digestPart(part as DigestDay),
   },
   'state-loss': {
-    what: 'losses of the state service: noticing, rebuilding, what is lost, what it costs',
+    description: 'losses of the state service: noticing, rebuilding, what is lost, what it costs',
     all: measureStoreDataLoss,
-    part: (p) => storeDataLossPart(p as LossPart),
+    part: (part) => storeDataLossPart(part as LossPart),
   },
 };
 
+/** Runs a measurement, or the part of it that is given as JSON, and prints the result. */
+async function runMeasurement(name: string, options: { part?: string }, command: Command): Promise<void> {
+  const measurement = MEASUREMENTS[name];
+  if (measurement === undefined) {
+    const names = Object.keys(MEASUREMENTS).join(', ');
+    command.error(`measure: no measurement is called ${name}; there are: ${names}`, {
+      exitCode: EXIT_UNKNOWN_NAME,
+    });
+    return;
+  }
+  const result =
+    options.part === undefined
+      ? await measurement.all((line) => process.stderr.write(`${line}\n`))
+      : await measurement.part(JSON.parse(options.part));
+  process.stdout.write(`${JSON.stringify(result)}\n`);
+}
+
 new Command('measure')
   .description('Measures one thing; the last line is one JSON object. Progress goes to standard error.')
   .argument(
     '<name>',
     Object.entries(MEASUREMENTS)
-      .map(([name, m]) => `${name}: ${m.what}`)
+      .map(([name, measurement]) => `${name}: ${measurement.description}`)
       .join('; '),
   )
   .option('--part <json>', 'one part of it, as the measurement itself calls it')
-  .action(async (name: string, options: { part?: string }, command: Command) => {
-    const m = MEASUREMENTS[name];
-    if (m === undefined) {
-      command.error(
-        `measure: no measurement is called ${name}; there are: ${Object.keys(MEASUREMENTS).join(', ')}`,
-        {
-          exitCode: 2,
-        },
-      );
-      return;
-    }
-    const result =
-      options.part === undefined
-        ? await m.all((line) => process.stderr.write(`${line}\n`))
-        : await m.part(JSON.parse(options.part));
-    process.stdout.write(`${JSON.stringify(result)}\n`);
-  })
+  .action(runMeasurement)
   .addCommand(scaleCommand())
   .addCommand(capacityCommand())
   .parseAsync()
-  .catch((e: unknown) => {
-    process.stderr.write(`${e instanceof Error ? (e.stack ?? e.message) : String(e)}\n`);
+  .catch((error: unknown) => {
+    process.stderr.write(`${error instanceof Error ? (error.stack ?? error.message) : String(error)}\n`);
     process.exitCode = 1;
   });
--- a/packages/measure/src/optimum.ts
+++ b/packages/measure/src/optimum.ts
@@ -1,3 +1,8 @@
+/**
+ * Small nights on which the release decisions are compared with a clairvoyant optimum.
+ *
+ * @module
+ */
 import type { WallClockMs } from '@spurbridge/model';
 import type { DeferrableJob } from '@spurbridge/tariff';
 import { decideReleases } from '@spurbridge/tariff';
@@ -10,7 +15,12 @@
 const SLOTS = 24;
 const CPUS = 12;
 const JOBS = 14;
+const STEP_S = 10;
+/** Less work than this is a rounding error. */
+const ROUNDING_CPU_S = 1e-6;
+const DECISION_TIMES = 21;
 
+/** A job of one task; times in seconds of the night. */
 interface SmallJob {
   readonly id: JobId;
   readonly arrives: number;
@@ -19,7 +29,8 @@
   readonly runS: number;
 }
 
-interface SmallNight {
+/** Prices by slot, and the jobs. */
+export interface SmallNight {
   readonly prices: readonly number[];
   readonly jobs: readonly SmallJob[];
 }
@@ -27,11 +38,11 @@
 /** Two hours of five-minute prices and a few jobs that arrive in the first of them. */
 export function smallNight(seed: number): SmallNight {
   const generator = xoroshiro128plus(seed);
-  const below = (n: number): number => uniformInt(generator, 0, n - 1);
+  const below = (limit: number): number => uniformInt(generator, 0, limit - 1);
   const prices: number[] = [];
   while (prices.length < SLOTS) {
     const price = 4 + below(30);
-    for (let n = 2 + below(4); n > 0 && prices.length < SLOTS; n -= 1) prices.push(price);
+    for (let left = 2 + below(4); left > 0 && prices.length < SLOTS; left -= 1) prices.push(price);
   }
   const jobs = Array.from({ length: JOBS }, (_, i): SmallJob => {
     const arrives = below(8);
@@ -50,19 +61,19 @@
  * The least that a clairvoyant could pay: a linear program over what each job does in each slot. It may cut
  * a job into pieces and knows all arrivals, so that no real schedule can be cheaper.
  */
-export function clairvoyantCost(n: SmallNight): number {
+export function clairvoyantCost(night: SmallNight): number {
   const constraints: Record<string, { min?: number; max?: number; equal?: number }> = {};
   const variables: Record<string, Record<string, number>> = {};
-  for (let s = 0; s < SLOTS; s += 1) constraints[`slot${s}`] = { max: CPUS * SLOT_S };
-  for (const j of n.jobs) {
-    constraints[`work${j.id}`] = { equal: j.cpus * j.runS };
-    for (let s = j.arrives / SLOT_S; s < Math.min(SLOTS, j.due / SLOT_S); s += 1) {
-      const name = `${j.id}@${s}`;
-      constraints[`most${name}`] = { max: j.cpus * SLOT_S };
+  for (let slot = 0; slot < SLOTS; slot += 1) constraints[`slot${slot}`] = { max: CPUS * SLOT_S };
+  for (const job of night.jobs) {
+    constraints[`work${job.id}`] = { equal: job.cpus * job.runS };
+    for (let slot = job.arrives / SLOT_S; slot < Math.min(SLOTS, job.due / SLOT_S); slot += 1) {
+      const name = `${job.id}@${slot}`;
+      constraints[`most${name}`] = { max: job.cpus * SLOT_S };
       variables[name] = {
-        cost: n.prices[s] as number,
-        [`slot${s}`]: 1,
-        [`work${j.id}`]: 1,
+        cost: night.prices[slot] as number,
+        [`slot${slot}`]: 1,
+        [`work${job.id}`]: 1,
         [`most${name}`]: 1,
       };
     }
@@ -74,64 +85,91 @@
   return result.feasible ? result.result : NaN;
 }
 
-/** What our decisions pay, made every ten seconds without knowledge of what is still to come. */
-export function ourCost(n: SmallNight): { cost: number; late: number } {
-  const waiting = new Map(n.jobs.map((j) => [j.id, false]));
-  const running: { job: SmallJob; left: number }[] = [];
+/** A released job and the work that is left of it. */
+interface StartedJob {
+  readonly job: SmallJob;
+  leftCpuS: number;
+}
+
+/** What the release decisions pay, and how many jobs finish late. */
+export interface OnlineCost {
+  readonly cost: number;
+  readonly late: number;
+}
+
+/** What the release decisions pay, made every ten seconds without knowledge of what is still to come. */
+export function onlineCost(night: SmallNight): OnlineCost {
+  const deferred = new Map(night.jobs.map((job) => [job.id, false]));
+  let running: StartedJob[] = [];
   let cost = 0;
   let late = 0;
-  const stepS = 10;
-  for (let at = 0; at < SLOTS * SLOT_S * 2; at += stepS) {
-    const known = n.jobs.filter((j) => j.arrives <= at && waiting.has(j.id));
-    const ahead = running.reduce((sum, r) => sum + r.left, 0);
-    const wanted = running.reduce((sum, r) => sum + r.job.cpus, 0);
-    const made = decideReleases({
-      now: (at * 1000) as WallClockMs,
-      jobs: known.map((j): DeferrableJob => ({
-        id: j.id,
-        deferred: waiting.get(j.id) === true,
-        team: 0,
-        priceIndex: 0,
-        cpus: j.cpus,
-        workCpuS: j.cpus * j.runS,
-        taskRunTimeS: j.runS,
-        leadTimeS: 0,
-        marginS: 0,
-        finishBy: (j.due * 1000) as WallClockMs,
-        startBy: null,
-      })),
-      teams: [{ cpus: CPUS, backlogCpuS: ahead, demandCpus: wanted }],
-      pool: { cpus: CPUS, backlogCpuS: ahead, demandCpus: wanted },
-      starts: n.prices.map((_, i) => (i * SLOT_S * 1000) as WallClockMs),
-      until: (SLOTS * SLOT_S * 1000) as WallClockMs,
-      prices: [Float64Array.from(n.prices)],
-      minSaving: 0.01,
-    });
-    for (const d of made) {
-      const job = known.find((j) => j.id === d.id) as SmallJob;
-      if (d.at <= at * 1000) {
-        waiting.delete(d.id);
-        running.push({ job, left: job.cpus * job.runS });
-      } else waiting.set(d.id, true);
-    }
+  for (let atS = 0; atS < SLOTS * SLOT_S * 2; atS += STEP_S) {
+    release(night, atS, deferred, running);
+    const price = night.prices[Math.floor(atS / SLOT_S)] ?? Math.max(...night.prices);
     let free = CPUS;
-    for (const r of running) {
-      const used = Math.min(free, r.job.cpus, r.left / stepS);
+    for (const started of running) {
+      const used = Math.min(free, started.job.cpus, started.leftCpuS / STEP_S);
       free -= used;
-      r.left -= used * stepS;
-      cost += used * stepS * (n.prices[Math.floor(at / SLOT_S)] ?? Math.max(...n.prices));
-      if (r.left <= 1e-6 && at + stepS > r.job.due) late += 1;
+      started.leftCpuS -= used * STEP_S;
+      cost += used * STEP_S * price;
+      if (isFinished(started) && atS + STEP_S > started.job.due) late += 1;
     }
-    for (let i = running.length - 1; i >= 0; i -= 1)
-      if ((running[i] as { left: number }).left <= 1e-6) running.splice(i, 1);
+    running = running.filter((started) => !isFinished(started));
   }
   return { cost, late };
 }
 
-/** Milliseconds of one decision about so many deferred jobs: the median of some, with a tariff of 15 minutes. */
+function isFinished(started: StartedJob): boolean {
+  return started.leftCpuS <= ROUNDING_CPU_S;
+}
+
+/** Decides about all jobs that have arrived: released ones move to `running`, the others are marked as deferred. */
+function release(night: SmallNight, atS: number, deferred: Map<JobId, boolean>, running: StartedJob[]): void {
+  const known = night.jobs.filter((job) => job.arrives <= atS && deferred.has(job.id));
+  const load = {
+    cpus: CPUS,
+    backlogCpuS: running.reduce((sum, started) => sum + started.leftCpuS, 0),
+    demandCpus: running.reduce((sum, started) => sum + started.job.cpus, 0),
+  };
+  const decisions = decideReleases({
+    now: (atS * 1000) as WallClockMs,
+    jobs: known.map((job) => deferrableJob(job, deferred.get(job.id) === true)),
+    teams: [load],
+    pool: { ...load },
+    starts: night.prices.map((_, i) => (i * SLOT_S * 1000) as WallClockMs),
+    until: (SLOTS * SLOT_S * 1000) as WallClockMs,
+    prices: [Float64Array.from(night.prices)],
+    minSaving: 0.01,
+  });
+  for (const decision of decisions) {
+    const job = known.find((candidate) => candidate.id === decision.id) as SmallJob;
+    if (decision.at <= atS * 1000) {
+      deferred.delete(decision.id);
+      running.push({ job, leftCpuS: job.cpus * job.runS });
+    } else deferred.set(decision.id, true);
+  }
+}
+
+function deferrableJob(job: SmallJob, isDeferred: boolean): DeferrableJob {
+  return {
+    id: job.id,
+    deferred: isDeferred,
+    team: 0,
+    priceIndex: 0,
+    cpus: job.cpus,
+    workCpuS: job.cpus * job.runS,
+    taskRunTimeS: job.runS,
+    leadTimeS: 0,
+    marginS: 0,
+    finishBy: (job.due * 1000) as WallClockMs,
+    startBy: null,
+  };
+}
+
+/** Median milliseconds of one decision about so many deferred jobs, with a tariff of 15-minute slots. */
 export function decisionMs(jobs: number): number {
   const generator = xoroshiro128plus(1);
-  const below = (n: number): number => uniformInt(generator, 0, n - 1);
+  const below = (limit: number): number => uniformInt(generator, 0, limit - 1);
   const starts = Array.from({ length: 48 }, (_, i) => (i * 900_000) as WallClockMs);
   const input = {
     now: 0 as WallClockMs,
@@ -158,10 +196,10 @@
     prices: Array.from({ length: 4 }, () => Float64Array.from(starts, () => 1 + below(10))),
     minSaving: 0.05,
   };
-  const took = Array.from({ length: 21 }, () => {
+  const took = Array.from({ length: DECISION_TIMES }, () => {
     const began = performance.now();
     decideReleases(input);
     return performance.now() - began;
   });
-  return took.sort((a, b) => a - b)[10] as number;
+  return took.sort((a, b) => a - b)[DECISION_TIMES >> 1] as number;
 }
--- a/packages/measure/src/orders.ts
+++ b/packages/measure/src/orders.ts
@@ -1,3 +1,8 @@
+/**
+ * Orders of waiting cotasks compared on generated traces of task graphs.
+ *
+ * @module
+ */
 import type { JobView, MachineView, Occupant } from '@spurbridge/planner';
 import { planTasks } from '@spurbridge/planner';
 import { jobSpec, machineType } from '@spurbridge/testkit';
@@ -5,9 +10,10 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** How waiting cotasks are ordered: the paper's order by the real planner, or a baseline of our own. */
+/** How waiting cotasks are ordered: the order of the published algorithm by the real planner, or a baseline. */
 export type Order = 'paper' | 'first-come' | 'shortest-task';
 
+/** Tasks of one graph that become ready together. */
 interface Stage {
   readonly graph: number;
   readonly tasks: number;
@@ -22,7 +28,8 @@
   waiting: number;
 }
 
-interface Trace {
+/** Graphs with their arrival times and stages. */
+export interface Trace {
   readonly graphs: readonly { readonly arrivesS: number; readonly stages: readonly Stage[] }[];
 }
 
@@ -54,15 +61,15 @@
         estimateS: runS * (0.75 + draw() * 0.58),
       };
     });
-    work += stages.reduce((sum, s) => sum + s.tasks * s.runS, 0);
+    work += stages.reduce((sum, stage) => sum + stage.tasks * stage.runS, 0);
     graphs.push({ arrivesS: 0, stages });
   }
   const gapS = work / (MACHINES * CPUS) / load / GRAPHS;
   let at = 0;
   return {
-    graphs: graphs.map((g) => {
+    graphs: graphs.map((generated) => {
       at += -Math.log(1 - draw()) * gapS;
-      return { ...g, arrivesS: at };
+      return { ...generated, arrivesS: at };
     }),
   };
 }
@@ -76,96 +83,156 @@
 
 const TYPE = machineType('m8', CPUS);
 
-/** Plays a trace under one order: mean time from ready to done of cotasks, and from arrival to end of graphs. */
-export function playOrder(trace: Trace, order: Order): { cotaskS: number; graphS: number } {
-  const machines: Running[][] = Array.from({ length: MACHINES }, () => []);
-  const waiting: Cotask[] = [];
-  const arrivals = trace.graphs.map((g, i) => ({ at: g.arrivesS, graph: i }));
-  const nextStage = trace.graphs.map(() => 0);
-  const cotaskTimes: number[] = [];
-  const graphTimes: number[] = [];
-  let now = 0;
-  let ids = 0;
-  const begin = (graph: number): void => {
-    const stage = trace.graphs[graph]?.stages[nextStage[graph] as number];
-    if (stage === undefined) {
-      graphTimes.push(now - (trace.graphs[graph]?.arrivesS ?? 0));
-      return;
+/** Mean seconds from ready to done of cotasks, and from arrival to end of graphs. */
+export interface OrderTimes {
+  readonly cotaskS: number;
+  readonly graphS: number;
+}
+
+/** Plays a trace under one order of the waiting cotasks. */
+export function playOrder(trace: Trace, order: Order): OrderTimes {
+  return new TracePlayback(trace, order).play();
+}
+
+/** An event-driven simulation of a fixed fleet that runs a trace; one CPU per task. */
+class TracePlayback {
+  private readonly machines: Running[][] = Array.from({ length: MACHINES }, () => []);
+  private readonly waiting: Cotask[] = [];
+  private readonly arrivals: { readonly at: number; readonly graph: number }[];
+  private readonly nextStage: number[];
+  private readonly cotaskTimes: number[] = [];
+  private readonly graphTimes: number[] = [];
+  private now = 0;
+  private cotaskCount = 0;
+
+  constructor(
+    private readonly trace: Trace,
+    private readonly order: Order,
+  ) {
+    this.arrivals = trace.graphs.map((graph, i) => ({ at: graph.arrivesS, graph: i }));
+    this.nextStage = trace.graphs.map(() => 0);
+  }
+
+  play(): OrderTimes {
+    for (;;) {
+      this.place();
+      const nextS = this.nextEventS();
+      if (nextS === Infinity) break;
+      this.now = nextS;
+      this.admitArrivals();
+      this.completeTasks();
     }
-    nextStage[graph] = (nextStage[graph] as number) + 1;
-    const id = `wk-${String((ids += 1)).padStart(6, '0')}` as JobId;
-    waiting.push({ ...stage, id, arrivedS: now, left: stage.tasks, waiting: stage.tasks });
-  };
-  const start = (c: Cotask, machine: number): void => {
-    c.waiting -= 1;
-    (machines[machine] as Running[]).push({ cotask: c, task: c.waiting, startS: now, endS: now + c.runS });
-  };
-  const place = (): void => {
-    if (order === 'paper') {
-      const placed = planTasks({
-        jobs: waiting.filter((c) => c.waiting > 0).map((c, i) => viewOf(c, i, now)),
-        machines: machines.map((on, i) => machineOf(on, i, now)),
-        teams: [TEAM],
-        starvationThresholdS: STARVATION_S,
-        placeAheadS: 0,
-        isCostAware: false,
-        typicalTask: null,
-      });
-      const byId = new Map(waiting.map((c) => [c.id, c]));
-      for (const s of placed.starts) {
-        const c = byId.get(s.job);
-        if (c !== undefined) start(c, Number(s.machine.slice(2)));
-      }
+    return { cotaskS: mean(this.cotaskTimes), graphS: mean(this.graphTimes) };
+  }
+
+  private nextEventS(): number {
+    const firstEnd = this.machines.flat().reduce((least, running) => Math.min(least, running.endS), Infinity);
+    return Math.min(firstEnd, this.arrivals[0]?.at ?? Infinity);
+  }
+
+  private admitArrivals(): void {
+    for (let first = this.arrivals[0]; first !== undefined && first.at <= this.now; [first] = this.arrivals) {
+      this.arrivals.shift();
+      this.beginNextStage(first.graph);
+    }
+  }
+
+  private completeTasks(): void {
+    for (const [machine, tasks] of this.machines.entries()) {
+      const ended = tasks.filter((task) => task.endS <= this.now);
+      if (ended.length === 0) continue;
+      this.machines[machine] = tasks.filter((task) => task.endS > this.now);
+      for (const { cotask } of ended) this.completeTask(cotask);
+    }
+  }
+
+  private completeTask(cotask: Cotask): void {
+    cotask.left -= 1;
+    if (cotask.left > 0) return;
+    this.cotaskTimes.push(this.now - cotask.arrivedS);
+    this.waiting.splice(this.waiting.indexOf(cotask), 1);
+    this.beginNextStage(cotask.graph);
+  }
+
+  /** Makes the next stage of a graph wait for machines, or records the end of the graph after its last one. */
+  private beginNextStage(graph: number): void {
+    const stageIndex = this.nextStage[graph] as number;
+    const stage = this.trace.graphs[graph]?.stages[stageIndex];
+    if (stage === undefined) {
+      this.graphTimes.push(this.now - (this.trace.graphs[graph]?.arrivesS ?? 0));
       return;
     }
-    const key = (c: Cotask): number => (order === 'first-come' ? c.arrivedS : c.estimateS);
-    for (const c of [...waiting].sort((a, b) => key(a) - key(b) || a.arrivedS - b.arrivedS))
-      for (let m = 0; m < MACHINES && c.waiting > 0; m += 1)
-        while ((machines[m] as Running[]).length < CPUS && c.waiting > 0) start(c, m);
-  };
-  for (;;) {
-    place();
-    const ends = machines.flat().reduce((least, r) => Math.min(least, r.endS), Infinity);
-    const next = Math.min(ends, arrivals[0]?.at ?? Infinity);
-    if (next === Infinity) break;
-    now = next;
-    while (arrivals[0] !== undefined && arrivals[0].at <= now)
-      begin((arrivals.shift() as { graph: number }).graph);
-    for (const [m, on] of machines.entries()) {
-      const over = on.filter((r) => r.endS <= now);
-      if (over.length === 0) continue;
-      machines[m] = on.filter((r) => r.endS > now);
-      for (const { cotask } of over) {
-        cotask.left -= 1;
-        if (cotask.left > 0) continue;
-        cotaskTimes.push(now - cotask.arrivedS);
-        waiting.splice(waiting.indexOf(cotask), 1);
-        begin(cotask.graph);
-      }
+    this.nextStage[graph] = stageIndex + 1;
+    this.cotaskCount += 1;
+    const id = `wk-${String(this.cotaskCount).padStart(6, '0')}` as JobId;
+    this.waiting.push({ ...stage, id, arrivedS: this.now, left: stage.tasks, waiting: stage.tasks });
+  }
+
+  private place(): void {
+    if (this.order === 'paper') this.placeByPlanner();
+    else this.placeSorted(this.order === 'first-come' ? 'arrivedS' : 'estimateS');
+  }
+
+  private placeByPlanner(): void {
+    const placed = planTasks({
+      jobs: this.waiting
+        .filter((cotask) => cotask.waiting > 0)
+        .map((cotask, i) => viewOf(cotask, i, this.now)),
+      machines: this.machines.map((tasks, i) => machineOf(tasks, i, this.now)),
+      teams: [TEAM],
+      starvationThresholdS: STARVATION_S,
+      placeAheadS: 0,
+      isCostAware: false,
+      typicalTask: null,
+    });
+    const byId = new Map(this.waiting.map((cotask) => [cotask.id, cotask]));
+    for (const taskStart of placed.starts) {
+      const cotask = byId.get(taskStart.job);
+      if (cotask !== undefined) this.start(cotask, Number(taskStart.machine.slice(2)));
     }
   }
-  const mean = (of: readonly number[]): number => of.reduce((a, b) => a + b, 0) / of.length;
-  return { cotaskS: mean(cotaskTimes), graphS: mean(graphTimes) };
+
+  private placeSorted(key: 'arrivedS' | 'estimateS'): void {
+    const sorted = [...this.waiting].sort((a, b) => a[key] - b[key] || a.arrivedS - b.arrivedS);
+    for (const cotask of sorted)
+      for (let machine = 0; machine < MACHINES && cotask.waiting > 0; machine += 1)
+        while ((this.machines[machine] as Running[]).length < CPUS && cotask.waiting > 0)
+          this.start(cotask, machine);
+  }
+
+  private start(cotask: Cotask, machine: number): void {
+    cotask.waiting -= 1;
+    (this.machines[machine] as Running[]).push({
+      cotask,
+      task: cotask.waiting,
+      startS: this.now,
+      endS: this.now + cotask.runS,
+    });
+  }
+}
+
+function mean(values: readonly number[]): number {
+  return values.reduce((a, b) => a + b, 0) / values.length;
 }
 
-function viewOf(c: Cotask, order: number, now: number): JobView {
+function viewOf(cotask: Cotask, order: number, now: number): JobView {
   const spec = jobSpec({
-    id: c.id,
-    tasks: c.tasks,
+    id: cotask.id,
+    tasks: cotask.tasks,
     cpus: 1,
     memoryGb: 1,
     imageGb: 0,
-    estimateS: c.estimateS,
+    estimateS: cotask.estimateS,
   });
   return {
     spec,
-    pendingTasks: Array.from({ length: Math.min(200, c.waiting) }, (_, i) => i),
-    pendingCount: c.waiting,
-    unfinishedCount: c.left,
+    pendingTasks: Array.from({ length: Math.min(200, cotask.waiting) }, (_, i) => i),
+    pendingCount: cotask.waiting,
+    unfinishedCount: cotask.left,
     placedZones: [],
-    totalWaitS: (now - c.arrivedS) * c.waiting,
-    ageS: now - c.arrivedS,
-    estimateS: c.estimateS,
+    totalWaitS: (now - cotask.arrivedS) * cotask.waiting,
+    ageS: now - cotask.arrivedS,
+    estimateS: cotask.estimateS,
     completionMilestonesS: [],
     startMilestonesS: [],
     toleratedWaitS: 2,
@@ -175,16 +242,20 @@
   };
 }
 
-function machineOf(on: readonly Running[], i: number, now: number): MachineView {
-  const occupants = on.map((r): Occupant => {
-    const ranS = now - r.startS;
+function machineOf(tasks: readonly Running[], machine: number, now: number): MachineView {
+  const occupants = tasks.map((running): Occupant => {
+    const ranS = now - running.startS;
     return {
-      job: r.cotask.id,
-      task: r.task,
+      job: running.cotask.id,
+      task: running.task,
       cpus: 1,
       gpus: 0,
       memoryGb: 1,
-      remainingS: Math.max(0.5, r.cotask.estimateS - ranS, ranS * 0.25 * Number(ranS > r.cotask.estimateS)),
+      remainingS: Math.max(
+        0.5,
+        running.cotask.estimateS - ranS,
+        ranS * 0.25 * Number(ranS > running.cotask.estimateS),
+      ),
       lostWorkS: ranS,
       priority: 'normal',
       team: TEAM.name,
@@ -193,7 +264,7 @@
     };
   });
   return {
-    id: `n-${i}` as MachineId,
+    id: `n-${machine}` as MachineId,
     type: TYPE,
     zone: 'a',
     spot: false,
--- a/packages/measure/src/parallel.ts
+++ b/packages/measure/src/parallel.ts
@@ -1,10 +1,16 @@
+/**
+ * Runs the parts of a measurement in parallel, each in a process of its own.
+ *
+ * @module
+ */
 import { spawn } from 'node:child_process';
 import { availableParallelism } from 'node:os';
 import { fileURLToPath } from 'node:url';
+import { MeasurementPartError } from './errors.js';
 
 const MAIN = fileURLToPath(new URL('main.ts', import.meta.url));
 
-/** One part of a measurement in a process of its own; its last line is the result. */
+/** Runs one part of a measurement in a process of its own; the last line of its output is the result. */
 function runPart(name: string, part: unknown): Promise<unknown> {
   return new Promise((resolve, reject) => {
     const child = spawn(
@@ -15,34 +21,38 @@
       },
     );
     const chunks: Buffer[] = [];
-    child.stdout.on('data', (c: Buffer) => chunks.push(c));
+    child.stdout.on('data', (chunk: Buffer) => chunks.push(chunk));
     child.once('error', reject);
     child.once('close', (code) => {
       const last = Buffer.concat(chunks).toString('utf8').trimEnd().split('\n').at(-1) ?? '';
       if (code === 0) resolve(JSON.parse(last));
-      else reject(new Error(`${name} ${JSON.stringify(part)} ended with ${String(code)}`));
+      else reject(new MeasurementPartError(name, part, code));
     });
   });
 }
 
-/** Results of all parts, in their order, as many at once as there are processors to spare. */
+/**
+ * Runs all parts, one at a time for each processor but one, and returns their results in the order of the parts.
+ *
+ * @throws MeasurementPartError if the process of a part exits with another code than 0
+ */
 export async function parallel(
   name: string,
   parts: readonly unknown[],
-  say: (line: string) => void,
+  printLine: (line: string) => void,
 ): Promise<unknown[]> {
   const results: unknown[] = [];
   let next = 0;
   let done = 0;
-  const work = async (): Promise<void> => {
+  const runNext = async (): Promise<void> => {
     while (next < parts.length) {
       const i = next;
       next += 1;
       results[i] = await runPart(name, parts[i]);
       done += 1;
-      say(`${done} of ${parts.length} parts`);
+      printLine(`${done} of ${parts.length} parts`);
     }
   };
-  await Promise.all(Array.from({ length: Math.max(1, availableParallelism() - 1) }, work));
+  await Promise.all(Array.from({ length: Math.max(1, availableParallelism() - 1) }, runNext));
   return results;
 }
--- a/packages/measure/src/plans.ts
+++ b/packages/measure/src/plans.ts
@@ -1,13 +1,19 @@
+/**
+ * What one plan of the scheduler costs by the size of the fleet.
+ *
+ * @module
+ */
 import type { JobView, MachineView, Occupant, SchedulingPlan, ClusterSnapshot } from '@spurbridge/planner';
 import { planTasks } from '@spurbridge/planner';
 import { jobSpec, machineType } from '@spurbridge/testkit';
 import type { JobId, MachineId } from '@spurbridge/wire';
 import { parallel } from './parallel.js';
 
-/** What waits: one job, a usual minute, a burst with hundreds of jobs behind it, or the moment after much came free. */
+/** Pending work: one job, a usual minute, a burst of hundreds of jobs, or the moment after much capacity came free. */
 const LOADS = ['one', 'usual', 'burst', 'freed'] as const;
 type Load = (typeof LOADS)[number];
 
+/** One size of the fleet under one load. */
 export interface PlansPart {
   readonly machines: number;
   readonly load: Load;
@@ -17,7 +23,7 @@
   readonly jobs: number;
   readonly starts: number;
   readonly unmet: number;
-  /** One core of this machine, warm; milliseconds. */
+  /** Milliseconds on one core of this machine, after a first plan that is not counted. */
   readonly planMs: { readonly median: number; readonly most: number };
   readonly steps: number;
 }
@@ -27,44 +33,54 @@
 const TYPES = [machineType('s4', 4), machineType('m16', 16), machineType('l32', 32)];
 const TEAMS = ['red', 'blue', 'green'];
 const TIMES = 15;
+const IMAGES = 12;
+/** Numbers of running jobs start here, beyond those of all pending ones. */
+const FIRST_RUNNING_JOB = 1_000_000;
+const TASKS_PER_RUNNING_JOB = 30;
 
-const taskId = (n: number): JobId => `wk-${String(n).padStart(7, '0')}` as JobId;
+const jobId = (jobNumber: number): JobId => `wk-${String(jobNumber).padStart(7, '0')}` as JobId;
 
-/** A fleet of mostly full machines: replicas of services beside tasks that end one after another. */
-function machinesOf(count: number, free: number): MachineView[] {
-  return Array.from({ length: count }, (_, n) => {
-    const type = TYPES[n % 7 === 0 ? 0 : n % 3 === 0 ? 2 : 1] as MachineView['type'];
-    const occupants: Occupant[] = [];
-    let cpus = n % free === 0 ? Math.floor(type.cpus / 2) : type.cpus;
-    let k = 0;
-    const add = (size: number, isService: boolean): void => {
-      cpus -= size;
-      occupants.push({
-        job: taskId(1_000_000 + Math.floor((n * 8 + k) / 30)),
-        task: (n * 8 + k) % 30,
-        cpus: size,
-        gpus: 0,
-        memoryGb: size,
-        remainingS: isService ? Infinity : 0.5 + ((n * 7 + k * 13) % 200) / 10,
-        lostWorkS: (n * 5 + k * 3) % 20,
-        priority: isService ? 'production' : 'normal',
-        team: TEAMS[(n + k) % 3] as string,
-        isStopping: false,
-        isPreemptible: true,
-      });
-      k += 1;
-    };
-    if (cpus >= 8) for (let i = 0; i < 2; i += 1) add(2, true);
-    while (cpus >= 4) add(4, false);
+/** Two replicas of services on machines that are large enough, and array tasks on all further CPUs. */
+function occupantsOf(machine: number, cpus: number): Occupant[] {
+  const occupants: Occupant[] = [];
+  let freeCpus = cpus;
+  const add = (size: number, isService: boolean): void => {
+    const slot = occupants.length;
+    const running = machine * 8 + slot;
+    freeCpus -= size;
+    occupants.push({
+      job: jobId(FIRST_RUNNING_JOB + Math.floor(running / TASKS_PER_RUNNING_JOB)),
+      task: running % TASKS_PER_RUNNING_JOB,
+      cpus: size,
+      gpus: 0,
+      memoryGb: size,
+      remainingS: isService ? Infinity : 0.5 + ((machine * 7 + slot * 13) % 200) / 10,
+      lostWorkS: (machine * 5 + slot * 3) % 20,
+      priority: isService ? 'production' : 'normal',
+      team: TEAMS[(machine + slot) % TEAMS.length] as string,
+      isStopping: false,
+      isPreemptible: true,
+    });
+  };
+  if (freeCpus >= 8) for (let i = 0; i < 2; i += 1) add(2, true);
+  while (freeCpus >= 4) add(4, false);
+  return occupants;
+}
+
+/** A fleet of mostly full machines; one out of `halfFreeEvery` has half of its CPUs free. */
+function machinesOf(count: number, halfFreeEvery: number): MachineView[] {
+  return Array.from({ length: count }, (_, index) => {
+    const type = TYPES[index % 7 === 0 ? 0 : index % 3 === 0 ? 2 : 1] as MachineView['type'];
+    const usedCpus = index % halfFreeEvery === 0 ? Math.floor(type.cpus / 2) : type.cpus;
     return {
-      id: `n-${String(n).padStart(6, '0')}` as MachineId,
+      id: `n-${String(index).padStart(6, '0')}` as MachineId,
       type,
-      zone: ZONES[n % 3] as string,
-      spot: n % 2 === 0,
+      zone: ZONES[index % ZONES.length] as string,
+      spot: index % 2 === 0,
       isSchedulable: true,
-      images: new Map([[`img-${n % 12}`, 1]]),
-      slowness: 1 + (n % 10) / 100,
-      occupants,
+      images: new Map([[`img-${index % IMAGES}`, 1]]),
+      slowness: 1 + (index % 10) / 100,
+      occupants: occupantsOf(index, usedCpus),
     };
   });
 }
@@ -74,7 +90,7 @@
     const isService = i % 10 === 9;
     const tasks = isService ? 5 + (i % 7) : 10 + ((i * 17) % 50);
     const spec = jobSpec({
-      id: taskId(i),
+      id: jobId(i),
       kind: isService ? 'service' : 'array',
       team: TEAMS[i % 3] as string,
       priority: isService ? 'production' : 'normal',
@@ -83,7 +99,7 @@
       memoryGb: 4,
       spot: !isService,
       spread: isService,
-      image: `img-${i % 12}`,
+      image: `img-${i % IMAGES}`,
       imageGb: 1.8,
       estimateS: isService ? 0 : 10 + ((i * 37) % 30),
       deadlineS: isService ? null : 120,
@@ -91,7 +107,7 @@
     const ageS = (i * 11) % 60;
     return {
       spec,
-      pendingTasks: Array.from({ length: tasks }, (_t, t) => t),
+      pendingTasks: Array.from({ length: tasks }, (_t, task) => task),
       pendingCount: tasks,
       unfinishedCount: tasks,
       placedZones: [],
@@ -108,14 +124,14 @@
   });
 }
 
-/** The same load for each machine at every size. */
-function snapshotOf(p: PlansPart): ClusterSnapshot {
-  const perMachine = { one: 0, usual: 0.006, burst: 0.25, freed: 0.06 }[p.load];
-  const free = { one: 100, usual: 40, burst: 400, freed: 4 }[p.load];
-  const cpus = p.machines * 16;
+/** A cluster with the same load per machine at every size. */
+function snapshotOf(part: PlansPart): ClusterSnapshot {
+  const perMachine = { one: 0, usual: 0.006, burst: 0.25, freed: 0.06 }[part.load];
+  const halfFreeEvery = { one: 100, usual: 40, burst: 400, freed: 4 }[part.load];
+  const cpus = part.machines * 16;
   return {
-    machines: machinesOf(p.machines, free),
-    jobs: jobsOf(Math.max(1, Math.round(p.machines * perMachine))),
+    machines: machinesOf(part.machines, halfFreeEvery),
+    jobs: jobsOf(Math.max(1, Math.round(part.machines * perMachine))),
     teams: TEAMS.map((name) => ({ name, cpus: cpus / 4, cpusMax: cpus, gpus: 0, gpusMax: 0 })),
     starvationThresholdS: 30,
     placeAheadS: 3,
@@ -124,20 +140,21 @@
   };
 }
 
-export function plansPart(p: PlansPart): PlansResult {
-  const s = snapshotOf(p);
+/** Times the plans of one part. */
+export function plansPart(part: PlansPart): PlansResult {
+  const snapshot = snapshotOf(part);
   const took: number[] = [];
-  let last: SchedulingPlan = planTasks(s);
+  let last: SchedulingPlan = planTasks(snapshot);
   for (let i = 0; i < TIMES; i += 1) {
     const began = performance.now();
-    last = planTasks(s);
+    last = planTasks(snapshot);
     took.push(performance.now() - began);
   }
   took.sort((a, b) => a - b);
-  const figure = (x: number | undefined): number => Number((x ?? 0).toFixed(2));
+  const figure = (value: number | undefined): number => Number((value ?? 0).toFixed(2));
   return {
-    ...p,
-    jobs: s.jobs.length,
+    ...part,
+    jobs: snapshot.jobs.length,
     starts: last.starts.length,
     unmet: last.unplacedDemand.length,
     planMs: { median: figure(took[TIMES >> 1]), most: figure(took.at(-1)) },
@@ -146,7 +163,7 @@
 }
 
 /** What one plan costs by the size of the fleet, with the same load for each machine. */
-export async function measurePlans(say: (line: string) => void): Promise<unknown> {
+export async function measurePlans(printLine: (line: string) => void): Promise<unknown> {
   const parts = SIZES.flatMap((machines) => LOADS.map((load) => ({ machines, load })));
-  return { simulated: true, results: await parallel('plans', parts, say) };
+  return { simulated: true, results: await parallel('plans', parts, printLine) };
 }
--- a/packages/measure/src/regress.ts
+++ b/packages/measure/src/regress.ts
@@ -1,19 +1,27 @@
+/**
+ * The command `regress`: scores the operators' sites and compares each score with the last one in the journal.
+ *
+ * @module
+ */
 import { spawnSync } from 'node:child_process';
 import { readFileSync, readdirSync } from 'node:fs';
 import { basename, join } from 'node:path';
 import { Argument, Command, InvalidArgumentError } from 'commander';
 import { playSiteVariants } from './site-variants/index.js';
-import { SiteError } from './site-variants/variant.js';
+import { SiteError } from './errors.js';
 
-/** The bench and its sites are the operators' own: they are named by variables, never here. */
+/** Environment variables that name the bench and the sites, which belong to the operators and are no part of this repository. */
 const BENCH = 'SPURBRIDGE_BENCH';
 const SITES = 'SPURBRIDGE_SITES';
 const FLEET = 'SPURBRIDGE_FLEET_SITES';
 const JOURNAL = 'journal';
-/** A site's score may fall by this much before it is more than noise. */
+/** A fall of a score by up to this much is noise. */
 const NOISE = 0.03;
-const HUNT_DAYS = '3';
+const FAULT_SEARCH_DAYS = '3';
+/** Exit code for wrong arguments and settings. */
+const EXIT_UNUSABLE = 2;
 
+/** One score of the journal. */
 interface Entry {
   readonly at: string;
   readonly site: string;
@@ -24,25 +32,26 @@
 
 type Mode = 'quick' | 'fleet' | 'full' | 'own';
 
-/** Entries of the bench's journal that hold a site's score, oldest first; others are passed over. */
+/** Entries of the bench's journal that hold a site's score, oldest first; others are skipped. */
 export function readJournal(folder: string): Entry[] {
   const entries: Entry[] = [];
   for (const file of readdirSync(folder).sort()) {
     if (!file.endsWith('.json')) continue;
-    const e = JSON.parse(readFileSync(join(folder, file), 'utf8')) as Record<string, unknown>;
-    if (e['cmd'] !== 'score' || typeof e['site'] !== 'string') continue;
-    const days = Array.isArray(e['days']) ? (e['days'] as Record<string, unknown>[]) : [];
+    const record = JSON.parse(readFileSync(join(folder, file), 'utf8')) as Record<string, unknown>;
+    if (record['cmd'] !== 'score' || typeof record['site'] !== 'string') continue;
+    const days = Array.isArray(record['days']) ? (record['days'] as Record<string, unknown>[]) : [];
     entries.push({
-      at: Array.isArray(e['at']) ? String(e['at'][0]) : '',
-      site: e['site'],
-      mode: String(e['mode'] ?? 'full'),
-      score: typeof e['score'] === 'number' ? e['score'] : null,
-      rulesBroken: days.flatMap((d) => Object.keys((d['rules'] as object | null) ?? {})),
+      at: Array.isArray(record['at']) ? String(record['at'][0]) : '',
+      site: record['site'],
+      mode: String(record['mode'] ?? 'full'),
+      score: typeof record['score'] === 'number' ? record['score'] : null,
+      rulesBroken: days.flatMap((day) => Object.keys((day['rules'] as object | null) ?? {})),
     });
   }
   return entries;
 }
 
+/** A new score and its predecessor. */
 export interface Row {
   readonly site: string;
   readonly mode: string;
@@ -51,62 +60,71 @@
   readonly verdict: 'ok' | 'fell' | 'broken' | 'failed' | 'first';
 }
 
-/** Each new score beside the last one of the same site and mode before it. */
+/** Compares each new score with the last one of the same site and mode before it. */
 export function compare(old: readonly Entry[], added: readonly Entry[]): Row[] {
-  return added.map((e) => {
+  return added.map((entry) => {
     const before =
-      old.findLast((o) => o.site === e.site && o.mode === e.mode && o.score !== null)?.score ?? null;
-    const verdict =
-      e.rulesBroken.length > 0
-        ? 'broken'
-        : e.score === null
-          ? 'failed'
-          : before === null
-            ? 'first'
-            : e.score < before - NOISE
-              ? 'fell'
-              : 'ok';
-    return { site: e.site, mode: e.mode, score: e.score, before, verdict };
+      old.findLast(
+        (earlier) => earlier.site === entry.site && earlier.mode === entry.mode && earlier.score !== null,
+      )?.score ?? null;
+    const { site, mode, score } = entry;
+    return { site, mode, score, before, verdict: verdictOn(entry, before) };
   });
 }
 
+function verdictOn(entry: Entry, before: number | null): Row['verdict'] {
+  if (entry.rulesBroken.length > 0) return 'broken';
+  if (entry.score === null) return 'failed';
+  if (before === null) return 'first';
+  return entry.score < before - NOISE ? 'fell' : 'ok';
+}
+
+/** The rows as text, one line each. */
 export function print(rows: readonly Row[]): string {
-  const figure = (x: number | null): string => (x === null ? '-' : x.toFixed(3));
-  const lines = rows.map((r) => {
-    const change = r.score === null || r.before === null ? '' : ` (${(r.score - r.before).toFixed(3)})`;
-    return `${r.verdict.padEnd(6)} ${r.site} ${r.mode}: ${figure(r.before)} -> ${figure(r.score)}${change}`;
+  const figure = (value: number | null): string => (value === null ? '-' : value.toFixed(3));
+  const lines = rows.map((row) => {
+    const change =
+      row.score === null || row.before === null ? '' : ` (${(row.score - row.before).toFixed(3)})`;
+    return `${row.verdict.padEnd(6)} ${row.site} ${row.mode}: ${figure(row.before)} -> ${figure(row.score)}${change}`;
   });
   return lines.join('\n');
 }
 
 function listed(variable: string): string[] {
-  return (process.env[variable] ?? '').split(':').filter((x) => x !== '');
+  return (process.env[variable] ?? '').split(':').filter((site) => site !== '');
+}
+
+/** Names the variable that is not set; the exit code. */
+function reportMissing(variable: string): number {
+  process.stderr.write(`regress: ${variable} is not set; docs/regression.md says what it names\n`);
+  return EXIT_UNUSABLE;
 }
 
 function run(bench: string, args: readonly string[]): boolean {
   return spawnSync(bench, args, { stdio: 'inherit' }).status === 0;
 }
 
-function regress(mode: Exclude<Mode, 'own'>, why: string): number {
+/** Scores sites by the bench; the exit code. */
+function scoreSites(mode: Exclude<Mode, 'own'>, why: string): number {
   const bench = process.env[BENCH] ?? '';
   const usual = listed(SITES);
   const fleet = listed(FLEET);
   const sites = mode === 'quick' ? usual : mode === 'fleet' ? fleet : [...usual, ...fleet];
   if (bench === '' || sites.length === 0) {
-    const missing = bench === '' ? BENCH : mode === 'fleet' ? FLEET : SITES;
-    process.stderr.write(`regress: ${missing} is not set; docs/regression.md says what it names\n`);
-    return 2;
+    return reportMissing(bench === '' ? BENCH : mode === 'fleet' ? FLEET : SITES);
   }
   const old = readJournal(JOURNAL);
   const ran = run(bench, ['score', ...sites, ...(mode === 'full' ? [] : ['--quick']), '--why', why]);
   const rows = compare(old, readJournal(JOURNAL).slice(old.length));
-  const hunted =
-    mode !== 'full' || sites.map((s) => run(bench, ['hunt', s, '--days', HUNT_DAYS])).every(Boolean);
+  const searched =
+    mode !== 'full' ||
+    sites.map((site) => run(bench, ['hunt', site, '--days', FAULT_SEARCH_DAYS])).every(Boolean);
   process.stdout.write(`${print(rows)}\n`);
-  const good = rows.every((r) => r.verdict === 'ok' || r.verdict === 'first');
-  return ran && hunted && good && rows.length === sites.length ? 0 : 1;
+  const good = rows.every((row) => row.verdict === 'ok' || row.verdict === 'first');
+  return ran && searched && good && rows.length === sites.length ? 0 : 1;
 }
 
+/** Options of the command line. */
 interface Flags {
   readonly why: string;
   readonly factor: number;
@@ -118,27 +136,25 @@
   readonly jobs?: number;
 }
 
-async function own(f: Flags): Promise<number> {
+/** Plays variants of the fleet sites; the exit code. */
+async function playVariants(flags: Flags): Promise<number> {
   const bench = process.env[BENCH] ?? '';
   const sites = listed(FLEET);
   if (bench === '' || sites.length === 0) {
-    process.stderr.write(
-      `regress: ${bench === '' ? BENCH : FLEET} is not set; docs/regression.md says what it names\n`,
-    );
-    return 2;
+    return reportMissing(bench === '' ? BENCH : FLEET);
   }
   const good = await playSiteVariants({
     bench,
     sites,
-    factor: f.factor,
-    restartS: f.restart,
-    nodes: f.nodes ?? null,
-    renamesZones: f.otherZones === true,
-    days: f.days ?? [],
-    times: f.times,
-    jobs: f.jobs ?? null,
-    why: f.why,
-    say: (line) => process.stdout.write(`${line}\n`),
+    factor: flags.factor,
+    restartS: flags.restart,
+    nodes: flags.nodes ?? null,
+    renamesZones: flags.otherZones === true,
+    days: flags.days ?? [],
+    times: flags.times,
+    jobs: flags.jobs ?? null,
+    why: flags.why,
+    printLine: (line) => process.stdout.write(`${line}\n`),
   });
   return good ? 0 : 1;
 }
@@ -168,13 +184,13 @@
     .option('--times <count>', 'own: each day so often', whole, 1)
     .option('--jobs <count>', 'own: days at once', whole)
     .action(async (mode: Mode, flags: Flags) => {
-      process.exitCode = mode === 'own' ? await own(flags) : regress(mode, flags.why);
+      process.exitCode = mode === 'own' ? await playVariants(flags) : scoreSites(mode, flags.why);
     })
     .parseAsync()
-    .catch((e: unknown) => {
-      const isExpected = e instanceof SiteError;
+    .catch((error: unknown) => {
+      const isExpected = error instanceof SiteError;
       process.stderr.write(
-        `regress: ${isExpected ? e.message : e instanceof Error ? (e.stack ?? '') : String(e)}\n`,
+        `regress: ${isExpected ? error.message : error instanceof Error ? (error.stack ?? '') : String(error)}\n`,
       );
-      process.exitCode = isExpected ? 2 : 1;
+      process.exitCode = isExpected ? EXIT_UNUSABLE : 1;
     });
--- a/packages/measure/src/site-variants/report.ts
+++ b/packages/measure/src/site-variants/report.ts
@@ -1,6 +1,11 @@
+/**
+ * Reports of the bench on days of a site: whether a day failed, and by how much everyone's share is above half.
+ *
+ * @module
+ */
 import { MIN_SERVED_SHARE } from '@spurbridge/model';
 
-/** The parts of a bench report that are read; whatever else it holds is passed over. */
+/** The fields of a bench report that are read; all others are ignored. */
 interface BenchReport {
   readonly rules_broken?: { readonly total?: number; readonly by_kind?: Readonly<Record<string, number>> };
   readonly classes?: Readonly<Record<string, ClassReport>>;
@@ -43,20 +48,21 @@
   readonly reading: string;
   readonly share: number;
   readonly margin: number;
-  /** Operators may mean it; the definition (`served` of the model) does not. */
+  /** The definition of being served (`served` of the model) does not count this reading; operators may. */
   readonly isWarning: boolean;
 }
 
+/** What a day came to. */
 export interface DayResult {
   readonly site: string;
   readonly day: string;
   readonly score: number | null;
   readonly rules: Readonly<Record<string, number>>;
-  /** Processes that ended by themselves, or for memory. */
+  /** Processes that crashed or exceeded their memory, without those that the bench ended. */
   readonly ends: number;
   readonly killedByLease: number;
   readonly elections: number;
-  /** The fullest node: sockets and memory, as shares of the limit, and the processor's mean and peak of its share. */
+  /** Highest figures of any node: sockets and memory as shares of the limits, mean and peak of the processor's share. */
   readonly sockets: number;
   readonly memory: number;
   readonly cpuMean: number;
@@ -65,35 +71,38 @@
   readonly failed: boolean;
 }
 
+/** Limits of one controller. */
 export interface Limits {
   readonly sockets: number;
   readonly memoryMb: number;
 }
 
-/** The bench's own words for an end that it brought about itself. */
-const BROUGHT_ABOUT = 'fault';
+/** What the bench calls an end of a process that it caused itself. */
+const CAUSED_BY_BENCH = 'fault';
 
-function classReadings(name: string, c: ClassReport, targets: readonly Target[]): Reading[] {
+function classReadings(name: string, classReport: ClassReport, targets: readonly Target[]): Reading[] {
   const who = `class ${name}`;
   const rows: Reading[] = [];
   const add = (reading: string, share: number | null | undefined, isWarning = false): void => {
     if (typeof share === 'number')
       rows.push({ who, reading, share, margin: share - MIN_SERVED_SHARE, isWarning });
   };
-  if (c.jobs > 0) add('started', c.started / c.jobs);
-  const isService = typeof c.up === 'number';
-  if (!isService && c.jobs > c.cancelled) add('ended', c.done / (c.jobs - c.cancelled));
-  if (isService) add('replicas', c.up);
-  add('by the deadline', isService ? null : c.in_deadline, true);
-  for (const t of targets) {
-    if (t.class !== name) continue;
-    if (t.kind === 'up' && t.worst_s !== undefined) add(`replicas, worst ${t.worst_s} s`, t.value, true);
-    if (t.kind === 'finished') add(`ended within ${t.within_s ?? 0} s`, t.value, true);
+  if (classReport.jobs > 0) add('started', classReport.started / classReport.jobs);
+  const isService = typeof classReport.up === 'number';
+  if (!isService && classReport.jobs > classReport.cancelled)
+    add('ended', classReport.done / (classReport.jobs - classReport.cancelled));
+  if (isService) add('replicas', classReport.up);
+  add('by the deadline', isService ? null : classReport.in_deadline, true);
+  for (const target of targets) {
+    if (target.class !== name) continue;
+    if (target.kind === 'up' && target.worst_s !== undefined)
+      add(`replicas, worst ${target.worst_s} s`, target.value, true);
+    if (target.kind === 'finished') add(`ended within ${target.within_s ?? 0} s`, target.value, true);
   }
   return rows;
 }
 
-/** Readings of teams and of each class's largest jobs: the last `served` lines of the processes' own logs. */
+/** Readings of teams and of the largest jobs of each class, from the last `service levels` lines of the processes' logs. */
 export function teamReadings(log: string): Reading[] {
   const last = new Map<string, Reading[]>();
   for (const line of log.split('\n')) {
@@ -115,26 +124,28 @@
 }
 
 function electionsIn(log: string): number {
-  return log.split('\n').filter((l) => l.includes('"to":"leading"') && l.includes('"from":"campaigning"'))
-    .length;
+  return log
+    .split('\n')
+    .filter((line) => line.includes('"to":"leading"') && line.includes('"from":"campaigning"')).length;
 }
 
 function scoreIn(log: string, day: string): number | null {
-  const row = log.split('\n').find((l) => new RegExp(`^${day}\\s+\\d+\\s+[\\d.]+`).test(l));
+  const row = log.split('\n').find((line) => new RegExp(`^${day}\\s+\\d+\\s+[\\d.]+`).test(line));
   return row === undefined ? null : Number(row.trim().split(/\s+/)[2]);
 }
 
-/** What a day's report and its processes' logs say, and whether it failed. */
+/** Reads the report of a day and the logs of its processes. */
 export function readDay(site: string, day: string, limits: Limits, text: string, log: string): DayResult {
-  const r = JSON.parse(text) as BenchReport;
-  const targets = r.targets ?? [];
-  const nodes = r.node_stats ?? [];
+  const report = JSON.parse(text) as BenchReport;
+  const targets = report.targets ?? [];
+  const nodes = report.node_stats ?? [];
   const most = (of: (n: NodeStats) => number): number => Math.max(0, ...nodes.map(of));
   const readings: Reading[] = [];
-  for (const [name, c] of Object.entries(r.classes ?? {})) readings.push(...classReadings(name, c, targets));
-  for (const [name, t] of Object.entries(r.teams ?? {})) {
-    if (t.jobs === 0) continue;
-    const share = t.started / t.jobs;
+  for (const [name, classReport] of Object.entries(report.classes ?? {}))
+    readings.push(...classReadings(name, classReport, targets));
+  for (const [name, team] of Object.entries(report.teams ?? {})) {
+    if (team.jobs === 0) continue;
+    const share = team.started / team.jobs;
     readings.push({
       who: `team ${name}`,
       reading: 'started',
@@ -144,50 +155,50 @@
     });
   }
   readings.push(...teamReadings(log));
-  const rules = r.rules_broken?.by_kind ?? {};
-  const ends = nodes.flatMap((n) => n.restarts).filter((e) => e.why !== BROUGHT_ABOUT).length;
-  const isBroken = (r.rules_broken?.total ?? 0) > 0;
+  const rules = report.rules_broken?.by_kind ?? {};
+  const ends = nodes.flatMap((n) => n.restarts).filter((restart) => restart.why !== CAUSED_BY_BENCH).length;
+  const isBroken = (report.rules_broken?.total ?? 0) > 0;
   return {
     site,
     day,
     score: scoreIn(log, day),
     rules,
     ends,
-    killedByLease: r.fleet?.tasks_killed_by_lease ?? 0,
+    killedByLease: report.fleet?.tasks_killed_by_lease ?? 0,
     elections: electionsIn(log),
     sockets: most((n) => n.connections_peak) / limits.sockets,
     memory: most((n) => n.memory_peak_mb) / limits.memoryMb,
     cpuMean: most((n) => n.cpu_mean),
     cpuPeak: most((n) => n.cpu_peak),
     readings,
-    failed: isBroken || ends > 0 || readings.some((x) => x.margin < 0 && !x.isWarning),
+    failed: isBroken || ends > 0 || readings.some((value) => value.margin < 0 && !value.isWarning),
   };
 }
 
-const figure = (x: number | null): string => (x === null ? '-' : x.toFixed(3));
+const figure = (value: number | null): string => (value === null ? '-' : value.toFixed(3));
 
 /** A day as a few lines: what it is judged by, then every class and team with its margin over half. */
-export function printDay(d: DayResult): string {
-  const rules = Object.entries(d.rules).map(([rule, n]) => `${rule} ${n}`);
+export function printDay(result: DayResult): string {
+  const rules = Object.entries(result.rules).map(([rule, n]) => `${rule} ${n}`);
   const head =
-    `${d.failed ? 'FAILED' : 'ok    '} ${d.site} ${d.day}: ${figure(d.score)}; ` +
-    `rules ${rules.length === 0 ? 'kept' : rules.join(', ')}; ends ${d.ends}; killed by leases ${d.killedByLease}; ` +
-    `elections ${d.elections}; of their limits: sockets ${d.sockets.toFixed(2)}, memory ${d.memory.toFixed(2)}, ` +
-    `processor ${d.cpuMean.toFixed(2)} (peak ${d.cpuPeak.toFixed(2)})`;
-  const rows = d.readings.map((r) => {
-    const mark = r.margin >= 0 ? '' : r.isWarning ? '  warning' : '  UNDER HALF';
-    return `         ${r.who}, ${r.reading}: ${r.share.toFixed(3)} (${r.margin.toFixed(3)} over half)${mark}`;
+    `${result.failed ? 'FAILED' : 'ok    '} ${result.site} ${result.day}: ${figure(result.score)}; ` +
+    `rules ${rules.length === 0 ? 'kept' : rules.join(', ')}; ends ${result.ends}; killed by leases ${result.killedByLease}; ` +
+    `elections ${result.elections}; of their limits: sockets ${result.sockets.toFixed(2)}, memory ${result.memory.toFixed(2)}, ` +
+    `processor ${result.cpuMean.toFixed(2)} (peak ${result.cpuPeak.toFixed(2)})`;
+  const rows = result.readings.map((row) => {
+    const mark = row.margin >= 0 ? '' : row.isWarning ? '  warning' : '  UNDER HALF';
+    return `         ${row.who}, ${row.reading}: ${row.share.toFixed(3)} (${row.margin.toFixed(3)} over half)${mark}`;
   });
   return [head, ...rows].join('\n');
 }
 
 /** The last line: whether a day failed, and the least margins. */
 export function printEnd(days: readonly DayResult[]): string {
-  const failed = days.filter((d) => d.failed).map((d) => `${d.site} ${d.day}`);
-  const warned = days.flatMap((d) =>
-    d.readings
-      .filter((r) => r.margin < 0 && r.isWarning)
-      .map((r) => `${d.site} ${d.day} ${r.who} ${r.reading}`),
+  const failed = days.filter((day) => day.failed).map((day) => `${day.site} ${day.day}`);
+  const warned = days.flatMap((day) =>
+    day.readings
+      .filter((row) => row.margin < 0 && row.isWarning)
+      .map((row) => `${day.site} ${day.day} ${row.who} ${row.reading}`),
   );
   const said = failed.length === 0 ? `no day of ${days.length} failed` : `failed: ${failed.join('; ')}`;
   return warned.length === 0 ? said : `${said}; warnings: ${warned.join('; ')}`;
--- a/packages/measure/src/site-variants/variant.ts
+++ b/packages/measure/src/site-variants/variant.ts
@@ -1,11 +1,17 @@
+/**
+ * Variants of site descriptions: other sizes, zone names and restart times, and additional days.
+ *
+ * @module
+ */
 import type { TomlTable, TomlValue } from 'smol-toml';
 import { parse, stringify } from 'smol-toml';
+import { SiteError } from '../errors.js';
 
 /** How a variant differs from the site that it is made from. */
 export interface SiteVariation {
-  /** Machines, limits, guarantees and load, all times this. */
+  /** Factor on machines, limits, guaranteed quotas and load. */
   readonly factor: number;
-  /** A process that ended is back after so many seconds. */
+  /** Seconds until a process that ended is back. */
   readonly restartS: number;
   /** Controllers; null: as many as the site has. */
   readonly nodes: number | null;
@@ -13,8 +19,6 @@
   readonly renamesZones: boolean;
 }
 
-export class SiteError extends Error {}
-
 const INTEGERS = { integersAsBigInt: true } as const;
 
 function isTable(value: TomlValue | undefined): value is TomlTable {
@@ -31,9 +35,9 @@
   const value = of[field];
   if (value === undefined) return [];
   if (!Array.isArray(value)) throw new SiteError(`${field} must be a list of tables`);
-  return value.map((v) => {
-    if (!isTable(v)) throw new SiteError(`${field} must be a list of tables`);
-    return v;
+  return value.map((nested) => {
+    if (!isTable(nested)) throw new SiteError(`${field} must be a list of tables`);
+    return nested;
   });
 }
 
@@ -43,7 +47,7 @@
   else if (typeof value === 'number') of[field] = value * factor;
 }
 
-/** A zone's other name: turned round, so that no two become the same and none stays. */
+/** Another name for a zone: reversed and prefixed, so that all names stay different and none stays the same. */
 function renamed(zone: string): string {
   return `z-${[...zone].reverse().join('')}`;
 }
@@ -51,49 +55,62 @@
 /** Renames zones wherever a text is a zone's name, at any depth. */
 function rename(value: TomlValue, zones: ReadonlySet<string>): TomlValue {
   if (typeof value === 'string') return zones.has(value) ? renamed(value) : value;
-  if (Array.isArray(value)) return value.map((v) => rename(v, zones));
+  if (Array.isArray(value)) return value.map((nested) => rename(nested, zones));
   if (!isTable(value)) return value;
-  return Object.fromEntries(Object.entries(value).map(([k, v]) => [k, rename(v, zones)]));
+  return Object.fromEntries(Object.entries(value).map(([key, nested]) => [key, rename(nested, zones)]));
 }
 
-/** Machines that the cloud has at the most. */
+/** The number of machines that the cloud provider has at most. */
 export function machinesOf(site: TomlTable): number {
-  return tables(site, 'capacity').reduce((n, c) => n + Number(c['count'] ?? 0) + Number(c['spot'] ?? 0), 0);
+  return tables(site, 'capacity').reduce(
+    (n, capacity) => n + Number(capacity['count'] ?? 0) + Number(capacity['spot'] ?? 0),
+    0,
+  );
 }
 
+/** Parses a site description; integers become bigints, so that they are written as integers again. */
 export function readSite(text: string): TomlTable {
   return parse(text, INTEGERS);
 }
 
-/** The site as text again: whole numbers stay whole, others keep their point. */
+/** The site as TOML text; integers stay integers, and other numbers keep their decimal point. */
 export function writeSite(site: TomlTable): string {
   return stringify(site, { numbersAsFloat: true });
 }
 
-/** A site like the given one, with other sizes, names and times. */
-export function applyVariation(given: TomlTable, v: SiteVariation): TomlTable {
+/**
+ * A copy of a site with other sizes, names and times.
+ *
+ * @throws SiteError if a table or list that varies is missing
+ */
+export function applyVariation(given: TomlTable, variation: SiteVariation): TomlTable {
   const site = structuredClone(given);
-  for (const c of tables(site, 'capacity')) for (const f of ['count', 'spot']) scale(c, f, v.factor);
-  for (const m of tables(site, 'machines')) scale(m, 'count', v.factor);
-  for (const t of tables(site, 'teams'))
-    for (const f of ['cpus', 'cpus_max', 'gpus', 'gpus_max']) scale(t, f, v.factor);
-  for (const j of tables(site, 'jobs')) {
-    scale(table(j, 'arrivals'), 'rate', v.factor);
-    scale(j, 'initial', v.factor);
+  for (const capacity of tables(site, 'capacity'))
+    for (const field of ['count', 'spot']) scale(capacity, field, variation.factor);
+  for (const machines of tables(site, 'machines')) scale(machines, 'count', variation.factor);
+  for (const team of tables(site, 'teams'))
+    for (const field of ['cpus', 'cpus_max', 'gpus', 'gpus_max']) scale(team, field, variation.factor);
+  for (const job of tables(site, 'jobs')) {
+    scale(table(job, 'arrivals'), 'rate', variation.factor);
+    scale(job, 'initial', variation.factor);
   }
-  for (const d of tables(site, 'day'))
-    for (const f of tables(d, 'faults'))
-      if (String(f['kind']).startsWith('machine_')) scale(f, 'count', v.factor);
+  for (const day of tables(site, 'day'))
+    for (const fault of tables(day, 'faults'))
+      if (String(fault['kind']).startsWith('machine_')) scale(fault, 'count', variation.factor);
   const nodes = table(site, 'nodes');
-  nodes['restart_delay_s'] = v.restartS;
+  nodes['restart_delay_s'] = variation.restartS;
   const { zones } = nodes;
   if (!Array.isArray(zones)) throw new SiteError('nodes.zones must be a list');
-  if (v.nodes !== null) nodes['count'] = BigInt(v.nodes);
+  if (variation.nodes !== null) nodes['count'] = BigInt(variation.nodes);
   const names = new Set(zones.map(String));
-  return v.renamesZones ? (rename(site, names) as TomlTable) : site;
+  return variation.renamesZones ? (rename(site, names) as TomlTable) : site;
 }
 
-/** Days of our own, with a site's classes, zones and numbers of machines in the place of their stand-ins. */
+/**
+ * The days of a text, with a site's classes, zones and numbers of machines in place of the placeholders (`@array`, `@zone1`).
+ *
+ * @throws SiteError if the site has nothing to put in place of one
+ */
 export function additionalDays(text: string, site: TomlTable): TomlTable[] {
   const jobs = tables(site, 'jobs');
   const { zones } = table(site, 'nodes');
@@ -105,27 +122,34 @@
       const found = zones[Number(zone) % zones.length];
       if (found !== undefined) return found;
     }
-    const job = jobs.find((j) => j['kind'] === value.slice(1));
+    const job = jobs.find((candidate) => candidate['kind'] === value.slice(1));
     if (job?.['name'] === undefined) throw new SiteError(`the site has nothing that ${value} stands for`);
     return job['name'];
   };
   return tables(parse(text, INTEGERS), 'day').map((day) => {
     const faults = tables(day, 'faults').map((fault): TomlTable => {
-      const { share, ...rest } = Object.fromEntries(Object.entries(fault).map(([k, v]) => [k, named(v)]));
+      const { share, ...rest } = Object.fromEntries(
+        Object.entries(fault).map(([key, nested]) => [key, named(nested)]),
+      );
       if (share === undefined) return rest;
       if (!String(rest['kind']).startsWith('machine_')) return { ...rest, share };
       return { ...rest, count: BigInt(Math.max(1, Math.round(Number(share) * machines))) };
     });
-    const changed = tables(day, 'jobs').map((j): TomlTable => ({ ...j, name: named(j['name'] ?? '') }));
+    const changed = tables(day, 'jobs').map((change): TomlTable => ({
+      ...change,
+      name: named(change['name'] ?? ''),
+    }));
     const own = { slot: 'scale', light: false, ...day, faults };
     return changed.length === 0 ? own : { ...own, jobs: changed };
   });
 }
 
+/** A copy of a site with more days. */
 export function addDays(site: TomlTable, days: readonly TomlTable[]): TomlTable {
   return { ...site, day: [...tables(site, 'day'), ...days] };
 }
 
+/** Names of all days of a site. */
 export function dayNames(site: TomlTable): string[] {
-  return tables(site, 'day').map((d) => String(d['name']));
+  return tables(site, 'day').map((day) => String(day['name']));
 }
--- a/packages/measure/src/tariff.ts
+++ b/packages/measure/src/tariff.ts
@@ -1,82 +1,134 @@
+/**
+ * Deferral of jobs to cheap times: simulated nights with and without it, its distance to an optimum, and its cost.
+ *
+ * @module
+ */
 import { DDSketch } from '@datadog/sketches-js';
 import type { NightResult } from './night.js';
 import { playNight } from './night.js';
-import { clairvoyantCost, decisionMs, ourCost, smallNight } from './optimum.js';
+import { clairvoyantCost, decisionMs, onlineCost, smallNight } from './optimum.js';
 import { parallel } from './parallel.js';
 
 const SEEDS = 10;
 const JOBS = 2000;
 const SMALL_NIGHTS = 40;
 
-export interface Pair {
+/** One night of a pair. */
+export interface TariffPart {
   readonly seed: number;
+  /** Whether deferral is on. */
   readonly on: boolean;
 }
 
+interface MissedDeadlines {
+  readonly missedByDeferral: number;
+  readonly missedWithout: number;
+}
+
+interface OptimumComparison {
+  readonly toOptimum: number;
+  readonly toOptimumWorst: number;
+  readonly smallNights: number;
+  readonly lateInSmallNights: number;
+}
+
+interface OnAndOff {
+  readonly on: number;
+  readonly off: number;
+}
+
+interface UrgentWaits {
+  readonly urgentWaitRatio: number;
+  readonly urgentWaitP99S: OnAndOff;
+  readonly urgentWaitP50S: OnAndOff;
+  readonly urgentOver2S: OnAndOff & { readonly of: number };
+}
+
 /** One night in a process of its own. */
-export async function tariffPart(p: Pair): Promise<NightResult> {
-  return playNight({ seed: p.seed, jobs: JOBS, deferral: p.on });
+export async function tariffPart(part: TariffPart): Promise<NightResult> {
+  return playNight({ seed: part.seed, jobs: JOBS, deferral: part.on });
 }
 
-function percentile(values: readonly number[], q: number): number {
+function percentile(values: readonly number[], quantile: number): number {
   const sketch = new DDSketch({ relativeAccuracy: 0.002 });
-  for (const v of values) sketch.accept(v);
-  return sketch.getValueAtQuantile(q);
+  for (const value of values) sketch.accept(value);
+  return sketch.getValueAtQuantile(quantile);
 }
 
 const sum = (values: readonly number[]): number => values.reduce((a, b) => a + b, 0);
 
-/** Ten nights with and without deferral, small nights against a clairvoyant, the time of a decision. */
-export async function measureTariff(say: (line: string) => void): Promise<Record<string, unknown>> {
-  const pairs = Array.from({ length: SEEDS * 2 }, (_, i) => ({ seed: 1 + (i >> 1), on: i % 2 === 0 }));
-  const results = (await parallel('tariff', pairs, say)) as NightResult[];
+/** Deadlines that are missed with deferral although they are met without, and all that are missed without. */
+function countMissedDeadlines(results: readonly NightResult[]): MissedDeadlines {
   let missedByDeferral = 0;
   let missedWithout = 0;
   for (let i = 0; i < results.length; i += 2) {
     const [on, off] = [results[i] as NightResult, results[i + 1] as NightResult];
-    const metOff = new Map(off.ends.map((e) => [e.id, e.met]));
-    missedWithout += off.ends.filter((e) => !e.met).length;
-    missedByDeferral += on.ends.filter((e) => !e.met && metOff.get(e.id) === true).length;
+    const metOff = new Map(off.ends.map((end) => [end.id, end.met]));
+    missedWithout += off.ends.filter((end) => !end.met).length;
+    missedByDeferral += on.ends.filter((end) => !end.met && metOff.get(end.id) === true).length;
   }
-  const on = results.filter((_, i) => i % 2 === 0);
-  const off = results.filter((_, i) => i % 2 === 1);
-  const waits = (of: readonly NightResult[], q: number): number =>
-    percentile(
-      of.flatMap((r) => r.urgentWaitsS),
-      q,
-    );
-  const over = (of: readonly NightResult[], s: number): number => {
-    const all = of.flatMap((r) => r.urgentWaitsS);
-    return all.filter((x) => x > s).length / all.length;
-  };
+  return { missedByDeferral, missedWithout };
+}
+
+/** Costs of small nights over those of a clairvoyant. */
+function compareWithOptimum(): OptimumComparison {
   const ratios: number[] = [];
-  let lateSmall = 0;
+  let lateInSmallNights = 0;
   for (let seed = 1; seed <= SMALL_NIGHTS; seed += 1) {
     const night = smallNight(seed);
     const best = clairvoyantCost(night);
     // A night that not even a clairvoyant can finish in time says nothing.
     if (Number.isNaN(best)) continue;
-    const ours = ourCost(night);
-    ratios.push(ours.cost / best);
-    lateSmall += ours.late;
+    const online = onlineCost(night);
+    ratios.push(online.cost / best);
+    lateInSmallNights += online.late;
   }
   return {
-    simulated: true,
-    nights: SEEDS,
-    deferrableJobs: sum(on.map((r) => r.ends.length)),
-    missedByDeferral,
-    missedWithout,
-    costRatio: sum(on.map((r) => r.deferrableCost)) / sum(off.map((r) => r.deferrableCost)),
-    costRatioOfAll: sum(on.map((r) => r.cost)) / sum(off.map((r) => r.cost)),
     toOptimum: sum(ratios) / ratios.length,
     toOptimumWorst: Math.max(...ratios),
     smallNights: ratios.length,
-    lateInSmallNights: lateSmall,
-    urgentWaitRatio: waits(on, 0.99) / waits(off, 0.99),
-    urgentWaitP99S: { on: waits(on, 0.99), off: waits(off, 0.99) },
-    urgentWaitP50S: { on: waits(on, 0.5), off: waits(off, 0.5) },
-    urgentOver2S: { on: over(on, 2), off: over(off, 2), of: sum(on.map((r) => r.urgentWaitsS.length)) },
-    brokenRules: sum(results.map((r) => r.broken)),
+    lateInSmallNights,
+  };
+}
+
+function urgentWaits(on: readonly NightResult[], off: readonly NightResult[]): UrgentWaits {
+  const onS = on.flatMap((result) => result.urgentWaitsS);
+  const offS = off.flatMap((result) => result.urgentWaitsS);
+  const both = (figure: (waitsS: readonly number[]) => number) => ({ on: figure(onS), off: figure(offS) });
+  const p99S = both((waitsS) => percentile(waitsS, 0.99));
+  return {
+    urgentWaitRatio: p99S.on / p99S.off,
+    urgentWaitP99S: p99S,
+    urgentWaitP50S: both((waitsS) => percentile(waitsS, 0.5)),
+    urgentOver2S: { ...both((waitsS) => shareOver(waitsS, 2)), of: onS.length },
+  };
+}
+
+function shareOver(waitsS: readonly number[], limitS: number): number {
+  return waitsS.filter((waitS) => waitS > limitS).length / waitsS.length;
+}
+
+/** Ten nights with and without deferral, small nights against a clairvoyant, the time of a decision. */
+export async function measureTariff(printLine: (line: string) => void): Promise<Record<string, unknown>> {
+  const parts: TariffPart[] = Array.from({ length: SEEDS * 2 }, (_, i) => ({
+    seed: 1 + (i >> 1),
+    on: i % 2 === 0,
+  }));
+  const results = (await parallel('tariff', parts, printLine)) as NightResult[];
+  const on = results.filter((_, i) => i % 2 === 0);
+  const off = results.filter((_, i) => i % 2 === 1);
+  const total = (nights: readonly NightResult[], field: 'cost' | 'deferrableCost' | 'broken'): number =>
+    sum(nights.map((night) => night[field]));
+  return {
+    simulated: true,
+    nights: SEEDS,
+    deferrableJobs: sum(on.map((night) => night.ends.length)),
+    ...countMissedDeadlines(results),
+    costRatio: total(on, 'deferrableCost') / total(off, 'deferrableCost'),
+    costRatioOfAll: total(on, 'cost') / total(off, 'cost'),
+    ...compareWithOptimum(),
+    ...urgentWaits(on, off),
+    brokenRules: total(results, 'broken'),
     decisionMsFor10000: decisionMs(10_000),
   };
 }
--- a/packages/measure/src/worker-shards.ts
+++ b/packages/measure/src/worker-shards.ts
@@ -1,38 +1,45 @@
-import type { JobId } from '@spurbridge/wire';
+/**
+ * Workers distributed over the controllers: recovery from crashes of controllers with and without worker shards.
+ *
+ * @module
+ */
+import type { JobId, MachineId } from '@spurbridge/wire';
+import type { SimulatedWorker } from '@spurbridge/simulated-worker';
 import { World, jobSpec, machineType } from '@spurbridge/testkit';
 import { parallel } from './parallel.js';
 
-const TROUBLES = [
+const FAULTS = [
   'leader, back after 0.2 s',
   'leader, back after 8 s',
   'another node',
   'the leader and another node',
   'all nodes',
 ] as const;
-type Trouble = (typeof TROUBLES)[number];
+type Fault = (typeof FAULTS)[number];
 
+/** One fault on one fleet. */
 export interface WorkerShardsPart {
   readonly machines: number;
   readonly nodes: number;
-  readonly trouble: Trouble;
-  /** False: no node says that it takes reports, so workers report to the leader, as they did before shares. */
+  readonly trouble: Fault;
+  /** Whether controllers other than the leader receive heartbeats; without, all workers send them to the leader. */
   readonly shares: boolean;
 }
 
 interface SharesResult extends WorkerShardsPart {
-  /** Machines that each node held before the trouble. */
+  /** Machines that each node held before the fault. */
   readonly held: readonly number[];
-  /** From the end of a process: until a node leads surely, a task starts, and all and 95 % of the workers know the leader. */
+  /** From the crash until a node holds a valid lease as leader, a task starts, 95 % and all workers know the leader. */
   readonly ledS: number | null;
   readonly startedS: number | null;
   readonly most95S: number | null;
   readonly allS: number | null;
-  /** Workers that opened a connection to another node in the 30 s after it, and the most of them at one node. */
+  /** Workers that connected to another node in the 30 s after it, and the most of them at one node. */
   readonly moved: number;
   readonly movedToOne: number;
   readonly killedByLease: number;
   readonly brokenRules: number;
-  /** Between controllers, a second, in steady work. */
+  /** Between controllers, each second, in steady work. */
   readonly frames: number;
   readonly kilobytes: number;
 }
@@ -43,112 +50,183 @@
 const TYPE = { ...machineType('s4', 4), bootS: 4 };
 const CPUS = 1_000_000;
 const SIZES = [300, 800, 1245, 3200];
-/** Played with five nodes alone, two of which end. */
+/** Played with five nodes only. */
 const LARGEST = 10_000;
+const OBSERVE_EVERY_MS = 20;
+const RESTART_MS = 200;
+const SLOW_RESTART_MS = 8000;
+/** Share of the workers that counts as most of them. */
+const MOST_WORKERS = 0.95;
+const MOVES_WITHIN_S = 30;
+
+type RecoveryTimes = Record<'ledS' | 'startedS' | 'most95S' | 'allS', number | null>;
+
+interface BeforeFault {
+  /** The highest fencing token of any node. */
+  readonly fencingToken: number;
+  /** Index of the node that each worker sends its heartbeats to; kept up to date while recovery is observed. */
+  readonly nodeOfWorker: Map<MachineId, number>;
+}
 
 /** A fleet of this many machines, each with tasks that outlast the measurement and a stream of short ones. */
-function fleet(p: WorkerShardsPart): World {
-  const w = new World({
+function fleet(part: WorkerShardsPart): World {
+  const world = new World({
     seed: 11,
     teams: [{ name: 'red', cpus: CPUS, cpusMax: CPUS, gpus: 0, gpusMax: 0 }],
     types: [TYPE],
     zones: ['a', 'b', 'c'],
-    nodes: p.nodes,
-    capacity: p.machines,
+    nodes: part.nodes,
+    capacity: part.machines,
     leaseS: 22,
     cancelS: 42,
     storeLimits: { rps: 2000, writeRps: 1000, valueKb: 16, txnOps: 12 },
     taskRunMs: (job) => (job.image === 'long' ? 10 * UP_MS : 3000),
   });
-  if (!p.shares) for (let i = 0; i < p.nodes; i += 1) w.previousVersionNodes.add(`spur-${i}`);
+  if (!part.shares) for (let i = 0; i < part.nodes; i += 1) world.previousVersionNodes.add(`spur-${i}`);
   let jobs = 0;
   const submit = (tasks: number, cpus: number, image: string): void => {
     const id = `wk-${String(jobs++).padStart(6, '0')}` as JobId;
-    w.startUser(
+    world.startUser(
       jobSpec({ id, tasks, cpus, memoryGb: 1, image, imageGb: 0.2, estimateS: image === 'long' ? 600 : 3 }),
       null,
     );
   };
-  for (let left = p.machines; left > 0; left -= 100) submit(Math.min(100, left), 3, 'long');
+  for (let left = part.machines; left > 0; left -= 100) submit(Math.min(100, left), 3, 'long');
   for (let at = UP_MS / 2; at < UP_MS + STEADY_MS + AFTER_MS; at += 250)
-    w.time.after(at, () => {
+    world.time.after(at, () => {
       submit(4, 1, 'short');
     });
-  return w;
+  return world;
 }
 
-export async function workerShardsPart(p: WorkerShardsPart): Promise<SharesResult> {
-  const w = fleet(p);
-  await w.runUntil(UP_MS);
-  const { frames, bytes } = w.peerTraffic;
-  await w.runUntil(UP_MS + STEADY_MS);
-  const steady = { frames: w.peerTraffic.frames - frames, bytes: w.peerTraffic.bytes - bytes };
-  const held = w.machinesPerNode();
-  const leader = w.nodes.findIndex((n) => n.controller.leadership.holdsValidLease());
-  const before = Math.max(...w.nodes.map((n) => n.controller.leadership.fencingToken));
-  const places = new Map([...w.workers.values()].map((x) => [x.id, x.heartbeatNodeIndex]));
-  const began = w.time.now;
-  const other = (leader + 1) % p.nodes;
-  const ended: Record<Trouble, readonly number[]> = {
-    'leader, back after 0.2 s': [leader],
-    'leader, back after 8 s': [leader],
-    'another node': [other],
-    'the leader and another node': [leader, other],
-    'all nodes': [...w.nodes.keys()],
-  };
-  for (const i of ended[p.trouble]) w.crash(i, p.trouble === 'leader, back after 8 s' ? 8000 : 200);
-  const starts = w.checker.starts;
-  const found: Record<'ledS' | 'startedS' | 'most95S' | 'allS', number | null> = {
-    ledS: null,
-    startedS: null,
-    most95S: null,
-    allS: null,
+/** Looks every 20 ms at how far the cluster has recovered from a fault. */
+class RecoveryObserver {
+  /** Seconds from the fault, each null until it happens. */
+  readonly found: RecoveryTimes = { ledS: null, startedS: null, most95S: null, allS: null };
+  /** Workers that changed their node, by the index of the new node. */
+  readonly movedTo = new Map<number, number>();
+  private readonly beganMs: number;
+  private readonly startsBefore: number;
+
+  constructor(
+    private readonly world: World,
+    private readonly before: BeforeFault,
+    private readonly isLeaderKept: boolean,
+  ) {
+    this.beganMs = world.time.now;
+    this.startsBefore = world.checker.starts;
+  }
+
+  readonly observe = (): void => {
+    const atS = (this.world.time.now - this.beganMs) / 1000;
+    const alive = [...this.world.workers.values()].filter((worker) => worker.alive);
+    const fencingToken = this.observeLeader(atS);
+    this.observeWorkers(atS, alive, fencingToken);
+    this.observeMoves(atS, alive);
+    this.world.time.after(OBSERVE_EVERY_MS, this.observe);
   };
-  const moved = new Map<number, number>();
-  const look = (): void => {
-    const atS = (w.time.now - began) / 1000;
-    const lead = w.nodes.find((n) => n.clock.alive && n.controller.leadership.holdsValidLease());
-    const token = lead?.controller.leadership.fencingToken ?? Infinity;
-    const isNew = token > before || p.trouble === 'another node';
-    if (lead !== undefined && isNew) found.ledS ??= atS;
-    // Starts that were on their way count for nobody: what follows the new leader's election does.
-    if (found.ledS !== null && w.checker.starts > starts) found.startedS ??= atS;
-    const up = [...w.workers.values()].filter((x) => x.alive);
-    const know = up.filter(
-      (x) => x.highestFencingToken >= token && w.nodes[x.heartbeatNodeIndex]?.clock.alive === true,
+
+  /** Fencing token of the present leader; infinite without one. */
+  private observeLeader(atS: number): number {
+    const { found, world } = this;
+    const leader = world.nodes.find((node) => node.clock.alive && holdsValidLease(node));
+    const fencingToken = leader?.controller.leadership.fencingToken ?? Infinity;
+    const isNew = fencingToken > this.before.fencingToken || this.isLeaderKept;
+    if (leader !== undefined && isNew) found.ledS ??= atS;
+    // Starts that were already on their way before the election do not count.
+    if (found.ledS !== null && world.checker.starts > this.startsBefore) found.startedS ??= atS;
+    return fencingToken;
+  }
+
+  private observeWorkers(atS: number, alive: readonly SimulatedWorker[], fencingToken: number): void {
+    const { found, world } = this;
+    const informed = alive.filter(
+      (worker) =>
+        worker.highestFencingToken >= fencingToken &&
+        world.nodes[worker.heartbeatNodeIndex]?.clock.alive === true,
     ).length;
-    if (know >= up.length * 0.95) found.most95S ??= atS;
-    if (know === up.length) found.allS ??= atS;
-    for (const x of up) {
-      if (places.get(x.id) === x.heartbeatNodeIndex) continue;
-      if (places.has(x.id) && atS < 30)
-        moved.set(x.heartbeatNodeIndex, (moved.get(x.heartbeatNodeIndex) ?? 0) + 1);
-      places.set(x.id, x.heartbeatNodeIndex);
+    if (informed >= alive.length * MOST_WORKERS) found.most95S ??= atS;
+    if (informed === alive.length) found.allS ??= atS;
+  }
+
+  private observeMoves(atS: number, alive: readonly SimulatedWorker[]): void {
+    const { nodeOfWorker } = this.before;
+    for (const { id, heartbeatNodeIndex: node } of alive) {
+      if (nodeOfWorker.get(id) === node) continue;
+      if (nodeOfWorker.has(id) && atS < MOVES_WITHIN_S)
+        this.movedTo.set(node, (this.movedTo.get(node) ?? 0) + 1);
+      nodeOfWorker.set(id, node);
     }
-    w.time.after(20, look);
+  }
+}
+
+function holdsValidLease(node: World['nodes'][number]): boolean {
+  return node.controller.leadership.holdsValidLease();
+}
+
+function crashedNodes(world: World, fault: Fault): readonly number[] {
+  const leader = world.nodes.findIndex(holdsValidLease);
+  const other = (leader + 1) % world.nodes.length;
+  switch (fault) {
+    case 'leader, back after 0.2 s':
+    case 'leader, back after 8 s':
+      return [leader];
+    case 'another node':
+      return [other];
+    case 'the leader and another node':
+      return [leader, other];
+    case 'all nodes':
+      return [...world.nodes.keys()];
+  }
+}
+
+/** Runs the fleet in steady work; frames and kilobytes a second between controllers. */
+async function measureSteadyTraffic(world: World): Promise<Pick<SharesResult, 'frames' | 'kilobytes'>> {
+  const { frames, bytes } = world.peerTraffic;
+  await world.runUntil(UP_MS + STEADY_MS);
+  const steadyS = STEADY_MS / 1000;
+  return {
+    frames: Math.round((world.peerTraffic.frames - frames) / steadyS),
+    kilobytes: Math.round((world.peerTraffic.bytes - bytes) / steadyS / 1000),
+  };
+}
+
+/** Plays one fault on one fleet. */
+export async function workerShardsPart(part: WorkerShardsPart): Promise<SharesResult> {
+  const world = fleet(part);
+  await world.runUntil(UP_MS);
+  const steady = await measureSteadyTraffic(world);
+  const held = world.machinesPerNode();
+  const before: BeforeFault = {
+    fencingToken: Math.max(...world.nodes.map((node) => node.controller.leadership.fencingToken)),
+    nodeOfWorker: new Map(
+      [...world.workers.values()].map((worker) => [worker.id, worker.heartbeatNodeIndex]),
+    ),
   };
-  look();
-  await w.runUntil(began + AFTER_MS);
-  const perS = STEADY_MS / 1000;
+  const backMs = part.trouble === 'leader, back after 8 s' ? SLOW_RESTART_MS : RESTART_MS;
+  for (const node of crashedNodes(world, part.trouble)) world.crash(node, backMs);
+  const observer = new RecoveryObserver(world, before, part.trouble === 'another node');
+  observer.observe();
+  await world.runUntil(world.time.now + AFTER_MS);
+  const moves = [...observer.movedTo.values()];
   return {
-    ...p,
+    ...part,
     held,
-    ...found,
-    moved: [...moved.values()].reduce((a, b) => a + b, 0),
-    movedToOne: Math.max(0, ...moved.values()),
-    killedByLease: w.checker.killedByLease,
-    brokenRules: w.checker.violations.length,
-    frames: Math.round(steady.frames / perS),
-    kilobytes: Math.round(steady.bytes / perS / 1000),
+    ...observer.found,
+    moved: moves.reduce((a, b) => a + b, 0),
+    movedToOne: Math.max(0, ...moves),
+    killedByLease: world.checker.killedByLease,
+    brokenRules: world.checker.violations.length,
+    ...steady,
   };
 }
 
-/** Ends of nodes with and without shares, side by side. Processor time is not simulated here: docs/results.md has the bench's. */
-export async function measureWorkerShards(say: (line: string) => void): Promise<unknown> {
+/** Crashes of controllers with and without worker shards. Processor time is not simulated: docs/results.md has it from the bench. */
+export async function measureWorkerShards(printLine: (line: string) => void): Promise<unknown> {
   const parts: WorkerShardsPart[] = [];
   for (const machines of SIZES)
     for (const nodes of [3, 5])
-      for (const trouble of TROUBLES)
+      for (const trouble of FAULTS)
         for (const shares of nodes === 3 ? [true, false] : [true])
           parts.push({ machines, nodes, trouble, shares });
   const largest = { machines: LARGEST, nodes: 5, shares: true };
@@ -156,5 +234,5 @@
     { ...largest, trouble: 'leader, back after 0.2 s' },
     { ...largest, trouble: 'the leader and another node' },
   );
-  return { simulated: true, results: await parallel('shares', parts, say) };
+  return { simulated: true, results: await parallel('shares', parts, printLine) };
 }
--- a/packages/measure/test/site-variants.test.ts
+++ b/packages/measure/test/site-variants.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { readFileSync, readdirSync } from 'node:fs';
 import { test } from 'node:test';
+import { SiteError } from '../src/errors.js';
 import { printDay, printEnd, readDay } from '../src/site-variants/report.js';
 import {
-  SiteError,
   machinesOf,
   additionalDays,
   readSite,
