--- a/packages/measure/src/regress.ts
+++ b/packages/measure/src/regress.ts
@@ -90,7 +90,8 @@
   return lines.join('\n');
 }
 
-function listed(variable: string): string[] {
+/** Paths of the sites that a variable lists, separated by colons. */
+function sitesIn(variable: string): string[] {
   return (process.env[variable] ?? '').split(':').filter((site) => site !== '');
 }
 
@@ -100,6 +101,7 @@
   return EXIT_UNUSABLE;
 }
 
+/** Runs the bench; whether it succeeded. */
 function run(bench: string, args: readonly string[]): boolean {
   return spawnSync(bench, args, { stdio: 'inherit' }).status === 0;
 }
@@ -107,12 +109,11 @@
 /** Scores sites by the bench; the exit code. */
 function scoreSites(mode: Exclude<Mode, 'own'>, why: string): number {
   const bench = process.env[BENCH] ?? '';
-  const usual = listed(SITES);
-  const fleet = listed(FLEET);
+  const usual = sitesIn(SITES);
+  const fleet = sitesIn(FLEET);
   const sites = mode === 'quick' ? usual : mode === 'fleet' ? fleet : [...usual, ...fleet];
-  if (bench === '' || sites.length === 0) {
+  if (bench === '' || sites.length === 0)
     return reportMissing(bench === '' ? BENCH : mode === 'fleet' ? FLEET : SITES);
-  }
   const old = readJournal(JOURNAL);
   const ran = run(bench, ['score', ...sites, ...(mode === 'full' ? [] : ['--quick']), '--why', why]);
   const rows = compare(old, readJournal(JOURNAL).slice(old.length));
@@ -120,8 +121,8 @@
     mode !== 'full' ||
     sites.map((site) => run(bench, ['hunt', site, '--days', FAULT_SEARCH_DAYS])).every(Boolean);
   process.stdout.write(`${print(rows)}\n`);
-  const good = rows.every((row) => row.verdict === 'ok' || row.verdict === 'first');
-  return ran && searched && good && rows.length === sites.length ? 0 : 1;
+  const isGood = rows.every((row) => row.verdict === 'ok' || row.verdict === 'first');
+  return ran && searched && isGood && rows.length === sites.length ? 0 : 1;
 }
 
 /** Options of the command line. */
@@ -139,11 +140,9 @@
 /** Plays variants of the fleet sites; the exit code. */
 async function playVariants(flags: Flags): Promise<number> {
   const bench = process.env[BENCH] ?? '';
-  const sites = listed(FLEET);
-  if (bench === '' || sites.length === 0) {
-    return reportMissing(bench === '' ? BENCH : FLEET);
-  }
-  const good = await playSiteVariants({
+  const sites = sitesIn(FLEET);
+  if (bench === '' || sites.length === 0) return reportMissing(bench === '' ? BENCH : FLEET);
+  const isGood = await playSiteVariants({
     bench,
     sites,
     factor: flags.factor,
@@ -156,19 +155,19 @@
     why: flags.why,
     printLine: (line) => process.stdout.write(`${line}\n`),
   });
-  return good ? 0 : 1;
+  return isGood ? 0 : 1;
 }
 
-function positive(text: string): number {
-  const n = Number(text);
-  if (!Number.isFinite(n) || n <= 0) throw new InvalidArgumentError('must be a number above 0');
-  return n;
+function parsePositive(text: string): number {
+  const value = Number(text);
+  if (!Number.isFinite(value) || value <= 0) throw new InvalidArgumentError('must be a number above 0');
+  return value;
 }
 
-function whole(text: string): number {
-  const n = positive(text);
-  if (!Number.isInteger(n)) throw new InvalidArgumentError('must be a whole number above 0');
-  return n;
+function parsePositiveInteger(text: string): number {
+  const value = parsePositive(text);
+  if (!Number.isInteger(value)) throw new InvalidArgumentError('must be a whole number above 0');
+  return value;
 }
 
 if (basename(process.argv[1] ?? '') === 'regress.ts')
@@ -176,13 +175,13 @@
     .description("Scores the operators' sites and holds each figure against the last one in journal/.")
     .addArgument(new Argument('<mode>', 'which sites, and how').choices(['quick', 'fleet', 'full', 'own']))
     .option('--why <text>', 'one sentence for the journal', 'Regression')
-    .option('--factor <number>', 'own: machines, limits and load times this', positive, 1.5)
-    .option('--restart <seconds>', 'own: a process that ended is back after this', positive, 0.2)
-    .option('--nodes <count>', 'own: controllers, instead of as many as the site has', whole)
+    .option('--factor <number>', 'own: machines, limits and load times this', parsePositive, 1.5)
+    .option('--restart <seconds>', 'own: a process that ended is back after this', parsePositive, 0.2)
+    .option('--nodes <count>', 'own: controllers, instead of as many as the site has', parsePositiveInteger)
     .option('--other-zones', 'own: zones with other names')
     .option('--days <names...>', 'own: only these days')
-    .option('--times <count>', 'own: each day so often', whole, 1)
-    .option('--jobs <count>', 'own: days at once', whole)
+    .option('--times <count>', 'own: each day so often', parsePositiveInteger, 1)
+    .option('--jobs <count>', 'own: days at once', parsePositiveInteger)
     .action(async (mode: Mode, flags: Flags) => {
       process.exitCode = mode === 'own' ? await playVariants(flags) : scoreSites(mode, flags.why);
     })
--- a/packages/measure/src/site-variants/report.ts
+++ b/packages/measure/src/site-variants/report.ts
@@ -108,13 +108,13 @@
   for (const line of log.split('\n')) {
     const at = line.indexOf('{"level"');
     if (at < 0 || !line.includes('"msg":"service levels"')) continue;
-    const said = JSON.parse(line.slice(at)) as Record<string, unknown>;
-    const who = String(said['who']);
+    const fields = JSON.parse(line.slice(at)) as Record<string, unknown>;
+    const who = String(fields['who']);
     const isLargest = who.endsWith(', largest');
     if (!who.startsWith('team ') && !isLargest) continue;
     const rows: Reading[] = [];
     for (const reading of isLargest ? ['ended', 'started'] : ['ended', 'replicas', 'in time']) {
-      const share = said[reading];
+      const share = fields[reading];
       if (typeof share !== 'number') continue;
       rows.push({ who, reading, share, margin: share - MIN_SERVED_SHARE, isWarning: reading === 'in time' });
     }
@@ -200,6 +200,6 @@
       .filter((row) => row.margin < 0 && row.isWarning)
       .map((row) => `${day.site} ${day.day} ${row.who} ${row.reading}`),
   );
-  const said = failed.length === 0 ? `no day of ${days.length} failed` : `failed: ${failed.join('; ')}`;
-  return warned.length === 0 ? said : `${said}; warnings: ${warned.join('; ')}`;
+  const verdict = failed.length === 0 ? `no day of ${days.length} failed` : `failed: ${failed.join('; ')}`;
+  return warned.length === 0 ? verdict : `${verdict}; warnings: ${warned.join('; ')}`;
 }
