--- a/packages/measure/src/store-data-loss-part.ts
+++ b/packages/measure/src/store-data-loss-part.ts
@@ -200,13 +200,13 @@
       revision: replica?.revision ?? (0 as never),
       takenAt: 0,
     },
-    replica?.copy.entries() ?? [],
+    replica?.replica.entries() ?? [],
   );
   const encodeMs = performance.now() - began;
   const snapshot = decodeSnapshot(bytes);
   return {
-    records: replica?.copy.size ?? 0,
-    copyBytes: replica?.copy.sizeInBytes() ?? 0,
+    records: replica?.replica.size ?? 0,
+    copyBytes: replica?.replica.sizeInBytes() ?? 0,
     snapshot: {
       bytes: bytes.length,
       ratio: Number((snapshot.plainBytes / bytes.length).toFixed(1)),
