--- a/packages/graph-client/src/client-graph.ts
+++ b/packages/graph-client/src/client-graph.ts
@@ -108,7 +108,7 @@
     await this.requests.post(`${this.path}/results`, { note, ...update });
   }
 
-  // --- waiting ---------------------------------------------------------------------------------
+  // --- waiting for tasks -----------------------------------------------------------------------
 
   /**
    * Waits until `count` of the tasks have ended, with any outcome.
--- a/packages/graph-service/src/cotask-submitter.ts
+++ b/packages/graph-service/src/cotask-submitter.ts
@@ -65,7 +65,7 @@
     }
   }
 
-  // --- what to submit --------------------------------------------------------------------------
+  // --- selection of ready tasks ----------------------------------------------------------------
 
   /** Ready tasks of the same shape as the first one, up to the limits of one cotask and one commit. */
   private selectTasks(graph: OpenGraph): TaskSelection | null {
@@ -116,7 +116,7 @@
     return { name, job, record, tasks };
   }
 
-  // --- submitting ------------------------------------------------------------------------------
+  // --- submission ------------------------------------------------------------------------------
 
   /** Submits one cotask; false if that failed or this node no longer leads. */
   private async submit(graph: OpenGraph, selection: TaskSelection): Promise<boolean> {
--- a/packages/graph-service/src/graph-controller.ts
+++ b/packages/graph-service/src/graph-controller.ts
@@ -73,7 +73,7 @@
     });
   }
 
-  // --- as a component of the leader ------------------------------------------------------------
+  // --- leader component ------------------------------------------------------------------------
 
   /** A cotask is scheduled only once its tasks are known. */
   isSchedulable(job: Job): boolean {
--- a/packages/graph-service/src/graph-service.ts
+++ b/packages/graph-service/src/graph-service.ts
@@ -61,7 +61,7 @@
     this.queries = new GraphQueries(store, this.reader);
   }
 
-  // --- creating and extending ------------------------------------------------------------------
+  // --- creation and extension ------------------------------------------------------------------
 
   /**
    * Creates a graph, or finds the existing identical one.
@@ -157,7 +157,7 @@
     );
   }
 
-  // --- ending ----------------------------------------------------------------------------------
+  // --- end and cancellation --------------------------------------------------------------------
 
   /** Seals the graph: no batch can be added any more, and the graph ends once all its tasks have ended. */
   async seal(id: string): Promise<GraphResult> {
@@ -248,7 +248,7 @@
     return null;
   }
 
-  // --- questions -------------------------------------------------------------------------------
+  // --- queries ---------------------------------------------------------------------------------
 
   /** Phase of a graph, and how many of its tasks are in which state. */
   async status(id: string): Promise<GraphResult> {
--- a/packages/graph/src/task-graph.ts
+++ b/packages/graph/src/task-graph.ts
@@ -59,7 +59,7 @@
     return done + failed + cancelled === this.size;
   }
 
-  // --- growing ---------------------------------------------------------------------------------
+  // --- adding batches --------------------------------------------------------------------------
 
   /** Whether the batch was added. */
   hasBatch(batch: BatchId): boolean {
@@ -77,7 +77,7 @@
     this.lifecycle.activate(this.table.indicesOf(batch.id));
   }
 
-  // --- running ---------------------------------------------------------------------------------
+  // --- task execution --------------------------------------------------------------------------
 
   /** The ready tasks, those with the longest chain after them first. */
   readyTasks(): GraphTaskId[] {
@@ -142,7 +142,7 @@
     return this.lifecycle.takeDropped().map((index) => this.table.idAt(index));
   }
 
-  // --- cancelling ------------------------------------------------------------------------------
+  // --- cancellation ----------------------------------------------------------------------------
 
   /**
    * Cancels tasks, all tasks that wait for them and, if `recursive`, all tasks that they spawned.
@@ -160,7 +160,7 @@
     return this.lifecycle.cancel(indices, false).map((index) => this.table.idAt(index));
   }
 
-  // --- questions -------------------------------------------------------------------------------
+  // --- queries ---------------------------------------------------------------------------------
 
   /** State of a task. */
   state(id: GraphTaskId): TaskState {
--- a/packages/graph/src/task-lifecycle.ts
+++ b/packages/graph/src/task-lifecycle.ts
@@ -75,7 +75,7 @@
     }
   }
 
-  // --- ends ------------------------------------------------------------------------------------
+  // --- ends of tasks ---------------------------------------------------------------------------
 
   /** Ends a task without a result, and with it every task that waits for that result. */
   end(
--- a/packages/graph/src/task-table.ts
+++ b/packages/graph/src/task-table.ts
@@ -84,7 +84,7 @@
     return Array.from({ length: range.size }, (_, position) => range.first + position);
   }
 
-  // --- growing ---------------------------------------------------------------------------------
+  // --- adding batches --------------------------------------------------------------------------
 
   /**
    * Adds the tasks of a batch in the waiting state.
--- a/packages/tariff/src/calendar.ts
+++ b/packages/tariff/src/calendar.ts
@@ -102,7 +102,7 @@
   return at < extensionEnd ? 'pattern' : 'unsure';
 }
 
-// --- where prices can change -------------------------------------------------------------------
+// --- instants of price changes -----------------------------------------------------------------
 
 /** All instants of a span at which a price may change, beginning with its start, in order. */
 function pieceStarts(tariff: TariffDocument, span: Span, extensionEnd: number): WallClockMs[] {
--- a/packages/tariff/src/deferral-controller.ts
+++ b/packages/tariff/src/deferral-controller.ts
@@ -76,7 +76,7 @@
     });
   }
 
-  // --- as a component of the leader ------------------------------------------------------------
+  // --- leader component ------------------------------------------------------------------------
 
   isSchedulable(job: Job): boolean {
     return this.hasFailed || this.admissions.isAdmitted(job.spec.id);
--- a/packages/tariff/src/release-scheduler.ts
+++ b/packages/tariff/src/release-scheduler.ts
@@ -47,7 +47,7 @@
     this.estimator = new JobEstimator(term, cluster, repository, options);
   }
 
-  // --- deciding --------------------------------------------------------------------------------
+  // --- decisions -------------------------------------------------------------------------------
 
   /** Decides about all jobs that are not admitted. */
   decide(): void {
@@ -112,7 +112,7 @@
     return this.cluster.jobs.get(id)?.spec.kind === 'gang' && cpus > teamCpus * MAX_GANG_SHARE;
   }
 
-  // --- observing -------------------------------------------------------------------------------
+  // --- observations ----------------------------------------------------------------------------
 
   private zones(): string[] {
     const zones = new Set<string>();
@@ -145,7 +145,7 @@
       if (job.state === 'active' && this.admissions.isAdmitted(job.spec.id)) yield job;
   }
 
-  // --- carrying out ----------------------------------------------------------------------------
+  // --- execution of decisions ------------------------------------------------------------------
 
   private apply(decision: ReleaseDecision, now: WallClockMs, revision: number): void {
     if (decision.at <= now) this.release(decision, now, revision);
@@ -183,7 +183,7 @@
     }
   }
 
-  // --- making durable --------------------------------------------------------------------------
+  // --- persistence -----------------------------------------------------------------------------
 
   /**
    * Makes decisions durable. Released jobs are admitted only then, so that no later leader defers them again.
--- a/packages/testkit/src/rule-checker.ts
+++ b/packages/testkit/src/rule-checker.ts
@@ -80,7 +80,7 @@
     this.jobs.countReplicaTime();
   }
 
-  // --- what machines do ------------------------------------------------------------------------
+  // --- events on machines ----------------------------------------------------------------------
 
   taskStarted(job: JobSpec, task: number, attempt: Attempt, at: TaskPlacement): void {
     this.starts += 1;
@@ -139,7 +139,7 @@
     this.ruleViolations.report('left_waiting', `${id} for ${forMs} ms`);
   }
 
-  // --- what users ask and are told -------------------------------------------------------------
+  // --- requests of users and responses ---------------------------------------------------------
 
   /** Records a submission by a user, possibly a repeated one. */
   jobSubmitted(spec: JobSpec): void {
@@ -191,7 +191,7 @@
     return this.responses.statusChangesOf(id);
   }
 
-  // --- what came of it -------------------------------------------------------------------------
+  // --- results ---------------------------------------------------------------------------------
 
   /** Whether the job's last task completed. */
   isCompleted(id: JobId): boolean {
