--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -4,7 +4,7 @@
 import tseslint from 'typescript-eslint';
 
 /** Packages whose sources do not pass the rules for readable code yet; nothing is added to this list. */
-const NOT_YET_READABLE = ['measure', 'scale'];
+const NOT_YET_READABLE = ['measure'];
 
 const MAX_LINES = 350;
 const MAX_LINES_PER_FUNCTION = 50;
--- a/packages/scale/src/capacity-command.ts
+++ b/packages/scale/src/capacity-command.ts
@@ -1,25 +1,31 @@
+/**
+ * The `capacity` command, which prints the tables of docs/CAPACITY.md from the kept runs.
+ *
+ * @module
+ */
 import { readFileSync, readdirSync } from 'node:fs';
 import { join } from 'node:path';
 import { Command } from 'commander';
-import type { NamedResult } from './capacity.js';
 import { capacityTables } from './capacity.js';
 import type { ScaleResult } from './results.js';
+import type { NamedResult } from './special-run-tables.js';
 
+/** Directory of the kept runs, relative to the root of the repository. */
 export const KEPT_RUNS = 'docs/capacity';
 const SUFFIX = '.json';
 
-/** The kept runs, by name. */
-export function keptRuns(folder: string): NamedResult[] {
-  return readdirSync(folder)
+/** Reads the kept runs of a directory, in the order of their names. */
+export function keptRuns(directory: string): NamedResult[] {
+  return readdirSync(directory)
     .filter((file) => file.endsWith(SUFFIX))
     .sort()
     .map((file) => ({
       name: file.slice(0, -SUFFIX.length),
-      result: JSON.parse(readFileSync(join(folder, file), 'utf8')) as ScaleResult,
+      result: JSON.parse(readFileSync(join(directory, file), 'utf8')) as ScaleResult,
     }));
 }
 
-/** `capacity`: prints the tables of docs/CAPACITY.md. */
+/** Builds the `capacity` command, which prints the tables of docs/CAPACITY.md. */
 export function capacityCommand(): Command {
   return new Command('capacity')
     .description('fits the slopes of the kept scale runs and prints the tables of docs/CAPACITY.md')
--- a/packages/scale/src/child-main.ts
+++ b/packages/scale/src/child-main.ts
@@ -1,11 +1,16 @@
-import { Meter } from './child.js';
+/**
+ * Entry point of the helper processes of a load test: the key-value store, the cloud, workers and users.
+ *
+ * @module
+ */
+import { Meter } from './meter.js';
 import { runCloud } from './cloud-server.js';
 import type { Role } from './messages.js';
 import { runStore } from './store-server.js';
 import { runUsers } from './users.js';
 import { runWorkers } from './worker-host.js';
 
-/** A process of the scale run beside the controllers; its role is its only argument, as JSON. */
+/** Runs this process in the role that its only argument gives as JSON. */
 async function main(): Promise<void> {
   const role = JSON.parse(process.argv[2] ?? 'null') as Role;
   const meter = new Meter();
@@ -21,7 +26,7 @@
   }
 }
 
-main().catch((e: unknown) => {
-  process.stderr.write(`${e instanceof Error ? (e.stack ?? e.message) : String(e)}\n`);
+main().catch((error: unknown) => {
+  process.stderr.write(`${error instanceof Error ? (error.stack ?? error.message) : String(error)}\n`);
   process.exit(1);
 });
--- a/packages/scale/src/cloud-server.ts
+++ b/packages/scale/src/cloud-server.ts
@@ -1,3 +1,9 @@
+/**
+ * The helper process that stands in for the cloud provider of one region.
+ *
+ * @module
+ */
+import { HTTP_STATUS } from '@spurbridge/net';
 import { MonotonicTimeline } from '@spurbridge/simulated-worker';
 import { SimCloud } from '@spurbridge/testkit';
 import type { MachineId, MachineType } from '@spurbridge/wire';
@@ -9,22 +15,25 @@
   parseReleaseRequest,
   parseRentalRequest,
 } from '@spurbridge/wire';
+import type { FastifyInstance } from 'fastify';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { splitAddress, workerAddress } from './addresses.js';
-import type { Meter } from './child.js';
-import { handleOrders, notifyDriver } from './child.js';
+import { handleOrders, notifyDriver } from './driver-channel.js';
+import type { Meter } from './meter.js';
 import type { RunEvent } from './events.js';
 import { jsonServer } from './json-server.js';
 import type { CloudRole } from './messages.js';
 
-/** Tasks of one CPU fit one machine this often, with a quarter to spare over the mean of the plan. */
+/** CPUs of one machine: a quarter more than the mean number of one-CPU tasks on a machine in the capacity plan. */
 export const MACHINE_CPUS = 20;
-const MOST_LISTED = 500;
-const LEAST_BOOT = 600;
-const BOOT_SPAN = 900;
+const MAX_LISTED = 500;
+/** Boot times vary from 0.6 to 1.5 of the type's own, in milliseconds per second of it. */
+const MIN_BOOT_MS_PER_S = 600;
+const BOOT_SPAN_MS_PER_S = 900;
 const BATCH_MS = 50;
 
+/** The only machine type of a run, offered in the given zones. */
 export function machineType(zones: readonly string[]): MachineType {
   return {
     name: 'w20',
@@ -40,73 +49,123 @@
   };
 }
 
-/** A process that is the cloud of one region; its machines are up in the processes of workers, told through the driver. */
+interface ListQuery {
+  readonly from?: string;
+  readonly most?: string;
+}
+
+/** A simulated cloud provider behind the HTTP interface of the real one. */
+class CloudServer {
+  readonly app: FastifyInstance = jsonServer();
+  private readonly time = new MonotonicTimeline();
+  private readonly bootedMachines = new Set<MachineId>();
+  private readonly type: MachineType;
+  private readonly generator;
+  private readonly cloud: SimCloud;
+  private events: RunEvent[] = [];
+
+  constructor(
+    private readonly role: CloudRole,
+    private readonly meter: Meter,
+  ) {
+    this.generator = xoroshiro128plus(role.seed);
+    this.type = machineType(role.zones);
+    this.cloud = this.createCloud();
+    this.registerRoutes();
+  }
+
+  private random(below: number): number {
+    return below <= 0 ? 0 : uniformInt(this.generator, 0, below - 1);
+  }
+
+  private createCloud(): SimCloud {
+    const { machines, zones, listLagMs } = this.role;
+    return new SimCloud(this.time, {
+      types: [this.type],
+      capacity: Math.ceil(machines / zones.length) + 1,
+      listLagMs,
+      random: (below) => this.random(below),
+      bootMs: (type) => type.bootS * (MIN_BOOT_MS_PER_S + this.random(BOOT_SPAN_MS_PER_S)),
+      onMachineUp: (id, type, zone, spot) => {
+        this.bootedMachines.add(id);
+        notifyDriver({ notice: 'up', machines: [{ id, type: type.name, zone, spot }] });
+      },
+      onMachineEnded: (id) => {
+        this.events.push({ kind: 'machineGone', at: this.time.now, machine: id });
+        notifyDriver({ notice: 'ended', machines: [id] });
+      },
+      isMachineUp: (id) => this.bootedMachines.has(id),
+    });
+  }
+
+  private registerRoutes(): void {
+    const { app, cloud, meter } = this;
+    app.get(PATHS.machineTypes, (_request, reply) => {
+      meter.count('requests');
+      return reply.send(formatMachineTypes(cloud.types));
+    });
+    app.post(PATHS.rentals, (request, reply) => {
+      meter.count('requests');
+      const outcome = cloud.rent(parseRentalRequest(request.body), 'controllers');
+      if (outcome.outcome !== 'rented')
+        return reply.code(HTTP_STATUS.unavailable).send({ error: 'no capacity' });
+      meter.count('rented', outcome.machines.length);
+      return reply.send(formatRentalResponse(outcome.machines));
+    });
+    app.post(PATHS.release, (request, reply) => {
+      meter.count('requests');
+      const names = parseReleaseRequest(request.body);
+      meter.count('released', names.length);
+      cloud.release(names);
+      return reply.send({});
+    });
+    app.get<{ Querystring: ListQuery }>(PATHS.rentals, (request, reply) => {
+      meter.count('requests');
+      return reply.send(this.listPage(request.query));
+    });
+  }
+
+  private listPage({ from = '', most = String(MAX_LISTED) }: ListQuery): unknown {
+    const later = this.cloud.list().filter((machine) => machine.id > from);
+    const page = later.slice(0, Math.min(MAX_LISTED, Number(most)));
+    const listed = page.map((machine) => ({
+      ...machine,
+      address: workerAddress(this.role.region, machine.id),
+    }));
+    return formatMachineList(listed, later.length > page.length);
+  }
+
+  /** Makes the machines fail at once. */
+  failMachines(machines: readonly MachineId[]): void {
+    for (const id of machines) this.cloud.failMachine(id);
+  }
+
+  /** Sends the events since the previous call to the driver. */
+  flushEvents(): void {
+    const { events } = this;
+    this.events = [];
+    notifyDriver({ notice: 'events', events, until: this.time.now - 1 });
+  }
+
+  /** Adds the machines that run from the start, spread over the zones. */
+  addInitialMachines(): void {
+    const { machines, zones } = this.role;
+    for (let n = 0; n < machines; n += 1)
+      this.cloud.addRunningMachine(this.type, zones[n % zones.length] as string);
+  }
+}
+
+/** Runs the cloud of one region in this process; the driver has its machines started by the processes of workers. */
 export async function runCloud(role: CloudRole, meter: Meter): Promise<void> {
-  const generator = xoroshiro128plus(role.seed);
-  const random = (below: number): number => (below <= 0 ? 0 : uniformInt(generator, 0, below - 1));
-  const isUp = new Set<MachineId>();
-  const type = machineType(role.zones);
-  const time = new MonotonicTimeline();
-  let gone: RunEvent[] = [];
-  const cloud = new SimCloud(time, {
-    types: [type],
-    capacity: Math.ceil(role.machines / role.zones.length) + 1,
-    listLagMs: role.listLagMs,
-    random,
-    bootMs: (t) => t.bootS * (LEAST_BOOT + random(BOOT_SPAN)),
-    onMachineUp: (id, t, zone, spot) => {
-      isUp.add(id);
-      notifyDriver({ notice: 'up', machines: [{ id, type: t.name, zone, spot }] });
-    },
-    onMachineEnded: (id) => {
-      gone.push({ kind: 'machineGone', at: time.now, machine: id });
-      notifyDriver({ notice: 'ended', machines: [id] });
-    },
-    isMachineUp: (id) => isUp.has(id),
-  });
-  const app = jsonServer();
-  app.get(PATHS.machineTypes, (_request, reply) => {
-    meter.count('requests');
-    return reply.send(formatMachineTypes(cloud.types));
-  });
-  app.post(PATHS.rentals, (request, reply) => {
-    meter.count('requests');
-    const outcome = cloud.rent(parseRentalRequest(request.body), 'controllers');
-    if (outcome.outcome !== 'rented') return reply.code(503).send({ error: 'no capacity' });
-    meter.count('rented', outcome.machines.length);
-    return reply.send(formatRentalResponse(outcome.machines));
-  });
-  app.post(PATHS.release, (request, reply) => {
-    meter.count('requests');
-    const names = parseReleaseRequest(request.body);
-    meter.count('released', names.length);
-    cloud.release(names);
-    return reply.send({});
-  });
-  app.get<{ Querystring: { from?: string; most?: string } }>(PATHS.rentals, (request, reply) => {
-    meter.count('requests');
-    const { from = '', most = String(MOST_LISTED) } = request.query;
-    const later = cloud.list().filter((m) => m.id > from);
-    const page = later.slice(0, Math.min(MOST_LISTED, Number(most)));
-    const listed = page.map((m) => ({ ...m, address: workerAddress(role.region, m.id) }));
-    return reply.send(formatMachineList(listed, later.length > page.length));
-  });
-  await app.listen(splitAddress(role.listen));
+  const server = new CloudServer(role, meter);
+  await server.app.listen(splitAddress(role.listen));
   handleOrders((order) => {
-    if (order.order === 'fail') for (const id of order.machines) cloud.failMachine(id);
+    if (order.order === 'fail') server.failMachines(order.machines);
     else if (order.order === 'read') notifyDriver({ notice: 'reading', reading: meter.read() });
   });
   setInterval(() => {
-    const events = gone;
-    gone = [];
-    notifyDriver({ notice: 'events', events, until: time.now - 1 });
+    server.flushEvents();
   }, BATCH_MS);
-  stand(cloud, type, role);
+  server.addInitialMachines();
   notifyDriver({ notice: 'ready' });
 }
-
-/** The fleet stands there from the start, spread over the zones. */
-function stand(cloud: SimCloud, type: MachineType, role: CloudRole): void {
-  for (let n = 0; n < role.machines; n += 1)
-    cloud.addRunningMachine(type, role.zones[n % role.zones.length] as string);
-}
--- a/packages/scale/src/command.ts
+++ b/packages/scale/src/command.ts
@@ -1,3 +1,8 @@
+/**
+ * The `scale` command: options, presets, the sequence of steps, and the summary at the end.
+ *
+ * @module
+ */
 import { existsSync, mkdirSync, writeFileSync } from 'node:fs';
 import { cpus, totalmem } from 'node:os';
 import { join } from 'node:path';
@@ -12,11 +17,14 @@
 
 const PROGRAMS = ['target/main.js', 'target/scale-child.js'];
 
+const EXIT_FAILED = 1;
+const EXIT_WRONG_USAGE = 2;
+
 const MB = 1e6;
-/** Steps are not raised beyond these shares of the machine. */
-const MOST_CPU = 0.85;
-const MOST_MEMORY = 0.5;
-const MOST_PROCESSES = 200;
+/** No larger step is run once a step has used these shares of the machine. */
+const MAX_CPU_SHARE = 0.85;
+const MAX_MEMORY_SHARE = 0.5;
+const MAX_PROCESSES = 200;
 const SMOKE = {
   workers: '20',
   regions: '1',
@@ -38,12 +46,12 @@
   seconds: '30',
 };
 
-/** Why the next step is not played, or null. */
-export function whyStop(result: StepResult, totalMb: number): string | null {
-  if (result.machineCpu >= MOST_CPU)
+/** Why no larger step may follow, or null if one may. */
+export function stopReason(result: StepResult, totalMb: number): string | null {
+  if (result.machineCpu >= MAX_CPU_SHARE)
     return `${Math.round(result.machineCpu * 100)}% of the machine's cores were used`;
-  if (result.memoryMb >= totalMb * MOST_MEMORY) return `${result.memoryMb} MB of memory were held`;
-  if (result.processes >= MOST_PROCESSES) return `${result.processes} processes ran`;
+  if (result.memoryMb >= totalMb * MAX_MEMORY_SHARE) return `${result.memoryMb} MB of memory were held`;
+  if (result.processes >= MAX_PROCESSES) return `${result.processes} processes ran`;
   return null;
 }
 
@@ -51,24 +59,24 @@
   return step.regions === 1 && step.share === 1;
 }
 
-/** Plays the steps one after another, until the machine allows no more. */
-export async function runScale(o: ScaleOptions, say: (line: string) => void): Promise<ScaleResult> {
+/** Runs the steps one after another, until the machine allows no more. */
+export async function runScale(options: ScaleOptions, say: (line: string) => void): Promise<ScaleResult> {
   const steps: StepResult[] = [];
   const memoryMb = totalmem() / MB;
   let stopped = 'all steps were played';
-  for (const step of o.steps) {
+  for (const step of options.steps) {
     say(`step: ${step.regions} region(s), ${step.share} of its part`);
-    const troubles = o.troubles && isWholePart(step) ? FAULTS : [];
-    const result = await new StepRun(o, step, say).run(troubles);
+    const faults = options.injectFaults && isWholePart(step) ? FAULTS : [];
+    const result = await new StepRun(options, step, say).run(faults);
     steps.push(result);
-    const why = whyStop(result, memoryMb);
-    if (why === null) continue;
-    stopped = why;
+    const reason = stopReason(result, memoryMb);
+    if (reason === null) continue;
+    stopped = reason;
     break;
   }
   return {
     at: new Date().toISOString(),
-    seed: o.seed,
+    seed: options.seed,
     cores: cpus().length,
     memoryMb: Math.round(memoryMb),
     steps,
@@ -76,26 +84,26 @@
   };
 }
 
-/** A closing table for people; the JSON of the last line is for programs. */
-export function closingTable(result: ScaleResult): string {
-  const rows = result.steps.map((s) => ({
-    regions: s.regions,
-    share: s.share,
-    workers: s.workers,
-    'starts/s': s.startsPerS,
-    running: s.running,
-    'leader cores': s.roles.leader.cpu,
-    'node cores': s.roles.node.cpu,
-    'leader MB': Math.round(s.roles.leader.residentMb),
-    'changes/s': s.state.changesPerS,
-    'urgent p99 ms': s.urgentMs.p99,
-    'accepted p99 ms': s.acceptedMs.p99,
-    'killed by leases': s.killedByLease,
-    'rules broken': s.brokenRules.length,
+/** The summary table for readers; programs read the JSON of the last line of output. */
+export function summaryTable(result: ScaleResult): string {
+  const rows = result.steps.map((step) => ({
+    regions: step.regions,
+    share: step.share,
+    workers: step.workers,
+    'starts/s': step.startsPerS,
+    running: step.running,
+    'leader cores': step.roles.leader.cpu,
+    'node cores': step.roles.node.cpu,
+    'leader MB': Math.round(step.roles.leader.residentMb),
+    'changes/s': step.state.changesPerS,
+    'urgent p99 ms': step.urgentMs.p99,
+    'accepted p99 ms': step.acceptedMs.p99,
+    'killed by leases': step.killedByLease,
+    'rules broken': step.brokenRules.length,
   }));
   const names = Object.keys(rows[0] ?? {}) as (keyof (typeof rows)[number])[];
   const lines = names.map((name) =>
-    [name.padEnd(18), ...rows.map((r) => String(r[name]).padStart(9))].join(' '),
+    [name.padEnd(18), ...rows.map((row) => String(row[name]).padStart(9))].join(' '),
   );
   return [...lines, `ended: ${result.stopped}`].join('\n');
 }
@@ -110,20 +118,20 @@
   process.exitCode = exitCode;
 }
 
-async function act(flags: RawOptions): Promise<void> {
+async function runCommand(flags: RawOptions): Promise<void> {
   const preset = flags['smoke'] === true ? SMOKE : flags['short'] === true ? SHORT : {};
-  const missing = PROGRAMS.filter((p) => !existsSync(p));
+  const missing = PROGRAMS.filter((program) => !existsSync(program));
   if (missing.length > 0) {
-    fail(`scale: ${missing.join(', ')} missing: npm run build`, 1);
+    fail(`scale: ${missing.join(', ')} missing: npm run build`, EXIT_FAILED);
     return;
   }
   const isPreset = Object.keys(preset).length > 0;
   let options: ScaleOptions;
   try {
     options = parseOptions({ ...flags, ...preset, ...(isPreset ? { troubles: false } : {}) });
-  } catch (e) {
-    if (!(e instanceof OptionsError)) throw e;
-    fail(e.message, 2);
+  } catch (error) {
+    if (!(error instanceof OptionsError)) throw error;
+    fail(error.message, EXIT_WRONG_USAGE);
     return;
   }
   const say = (line: string): void => {
@@ -132,16 +140,16 @@
   try {
     const result = await runScale(options, say);
     if (typeof flags['keep'] === 'string') keep(result, flags['keep']);
-    say(closingTable(result));
+    say(summaryTable(result));
     process.stdout.write(`${JSON.stringify(result)}\n`);
-    if (result.steps.some((s) => s.brokenRules.length > 0)) process.exitCode = 1;
-  } catch (e) {
-    if (!(e instanceof ProcessError)) throw e;
-    fail(e.message, 1);
+    if (result.steps.some((step) => step.brokenRules.length > 0)) process.exitCode = EXIT_FAILED;
+  } catch (error) {
+    if (!(error instanceof ProcessError)) throw error;
+    fail(error.message, EXIT_FAILED);
   }
 }
 
-/** `scale`: the program as it is shipped under load, with simulated workers, on loopback. */
+/** Builds the `scale` command: the shipped program under load on loopback, with simulated workers. */
 export function scaleCommand(): Command {
   return new Command('scale')
     .description('the shipped program under load on loopback, with workers that have no real tasks')
@@ -177,8 +185,8 @@
     .option('--smoke', 'twenty workers for ten seconds')
     .option('--short', 'a hundred workers for half a minute')
     .configureOutput({ outputError: (text, write) => write(text) })
-    .exitOverride((e) => {
-      process.exit(e.exitCode === 0 ? 0 : 2);
+    .exitOverride((error) => {
+      process.exit(error.exitCode === 0 ? 0 : EXIT_WRONG_USAGE);
     })
-    .action(act);
+    .action(runCommand);
 }
--- a/packages/scale/src/configuration-load.ts
+++ b/packages/scale/src/configuration-load.ts
@@ -1,74 +1,79 @@
+/**
+ * Configuration changes made while jobs run, and how long each takes to be in force on every node.
+ *
+ * @module
+ */
 import { DDSketch } from '@datadog/sketches-js';
 import { ConfigurationClient, StaleVersionError } from '@spurbridge/configuration';
 import type { ConfigurationChange } from '@spurbridge/configuration';
 import { MACHINE_CPUS } from './cloud-server.js';
-import { summary } from './child.js';
-import { limitOf } from './controller-settings.js';
+import { summary } from './meter.js';
+import { teamCpuLimit } from './controller-settings.js';
 import type { RegionShape } from './controller-settings.js';
 import type { LatencySummary, NodeAddress } from './messages.js';
 
 const HOUR_MS = 3_600_000;
-const LOOK_MS = 25;
-const MOST_WAIT_MS = 20_000;
-const TRIES = 5;
-/** A limit is lowered by up to this share, so that the checker's limit, the settings file's, still holds. */
-const LOWERED_BY = 0.2;
+const POLL_INTERVAL_MS = 25;
+const MAX_WAIT_MS = 20_000;
+const MAX_ATTEMPTS = 5;
+/** Limits are only lowered, by up to this share, so that the limit that the rule checker applies still holds. */
+const MAX_LOWERING = 0.2;
 
-/** What came of the changes of configuration in a stretch of time. */
+/** Outcomes and latencies of the configuration changes of a measured interval. */
 export interface ConfigurationResult {
   readonly asked: number;
   readonly committed: number;
-  /** Times that another change came between, so that it was asked for again. */
+  /** Attempts that were repeated because another change had been committed first. */
   readonly conflicts: number;
   readonly failed: number;
-  /** Committed, and not in force everywhere within 20 s. */
+  /** Changes that were committed but not in force on every node within 20 s. */
   readonly lagged: number;
   /** From the first request to being in force on every node, in milliseconds. */
   readonly inForceMs: LatencySummary;
-  /** From the commit's answer to being in force on every node, in milliseconds. */
+  /** From the response to the commit to being in force on every node, in milliseconds. */
   readonly afterCommitMs: LatencySummary;
-  /** A change of every team in one commit: from the request to being in force, in milliseconds; null: it was not made. */
+  /** Latency of one commit that changes every team, in milliseconds; null if it was not made. */
   readonly allTeamsMs: number | null;
 }
 
-/** Changes teams of one region while jobs run, and measures until each change is in force. */
+/** Changes teams of one region while jobs run, and measures how long each change takes to be in force. */
 export class ConfigurationLoad {
   private readonly nodes: ConfigurationClient[];
   private readonly client: ConfigurationClient;
   private readonly inForce = new DDSketch();
   private readonly afterCommit = new DDSketch();
   private readonly counts = { asked: 0, committed: 0, conflicts: 0, failed: 0, lagged: 0 };
-  private readonly underWay = new Set<Promise<unknown>>();
+  private readonly pending = new Set<Promise<unknown>>();
   private readonly timer: NodeJS.Timeout;
   private allTeamsMs: number | null = null;
 
   constructor(
     private readonly shape: RegionShape,
     nodes: readonly NodeAddress[],
-    changesAnHour: number,
+    changesPerHour: number,
   ) {
-    this.nodes = nodes.map((n) => new ConfigurationClient([n.address]));
-    this.client = new ConfigurationClient(nodes.map((n) => n.address));
+    this.nodes = nodes.map((node) => new ConfigurationClient([node.address]));
+    this.client = new ConfigurationClient(nodes.map((node) => node.address));
     this.timer = setInterval(() => {
       this.begin([this.change(this.counts.asked)]);
-    }, HOUR_MS / changesAnHour);
+    }, HOUR_MS / changesPerHour);
   }
 
   private change(n: number): ConfigurationChange {
-    const limit = limitOf(this.shape.workers * MACHINE_CPUS);
-    const lowered = limit * (1 - (LOWERED_BY * (1 + (n % 10))) / 10);
+    const limit = teamCpuLimit(this.shape.workers * MACHINE_CPUS);
+    const lowered = limit * (1 - (MAX_LOWERING * (1 + (n % 10))) / 10);
     return { team: `team-${n % this.shape.teams}`, cpusMax: Math.round(lowered * 100) / 100 };
   }
 
   private begin(changes: readonly ConfigurationChange[]): void {
-    const made = this.make(changes).catch(() => {
+    const change = this.make(changes).catch(() => {
       this.counts.failed += 1;
     });
-    this.underWay.add(made);
-    void made.finally(() => this.underWay.delete(made));
+    this.pending.add(change);
+    void change.finally(() => this.pending.delete(change));
   }
 
-  /** Makes one change, and waits until it is in force everywhere; milliseconds from the first request. */
+  /** Commits the changes and waits until they are in force on every node; returns the milliseconds, or null on failure. */
   private async make(changes: readonly ConfigurationChange[]): Promise<number | null> {
     this.counts.asked += 1;
     const beganAt = performance.now();
@@ -92,45 +97,45 @@
   }
 
   private async commit(changes: readonly ConfigurationChange[]): Promise<number | null> {
-    for (let n = 0; n < TRIES; n += 1) {
+    for (let n = 0; n < MAX_ATTEMPTS; n += 1) {
       try {
         return (await this.client.apply(changes, 'scale', false)).version;
-      } catch (e) {
-        if (!(e instanceof StaleVersionError)) throw e;
+      } catch (error) {
+        if (!(error instanceof StaleVersionError)) throw error;
         this.counts.conflicts += 1;
       }
     }
     return null;
   }
 
-  /** Asks one node which version it goes by itself until that is new enough. */
+  /** Polls one node until the version that it applies itself is new enough; false on timeout. */
   private async waitFor(node: ConfigurationClient, version: number): Promise<boolean> {
-    const until = performance.now() + MOST_WAIT_MS;
+    const until = performance.now() + MAX_WAIT_MS;
     while (performance.now() < until) {
       const own = await node.status().then(
         (all) => all[0]?.version ?? 0,
         () => 0,
       );
       if (own >= version) return true;
-      await new Promise((resolve) => setTimeout(resolve, LOOK_MS));
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
     return false;
   }
 
-  /** Asks for no further changes. */
+  /** Starts no further changes. */
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Waits for what is under way, changes all teams at once, and says what came of it. */
+  /** Waits for the changes under way, changes all teams in one commit, and returns the result. */
   async end(): Promise<ConfigurationResult> {
     this.stop();
-    await Promise.all(this.underWay);
-    const all = Array.from({ length: this.shape.teams }, (_, n) => this.change(n * 3 + 1)).map((c, n) => ({
-      ...c,
+    await Promise.all(this.pending);
+    const changes = Array.from({ length: this.shape.teams }, (_, n) => ({
+      ...this.change(n * 3 + 1),
       team: `team-${n}`,
     }));
-    this.allTeamsMs = await this.make(all).catch(() => null);
+    this.allTeamsMs = await this.make(changes).catch(() => null);
     for (const client of [this.client, ...this.nodes]) client.close();
     return {
       ...this.counts,
--- a/packages/scale/src/controller-settings.ts
+++ b/packages/scale/src/controller-settings.ts
@@ -1,8 +1,13 @@
+/**
+ * The settings files of the controller nodes of a run.
+ *
+ * @module
+ */
 import { stringify } from 'smol-toml';
-import { backAddress, cloudAddress, listenAddress, stateAddress } from './addresses.js';
+import { peerAddress, cloudAddress, listenAddress, storeAddress } from './addresses.js';
 import { MACHINE_CPUS } from './cloud-server.js';
 
-/** What one region of a step is made of. */
+/** Size of one region of a step. */
 export interface RegionShape {
   readonly region: number;
   readonly zones: readonly string[];
@@ -24,8 +29,8 @@
 const GUARANTEED_SHARE = 0.5;
 const LIMIT_SHARE = 0.25;
 
-/** CPUs that one team may use of a region's. */
-export function limitOf(cpus: number): number {
+/** The limit of one team in a region with so many CPUs. */
+export function teamCpuLimit(cpus: number): number {
   return cpus * LIMIT_SHARE;
 }
 
@@ -34,30 +39,31 @@
   return Array.from({ length: shape.teams }, (_, n) => ({
     name: `team-${n}`,
     cpus: (cpus * GUARANTEED_SHARE) / shape.teams,
-    cpus_max: limitOf(cpus),
+    cpus_max: teamCpuLimit(cpus),
     gpus: 0.0,
     gpus_max: 0.0,
   }));
 }
 
+/** Name of a controller node, unique in the whole run. */
 export function nodeName(region: number, node: number): string {
   return `spur-${region}-${node}`;
 }
 
-/** The settings file of one controller node, as the platform writes it. */
+/** Text of the settings file of one controller node, in the form that the platform writes. */
 export function settingsFile(shape: RegionShape, node: number): string {
   const { region, zones, nodes } = shape;
   const zoneOf = (n: number): string => zones[n % zones.length] as string;
   const peers = Array.from({ length: nodes }, (_, n) => n)
     .filter((n) => n !== node)
-    .map((n) => ({ label: nodeName(region, n), domain: zoneOf(n), address: backAddress(region, n) }));
+    .map((n) => ({ label: nodeName(region, n), domain: zoneOf(n), address: peerAddress(region, n) }));
   return stringify({
     label: nodeName(region, node),
     domain: zoneOf(node),
     listen: listenAddress(region, node),
-    back: backAddress(region, node),
+    back: peerAddress(region, node),
     peers,
-    services: { cloud: cloudAddress(region), state: stateAddress(region) },
+    services: { cloud: cloudAddress(region), state: storeAddress(region) },
     cluster: {
       nodes,
       zones,
--- a/packages/scale/src/events.ts
+++ b/packages/scale/src/events.ts
@@ -1,7 +1,12 @@
+/**
+ * Events that the processes of a run observe, put in one order and passed to the rule checker.
+ *
+ * @module
+ */
 import type { RuleChecker } from '@spurbridge/testkit';
 import type { Attempt, JobId, JobPhase, JobSpec, MachineId } from '@spurbridge/wire';
 
-/** What a process of the run saw, in the order of the machine's monotonic clock (milliseconds). */
+/** An event that a process of the run observed; `at` is the machine's monotonic clock in milliseconds. */
 export type RunEvent =
   | {
       readonly kind: 'started';
@@ -37,30 +42,32 @@
     };
 
 interface Source {
-  /** Everything that it saw before this has arrived. */
+  /** Every event before this time has arrived. */
   until: number;
 }
 
 /**
- * Puts the events of several processes in the order of their times. An event is given on once every process has told of
- * all that it saw before; a process that stands still holds everybody's later events back until it goes on or is removed.
+ * Merges the events of several processes in the order of their times. An event is passed on once every process has
+ * reported all earlier ones; a stopped process delays everybody's later events until it continues or is removed.
  */
 export class EventOrder {
   private readonly sources = new Map<string, Source>();
   private waiting: RunEvent[] = [];
 
-  constructor(private readonly take: (event: RunEvent) => void) {}
+  constructor(private readonly deliver: (event: RunEvent) => void) {}
 
+  /** Adds a process whose events from this time on are waited for. */
   add(source: string, from: number): void {
     this.sources.set(source, { until: from });
   }
 
+  /** Removes a process; its later events are not waited for. */
   remove(source: string): void {
     this.sources.delete(source);
     this.flush();
   }
 
-  /** Events of one process, and until when they are complete. */
+  /** Accepts events of one process that are complete until the given time. */
   batch(source: string, events: readonly RunEvent[], until: number): void {
     const known = this.sources.get(source);
     if (known === undefined) return;
@@ -70,16 +77,16 @@
   }
 
   private flush(): void {
-    const until = Math.min(...[...this.sources.values()].map((s) => s.until));
-    const due = this.waiting.filter((e) => e.at <= until);
+    const until = Math.min(...[...this.sources.values()].map((source) => source.until));
+    const due = this.waiting.filter((event) => event.at <= until);
     if (due.length === 0) return;
-    this.waiting = this.waiting.filter((e) => e.at > until);
+    this.waiting = this.waiting.filter((event) => event.at > until);
     due.sort((a, b) => a.at - b.at);
-    for (const event of due) this.take(event);
+    for (const event of due) this.deliver(event);
   }
 }
 
-/** Tells the rule checker of an event; the checker's clock has to stand at the event's time. */
+/** Passes an event to the rule checker, whose clock must already be at the event's time. */
 export function applyEvent(
   checker: RuleChecker,
   event: RunEvent,
--- a/packages/scale/src/faults.ts
+++ b/packages/scale/src/faults.ts
@@ -1,34 +1,39 @@
+/**
+ * Faults that are injected while a run goes on.
+ *
+ * @module
+ */
 import type { Region } from './region.js';
 
-/** Something that goes wrong in one region while the run goes on. */
+/** A fault of one region that is injected while the run goes on. */
 export interface Fault {
   readonly name: string;
-  /** How long the run is watched after it was played, in seconds. */
+  /** How long the run is observed after the injection, in seconds. */
   readonly watchS: number;
   readonly inject: (region: Region, sleep: (seconds: number) => Promise<void>) => Promise<void>;
 }
 
-/** A process may be back within a fraction of a second. */
+/** Delay before a process that ended is started again, in seconds, where its supervisor restarts it at once. */
 export const QUICK_RESTART_S = 0.2;
 const RACK_MACHINES = 40;
 const ZONE_STOP_S = 40;
-const RESTARTS = 2;
+const REPLACED_MACHINES = 2;
 
-/** Ends the leader's process; it is started again after so many seconds. */
+/** Ends the leader's process and starts it again after a delay in seconds. */
 export async function endLeader(
   region: Region,
-  backS: number,
+  restartDelayS: number,
   sleep: (seconds: number) => Promise<void>,
 ): Promise<void> {
   const leader = region.leader;
   const process = leader === null ? undefined : region.controllers[leader];
   if (leader === null || process === undefined) return;
   await process.end();
-  await sleep(backS);
+  await sleep(restartDelayS);
   region.startController(leader);
 }
 
-/** Troubles of the letter that one region's part can be given. */
+/** The faults injected into a step that runs one region's whole part. */
 export const FAULTS: readonly Fault[] = [
   {
     name: 'leader ended, back after 0.2 s',
@@ -64,7 +69,7 @@
     watchS: 60,
     inject: (region) => {
       const zone = region.shape.zones[0] as string;
-      region.failMachines(region.machinesIn(zone).slice(0, RESTARTS));
+      region.failMachines(region.machinesIn(zone).slice(0, REPLACED_MACHINES));
       return Promise.resolve();
     },
   },
--- a/packages/scale/src/json-server.ts
+++ b/packages/scale/src/json-server.ts
@@ -1,8 +1,14 @@
+/**
+ * HTTP server for JSON bodies, shared by the helper processes.
+ *
+ * @module
+ */
 import Fastify from 'fastify';
 import type { FastifyInstance } from 'fastify';
+import { HTTP_STATUS } from '@spurbridge/net';
 import { ValidationError } from '@spurbridge/wire';
 
-/** An HTTP server of JSON bodies, as the protocols have it: what is malformed gets 400. */
+/** Creates an HTTP server that reads every body as JSON and responds to malformed requests with 400. */
 export function jsonServer(): FastifyInstance {
   const app = Fastify({ logger: false, keepAliveTimeout: 120_000, exposeHeadRoutes: false });
   app.removeAllContentTypeParsers();
@@ -13,6 +19,8 @@
       done(new ValidationError('body', 'JSON'), undefined);
     }
   });
-  app.setErrorHandler((error: Error, _request, reply) => reply.code(400).send({ error: error.message }));
+  app.setErrorHandler((error: Error, _request, reply) =>
+    reply.code(HTTP_STATUS.badRequest).send({ error: error.message }),
+  );
   return app;
 }
--- a/packages/scale/src/messages.ts
+++ b/packages/scale/src/messages.ts
@@ -1,8 +1,13 @@
+/**
+ * Messages between the driver of a run and its helper processes.
+ *
+ * @module
+ */
 import type { MachineId } from '@spurbridge/wire';
 import type { RunEvent } from './events.js';
 import type { WorkloadShape } from './workload.js';
 
-/** Durations of the protocol that workers keep, in milliseconds. */
+/** Durations that workers apply, in milliseconds. */
 export interface WorkerTimes {
   readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
@@ -10,6 +15,7 @@
   readonly gangPeerMs: number;
 }
 
+/** Role of the key-value store of one region, with its limits. */
 export interface StoreRole {
   readonly role: 'state';
   readonly listen: string;
@@ -19,6 +25,7 @@
   readonly txnOps: number;
 }
 
+/** Role of the cloud provider of one region. */
 export interface CloudRole {
   readonly role: 'cloud';
   readonly listen: string;
@@ -30,6 +37,7 @@
   readonly seed: number;
 }
 
+/** Role of a process that hosts simulated workers. */
 export interface WorkersRole {
   readonly role: 'workers';
   readonly region: number;
@@ -38,21 +46,23 @@
   readonly workload: WorkloadShape;
 }
 
+/** Role of the process that plays all users of one region. */
 export interface UsersRole {
   readonly role: 'users';
   readonly nodes: readonly NodeAddress[];
   readonly workload: WorkloadShape;
 }
 
+/** A controller node and where it listens. */
 export interface NodeAddress {
   readonly name: string;
   readonly address: string;
 }
 
-/** What a process of the run is, as it is told when it starts. */
+/** Role of a helper process, given to it when it starts. */
 export type Role = StoreRole | CloudRole | WorkersRole | UsersRole;
 
-/** One machine that is up. */
+/** A machine that has finished booting. */
 export interface MachineUp {
   readonly id: MachineId;
   readonly type: string;
@@ -60,12 +70,12 @@
   readonly spot: boolean;
 }
 
-/** From the driver to a process. */
+/** Message from the driver to a helper process. */
 export type Order =
   | { readonly order: 'up'; readonly machines: readonly MachineUp[] }
   | { readonly order: 'end'; readonly machines: readonly MachineId[] }
   | { readonly order: 'fail'; readonly machines: readonly MachineId[] }
-  /** To the state service: records of so many jobs that ended long ago are there from now on. */
+  /** To the key-value store: add the records of so many ended jobs. */
   | { readonly order: 'remember'; readonly endedJobs: number }
   | { readonly order: 'read' };
 
@@ -77,9 +87,9 @@
   readonly most: number;
 }
 
-/** Totals of one process since it began; a latency is since the reading before. */
+/** Totals of one process since its start; latencies are those since the previous reading. */
 export interface Reading {
-  /** Bytes on sockets of its own, in and out. */
+  /** Bytes received and sent on the sockets of this process. */
   readonly bytesIn: number;
   readonly bytesOut: number;
   readonly sockets: number;
@@ -87,11 +97,11 @@
   readonly counts: Readonly<Record<string, number>>;
   readonly latencies: Readonly<Record<string, LatencySummary>>;
   readonly heapBytes: number;
-  /** Tasks on the workers of this process now. */
+  /** Tasks on the workers of this process at present. */
   readonly tasks: number;
 }
 
-/** From a process to the driver. */
+/** Message from a helper process to the driver. */
 export type Notice =
   | { readonly notice: 'ready' }
   | { readonly notice: 'remembered' }
--- a/packages/scale/src/child.ts
+++ b/packages/scale/src/meter.ts
@@ -1,11 +1,16 @@
+/**
+ * Counters and latencies of one process of a run.
+ *
+ * @module
+ */
 import { subscribe } from 'node:diagnostics_channel';
 import type { Socket } from 'node:net';
 import { DDSketch } from '@datadog/sketches-js';
-import type { LatencySummary, Notice, Order, Reading } from './messages.js';
+import type { LatencySummary, Reading } from './messages.js';
 
 const RELATIVE_ACCURACY = 0.01;
 
-/** Bytes on all sockets of this process, open and closed. */
+/** Counts the bytes on all sockets of this process, open and closed. */
 class SocketMeter {
   private readonly open = new Set<Socket>();
   private closedIn = 0;
@@ -44,10 +49,12 @@
   private readonly counts = new Map<string, number>();
   private latencies = new Map<string, DDSketch>();
 
+  /** Adds to the counter of one kind of message. */
   count(kind: string, by = 1): void {
     this.counts.set(kind, (this.counts.get(kind) ?? 0) + by);
   }
 
+  /** Records one latency in milliseconds. */
   latency(kind: string, ms: number): void {
     let sketch = this.latencies.get(kind);
     if (sketch === undefined) {
@@ -57,9 +64,11 @@
     sketch.accept(ms);
   }
 
-  /** Totals; the latencies begin anew with each reading. */
+  /** Returns the totals so far. Latencies are reset with each reading. */
   read(): Reading {
-    const latencies = Object.fromEntries([...this.latencies].map(([kind, s]) => [kind, summary(s)]));
+    const latencies = Object.fromEntries(
+      [...this.latencies].map(([kind, sketch]) => [kind, summary(sketch)]),
+    );
     this.latencies = new Map();
     return {
       ...this.sockets.read(),
@@ -71,21 +80,13 @@
   }
 }
 
-/** What a sketch holds, in milliseconds. */
+/** Summarises the latencies that a sketch holds, in milliseconds. */
 export function summary(sketch: DDSketch): LatencySummary {
-  const at = (q: number): number => Number(sketch.getValueAtQuantile(q).toFixed(1));
-  return { count: sketch.count, p50: at(0.5), p99: at(0.99), most: Number(sketch.max.toFixed(1)) };
-}
-
-/** Tells the driver; a driver that is gone ends this process. */
-export function notifyDriver(notice: Notice): void {
-  if (process.connected) process.send?.(notice);
-}
-
-/** Carries out the driver's orders, and ends with it. */
-export function handleOrders(carryOut: (order: Order) => void): void {
-  process.on('message', (order) => {
-    carryOut(order as Order);
-  });
-  process.on('disconnect', () => process.exit(0));
+  const atQuantile = (quantile: number): number => Number(sketch.getValueAtQuantile(quantile).toFixed(1));
+  return {
+    count: sketch.count,
+    p50: atQuantile(0.5),
+    p99: atQuantile(0.99),
+    most: Number(sketch.max.toFixed(1)),
+  };
 }
--- a/packages/scale/src/options.ts
+++ b/packages/scale/src/options.ts
@@ -1,7 +1,13 @@
+/**
+ * Options of the `scale` command and their validation.
+ *
+ * @module
+ */
 import { existsSync } from 'node:fs';
+import { SpurbridgeError } from '@spurbridge/wire';
 import { DEDICATED_WORKERS } from './region.js';
 
-/** What a scale run is asked to play; all counts are of the whole deployment. */
+/** Options of a run; all counts are those of the whole deployment. */
 export interface ScaleOptions {
   readonly workers: number;
   readonly regions: number;
@@ -14,31 +20,31 @@
   readonly running: number;
   /** Controller nodes of each region. */
   readonly nodes: number;
-  /** How long each step is measured after it has warmed up, in seconds. */
+  /** How long each step is measured after its warm-up, in seconds. */
   readonly seconds: number;
   readonly seed: number;
   readonly steps: readonly Step[];
-  /** Whether troubles are played at the whole part of one region. */
-  readonly troubles: boolean;
-  /** Whose start line the controllers are started by. */
+  /** Whether faults are injected into the step that runs one region's whole part. */
+  readonly injectFaults: boolean;
+  /** Deployment file whose start command the controllers are run with. */
   readonly deployFile: string;
-  /** Changes of configuration an hour in each region; 0: none. */
+  /** Configuration changes per hour in each region; 0 for none. */
   readonly changes: number;
-  /** The leader of each region is ended this often, in seconds, and back at once; 0: never. */
+  /** Interval at which the leader of each region is restarted, in seconds; 0 for never. */
   readonly endLeaderEvery: number;
-  /** Number of the first region: runs at once on one machine need addresses of their own. */
+  /** Number of the first region. Simultaneous runs on one machine need different numbers, as addresses depend on it. */
   readonly firstRegion: number;
-  /** Records of jobs that ended before, in each region. */
+  /** Records of ended jobs that each region starts with. */
   readonly endedJobs: number;
 }
 
-/** How much of the deployment one step plays: so many regions, each with this share of its part. */
+/** How much of the deployment one step runs: a number of regions, each with this share of its load. */
 export interface Step {
   readonly regions: number;
   readonly share: number;
 }
 
-/** The operators' plan for two years. */
+/** The load that operators plan for two years ahead. */
 export const CAPACITY_PLAN = {
   workers: 2700,
   regions: 4,
@@ -49,21 +55,22 @@
   jobsADay: 26_000,
 } as const;
 
-/** Wrong flags: all mistakes at once, a line each. */
-export class OptionsError extends Error {
+/** Invalid options; the message names every mistake, one per line. */
+export class OptionsError extends SpurbridgeError {
   constructor(readonly mistakes: readonly string[]) {
-    super(mistakes.join('\n'));
+    super('INVALID_SCALE_OPTIONS', mistakes.join('\n'));
   }
 }
 
+/** Flags as the command line gives them. */
 export type RawOptions = Readonly<Record<string, string | boolean | undefined>>;
 
-const MOST_PROCESSES = 200;
-const MOST_SECONDS = 3600;
-/** State service, cloud and users of a region. */
-const STAND_INS = 3;
+const MAX_PROCESSES = 200;
+const MAX_SECONDS = 3600;
+/** Key-value store, cloud and users of a region. */
+const OTHER_HELPERS = 3;
 
-type CountField = Exclude<keyof ScaleOptions, 'steps' | 'troubles' | 'deployFile'>;
+type CountField = Exclude<keyof ScaleOptions, 'steps' | 'injectFaults' | 'deployFile'>;
 
 interface CountRule {
   readonly field: CountField;
@@ -79,15 +86,15 @@
   { field: 'starts', least: 1, most: 10_000 },
   { field: 'running', least: 1, most: 1_000_000 },
   { field: 'nodes', least: 1, most: 9 },
-  { field: 'seconds', least: 1, most: MOST_SECONDS },
+  { field: 'seconds', least: 1, most: MAX_SECONDS },
   { field: 'seed', least: 0, most: 2 ** 31 },
   { field: 'changes', least: 0, most: 36_000 },
-  { field: 'endLeaderEvery', least: 0, most: MOST_SECONDS },
+  { field: 'endLeaderEvery', least: 0, most: MAX_SECONDS },
   { field: 'firstRegion', least: 0, most: 60 },
   { field: 'endedJobs', least: 0, most: 5_000_000 },
 ];
 
-/** Reads `1/16` as a share of one region's part, and a whole number as so many regions' whole parts. */
+/** Reads `1/16` as a share of one region's load, and a whole number as a number of whole regions; null if neither. */
 function parseStep(text: string): Step | null {
   const fraction = /^1\/(\d{1,4})$/.exec(text);
   if (fraction !== null) {
@@ -97,14 +104,13 @@
   return /^[1-9]\d?$/.test(text) ? { regions: Number(text), share: 1 } : null;
 }
 
-/** A flag's name on the command line. */
+/** Name of an option's flag on the command line. */
 function flagOf(field: string): string {
   return field.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`);
 }
 
-/** Checks all flags; throws an `OptionsError` that names every wrong one. */
-export function parseOptions(raw: RawOptions): ScaleOptions {
-  const mistakes: string[] = [];
+/** Reads all counts; adds to the mistakes, and gives NaN or the wrong number, where one is invalid. */
+function parseCounts(raw: RawOptions, mistakes: string[]): Record<CountField, number> {
   const counts = {} as Record<CountField, number>;
   for (const { field, least, most } of COUNTS) {
     const text = String(raw[field]);
@@ -113,14 +119,30 @@
       mistakes.push(`--${flagOf(field)}: a whole number from ${least} to ${most}, not '${text}'`);
     counts[field] = value;
   }
-  const steps = String(raw['steps'])
-    .split(',')
-    .flatMap((text) => {
-      const step = parseStep(text.trim());
-      if (step === null) mistakes.push(`--steps: '${text}' is neither 1/N nor a number of regions`);
-      return step === null ? [] : [step];
-    });
-  if (steps.some((s) => s.regions > counts.regions))
+  return counts;
+}
+
+function parseSteps(list: string, mistakes: string[]): Step[] {
+  return list.split(',').flatMap((text) => {
+    const step = parseStep(text.trim());
+    if (step === null) mistakes.push(`--steps: '${text}' is neither 1/N nor a number of regions`);
+    return step === null ? [] : [step];
+  });
+}
+
+/** Processes of the step with the most regions. */
+function maxProcesses(counts: Record<CountField, number>, steps: readonly Step[]): number {
+  const hosts = Math.ceil(counts.zones / counts.regions) + DEDICATED_WORKERS.length;
+  const perRegion = counts.nodes + OTHER_HELPERS + hosts;
+  return perRegion * Math.max(0, ...steps.map((step) => step.regions));
+}
+
+/** Validates all flags. Throws an `OptionsError` that names every invalid one. */
+export function parseOptions(raw: RawOptions): ScaleOptions {
+  const mistakes: string[] = [];
+  const counts = parseCounts(raw, mistakes);
+  const steps = parseSteps(String(raw['steps']), mistakes);
+  if (steps.some((step) => step.regions > counts.regions))
     mistakes.push(`--steps: more regions than --regions ${counts.regions}`);
   if (counts.zones < counts.regions) mistakes.push('--zones: fewer than --regions');
   if (counts.workers < counts.zones) mistakes.push('--workers: fewer than --zones');
@@ -128,10 +150,8 @@
     mistakes.push('--running: less than --starts, tasks would run under a second');
   const deployFile = String(raw['deploy']);
   if (!existsSync(deployFile)) mistakes.push(`--deploy: there is no file '${deployFile}'`);
-  const hosts = Math.ceil(counts.zones / counts.regions) + DEDICATED_WORKERS.length;
-  const perRegion = counts.nodes + STAND_INS + hosts;
-  if (perRegion * Math.max(0, ...steps.map((s) => s.regions)) > MOST_PROCESSES)
-    mistakes.push(`--nodes: more than ${MOST_PROCESSES} processes in all`);
+  if (maxProcesses(counts, steps) > MAX_PROCESSES)
+    mistakes.push(`--nodes: more than ${MAX_PROCESSES} processes in all`);
   if (mistakes.length > 0) throw new OptionsError(mistakes);
-  return { ...counts, steps, troubles: raw['troubles'] !== false, deployFile };
+  return { ...counts, steps, injectFaults: raw['troubles'] !== false, deployFile };
 }
--- a/packages/scale/src/processes.ts
+++ b/packages/scale/src/processes.ts
@@ -1,30 +1,36 @@
+/**
+ * Processes that a run starts: their output, their messages, their resource usage and their end.
+ *
+ * @module
+ */
 import type { ChildProcess } from 'node:child_process';
 import { spawn } from 'node:child_process';
 import { readFileSync, readdirSync, readlinkSync } from 'node:fs';
 import { createInterface } from 'node:readline';
+import { SpurbridgeError } from '@spurbridge/wire';
 import type { Notice, Order, Reading } from './messages.js';
 
 const LAST_LINES = 20;
-const READING_MS = 10_000;
-const READY_MS = 30_000;
-/** Ticks of processor time a second, as Linux counts them for every process. */
+const READ_TIMEOUT_MS = 10_000;
+const START_TIMEOUT_MS = 30_000;
+/** Clock ticks per second in which Linux counts processor time. */
 const TICKS_PER_S = 100;
 const KIB = 1024;
 
-/** A process that did not come up, or did not answer, with its last lines of output. */
-export class ProcessError extends Error {
+/** A process did not start or did not respond; the message ends with its last lines of output. */
+export class ProcessError extends SpurbridgeError {
   constructor(name: string, what: string, lines: readonly string[]) {
-    super([`${name}: ${what}`, ...lines.map((l) => `  ${l}`)].join('\n'));
+    super('PROCESS_FAILED', [`${name}: ${what}`, ...lines.map((line) => `  ${line}`)].join('\n'));
   }
 }
 
-/** What the kernel counts for one process. */
+/** Resource counters that the kernel keeps for one process. */
 export interface ProcessUsage {
   readonly cpuS: number;
   readonly residentBytes: number;
   readonly peakBytes: number;
   readonly sockets: number;
-  /** Bytes of all read and write calls: for a process without files, those of its sockets. */
+  /** Bytes of all read and write calls; for a process that uses no files, those on its sockets. */
   readonly readBytes: number;
   readonly writtenBytes: number;
 }
@@ -39,13 +45,13 @@
     try {
       if (readlinkSync(`/proc/${pid}/fd/${fd}`).startsWith('socket:')) count += 1;
     } catch {
-      // Closed since the folder was read.
+      // The descriptor was closed after the directory had been read.
     }
   }
   return count;
 }
 
-/** Reads the kernel's counts; null where the process has ended. */
+/** Reads the kernel's counters of a process; null if it has ended. */
 export function usageOf(pid: number): ProcessUsage | null {
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
@@ -65,26 +71,27 @@
   }
 }
 
+/** What to start, and the callbacks for what it does. */
 export interface ProcessSpec {
   readonly name: string;
   readonly args: readonly string[];
   readonly env?: Readonly<Record<string, string>>;
-  /** Whether it talks with the driver; a controller does not. */
+  /** Whether it exchanges messages with the driver; controllers do not. */
   readonly hasChannel: boolean;
   readonly onNotice?: (notice: Notice) => void;
   readonly onLine?: (line: string) => void;
-  /** Told when it ends though nobody asked it to. */
+  /** Called when the process ends unexpectedly. */
   readonly onEnd?: (code: number | null) => void;
 }
 
-/** One process that this run started. */
+/** One process of a run. */
 export class RunProcess {
   private readonly child: ChildProcess;
   private readonly lines: string[] = [];
   private isEnding = false;
   private hasEnded = false;
-  private takeReading: ((reading: Reading) => void) | null = null;
-  private takeReady: (() => void) | null = null;
+  private resolveReading: ((reading: Reading) => void) | null = null;
+  private resolveReady: (() => void) | null = null;
   private isReady = false;
 
   constructor(private readonly spec: ProcessSpec) {
@@ -106,7 +113,7 @@
       this.hasEnded = true;
       if (!this.isEnding) spec.onEnd?.(code);
     });
-    // An order to a process that has just ended is of no use to anybody.
+    // Sending an order may fail because the process has just ended, which 'exit' reports.
     this.child.on('error', () => undefined);
   }
 
@@ -125,31 +132,36 @@
   private onNotice(notice: Notice): void {
     if (notice.notice === 'ready') {
       this.isReady = true;
-      this.takeReady?.();
-    } else if (notice.notice === 'reading') this.takeReading?.(notice.reading);
+      this.resolveReady?.();
+    } else if (notice.notice === 'reading') this.resolveReading?.(notice.reading);
     else this.spec.onNotice?.(notice);
   }
 
+  /** Sends an order; dropped if the process is not connected. */
   order(order: Order): void {
     if (this.child.connected) this.child.send(order);
   }
 
-  /** Resolves when the process says that it is ready; throws a `ProcessError` when it does not. */
+  /** Waits until the process reports that it is ready. Throws a `ProcessError` on timeout. */
   async ready(): Promise<void> {
     if (this.isReady) return;
-    await this.within(READY_MS, 'did not come up', (resolve) => (this.takeReady = () => resolve(undefined)));
+    await this.within(
+      START_TIMEOUT_MS,
+      'did not come up',
+      (resolve) => (this.resolveReady = () => resolve(undefined)),
+    );
   }
 
-  /** The process's own counts; throws a `ProcessError` without an answer. */
+  /** Asks the process for its own counters. Throws a `ProcessError` on timeout. */
   async read(): Promise<Reading> {
-    return this.within<Reading>(READING_MS, 'did not answer', (resolve) => {
-      this.takeReading = resolve;
+    return this.within<Reading>(READ_TIMEOUT_MS, 'did not answer', (resolve) => {
+      this.resolveReading = resolve;
       this.order({ order: 'read' });
     });
   }
 
   private async within<T>(
-    ms: number,
+    timeoutMs: number,
     what: string,
     begin: (resolve: (value: T) => void) => void,
   ): Promise<T> {
@@ -157,7 +169,7 @@
       const fail = (): void => {
         reject(new ProcessError(this.name, what, this.lines));
       };
-      const timer = setTimeout(fail, ms);
+      const timer = setTimeout(fail, timeoutMs);
       this.child.once('exit', fail);
       begin((value) => {
         clearTimeout(timer);
@@ -167,11 +179,12 @@
     });
   }
 
+  /** Sends a signal, unless the process has ended. */
   signal(name: 'SIGSTOP' | 'SIGCONT' | 'SIGKILL'): void {
     if (!this.hasEnded) this.child.kill(name);
   }
 
-  /** Ends the process and waits for its end. */
+  /** Kills the process and waits for its exit. */
   async end(): Promise<void> {
     this.isEnding = true;
     if (this.hasEnded || this.child.pid === undefined) return;
@@ -181,10 +194,11 @@
   }
 }
 
-/** All processes of a run: whatever happens, each is ended by its id. */
+/** All processes of a run, so that every one of them can be ended by its own process id. */
 export class Processes {
   private readonly all = new Set<RunProcess>();
 
+  /** Starts a process and keeps track of it. */
   start(spec: ProcessSpec): RunProcess {
     const process = new RunProcess(spec);
     this.all.add(process);
@@ -192,15 +206,17 @@
   }
 
   get running(): readonly RunProcess[] {
-    return [...this.all].filter((p) => !p.ended);
+    return [...this.all].filter((process) => !process.ended);
   }
 
+  /** Ends one process and forgets it. */
   async end(process: RunProcess): Promise<void> {
     await process.end();
     this.all.delete(process);
   }
 
+  /** Ends all processes. */
   async endAll(): Promise<void> {
-    await Promise.all([...this.all].map((p) => this.end(p)));
+    await Promise.all([...this.all].map((process) => this.end(process)));
   }
 }
--- a/packages/scale/src/region.ts
+++ b/packages/scale/src/region.ts
@@ -1,68 +1,76 @@
+/**
+ * One region of a run: its controllers and the helper processes around them.
+ *
+ * @module
+ */
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { parse } from 'smol-toml';
 import type { JobId, JobSpec, MachineId } from '@spurbridge/wire';
-import { cloudAddress, listenAddress, stateAddress } from './addresses.js';
+import { cloudAddress, listenAddress, storeAddress } from './addresses.js';
 import type { RegionShape } from './controller-settings.js';
 import { RUN_SETTINGS, nodeName, settingsFile } from './controller-settings.js';
 import type { RunEvent } from './events.js';
-import type { MachineUp, NodeAddress, Notice, Role } from './messages.js';
+import type { MachineUp, NodeAddress, Notice, Role, WorkerTimes } from './messages.js';
 import type { Processes, RunProcess } from './processes.js';
 import { Workload } from './workload.js';
 import type { WorkloadShape } from './workload.js';
 
-const CHILD_PROGRAM = 'target/scale-child.js';
-/** Some workers have a process of their own each, so that the processor time and memory of one can be read. */
+const HELPER_PROGRAM = 'target/scale-child.js';
+/** Processes that host one worker each, so that the processor time and memory of a single worker can be read. */
 export const DEDICATED_WORKERS = ['worker 1', 'worker 2', 'worker 3'] as const;
 
+/** Callbacks for what happens to the processes of a region. */
 export interface RegionEvents {
-  /** Events of the process with this name, complete until then. */
+  /** Events of the process with this name, complete until the given time. */
   readonly onEvents: (source: string, events: readonly RunEvent[], until: number) => void;
   readonly onProcessStarted: (source: string) => void;
   readonly onProcessEnded: (source: string) => void;
-  /** A process ended though nobody asked it to. */
+  /** A process ended unexpectedly. */
   readonly onUnexpectedExit: (name: string, code: number | null) => void;
 }
 
-const LOOK_MS = 20;
-const MOST_READY_MS = 180_000;
+/** Interval at which the start of a leader is checked. */
+const POLL_INTERVAL_MS = 20;
+/** Longest wait for a leader that has read its records. */
+const MAX_READY_MS = 180_000;
 
-/** How a region begins. */
+/** How the controllers of a region are started. */
 export interface Launch {
-  /** Whose start line the controllers are started by. */
+  /** Deployment file whose start command the controllers are run with. */
   readonly deployFile: string;
-  /** Records of jobs that ended before. */
+  /** Records of ended jobs that the store holds from the start. */
   readonly endedJobs: number;
 }
 
-/** Flags and program of the start line in a deploy file, without the path of the settings that comes last. */
-function startLine(deployFile: string): string[] {
+/** Arguments of the start command in a deployment file, without the path of the settings that comes last. */
+function startArguments(deployFile: string): string[] {
   const { run } = parse(readFileSync(deployFile, 'utf8')) as { run: string };
   return run.split(' ').slice(1);
 }
 
-/** How often a controller logged each message, and who leads. */
+/** How often a controller logged each message, and since when it leads. */
 interface ControllerLog {
   readonly messages: Map<string, number>;
   leadsSince: number | null;
 }
 
-/** One region of a run: controllers as they are shipped, with the stand-ins of everything around them. */
+/** One region of a run: the shipped controllers, and helper processes for everything around them. */
 export class Region {
   readonly controllers: RunProcess[] = [];
   readonly logs: ControllerLog[] = [];
   readonly hosts = new Map<string, RunProcess>();
-  state: RunProcess | null = null;
+  store: RunProcess | null = null;
   cloud: RunProcess | null = null;
   users: RunProcess | null = null;
   readonly workload: Workload;
-  private readonly folder = mkdtempSync(join(tmpdir(), 'spurbridge-scale-'));
+  private readonly directory = mkdtempSync(join(tmpdir(), 'spurbridge-scale-'));
   private readonly hostOf = new Map<MachineId, string>();
   private placed = 0;
   private startedAt = 0;
-  private onRemembered: () => void = () => undefined;
-  /** From the start of the controllers until one of them first had read its records and led, in milliseconds. */
+  private onEndedJobsAdded: () => void = () => undefined;
+  /** From the start of the controllers until one first led with its records read, in milliseconds. */
   readyMs: number | null = null;
 
   constructor(
@@ -75,6 +83,7 @@
     this.workload = new Workload(workloadShape);
   }
 
+  /** The job of that id, or undefined if it is not of this region. */
   find(id: JobId): JobSpec | undefined {
     return this.workload.find(id);
   }
@@ -88,31 +97,39 @@
     }));
   }
 
-  /** Starts everything but the users; throws a `ProcessError` when a process does not come up. */
+  /** Starts everything but the users. Throws a `ProcessError` if a process does not start. */
   async start(): Promise<void> {
-    const { region, zones, workers } = this.shape;
+    await this.startStore();
+    await this.startHosts();
+    await this.startCloud();
+    this.startControllers();
+    if (this.launch.endedJobs > 0) await this.restartWithEndedJobs();
+  }
+
+  private async startStore(): Promise<void> {
     const { rps, write_rps: writeRps, value_kb: valueKb, txn_ops: txnOps } = RUN_SETTINGS.state;
-    this.state = this.child('state', {
-      role: 'state',
-      listen: stateAddress(region),
-      rps,
-      writeRps,
-      valueKb,
-      txnOps,
-    });
-    await this.state.ready();
-    for (const host of [...zones, ...DEDICATED_WORKERS]) {
-      const process = this.child(host, {
+    const listen = storeAddress(this.shape.region);
+    this.store = this.startHelper('state', { role: 'state', listen, rps, writeRps, valueKb, txnOps });
+    await this.store.ready();
+  }
+
+  private async startHosts(): Promise<void> {
+    for (const host of [...this.shape.zones, ...DEDICATED_WORKERS]) {
+      const process = this.startHelper(host, {
         role: 'workers',
-        region,
+        region: this.shape.region,
         nodes: this.nodes,
         times: workerTimes(),
         workload: this.workloadShape,
       });
       this.hosts.set(host, process);
     }
-    await Promise.all([...this.hosts.values()].map((p) => p.ready()));
-    this.cloud = this.child('cloud', {
+    await Promise.all([...this.hosts.values()].map((host) => host.ready()));
+  }
+
+  private async startCloud(): Promise<void> {
+    const { region, zones, workers } = this.shape;
+    this.cloud = this.startHelper('cloud', {
       role: 'cloud',
       listen: cloudAddress(region),
       region,
@@ -123,8 +140,6 @@
       seed: this.workloadShape.seed,
     });
     await this.cloud.ready();
-    this.startControllers();
-    if (this.launch.endedJobs > 0) await this.startAgainWithEndedJobs();
   }
 
   private startControllers(): void {
@@ -133,26 +148,31 @@
     for (let node = 0; node < this.shape.nodes; node += 1) this.startController(node);
   }
 
-  /** All controllers end and start again, with the records of many ended jobs to be read. */
-  private async startAgainWithEndedJobs(): Promise<void> {
-    await this.ready();
-    const remembered = new Promise<void>((resolve) => (this.onRemembered = resolve));
-    this.state?.order({ order: 'remember', endedJobs: this.launch.endedJobs });
-    await remembered;
-    await Promise.all(this.controllers.map((p) => p.end()));
+  /** Adds the records of ended jobs to the store and restarts all controllers, which have to read them. */
+  private async restartWithEndedJobs(): Promise<void> {
+    await this.waitForLeader();
+    const added = new Promise<void>((resolve) => (this.onEndedJobsAdded = resolve));
+    this.store?.order({ order: 'remember', endedJobs: this.launch.endedJobs });
+    await added;
+    await Promise.all(this.controllers.map((controller) => controller.end()));
     this.startControllers();
-    await this.ready();
+    await this.waitForLeader();
   }
 
-  /** Waits until a leader has read its records, for as long as that may take at the most. */
-  private async ready(): Promise<void> {
-    const until = performance.now() + MOST_READY_MS;
+  /** Waits until a leader has read its records, or until the longest time allowed has passed. */
+  private async waitForLeader(): Promise<void> {
+    const until = performance.now() + MAX_READY_MS;
     while (this.readyMs === null && performance.now() < until)
-      await new Promise((resolve) => setTimeout(resolve, LOOK_MS));
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 
+  /** Starts the process that plays the users. Throws a `ProcessError` if it does not start. */
   async startUsers(): Promise<void> {
-    this.users = this.child('users', { role: 'users', nodes: this.nodes, workload: this.workloadShape });
+    this.users = this.startHelper('users', {
+      role: 'users',
+      nodes: this.nodes,
+      workload: this.workloadShape,
+    });
     await this.users.ready();
   }
 
@@ -160,12 +180,12 @@
     return `${this.shape.region}/${name}`;
   }
 
-  private child(name: string, role: Role): RunProcess {
+  private startHelper(name: string, role: Role): RunProcess {
     const source = this.sourceOf(name);
     if (role.role !== 'state') this.events.onProcessStarted(source);
     return this.processes.start({
       name: source,
-      args: [CHILD_PROGRAM, JSON.stringify(role)],
+      args: [HELPER_PROGRAM, JSON.stringify(role)],
       hasChannel: true,
       onNotice: (notice) => {
         this.onNotice(source, notice);
@@ -177,9 +197,9 @@
     });
   }
 
-  /** Starts the process of a controller node, again where it has ended. */
+  /** Starts the process of a controller node, also after it has ended. */
   startController(node: number): void {
-    const file = join(this.folder, `${node}.toml`);
+    const file = join(this.directory, `${node}.toml`);
     writeFileSync(file, settingsFile(this.shape, node));
     const log: ControllerLog = this.logs[node] ?? { messages: new Map(), leadsSince: null };
     log.leadsSince = null;
@@ -187,7 +207,7 @@
     const name = nodeName(this.shape.region, node);
     this.controllers[node] = this.processes.start({
       name,
-      args: [...startLine(this.launch.deployFile), file],
+      args: [...startArguments(this.launch.deployFile), file],
       env: { LOG_LEVEL: 'info', NODE_OPTIONS: '' },
       hasChannel: false,
       onLine: (line) => {
@@ -209,7 +229,7 @@
     else if (message === 'no longer leading') log.leadsSince = null;
   }
 
-  /** Number of the node that began to lead last; null: none leads. */
+  /** Number of the node that was elected last; null if none leads. */
   get leader(): number | null {
     let found: number | null = null;
     let since = -Infinity;
@@ -227,28 +247,30 @@
         this.events.onEvents(source, notice.events, notice.until);
         return;
       case 'up':
-        for (const m of notice.machines) this.place(m);
+        for (const machine of notice.machines) this.place(machine);
         return;
       case 'ended':
         for (const id of notice.machines) this.endMachine(id);
         return;
       case 'remembered':
-        this.onRemembered();
+        this.onEndedJobsAdded();
         return;
       case 'ready':
       case 'reading':
     }
   }
 
-  /** Machines spread over the fleet get a process of their own each, every other one that of its zone. */
-  private place(m: MachineUp): void {
-    const every = Math.max(1, Math.floor(this.shape.workers / DEDICATED_WORKERS.length));
-    const lone =
-      this.placed % every === every - 1 ? DEDICATED_WORKERS[Math.floor(this.placed / every)] : undefined;
-    const host = lone ?? m.zone;
+  /** Hosts a few machines, spread over the fleet, in dedicated processes, and all others in the process of their zone. */
+  private place(machine: MachineUp): void {
+    const spacing = Math.max(1, Math.floor(this.shape.workers / DEDICATED_WORKERS.length));
+    const dedicated =
+      this.placed % spacing === spacing - 1
+        ? DEDICATED_WORKERS[Math.floor(this.placed / spacing)]
+        : undefined;
+    const host = dedicated ?? machine.zone;
     this.placed += 1;
-    this.hostOf.set(m.id, host);
-    this.hosts.get(host)?.order({ order: 'up', machines: [m] });
+    this.hostOf.set(machine.id, host);
+    this.hosts.get(host)?.order({ order: 'up', machines: [machine] });
   }
 
   private endMachine(id: MachineId): void {
@@ -257,27 +279,23 @@
     if (host !== undefined) this.hosts.get(host)?.order({ order: 'end', machines: [id] });
   }
 
-  /** Machines that stand in the zone now. */
+  /** Machines that run in the zone's shared process at present. */
   machinesIn(zone: string): MachineId[] {
     return [...this.hostOf].filter(([, host]) => host === zone).map(([id]) => id);
   }
 
-  /** The machines stop by themselves, at once. */
+  /** Makes the machines fail at once. */
   failMachines(machines: readonly MachineId[]): void {
     this.cloud?.order({ order: 'fail', machines });
   }
 
+  /** Removes the settings files of the controllers. */
   removeFiles(): void {
-    rmSync(this.folder, { recursive: true, force: true });
+    rmSync(this.directory, { recursive: true, force: true });
   }
 }
 
-function workerTimes(): {
-  heartbeatIntervalMs: number;
-  leaseMs: number;
-  gangWaitMs: number;
-  gangPeerMs: number;
-} {
+function workerTimes(): WorkerTimes {
   const { report_s, lease_s, gang_wait_s, gang_peer_s } = RUN_SETTINGS.workers;
   return {
     heartbeatIntervalMs: report_s * 1000,
--- a/packages/scale/src/results.ts
+++ b/packages/scale/src/results.ts
@@ -1,9 +1,14 @@
+/**
+ * Results of a run, in the form in which they are kept as JSON under docs/capacity.
+ *
+ * @module
+ */
 import type { ConfigurationResult } from './configuration-load.js';
 import type { LatencySummary } from './messages.js';
 
-/** What one process of a role used while it was measured. */
+/** Mean resource usage of one process of a role in the measured interval. */
 export interface RoleUsage {
-  /** Processor time a second, in cores: the mean, and the most in any one second. */
+  /** Processor time per second, in cores: the mean, and the maximum in any one second. */
   readonly cpu: number;
   readonly cpuPeak: number;
   readonly residentMb: number;
@@ -13,11 +18,12 @@
   readonly kbOutPerS: number;
 }
 
+/** The roles of processes whose usage is measured. */
 export const ROLES = ['leader', 'node', 'state', 'cloud', 'users', 'workers', 'worker'] as const;
-/** `workers` is a process of many simulated workers, `worker` one that is alone. */
+/** `workers` is a process of many simulated workers, `worker` one of a single worker. */
 export type RoleName = (typeof ROLES)[number];
 
-/** A summary of a trouble that was played while the run went on. */
+/** Result of one fault that was injected while the run went on. */
 export interface FaultResult {
   readonly trouble: string;
   readonly watchedS: number;
@@ -29,7 +35,7 @@
   readonly brokenRules: number;
 }
 
-/** One step of a scale run; figures are means of one region, over the measured time. */
+/** Result of one step; figures are means of one region over the measured interval. */
 export interface StepResult {
   readonly regions: number;
   readonly share: number;
@@ -40,13 +46,13 @@
   readonly warmS: number;
   readonly seconds: number;
   readonly startsAskedPerS: number;
-  /** Tasks of the jobs that came while it was measured, a second: arrivals are drawn, so it differs from what was asked. */
+  /** Tasks submitted per second. Arrivals are random, so this differs from the rate asked for. */
   readonly tasksCamePerS: number;
   readonly startsPerS: number;
   readonly jobsPerS: number;
   readonly running: number;
   readonly roles: Readonly<Record<RoleName, RoleUsage>>;
-  /** Tasks on one of the workers that are alone: what their use goes with. */
+  /** Mean number of tasks on a worker with a process of its own. */
   readonly tasksOnLoneWorker: number;
   readonly state: {
     readonly requestsPerS: number;
@@ -59,33 +65,34 @@
   readonly unanswered: number;
   readonly redirects: number;
   readonly urgentMs: LatencySummary;
-  /** Tasks of urgent jobs that had not started when it ended, though they had waited for longer than the aim. */
+  /** Urgent tasks that had not started by the end though they had waited for longer than the objective. */
   readonly urgentNotStarted: number;
   readonly acceptedMs: LatencySummary;
   readonly users: Readonly<Record<string, number>>;
   readonly killedByLease: number;
-  /** Processes that ended though nobody asked them to. */
+  /** Processes that ended unexpectedly. */
   readonly ends: readonly string[];
-  /** From the start of the controllers until one leads and has read its records, in seconds; null: none did. */
+  /** From the start of the controllers until one leads with its records read, in seconds; null if none did. */
   readonly readySeconds?: number | null;
-  /** Records of ended jobs that were there from the start. */
+  /** Records of ended jobs that the store held from the start. */
   readonly endedJobs?: number;
   readonly elections: number;
   readonly brokenRules: readonly string[];
   readonly troubles: readonly FaultResult[];
-  /** Changes of configuration of the first region; null: none were made. */
+  /** Configuration changes in the first region; null if none were made. */
   readonly configuration?: ConfigurationResult | null;
-  /** Share of the machine's cores that all processes on it used, and memory that those of the run held. */
+  /** Share of the machine's cores that all its processes used, and memory resident in those of the run. */
   readonly machineCpu: number;
   readonly memoryMb: number;
 }
 
+/** Result of a whole run. */
 export interface ScaleResult {
   readonly at: string;
   readonly seed: number;
   readonly cores: number;
   readonly memoryMb: number;
   readonly steps: readonly StepResult[];
-  /** Why it went no further. */
+  /** Why the run ended. */
   readonly stopped: string;
 }
--- a/packages/scale/src/run-statistics.ts
+++ b/packages/scale/src/run-statistics.ts
@@ -1,13 +1,18 @@
+/**
+ * Task starts and waiting times of urgent tasks, counted from the events of a run.
+ *
+ * @module
+ */
 import { DDSketch } from '@datadog/sketches-js';
 import type { JobId, JobSpec } from '@spurbridge/wire';
-import { summary } from './child.js';
+import { summary } from './meter.js';
 import type { RunEvent } from './events.js';
 import type { LatencySummary } from './messages.js';
 import { RUN_SETTINGS } from './controller-settings.js';
 
 const EMPTY: LatencySummary = { count: 0, p50: 0, p99: 0, most: 0 };
 
-/** Counts starts and the waits of urgent tasks over a stretch of time. */
+/** Counts task starts, and the waiting times of urgent tasks, over an interval. */
 export class RunStatistics {
   starts = 0;
   tasksSubmitted = 0;
@@ -20,7 +25,7 @@
 
   constructor(private readonly find: (id: JobId) => JobSpec | undefined) {}
 
-  /** Begins anew; what runs and what waits stays known. */
+  /** Starts a new interval; running and waiting tasks are kept. */
   reset(): void {
     this.starts = 0;
     this.tasksSubmitted = 0;
@@ -30,6 +35,7 @@
     this.longestPauseMs = 0;
   }
 
+  /** Counts one event. */
   record(event: RunEvent): void {
     switch (event.kind) {
       case 'submitted':
@@ -73,7 +79,7 @@
     this.waits.accept(at - since);
   }
 
-  /** A cancelled job's tasks are waited for no longer. */
+  /** Stops measuring the waiting times of a cancelled job's tasks. */
   private forget(id: JobId): void {
     for (const name of this.waiting.keys()) if (name.startsWith(`${id}/`)) this.waiting.delete(name);
   }
@@ -86,7 +92,7 @@
     return this.waits.count === 0 ? EMPTY : summary(this.waits);
   }
 
-  /** Urgent tasks that have waited for longer than the aim and have not started. */
+  /** Urgent tasks that have not started and have waited for longer than the objective. */
   countOverdue(now: number): number {
     return [...this.waiting.values()].filter((at) => now - at > RUN_SETTINGS.urgentWithinS * 1000).length;
   }
--- a/packages/scale/src/step-run.ts
+++ b/packages/scale/src/step-run.ts
@@ -1,130 +1,82 @@
-import type { Team } from '@spurbridge/model';
+/**
+ * Runs one step: starts the regions, warms them up, measures them, injects faults, and ends all processes.
+ *
+ * @module
+ */
 import { MonotonicTimeline } from '@spurbridge/simulated-worker';
 import type { JobId, JobSpec } from '@spurbridge/wire';
-import { MACHINE_CPUS } from './cloud-server.js';
 import { ConfigurationLoad } from './configuration-load.js';
-import type { RegionShape } from './controller-settings.js';
-import { limitOf } from './controller-settings.js';
-import type { LatencySummary, Reading } from './messages.js';
+import type { Fault } from './faults.js';
+import { QUICK_RESTART_S, endLeader } from './faults.js';
+import { MeasuredInterval, killedByLease, readHelpers } from './measured-interval.js';
 import type { ScaleOptions, Step } from './options.js';
-import { CAPACITY_PLAN } from './options.js';
-import type { RunProcess } from './processes.js';
 import { Processes } from './processes.js';
 import { RegionRuleChecker } from './region-rule-checker.js';
-import { DEDICATED_WORKERS, Region } from './region.js';
-import type { RoleName, RoleUsage, StepResult, FaultResult } from './results.js';
+import type { RegionEvents } from './region.js';
+import { Region } from './region.js';
+import type { FaultResult, StepResult } from './results.js';
 import { RunStatistics } from './run-statistics.js';
-import type { Fault } from './faults.js';
-import { QUICK_RESTART_S, endLeader } from './faults.js';
-import { MachineLoad, ProcessUsageSampler, meanUsage } from './usage.js';
-import { JOBS_A_REGION, Workload } from './workload.js';
-
-/** Jobs at the peak, as a multiple of the day's mean: an assumption of docs/CAPACITY.md. */
-const PEAK_FACTOR = 9;
-const DAY_S = 86_400;
-/** Small steps keep the jobs of a region's whole part and make them smaller, down to this many tasks. */
-const LEAST_TASKS = 10;
-const LEAST_WARM_S = 8;
-/** Tasks run for up to one and a half times the mean: after that as many end as start. */
-const WARM_RUNS = 1.7;
-
-/** Counts and times of one measured stretch. */
-interface Stretch {
-  readonly seconds: number;
-  readonly usage: (process: RunProcess) => RoleUsage | null;
-  readonly before: ReadonlyMap<RunProcess, Reading>;
-  readonly after: ReadonlyMap<RunProcess, Reading>;
-  readonly machineCpu: number;
-}
-
-/** One step: regions are started, warmed up, measured, troubled and ended. */
+import { buildStepResult } from './step-result.js';
+import { StepShape } from './step-shape.js';
+import { MachineLoad, ProcessUsageSampler } from './usage.js';
+import { Workload } from './workload.js';
+
+const MIN_WARM_S = 8;
+/** Tasks run for up to one and a half times the mean: after this multiple of it as many end as start. */
+const WARM_MEAN_RUNS = 1.7;
+/** Pause before the users start, in seconds. */
+const USERS_DELAY_S = 1;
+/** Time for the last events to arrive, in seconds. */
+const DRAIN_S = 1;
+const PROGRESS_INTERVAL_S = 10;
+const EXIT_INTERRUPTED = 130;
+
+/** One step of a run. */
 export class StepRun {
-  private readonly time = new MonotonicTimeline();
+  private readonly timeline = new MonotonicTimeline();
   private readonly processes = new Processes();
+  private readonly shape: StepShape;
   private readonly regions: Region[] = [];
-  /** Each region is judged by itself: names of machines and limits of teams are its own. */
-  private readonly judges: RegionRuleChecker[] = [];
-  private readonly tally: RunStatistics;
-  private readonly ends: string[] = [];
+  /** One for each region, as names of machines and limits of teams are the region's own. */
+  private readonly ruleCheckers: RegionRuleChecker[] = [];
+  private readonly statistics: RunStatistics;
+  private readonly unexpectedExits: string[] = [];
 
   constructor(
-    private readonly o: ScaleOptions,
+    private readonly options: ScaleOptions,
     private readonly step: Step,
     private readonly say: (line: string) => void,
   ) {
-    this.tally = new RunStatistics((id) => this.find(id));
-    for (let region = 0; region < step.regions; region += 1) this.addRegion(o.firstRegion + region);
-  }
-
-  /** What one region's part is multiplied with. */
-  private part(whole: number): number {
-    return (whole / this.o.regions) * this.step.share;
-  }
-
-  private get workers(): number {
-    return Math.max(this.zonesOf(0).length, Math.round(this.part(this.o.workers)));
-  }
-
-  private zonesOf(region: number): string[] {
-    const count = Math.max(1, Math.floor(this.o.zones / this.o.regions));
-    return Array.from({ length: count }, (_, z) => `zone-${region}-${z}`);
-  }
-
-  private shapeOf(region: number): RegionShape {
-    const { nodes, teams } = this.o;
-    return { region, zones: this.zonesOf(region), nodes, teams, workers: this.workers };
+    this.shape = new StepShape(options, step);
+    this.statistics = new RunStatistics((id) => this.find(id));
+    for (let region = 0; region < step.regions; region += 1) this.addRegion(options.firstRegion + region);
   }
 
-  private teams(): Team[] {
-    const cpusMax = limitOf(this.workers * MACHINE_CPUS);
-    return Array.from({ length: this.o.teams }, (_, n) => ({
-      name: `team-${n}`,
-      cpus: 0,
-      cpusMax,
-      gpus: 0,
-      gpusMax: 0,
-    }));
+  private addRegion(number: number): void {
+    const workload = this.shape.workloadShape(number);
+    const checker = new RegionRuleChecker(this.shape.teams, new Workload(workload), this.statistics);
+    const regionShape = this.shape.regionShape(number);
+    const events = this.eventsFor(checker);
+    this.ruleCheckers.push(checker);
+    this.regions.push(new Region(regionShape, workload, this.processes, events, this.options));
   }
 
-  private addRegion(region: number): void {
-    const { seed, teams } = this.o;
-    const workload = {
-      seed: seed + region,
-      firstJob: region * JOBS_A_REGION,
-      teams,
-      startsPerS: this.part(this.o.starts),
-      running: Math.round(this.part(this.o.running)),
-      jobsPerS: Math.min(
-        (CAPACITY_PLAN.jobsADay / this.o.regions / DAY_S) * PEAK_FACTOR,
-        this.part(this.o.starts) / LEAST_TASKS,
-      ),
-      zones: this.zonesOf(region),
+  private eventsFor({ eventOrder }: RegionRuleChecker): RegionEvents {
+    return {
+      onEvents: (source, events, until) => {
+        eventOrder.batch(source, events, until);
+      },
+      onProcessStarted: (source) => {
+        eventOrder.add(source, this.timeline.now);
+      },
+      onProcessEnded: (source) => {
+        eventOrder.remove(source);
+      },
+      onUnexpectedExit: (name, code) => {
+        this.unexpectedExits.push(`${name} (${code ?? 'signal'})`);
+        this.say(`  ${name} ended by itself: ${code ?? 'signal'}`);
+      },
     };
-    const judge = new RegionRuleChecker(this.teams(), new Workload(workload), this.tally);
-    this.judges.push(judge);
-    this.regions.push(
-      new Region(
-        this.shapeOf(region),
-        workload,
-        this.processes,
-        {
-          onEvents: (source, events, until) => {
-            judge.eventOrder.batch(source, events, until);
-          },
-          onProcessStarted: (source) => {
-            judge.eventOrder.add(source, this.time.now);
-          },
-          onProcessEnded: (source) => {
-            judge.eventOrder.remove(source);
-          },
-          onUnexpectedExit: (name, code) => {
-            this.ends.push(`${name} (${code ?? 'signal'})`);
-            this.say(`  ${name} ended by itself: ${code ?? 'signal'}`);
-          },
-        },
-        this.o,
-      ),
-    );
   }
 
   private find(id: JobId): JobSpec | undefined {
@@ -135,15 +87,15 @@
     return undefined;
   }
 
-  /** Plays the step; every process is ended, whatever happens. */
-  async run(troubles: readonly Fault[]): Promise<StepResult> {
+  /** Runs the step. All processes are ended in any case, also on SIGINT and SIGTERM. */
+  async run(faults: readonly Fault[]): Promise<StepResult> {
     const interrupted = (): void => {
-      void this.processes.endAll().then(() => process.exit(130));
+      void this.processes.endAll().then(() => process.exit(EXIT_INTERRUPTED));
     };
     process.once('SIGINT', interrupted);
     process.once('SIGTERM', interrupted);
     try {
-      return await this.play(troubles);
+      return await this.runPhases(faults);
     } finally {
       process.off('SIGINT', interrupted);
       process.off('SIGTERM', interrupted);
@@ -152,275 +104,127 @@
     }
   }
 
-  private async play(troubles: readonly Fault[]): Promise<StepResult> {
-    for (const region of this.regions) await region.start();
-    await this.sleep(1);
-    for (const region of this.regions) await region.startUsers();
-    const warmS = this.warmS;
+  private async runPhases(faults: readonly Fault[]): Promise<StepResult> {
+    await this.startRegions();
+    const { warmS } = this;
     await this.watch(warmS, 'warming up');
-    this.tally.reset();
-    const load = this.configurationLoad();
-    const ends = this.endLeaders();
-    let stretch: Stretch;
+    this.statistics.reset();
+    const load = this.startConfigurationLoad();
+    const leaderRestarts = this.startLeaderRestarts();
+    let interval: MeasuredInterval;
     try {
-      stretch = await this.measure(this.o.seconds);
+      interval = await this.measure(this.options.seconds);
     } finally {
-      clearInterval(ends);
+      clearInterval(leaderRestarts);
       load?.stop();
     }
-    // Read before the last changes are waited for: what starts meanwhile is not of the measured time.
-    const result = this.result(stretch, warmS);
+    // Built before the last configuration changes are awaited: what starts meanwhile is not part of the interval.
+    const result = this.resultOf(interval, warmS);
     const configuration = (await load?.end()) ?? null;
-    const troubled: FaultResult[] = [];
-    for (const trouble of troubles) troubled.push(await this.trouble(trouble));
-    await this.drain();
-    return { ...result, configuration, troubles: troubled, ends: this.ends, brokenRules: this.brokenRules() };
+    const troubles: FaultResult[] = [];
+    for (const fault of faults) troubles.push(await this.injectFault(fault));
+    await this.sleep(DRAIN_S);
+    const brokenRules = this.brokenRules();
+    return { ...result, configuration, troubles, ends: this.unexpectedExits, brokenRules };
+  }
+
+  private async startRegions(): Promise<void> {
+    for (const region of this.regions) await region.start();
+    await this.sleep(USERS_DELAY_S);
+    for (const region of this.regions) await region.startUsers();
   }
 
-  private configurationLoad(): ConfigurationLoad | null {
+  private startConfigurationLoad(): ConfigurationLoad | null {
     const region = this.regions[0];
-    if (region === undefined || this.o.changes === 0) return null;
-    return new ConfigurationLoad(region.shape, region.nodes, this.o.changes);
+    if (region === undefined || this.options.changes === 0) return null;
+    return new ConfigurationLoad(region.shape, region.nodes, this.options.changes);
   }
 
-  private endLeaders(): NodeJS.Timeout | undefined {
-    const everyS = this.o.endLeaderEvery;
-    if (everyS === 0) return undefined;
+  private startLeaderRestarts(): NodeJS.Timeout | undefined {
+    const intervalS = this.options.endLeaderEvery;
+    if (intervalS === 0) return undefined;
     return setInterval(() => {
-      for (const region of this.regions) void endLeader(region, QUICK_RESTART_S, (s) => this.sleep(s));
-    }, everyS * 1000);
+      for (const region of this.regions)
+        void endLeader(region, QUICK_RESTART_S, (seconds) => this.sleep(seconds));
+    }, intervalS * 1000);
   }
 
   private get warmS(): number {
     const meanRunS = this.regions[0]?.workload.meanRunS ?? 0;
-    return Math.max(LEAST_WARM_S, Math.ceil(meanRunS * WARM_RUNS));
+    return Math.max(MIN_WARM_S, Math.ceil(meanRunS * WARM_MEAN_RUNS));
   }
 
   private brokenRules(): string[] {
-    return this.judges.flatMap((j) => j.violations);
+    return this.ruleCheckers.flatMap((checker) => checker.violations);
   }
 
   private sleep(seconds: number): Promise<void> {
     return new Promise((resolve) => setTimeout(resolve, seconds * 1000));
   }
 
-  /** Waits, and says now and then how it goes. */
-  private async watch(seconds: number, what: string): Promise<void> {
+  /** Waits, and prints the progress at intervals. */
+  private async watch(seconds: number, phase: string): Promise<void> {
     const until = performance.now() + seconds * 1000;
-    let starts = this.tally.starts;
+    let starts = this.statistics.starts;
     while (performance.now() < until) {
-      const spanS = Math.min(10, (until - performance.now()) / 1000);
+      const spanS = Math.min(PROGRESS_INTERVAL_S, (until - performance.now()) / 1000);
       await this.sleep(spanS);
-      const rate = (this.tally.starts - starts) / spanS;
-      starts = this.tally.starts;
+      const rate = (this.statistics.starts - starts) / spanS;
+      starts = this.statistics.starts;
       this.say(
-        `  ${what}: ${this.tally.runningTasks} tasks run, ${rate.toFixed(0)} starts a second, ` +
-          `urgent p99 ${this.tally.urgentLatency.p99} ms, ${this.brokenRules().length} rules broken`,
+        `  ${phase}: ${this.statistics.runningTasks} tasks run, ${rate.toFixed(0)} starts a second, ` +
+          `urgent p99 ${this.statistics.urgentLatency.p99} ms, ${this.brokenRules().length} rules broken`,
       );
     }
   }
 
-  private get meters(): RunProcess[] {
-    return this.regions.flatMap((r) =>
-      [r.state, r.cloud, r.users, ...r.hosts.values()].filter((p): p is RunProcess => p !== null),
-    );
-  }
-
-  private async readAll(): Promise<Map<RunProcess, Reading>> {
-    const read = this.meters.map(async (p) => [p, await p.read()] as const);
-    return new Map(await Promise.all(read));
-  }
-
-  private async measure(seconds: number): Promise<Stretch> {
-    const before = await this.readAll();
+  private async measure(seconds: number): Promise<MeasuredInterval> {
+    const before = await readHelpers(this.regions);
     const load = new MachineLoad();
-    const watch = new ProcessUsageSampler(this.processes.running);
-    const began = performance.now();
+    const sampler = new ProcessUsageSampler(this.processes.running);
+    const beganAt = performance.now();
     await this.watch(seconds, 'measuring');
-    const usage = watch.end();
+    const usage = sampler.end();
     const machineCpu = load.read();
-    const after = await this.readAll();
-    return { seconds: (performance.now() - began) / 1000, usage, before, after, machineCpu };
+    const after = await readHelpers(this.regions);
+    const measuredS = (performance.now() - beganAt) / 1000;
+    return new MeasuredInterval(this.regions, { seconds: measuredS, usage, before, after, machineCpu });
   }
 
-  private async trouble(trouble: Fault): Promise<FaultResult> {
-    this.say(`  trouble: ${trouble.name}`);
+  private async injectFault(fault: Fault): Promise<FaultResult> {
+    this.say(`  trouble: ${fault.name}`);
     const region = this.regions[0] as Region;
-    const killedBefore = this.killed(await this.readAll());
+    const killedBefore = killedByLease(await readHelpers(this.regions));
     const brokenBefore = this.brokenRules().length;
-    this.tally.reset();
-    const began = performance.now();
-    await trouble.inject(region, (s) => this.sleep(s));
-    await this.watch(trouble.watchS, trouble.name);
-    const watchedS = (performance.now() - began) / 1000;
+    this.statistics.reset();
+    const beganAt = performance.now();
+    await fault.inject(region, (seconds) => this.sleep(seconds));
+    await this.watch(fault.watchS, fault.name);
+    const watchedS = (performance.now() - beganAt) / 1000;
     return {
-      trouble: trouble.name,
+      trouble: fault.name,
       watchedS,
-      startsPerS: this.tally.starts / watchedS,
-      longestPauseS: this.tally.longestPauseS,
-      urgentMs: this.tally.urgentLatency,
-      killedByLease: this.killed(await this.readAll()) - killedBefore,
+      startsPerS: this.statistics.starts / watchedS,
+      longestPauseS: this.statistics.longestPauseS,
+      urgentMs: this.statistics.urgentLatency,
+      killedByLease: killedByLease(await readHelpers(this.regions)) - killedBefore,
       brokenRules: this.brokenRules().length - brokenBefore,
     };
   }
 
-  /** The last events are still on their way. */
-  private drain(): Promise<void> {
-    return this.sleep(1);
-  }
-
-  private killed(readings: ReadonlyMap<RunProcess, Reading>): number {
-    let sum = 0;
-    for (const reading of readings.values()) sum += reading.counts['killedByLease'] ?? 0;
-    return sum;
-  }
-
-  // --- what came of it -----------------------------------------------------------------------------
-
-  private result(s: Stretch, warmS: number): StepResult {
-    const { o, step, tally } = this;
-    const regions = this.regions.length;
-    const counted = (of: (r: Region) => RunProcess | null, kind: string): number =>
-      this.sum(s, this.regions.map(of), kind) / regions;
-    const hosted = (kind: string): number =>
-      this.sum(
-        s,
-        this.regions.flatMap((r) => [...r.hosts.values()]),
-        kind,
-      ) / regions;
-    const running = this.processes.running;
-    return {
-      ...step,
-      workers: this.workers,
-      teams: o.teams,
-      nodes: o.nodes,
-      processes: running.length,
+  private resultOf(interval: MeasuredInterval, warmS: number): StepResult {
+    return buildStepResult({
+      options: this.options,
+      step: this.step,
+      shape: this.shape,
+      regions: this.regions,
+      interval,
+      statistics: this.statistics,
+      processes: this.processes.running,
       warmS,
-      seconds: round(s.seconds),
-      startsAskedPerS: round(this.part(o.starts)),
-      tasksCamePerS: round(tally.tasksSubmitted / s.seconds / regions),
-      startsPerS: round(tally.starts / s.seconds / regions),
-      jobsPerS: round(tally.jobsSubmitted / s.seconds / regions),
-      running: Math.round(tally.runningTasks / regions),
-      roles: this.roles(s),
-      tasksOnLoneWorker: round(this.loneTasks(s)),
-      state: {
-        requestsPerS: round(counted((r) => r.state, 'requests') / s.seconds),
-        changesPerS: round(counted((r) => r.state, 'changes') / s.seconds),
-        refusedPerS: round(counted((r) => r.state, 'refused') / s.seconds),
-        conflicts: counted((r) => r.state, 'conflicts'),
-      },
-      reportsPerS: round(hosted('reports') / s.seconds),
-      commandsPerS: round(hosted('commands') / s.seconds),
-      unanswered: hosted('unanswered'),
-      redirects: hosted('redirects'),
-      urgentMs: tally.urgentLatency,
-      urgentNotStarted: tally.countOverdue(this.time.now),
-      acceptedMs: this.worst(s, 'accepted'),
-      users: this.userCounts(s),
-      killedByLease: this.killed(s.after) - this.killed(s.before),
-      ends: [...this.ends],
-      readySeconds: this.regions[0]?.readyMs === null ? null : round((this.regions[0]?.readyMs ?? 0) / 1000),
-      endedJobs: o.endedJobs,
-      elections: this.regions.reduce(
-        (n, r) => n + r.logs.reduce((k, log) => k + (log.messages.get('leading') ?? 0), 0),
-        0,
-      ),
+      ends: this.unexpectedExits,
       brokenRules: this.brokenRules(),
-      troubles: [],
-      machineCpu: round(s.machineCpu),
-      memoryMb: Math.round(running.reduce((sum, p) => sum + (s.usage(p)?.residentMb ?? 0), 0)),
-    };
-  }
-
-  private sum(s: Stretch, processes: readonly (RunProcess | null)[], kind: string): number {
-    let sum = 0;
-    for (const p of processes) {
-      if (p === null) continue;
-      sum += (s.after.get(p)?.counts[kind] ?? 0) - (s.before.get(p)?.counts[kind] ?? 0);
-    }
-    return sum;
-  }
-
-  /** A latency of the users of that region where it was worst. */
-  private worst(s: Stretch, kind: string): LatencySummary {
-    const all = this.regions.flatMap((r) => {
-      const found = r.users === null ? undefined : s.after.get(r.users)?.latencies[kind];
-      return found === undefined ? [] : [found];
+      now: this.timeline.now,
     });
-    return all.sort((a, b) => b.p99 - a.p99)[0] ?? { count: 0, p50: 0, p99: 0, most: 0 };
   }
-
-  private userCounts(s: Stretch): Record<string, number> {
-    const counts: Record<string, number> = {};
-    for (const r of this.regions) {
-      if (r.users === null) continue;
-      const after = s.after.get(r.users)?.counts ?? {};
-      const before = s.before.get(r.users)?.counts ?? {};
-      for (const [kind, n] of Object.entries(after))
-        counts[kind] = (counts[kind] ?? 0) + n - (before[kind] ?? 0);
-    }
-    return counts;
-  }
-
-  private roles(s: Stretch): Record<RoleName, RoleUsage> {
-    const of = (pick: (r: Region) => readonly (RunProcess | null | undefined)[]): RoleUsage => {
-      const all = this.regions.flatMap(pick).flatMap((p) => {
-        const usage = p === null || p === undefined ? null : s.usage(p);
-        return usage === null ? [] : [usage];
-      });
-      return rounded(meanUsage(all));
-    };
-    const isLeader = (r: Region, p: RunProcess): boolean =>
-      r.leader !== null && r.controllers[r.leader] === p;
-    return {
-      leader: of((r) => r.controllers.filter((p) => isLeader(r, p))),
-      node: of((r) => r.controllers.filter((p) => !isLeader(r, p))),
-      state: of((r) => [r.state]),
-      cloud: of((r) => [r.cloud]),
-      users: of((r) => [r.users]),
-      workers: of((r) => r.shape.zones.map((zone) => r.hosts.get(zone))),
-      worker: rounded(meanUsage(this.loneWorkers(s))),
-    };
-  }
-
-  /** Bytes of a worker are those on its sockets: what it tells the driver is no part of the protocol. */
-  private loneWorkers(s: Stretch): RoleUsage[] {
-    return this.loneProcesses.flatMap((p) => {
-      const usage = s.usage(p);
-      const before = s.before.get(p);
-      const after = s.after.get(p);
-      if (usage === null || before === undefined || after === undefined) return [];
-      const kb = (of: (x: Reading) => number): number => (of(after) - of(before)) / 1000 / s.seconds;
-      return [{ ...usage, kbInPerS: kb((x) => x.bytesIn), kbOutPerS: kb((x) => x.bytesOut) }];
-    });
-  }
-
-  private get loneProcesses(): RunProcess[] {
-    return this.regions.flatMap((r) => DEDICATED_WORKERS.flatMap((name) => r.hosts.get(name) ?? []));
-  }
-
-  /** Tasks on each of the workers that are alone: mean of the two readings. */
-  private loneTasks(s: Stretch): number {
-    const all = this.loneProcesses.map(
-      (p) => ((s.before.get(p)?.tasks ?? 0) + (s.after.get(p)?.tasks ?? 0)) / 2,
-    );
-    return all.reduce((sum, n) => sum + n, 0) / Math.max(1, all.length);
-  }
-}
-
-function round(x: number): number {
-  return Number(x.toFixed(3));
-}
-
-function rounded(u: RoleUsage): RoleUsage {
-  return {
-    cpu: round(u.cpu),
-    cpuPeak: round(u.cpuPeak),
-    residentMb: round(u.residentMb),
-    peakMb: round(u.peakMb),
-    sockets: round(u.sockets),
-    kbInPerS: round(u.kbInPerS),
-    kbOutPerS: round(u.kbOutPerS),
-  };
 }
--- a/packages/scale/src/store-server.ts
+++ b/packages/scale/src/store-server.ts
@@ -1,3 +1,9 @@
+/**
+ * The helper process that stands in for the key-value store of one region.
+ *
+ * @module
+ */
+import { HTTP_STATUS } from '@spurbridge/net';
 import { MonotonicTimeline } from '@spurbridge/simulated-worker';
 import type { WallClockMs } from '@spurbridge/model';
 import { encodeJob, jobKey } from '@spurbridge/model';
@@ -16,16 +22,16 @@
 } from '@spurbridge/wire';
 import type { FastifyInstance, FastifyReply } from 'fastify';
 import { splitAddress } from './addresses.js';
-import type { Meter } from './child.js';
-import { handleOrders, notifyDriver } from './child.js';
+import { handleOrders, notifyDriver } from './driver-channel.js';
+import type { Meter } from './meter.js';
 import { jsonServer } from './json-server.js';
 import type { StoreRole } from './messages.js';
 
-const KEPT_CHANGES = 10_000;
-const KEEP_EVERY_MS = 1000;
-const MOST_ITEMS = 1000;
-const MOST_WAIT_MS = 60_000;
-const TEAMS_OF_OLD_JOBS = 50;
+const KEPT_EVENTS = 10_000;
+const TRIM_INTERVAL_MS = 1000;
+const MAX_PAGE_SIZE = 1000;
+const MAX_WAIT_MS = 60_000;
+const TEAMS_OF_ENDED_JOBS = 50;
 
 interface ListQuery {
   readonly starts?: string;
@@ -33,16 +39,16 @@
   readonly most?: string;
 }
 
-interface FollowQuery {
+interface WatchQuery {
   readonly starts?: string;
   readonly from?: string;
   readonly blockMs?: string;
 }
 
-/** The stand-in of the state service over HTTP, with its limits. */
+/** A simulated key-value store behind the HTTP interface and rate limits of the real one. */
 export class KeyValueStoreServer {
   readonly app: FastifyInstance = jsonServer();
-  private readonly state: SimKeyValueStore;
+  private readonly store: SimKeyValueStore;
   private listed: {
     readonly prefix: string;
     readonly revision: Revision;
@@ -53,37 +59,38 @@
     role: Pick<StoreRole, 'rps' | 'writeRps' | 'valueKb' | 'txnOps'>,
     private readonly meter: Meter,
   ) {
-    this.state = new SimKeyValueStore(new MonotonicTimeline(), role);
+    this.store = new SimKeyValueStore(new MonotonicTimeline(), role);
     setInterval(() => {
-      this.state.trimHistory(KEPT_CHANGES);
-    }, KEEP_EVERY_MS).unref();
-    this.routes();
+      this.store.trimHistory(KEPT_EVENTS);
+    }, TRIM_INTERVAL_MS).unref();
+    this.registerKeyRoutes();
+    this.registerLeaseRoutes();
   }
 
-  /** Puts records of jobs that ended long ago in place, as the controllers write them. */
+  /** Adds records of ended jobs, in the form in which controllers write them. */
   seedEndedJobs(endedJobs: number): void {
     for (let n = 0; n < endedJobs; n += 1) {
-      const spec = jobSpec({ id: `wk-old-${n}` as JobId, team: `team-${n % TEAMS_OF_OLD_JOBS}` });
+      const spec = jobSpec({ id: `wk-old-${n}` as JobId, team: `team-${n % TEAMS_OF_ENDED_JOBS}` });
       const record = { spec, phase: 'done' as const, submittedAt: 0 as WallClockMs, chunkSize: 256 };
-      this.state.commit([], [{ put: jobKey(spec.id), value: encodeJob(record) }]);
+      this.store.commit([], [{ put: jobKey(spec.id), value: encodeJob(record) }]);
     }
-    this.state.trimHistory(0);
+    this.store.trimHistory(0);
   }
 
   private get revision(): Revision {
-    return this.state.currentRevision();
+    return this.store.currentRevision();
   }
 
-  /** Whether the limits let a request with so many changes through; otherwise it was answered. */
-  private admits(reply: FastifyReply, changes: number): boolean {
-    const isAdmitted = this.state.admits(changes);
+  /** Applies the rate limits to a request with so many mutations; a rejected one is responded to here. */
+  private admits(reply: FastifyReply, mutations: number): boolean {
+    const isAdmitted = this.store.admits(mutations);
     this.meter.count(isAdmitted ? 'requests' : 'refused');
-    if (isAdmitted) this.meter.count('changes', changes);
-    else void reply.code(429).send({ error: 'over the limit' });
+    if (isAdmitted) this.meter.count('changes', mutations);
+    else void reply.code(HTTP_STATUS.tooManyRequests).send({ error: 'over the limit' });
     return isAdmitted;
   }
 
-  private routes(): void {
+  private registerKeyRoutes(): void {
     const { app } = this;
     app.get<{ Params: { '*': string } }>(`${PATHS.keys}/*`, (request, reply) => {
       if (this.admits(reply, 0)) this.read(decodeURIComponent(request.params['*']), reply);
@@ -94,89 +101,93 @@
       return reply;
     });
     app.post(PATHS.transactions, (request, reply) => {
-      const { compares: conditions, mutations: changes } = parseTransaction(request.body);
-      if (!this.admits(reply, changes.length)) return reply;
-      const outcome = this.state.commit(conditions, changes);
+      const { compares, mutations } = parseTransaction(request.body);
+      if (!this.admits(reply, mutations.length)) return reply;
+      const outcome = this.store.commit(compares, mutations);
       switch (outcome.outcome) {
         case 'committed':
           return reply.send(formatRevision(outcome.revision));
         case 'conflict':
           this.meter.count('conflicts');
-          return reply.code(409).send(formatConflict(outcome.failed, outcome.revision));
+          return reply.code(HTTP_STATUS.conflict).send(formatConflict(outcome.failed, outcome.revision));
         default:
-          return reply.code(400).send({ error: 'no such lease' });
+          return reply.code(HTTP_STATUS.badRequest).send({ error: 'no such lease' });
       }
     });
+    app.get<{ Querystring: WatchQuery }>(PATHS.watch, (request, reply) => {
+      if (this.admits(reply, 0)) this.watch(request.query, reply);
+      return reply;
+    });
+  }
+
+  private registerLeaseRoutes(): void {
+    const { app } = this;
     app.post(PATHS.leases, (request, reply) => {
       if (!this.admits(reply, 0)) return reply;
-      const granted = this.state.grantLease(parseLeaseTtlMs(request.body));
+      const granted = this.store.grantLease(parseLeaseTtlMs(request.body));
       return granted.outcome === 'granted'
         ? reply.send(formatLeaseId(granted.lease))
-        : reply.code(503).send({ error: 'not granted' });
+        : reply.code(HTTP_STATUS.unavailable).send({ error: 'not granted' });
     });
     app.post<{ Params: { id: string } }>(`${PATHS.leases}/:id/touch`, (request, reply) => {
       if (!this.admits(reply, 0)) return reply;
-      const { outcome } = this.state.renewLease(Number(request.params.id));
-      return reply.code(outcome === 'renewed' ? 200 : 404).send({});
+      const { outcome } = this.store.renewLease(Number(request.params.id));
+      return reply.code(outcome === 'renewed' ? HTTP_STATUS.ok : HTTP_STATUS.notFound).send({});
     });
     app.delete<{ Params: { id: string } }>(`${PATHS.leases}/:id`, (request, reply) => {
       if (!this.admits(reply, 0)) return reply;
-      this.state.endLease(Number(request.params.id) as LeaseId);
+      this.store.endLease(Number(request.params.id) as LeaseId);
       return reply.send({});
     });
-    app.get<{ Querystring: FollowQuery }>(PATHS.watch, (request, reply) => {
-      if (this.admits(reply, 0)) this.follow(request.query, reply);
-      return reply;
-    });
   }
 
   private read(key: string, reply: FastifyReply): void {
-    const found = this.state.read(key);
+    const found = this.store.read(key);
     if (found.outcome === 'found') void reply.send(formatKeyValue(found.item));
-    else void reply.code(404).send(formatRevision(this.revision));
+    else void reply.code(HTTP_STATUS.notFound).send(formatRevision(this.revision));
   }
 
   private list(query: ListQuery, reply: FastifyReply): void {
     const items = this.itemsBelow(query.starts ?? '');
     const from = query.from ?? '';
     const first = from === '' ? 0 : firstAfter(items, from);
-    const most = Math.min(MOST_ITEMS, Number(query.most ?? MOST_ITEMS));
+    const most = Math.min(MAX_PAGE_SIZE, Number(query.most ?? MAX_PAGE_SIZE));
     const page = items.slice(first, first + most);
     void reply.send(formatKeyValuePage(page, first + most < items.length, this.revision));
   }
 
-  /** All items of a prefix; kept while nothing changes, so that the pages of one list cost one look. */
+  /** All items of a prefix, cached until the next revision so that the pages of one list cost one scan. */
   private itemsBelow(prefix: string): readonly KeyValue[] {
     if (this.listed?.prefix === prefix && this.listed.revision === this.revision) return this.listed.items;
-    const listed = this.state.list(prefix);
+    const listed = this.store.list(prefix);
     const items = listed.outcome === 'listed' ? listed.items : [];
     this.listed = { prefix, revision: this.revision, items };
     return items;
   }
 
-  private follow(query: FollowQuery, reply: FastifyReply): void {
+  private watch(query: WatchQuery, reply: FastifyReply): void {
     const prefix = query.starts ?? '';
     const from = Number(query.from ?? 0) as Version;
-    const answer = (): void => {
-      if (this.state.hasEventsSince(from))
-        void reply.send(formatWatchResponse(this.revision, this.state.eventsSince(prefix, from)));
-      else void reply.code(410).send({ error: 'too old' });
+    const respond = (): void => {
+      if (this.store.hasEventsSince(from))
+        void reply.send(formatWatchResponse(this.revision, this.store.eventsSince(prefix, from)));
+      else void reply.code(HTTP_STATUS.gone).send({ error: 'too old' });
     };
-    const waitMs = Math.min(MOST_WAIT_MS, Number(query.blockMs ?? 0));
-    if (waitMs === 0 || !this.state.hasEventsSince(from) || this.state.eventsSince(prefix, from).length > 0) {
-      answer();
+    const waitMs = Math.min(MAX_WAIT_MS, Number(query.blockMs ?? 0));
+    if (waitMs === 0 || !this.store.hasEventsSince(from) || this.store.eventsSince(prefix, from).length > 0) {
+      respond();
       return;
     }
-    let isAnswered = false;
-    this.state.waitForChange(prefix, from, waitMs, () => {
-      if (isAnswered) return;
-      isAnswered = true;
-      answer();
+    let hasResponded = false;
+    this.store.waitForChange(prefix, from, waitMs, () => {
+      if (hasResponded) return;
+      hasResponded = true;
+      respond();
     });
   }
 }
 
-/** Index of the first item whose key comes after this one; the items are in the order of their keys. */
+/** Index of the first item whose key comes after this one; the items are sorted by key. */
 function firstAfter(items: readonly KeyValue[], key: string): number {
   let low = 0;
   let high = items.length;
@@ -188,7 +199,7 @@
   return low;
 }
 
-/** A process that is the state service of one region. */
+/** Runs the key-value store of one region in this process. */
 export async function runStore(role: StoreRole, meter: Meter): Promise<void> {
   const server = new KeyValueStoreServer(role, meter);
   await server.app.listen(splitAddress(role.listen));
--- a/packages/scale/src/usage.ts
+++ b/packages/scale/src/usage.ts
@@ -1,3 +1,8 @@
+/**
+ * Resource usage of processes and of the whole machine between two moments.
+ *
+ * @module
+ */
 import { readFileSync } from 'node:fs';
 import type { ProcessUsage, RunProcess } from './processes.js';
 import { usageOf } from './processes.js';
@@ -7,7 +12,7 @@
 const KB = 1000;
 const SAMPLE_MS = 1000;
 
-/** Watches what processes use, second by second, between two moments. */
+/** Samples the resource usage of processes every second until it is ended. */
 export class ProcessUsageSampler {
   private readonly began = new Map<RunProcess, ProcessUsage>();
   private readonly last = new Map<RunProcess, { readonly usage: ProcessUsage; readonly at: number }>();
@@ -16,11 +21,11 @@
   private readonly timer: NodeJS.Timeout;
 
   constructor(processes: readonly RunProcess[]) {
-    for (const p of processes) {
-      const usage = usageOf(p.pid);
+    for (const process of processes) {
+      const usage = usageOf(process.pid);
       if (usage === null) continue;
-      this.began.set(p, usage);
-      this.last.set(p, { usage, at: this.beganAt });
+      this.began.set(process, usage);
+      this.last.set(process, { usage, at: this.beganAt });
     }
     this.timer = setInterval(() => {
       this.sample();
@@ -29,16 +34,16 @@
 
   private sample(): void {
     const now = performance.now();
-    for (const [p, before] of this.last) {
-      const usage = usageOf(p.pid);
+    for (const [process, before] of this.last) {
+      const usage = usageOf(process.pid);
       if (usage === null) continue;
       const cores = (usage.cpuS - before.usage.cpuS) / ((now - before.at) / 1000);
-      this.peaks.set(p, Math.max(this.peaks.get(p) ?? 0, cores));
-      this.last.set(p, { usage, at: now });
+      this.peaks.set(process, Math.max(this.peaks.get(process) ?? 0, cores));
+      this.last.set(process, { usage, at: now });
     }
   }
 
-  /** Ends the watch; what each process used since its beginning. */
+  /** Ends the sampling; returns a function that gives the usage of a process, or null if it was not sampled. */
   end(): (process: RunProcess) => RoleUsage | null {
     clearInterval(this.timer);
     this.sample();
@@ -61,19 +66,37 @@
   }
 }
 
-/** Mean of several processes of one role. */
+/** Mean usage of several processes of one role; the peak of processor time is their maximum. */
 export function meanUsage(all: readonly RoleUsage[]): RoleUsage {
-  const mean = (of: (u: RoleUsage) => number): number =>
-    all.length === 0 ? 0 : all.reduce((sum, u) => sum + of(u), 0) / all.length;
-  const most = (of: (u: RoleUsage) => number): number => Math.max(0, ...all.map(of));
+  const mean = (of: (usage: RoleUsage) => number): number =>
+    all.length === 0 ? 0 : all.reduce((sum, usage) => sum + of(usage), 0) / all.length;
+  const most = (of: (usage: RoleUsage) => number): number => Math.max(0, ...all.map(of));
   return {
-    cpu: mean((u) => u.cpu),
-    cpuPeak: most((u) => u.cpuPeak),
-    residentMb: mean((u) => u.residentMb),
-    peakMb: most((u) => u.peakMb),
-    sockets: mean((u) => u.sockets),
-    kbInPerS: mean((u) => u.kbInPerS),
-    kbOutPerS: mean((u) => u.kbOutPerS),
+    cpu: mean((usage) => usage.cpu),
+    cpuPeak: most((usage) => usage.cpuPeak),
+    residentMb: mean((usage) => usage.residentMb),
+    peakMb: most((usage) => usage.peakMb),
+    sockets: mean((usage) => usage.sockets),
+    kbInPerS: mean((usage) => usage.kbInPerS),
+    kbOutPerS: mean((usage) => usage.kbOutPerS),
+  };
+}
+
+/** Rounds a figure to three digits after the decimal point, as results are kept. */
+export function roundFigure(value: number): number {
+  return Number(value.toFixed(3));
+}
+
+/** Rounds every figure of a usage. */
+export function roundUsage(usage: RoleUsage): RoleUsage {
+  return {
+    cpu: roundFigure(usage.cpu),
+    cpuPeak: roundFigure(usage.cpuPeak),
+    residentMb: roundFigure(usage.residentMb),
+    peakMb: roundFigure(usage.peakMb),
+    sockets: roundFigure(usage.sockets),
+    kbInPerS: roundFigure(usage.kbInPerS),
+    kbOutPerS: roundFigure(usage.kbOutPerS),
   };
 }
 
@@ -89,10 +112,11 @@
   return { all, busy: all - (ticks[3] ?? 0) - (ticks[4] ?? 0) };
 }
 
-/** Share of the machine's cores in use since it was made. */
+/** Measures the share of the machine's cores in use since this object was created. */
 export class MachineLoad {
   private readonly began = cpuTicks();
 
+  /** The share so far, from 0 to 1. */
   read(): number {
     const now = cpuTicks();
     return (now.busy - this.began.busy) / Math.max(1, now.all - this.began.all);
--- a/packages/scale/src/users.ts
+++ b/packages/scale/src/users.ts
@@ -1,30 +1,36 @@
+/**
+ * The helper process that plays the users of one region, who submit, poll and cancel jobs.
+ *
+ * @module
+ */
 import { MonotonicTimeline } from '@spurbridge/simulated-worker';
 import type { HttpResponse } from '@spurbridge/net';
 import { JsonClient, NoResponseError } from '@spurbridge/net';
 import type { JobPhase, JobSpec } from '@spurbridge/wire';
 import { PATHS, formatSubmission, parseJobPhase } from '@spurbridge/wire';
-import type { Meter } from './child.js';
-import { handleOrders, notifyDriver } from './child.js';
+import { handleOrders, notifyDriver } from './driver-channel.js';
+import type { Meter } from './meter.js';
 import type { RunEvent } from './events.js';
 import type { UsersRole } from './messages.js';
 import { Workload } from './workload.js';
 
-const ANSWER_MS = 5000;
-const POLL_ANSWER_MS = 2000;
+const RESPONSE_TIMEOUT_MS = 5000;
+const POLL_RESPONSE_TIMEOUT_MS = 2000;
 const POLL_MS = 5000;
 const RETRY_MS = 1000;
-const GIVES_UP_MS = 60_000;
+const SUBMIT_DEADLINE_MS = 60_000;
 const BATCH_MS = 50;
+/** Connections to each controller node. */
 const SOCKETS = 64;
-/** Services are submitted one after another, so that a start is no flood. */
+/** Services are submitted one after another, so that the start of a run does not overload the controllers. */
 const SERVICE_GAP_MS = 20;
 
 type Call = 'submit' | 'poll' | 'cancel';
 
-/** The life of one user's job, as its user sees it. */
+/** State of one job as its user sees it. */
 type UserState = 'submitting' | 'polling' | 'cancelling' | 'over';
 
-/** Users of one region: jobs come at their own times, whether the service is slow or not. */
+/** Users of one region. The load is open: jobs arrive at their own times, however slow the service is. */
 class Users {
   private readonly time = new MonotonicTimeline();
   private readonly workload: Workload;
@@ -37,7 +43,7 @@
     private readonly meter: Meter,
   ) {
     this.workload = new Workload(role.workload);
-    this.clients = role.nodes.map((n) => new JsonClient(n.address, SOCKETS));
+    this.clients = role.nodes.map((node) => new JsonClient(node.address, SOCKETS));
   }
 
   run(): void {
@@ -54,7 +60,7 @@
     this.arrive(0, this.time.now);
   }
 
-  /** The next job comes when it is due by the drawn times, however long the one before takes. */
+  /** Schedules the arrival of the next job, independently of how long the one before takes. */
   private arrive(index: number, dueAt: number): void {
     const at = dueAt + this.workload.gapMs(index);
     this.time.after(at - this.time.now, () => {
@@ -79,7 +85,7 @@
   }
 }
 
-/** One job's user: submits until answered for good, asks now and then, and may cancel. */
+/** The user of one job: submits it until it is accepted or refused, polls it, and may cancel it. */
 class User {
   private state: UserState = 'submitting';
   private readonly beganAt: number;
@@ -121,12 +127,12 @@
   }
 
   private async submit(): Promise<void> {
-    const status = await this.ask('submit');
+    const status = await this.request('submit');
     if (status === 200 || status === 201) {
       this.meter.latency('accepted', this.time.now - this.beganAt);
       this.enter('polling');
     } else if (status === 400 || status === 422) this.giveUp('refused');
-    else if (this.time.now - this.beganAt > GIVES_UP_MS) this.giveUp('gave up');
+    else if (this.time.now - this.beganAt > SUBMIT_DEADLINE_MS) this.giveUp('gave up');
     else await this.wait(RETRY_MS);
   }
 
@@ -137,12 +143,12 @@
 
   private async poll(): Promise<void> {
     await this.wait(POLL_MS);
-    await this.ask('poll');
+    await this.request('poll');
   }
 
   private async cancel(): Promise<void> {
     this.emit({ kind: 'cancelAsked', at: this.time.now, job: this.spec.id });
-    await this.ask('cancel');
+    await this.request('cancel');
     if (this.isCancelling()) await this.wait(RETRY_MS);
   }
 
@@ -156,44 +162,44 @@
     });
   }
 
-  /** One request; its status, or null without an answer. */
-  private async ask(call: Call): Promise<number | null> {
+  /** Sends one request; returns its status, or null without a response. */
+  private async request(call: Call): Promise<number | null> {
     const askedAt = this.time.now;
     this.meter.count(call);
-    let answer: HttpResponse;
+    let response: HttpResponse;
     try {
-      answer = await this.send(call);
-    } catch (e) {
-      if (!(e instanceof NoResponseError)) throw e;
+      response = await this.send(call);
+    } catch (error) {
+      if (!(error instanceof NoResponseError)) throw error;
       this.meter.count(`${call} unanswered`);
       return null;
     }
     this.meter.latency(call, this.time.now - askedAt);
-    if (answer.status >= 400) this.meter.count(`${call} ${answer.status}`);
-    const isSaid = answer.status === 200 || answer.status === 201;
-    const phase = isSaid ? parseJobPhase(answer.body) : null;
+    if (response.status >= 400) this.meter.count(`${call} ${response.status}`);
+    const isAccepted = response.status === 200 || response.status === 201;
+    const phase = isAccepted ? parseJobPhase(response.body) : null;
     this.emit({
       kind: 'told',
       at: this.time.now,
       job: this.spec.id,
       call,
-      code: answer.status,
+      code: response.status,
       phase,
       askedAt,
     });
     if (isFinal(phase)) this.enter('over');
-    return answer.status;
+    return response.status;
   }
 
   private send(call: Call): Promise<HttpResponse> {
     const path = `${PATHS.jobs}/${this.spec.id}`;
     switch (call) {
       case 'submit':
-        return this.client().call('POST', PATHS.jobs, formatSubmission(this.spec), ANSWER_MS);
+        return this.client().call('POST', PATHS.jobs, formatSubmission(this.spec), RESPONSE_TIMEOUT_MS);
       case 'poll':
-        return this.client().call('GET', path, undefined, POLL_ANSWER_MS);
+        return this.client().call('GET', path, undefined, POLL_RESPONSE_TIMEOUT_MS);
       case 'cancel':
-        return this.client().call('POST', `${path}/cancel`, {}, ANSWER_MS);
+        return this.client().call('POST', `${path}/cancel`, {}, RESPONSE_TIMEOUT_MS);
     }
   }
 }
@@ -202,7 +208,7 @@
   return phase === 'done' || phase === 'cancelled';
 }
 
-/** A process that is all users of one region. */
+/** Runs all users of one region in this process. */
 export function runUsers(role: UsersRole, meter: Meter): void {
   const users = new Users(role, meter);
   handleOrders((order) => {
--- a/packages/scale/src/worker-host.ts
+++ b/packages/scale/src/worker-host.ts
@@ -1,3 +1,8 @@
+/**
+ * The helper process that hosts simulated workers.
+ *
+ * @module
+ */
 import type { Server } from 'node:http';
 import { createServer } from 'node:http';
 import type {
@@ -7,7 +12,7 @@
   WorkerHost,
 } from '@spurbridge/simulated-worker';
 import { GangRegistry, SimulatedWorker, MonotonicTimeline } from '@spurbridge/simulated-worker';
-import { JsonClient, NoResponseError } from '@spurbridge/net';
+import { HTTP_STATUS, JsonClient, NoResponseError } from '@spurbridge/net';
 import type { JobId, MachineId, Heartbeat } from '@spurbridge/wire';
 import {
   PATHS,
@@ -20,21 +25,21 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { splitAddress, workerAddress } from './addresses.js';
-import type { Meter } from './child.js';
-import { handleOrders, notifyDriver } from './child.js';
+import { handleOrders, notifyDriver } from './driver-channel.js';
+import type { Meter } from './meter.js';
 import { machineType } from './cloud-server.js';
 import type { RunEvent } from './events.js';
 import { jsonServer } from './json-server.js';
 import type { MachineUp, WorkersRole } from './messages.js';
 import { Workload } from './workload.js';
 
-/** A worker gives a report up after this, by the protocol. */
-const ANSWER_MS = 4000;
+/** A worker gives up a heartbeat without a response after this time. */
+const RESPONSE_TIMEOUT_MS = 4000;
 const BATCH_MS = 50;
-/** The end of a lease is noticed and told up to so much later than it was. */
-const LATEST_STAMP_MS = 400;
+/** An event may be recorded with a time up to this much in the past, as the end of a lease is noticed late. */
+const MAX_EVENT_DELAY_MS = 400;
 
-/** Keeps what happens to tasks until it is told to the driver. */
+/** Buffers the events of tasks until they are sent to the driver. */
 class EventLog implements TaskObserver {
   private events: RunEvent[] = [];
   private readonly doneTasks = new Set<string>();
@@ -63,18 +68,18 @@
   flush(): void {
     const { events } = this;
     this.events = [];
-    notifyDriver({ notice: 'events', events, until: this.time.now - LATEST_STAMP_MS });
+    notifyDriver({ notice: 'events', events, until: this.time.now - MAX_EVENT_DELAY_MS });
   }
 }
 
-/** Workers without real tasks that share this process; each has an address and connections of its own. */
+/** The simulated workers of this process; each has an address and connections of its own. */
 class SimulatedWorkers {
   private readonly time = new MonotonicTimeline();
   private readonly log = new EventLog(this.time);
   private readonly workers = new Map<MachineId, SimulatedWorker>();
   private readonly byHost = new Map<string, SimulatedWorker>();
   private readonly servers = new Map<MachineId, Server>();
-  /** The connection on which each worker reports, and to which node. */
+  /** The connection on which each worker sends heartbeats, and to which node. */
   private readonly links = new Map<MachineId, { readonly node: string; readonly client: JsonClient }>();
   private readonly generator;
   private readonly host: WorkerHost;
@@ -89,7 +94,7 @@
     this.host = {
       time: this.time,
       observer: this.log,
-      nodes: role.nodes.map((n) => n.name),
+      nodes: role.nodes.map((node) => node.name),
       ...role.times,
       gangs: new GangRegistry(() => this.workers.values()),
       random: (below) => (below <= 0 ? 0 : uniformInt(this.generator, 0, below - 1)),
@@ -97,9 +102,9 @@
       taskFails: () => false,
       taskRunMs: (job, task) => workload.runMs(job, task),
       addressOf: (id) => workerAddress(role.region, id),
-      sendHeartbeat: (worker, node, report) => this.report(worker, node, report),
+      sendHeartbeat: (worker, node, heartbeat) => this.sendHeartbeat(worker, node, heartbeat),
     };
-    this.routes();
+    this.registerRoutes();
   }
 
   async run(): Promise<void> {
@@ -108,8 +113,8 @@
       this.log.flush();
     }, BATCH_MS);
     handleOrders((order) => {
-      if (order.order === 'up') for (const m of order.machines) this.up(m);
-      else if (order.order === 'end') for (const id of order.machines) this.end(id);
+      if (order.order === 'up') for (const machine of order.machines) this.start(machine);
+      else if (order.order === 'end') for (const id of order.machines) this.stop(id);
       else if (order.order === 'read') {
         const reading = this.meter.read();
         const counts = { ...reading.counts, killedByLease: this.log.killedByLease };
@@ -125,22 +130,22 @@
     return sum;
   }
 
-  private up(m: MachineUp): void {
-    const { host, port } = splitAddress(workerAddress(this.role.region, m.id));
+  private start(machine: MachineUp): void {
+    const { host, port } = splitAddress(workerAddress(this.role.region, machine.id));
     const server = createServer((request, response) => {
       this.app.routing(request, response);
     });
     server.keepAliveTimeout = 120_000;
     server.listen(port, host, () => {
-      const worker = new SimulatedWorker(m.id, machineType([]), m.zone, m.spot, this.host);
-      this.workers.set(m.id, worker);
+      const worker = new SimulatedWorker(machine.id, machineType([]), machine.zone, machine.spot, this.host);
+      this.workers.set(machine.id, worker);
       this.byHost.set(host, worker);
     });
-    this.servers.set(m.id, server);
+    this.servers.set(machine.id, server);
   }
 
-  /** The machine loses power: its connections end, and everything on it. */
-  private end(id: MachineId): void {
+  /** Ends a machine as a power failure does, with its tasks and connections. */
+  private stop(id: MachineId): void {
     this.workers.get(id)?.die();
     this.workers.delete(id);
     this.links.get(id)?.client.close();
@@ -152,27 +157,27 @@
     this.servers.delete(id);
   }
 
-  private routes(): void {
+  private registerRoutes(): void {
     this.app.post(PATHS.commands, (request, reply) => {
-      const worker = this.called(request);
-      if (worker === undefined) return reply.code(503).send({});
-      const { token, agentEpoch: session, commands } = parseDirectCommands(request.body);
+      const worker = this.calledWorker(request);
+      if (worker === undefined) return reply.code(HTTP_STATUS.unavailable).send({});
+      const { token, agentEpoch, commands } = parseDirectCommands(request.body);
       this.meter.count('commands');
-      worker.receiveCommands(token, session, commands, (isExecuted, report) => {
-        void reply.code(isExecuted ? 200 : 409).send(formatHeartbeat(report));
+      worker.receiveCommands(token, agentEpoch, commands, (isExecuted, heartbeat) => {
+        void reply.code(isExecuted ? HTTP_STATUS.ok : HTTP_STATUS.conflict).send(formatHeartbeat(heartbeat));
       });
       return reply;
     });
     this.app.get(PATHS.show, (request, reply: FastifyReply) => {
-      const worker = this.called(request);
+      const worker = this.calledWorker(request);
       this.meter.count('shows');
       return worker === undefined
-        ? reply.code(503).send({})
+        ? reply.code(HTTP_STATUS.unavailable).send({})
         : reply.send(formatHeartbeat(worker.makeHeartbeat()));
     });
   }
 
-  private called(request: FastifyRequest): SimulatedWorker | undefined {
+  private calledWorker(request: FastifyRequest): SimulatedWorker | undefined {
     return this.byHost.get(request.socket.localAddress ?? '');
   }
 
@@ -180,46 +185,46 @@
     const link = this.links.get(id);
     if (link?.node === node) return link.client;
     link?.client.close();
-    const address = this.role.nodes.find((n) => n.name === node)?.address ?? '';
+    const address = this.role.nodes.find((candidate) => candidate.name === node)?.address ?? '';
     const client = new JsonClient(address, 1);
     this.links.set(id, { node, client });
     return client;
   }
 
-  private async report(
+  private async sendHeartbeat(
     worker: HeartbeatSender,
     node: string,
-    report: Heartbeat,
+    heartbeat: Heartbeat,
   ): Promise<HeartbeatResult | null> {
     const began = this.time.now;
     this.meter.count('reports');
     try {
-      const answer = await this.linkOf(worker.id, node).call(
+      const response = await this.linkOf(worker.id, node).call(
         'POST',
         PATHS.heartbeat,
-        formatHeartbeat(report),
-        ANSWER_MS,
+        formatHeartbeat(heartbeat),
+        RESPONSE_TIMEOUT_MS,
       );
       this.meter.latency('report', this.time.now - began);
-      switch (answer.status) {
+      switch (response.status) {
         case 200:
-          return { code: 200, ...parseHeartbeatResponse(answer.body) };
+          return { code: 200, ...parseHeartbeatResponse(response.body) };
         case 421:
           this.meter.count('redirects');
-          return { code: 421, leader: parseRedirect(answer.body) ?? '' };
+          return { code: 421, leader: parseRedirect(response.body) ?? '' };
         default:
           this.meter.count('refusals');
           return { code: 503 };
       }
-    } catch (e) {
-      if (!(e instanceof NoResponseError)) throw e;
+    } catch (error) {
+      if (!(error instanceof NoResponseError)) throw error;
       this.meter.count('unanswered');
       return null;
     }
   }
 }
 
-/** A process of many workers, or of one alone. */
+/** Runs simulated workers in this process. */
 export async function runWorkers(role: WorkersRole, meter: Meter): Promise<void> {
   await new SimulatedWorkers(role, meter).run();
 }
--- a/packages/scale/src/workload.ts
+++ b/packages/scale/src/workload.ts
@@ -1,28 +1,34 @@
+/**
+ * The generated jobs of one region. Every process derives the same jobs from the seed.
+ *
+ * @module
+ */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { JobId, JobSpec } from '@spurbridge/wire';
 
-/** What is drawn in one region, as every process of the run is told it. */
+/** Parameters of the generated load of one region, given to every process of the run. */
 export interface WorkloadShape {
   readonly seed: number;
-  /** Number of the first job: regions of one run differ in it, and so in the ids of their jobs. */
+  /** Number of the first job. It differs between the regions of a run, and so do the ids of their jobs. */
   readonly firstJob: number;
   readonly teams: number;
-  /** Tasks of arrays that are to start each second. */
+  /** Target rate of task starts of job arrays. */
   readonly startsPerS: number;
-  /** Tasks that are to run at once, replicas of services among them. */
+  /** Target number of running tasks, including replicas of services. */
   readonly running: number;
-  /** Jobs a second. */
+  /** Arrival rate of jobs. */
   readonly jobsPerS: number;
   readonly zones: readonly string[];
 }
 
+/** Classes of generated jobs. */
 export type JobClass = 'batch' | 'urgent' | 'gang' | 'service';
 
-/** Replicas of services, of all that runs. */
+/** Share of the replicas of services among the running tasks. */
 const SERVICE_SHARE = 0.2;
 const REPLICAS = 10;
-/** Of the jobs that come. */
+/** Shares of the arriving jobs. */
 const URGENT_SHARE = 0.5;
 const GANG_SHARE = 0.02;
 const URGENT_TASKS = 8;
@@ -32,54 +38,55 @@
 const IMAGE_GB = 0.5;
 const TASK_CPUS = 1;
 const TASK_MEMORY_GB = 2;
-const GRAIN = 1_000_000;
-const WARM_DRAWS = 16;
-/** Numbers of jobs of one region; the services that stand there from the start have the last ones. */
-export const JOBS_A_REGION = 100_000;
+const SHARE_STEPS = 1_000_000;
+const DISCARDED_DRAWS = 16;
+/** Job numbers reserved for one region; the services that run from the start have the last ones. */
+export const JOBS_PER_REGION = 100_000;
 const FIRST_SERVICE = 80_000;
-/** Sizes of arrays, as multiples of the mean: few large ones hold most tasks, as in a real day. */
+/** Sizes of job arrays as multiples of the mean: as in practice, a few large arrays hold most tasks. */
 const SIZES = [0.05, 0.3, 0.6, 0.9, 1.2, 1.6, 2.35] as const;
 
 const ID_PREFIX = 'wk-';
 const ID_DIGITS = 7;
 
-/** Draws numbers for one thing: the same seed and index always draw the same. */
-class Draw {
+/** Random numbers for one purpose, fully determined by the seed and the index. */
+class SeededDraw {
   private readonly generator;
 
   constructor(seed: number, index: number) {
     this.generator = xoroshiro128plus((seed * 7_919 + index * 104_729) | 0);
-    // Its first numbers follow the seed: neighbours would draw alike.
-    for (let n = 0; n < WARM_DRAWS; n += 1) this.generator.next();
+    // The first numbers are correlated with the seed: neighbouring indexes would get similar ones.
+    for (let n = 0; n < DISCARDED_DRAWS; n += 1) this.generator.next();
   }
 
-  /** A number from 0 to 1. */
+  /** A number from 0 up to, but not including, 1. */
   share(): number {
-    return uniformInt(this.generator, 0, GRAIN - 1) / GRAIN;
+    return uniformInt(this.generator, 0, SHARE_STEPS - 1) / SHARE_STEPS;
   }
 
+  /** A whole number from 0 to `count - 1`. */
   below(count: number): number {
     return uniformInt(this.generator, 0, count - 1);
   }
 }
 
-/** The jobs of one region: each is drawn from the seed and its number alone, so that no process has to be told of it. */
+/** The jobs of one region. Each depends on the seed and its number alone, so that processes need not exchange them. */
 export class Workload {
-  private readonly drawn = new Map<number, JobSpec>();
+  private readonly specs = new Map<number, JobSpec>();
 
   constructor(readonly shape: WorkloadShape) {}
 
-  /** Mean run time of a task of an array, in seconds. */
+  /** Mean run time of a task of a job array, in seconds. */
   get meanRunS(): number {
     return (this.shape.running * (1 - SERVICE_SHARE)) / this.shape.startsPerS;
   }
 
-  /** Mean number of tasks of a usual array, so that all classes together start as many as asked. */
+  /** Mean number of tasks of a batch array, such that all classes together reach the target rate of starts. */
   get meanTasks(): number {
     const { startsPerS, jobsPerS } = this.shape;
-    const small = URGENT_SHARE * ((URGENT_TASKS + 1) / 2) + GANG_SHARE * GANG_TASKS;
-    const usual = 1 - URGENT_SHARE - GANG_SHARE;
-    return Math.max(1, (startsPerS / jobsPerS - small) / usual);
+    const otherTasks = URGENT_SHARE * ((URGENT_TASKS + 1) / 2) + GANG_SHARE * GANG_TASKS;
+    const batchShare = 1 - URGENT_SHARE - GANG_SHARE;
+    return Math.max(1, (startsPerS / jobsPerS - otherTasks) / batchShare);
   }
 
   /** Services that run from the start. */
@@ -88,38 +95,39 @@
     return Array.from({ length: count }, (_, n) => this.spec(this.shape.firstJob + FIRST_SERVICE + n));
   }
 
-  /** The job that comes as number `index`, from 0 on. */
+  /** The job that arrives as number `index`, counted from 0. */
   job(index: number): JobSpec {
     return this.spec(this.shape.firstJob + index);
   }
 
-  /** The job of that id, or undefined where none of this workload has it. */
+  /** The job of that id, or undefined if this workload has none. */
   find(id: JobId): JobSpec | undefined {
     const digits = id.slice(ID_PREFIX.length);
     if (!/^\d+$/.test(digits)) return undefined;
     const index = Number(digits) - this.shape.firstJob;
-    return index >= 0 && index < JOBS_A_REGION ? this.spec(Number(digits)) : undefined;
+    return index >= 0 && index < JOBS_PER_REGION ? this.spec(Number(digits)) : undefined;
   }
 
+  /** The class of the job with this number. */
   classOf(index: number): JobClass {
     if (index - this.shape.firstJob >= FIRST_SERVICE) return 'service';
-    const share = new Draw(this.shape.seed, index).share();
+    const share = new SeededDraw(this.shape.seed, index).share();
     if (share < URGENT_SHARE) return 'urgent';
     return share < URGENT_SHARE + GANG_SHARE ? 'gang' : 'batch';
   }
 
   private spec(index: number): JobSpec {
-    let spec = this.drawn.get(index);
+    let spec = this.specs.get(index);
     if (spec === undefined) {
-      spec = this.draw(index);
-      this.drawn.set(index, spec);
+      spec = this.generate(index);
+      this.specs.set(index, spec);
     }
     return spec;
   }
 
-  private draw(index: number): JobSpec {
+  private generate(index: number): JobSpec {
     const kind = this.classOf(index);
-    const draw = new Draw(this.shape.seed + 1, index);
+    const draw = new SeededDraw(this.shape.seed + 1, index);
     const team = `team-${draw.below(this.shape.teams)}`;
     const runS = this.meanRunS * (0.5 + draw.share());
     const isService = kind === 'service';
@@ -147,7 +155,7 @@
     };
   }
 
-  private tasksOf(kind: JobClass, draw: Draw): number {
+  private tasksOf(kind: JobClass, draw: SeededDraw): number {
     switch (kind) {
       case 'service':
         return REPLICAS;
@@ -160,23 +168,23 @@
     }
   }
 
-  /** How long a task really runs, in milliseconds; a gang's tasks all run alike. */
+  /** How long a task runs, in milliseconds; the same for all tasks of a gang. */
   runMs(spec: JobSpec, task: number): number {
     const index = Number(spec.id.slice(ID_PREFIX.length));
     const { meanRunS } = this;
-    const own = new Draw(this.shape.seed + 2, index * 131 + (spec.kind === 'gang' ? 0 : task));
+    const own = new SeededDraw(this.shape.seed + 2, index * 131 + (spec.kind === 'gang' ? 0 : task));
     return meanRunS * (0.5 + own.share()) * 1000;
   }
 
-  /** Milliseconds until the next job comes: arrivals are independent of each other. */
+  /** Milliseconds until the next job arrives; arrivals are a Poisson process. */
   gapMs(index: number): number {
-    const share = new Draw(this.shape.seed + 3, index).share();
+    const share = new SeededDraw(this.shape.seed + 3, index).share();
     return (-Math.log(1 - share) / this.shape.jobsPerS) * 1000;
   }
 
-  /** After how many seconds its user cancels the job; null: never. */
+  /** After how many seconds its user cancels the job; null if never. */
   cancelAfterS(index: number): number | null {
-    const draw = new Draw(this.shape.seed + 4, index);
+    const draw = new SeededDraw(this.shape.seed + 4, index);
     return draw.share() < CANCEL_SHARE ? draw.share() * this.meanRunS : null;
   }
 }
--- a/packages/scale/test/workload.test.ts
+++ b/packages/scale/test/workload.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { JOBS_A_REGION, Workload } from '../src/index.js';
+import { JOBS_PER_REGION, Workload } from '../src/index.js';
 
 const SHAPE = {
   seed: 7,
-  firstJob: JOBS_A_REGION,
+  firstJob: JOBS_PER_REGION,
   teams: 350,
   startsPerS: 205,
   running: 10_250,
