--- a/packages/scale/src/addresses.ts
+++ b/packages/scale/src/addresses.ts
@@ -41,15 +41,3 @@
   const net = FIRST_WORKER_NET + Math.floor(number / HOSTS_PER_NET);
   return `${host(region, net, 1 + (number % HOSTS_PER_NET))}:${WORKER_PORT}`;
 }
-
-/** An address in the form that servers listen on. */
-export interface HostPort {
-  readonly host: string;
-  readonly port: number;
-}
-
-/** Splits `host:port` at its last colon. */
-export function splitAddress(address: string): HostPort {
-  const colon = address.lastIndexOf(':');
-  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
-}
--- a/packages/scale/src/cloud-server.ts
+++ b/packages/scale/src/cloud-server.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { HTTP_STATUS } from '@spurbridge/net';
+import { HTTP_STATUS, parseSocketAddress } from '@spurbridge/net';
 import { MonotonicTimeline } from '@spurbridge/simulated-worker';
 import { SimCloud } from '@spurbridge/testkit';
 import type { MachineId, MachineType } from '@spurbridge/wire';
@@ -18,7 +18,7 @@
 import type { FastifyInstance } from 'fastify';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
-import { splitAddress, workerAddress } from './addresses.js';
+import { workerAddress } from './addresses.js';
 import { handleOrders, notifyDriver } from './driver-channel.js';
 import type { Meter } from './meter.js';
 import type { RunEvent } from './events.js';
@@ -158,7 +158,7 @@
 /** Runs the cloud of one region in this process; the driver has its machines started by the processes of workers. */
 export async function runCloud(role: CloudRole, meter: Meter): Promise<void> {
   const server = new CloudServer(role, meter);
-  await server.app.listen(splitAddress(role.listen));
+  await server.app.listen(parseSocketAddress(role.listen));
   handleOrders((order) => {
     if (order.order === 'fail') server.failMachines(order.machines);
     else if (order.order === 'read') notifyDriver({ notice: 'reading', reading: meter.read() });
--- a/packages/scale/src/store-server.ts
+++ b/packages/scale/src/store-server.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { HTTP_STATUS } from '@spurbridge/net';
+import { HTTP_STATUS, parseSocketAddress } from '@spurbridge/net';
 import { MonotonicTimeline } from '@spurbridge/simulated-worker';
 import type { WallClockMs } from '@spurbridge/model';
 import { encodeJob, jobKey } from '@spurbridge/model';
@@ -21,7 +21,6 @@
   parseLeaseTtlMs,
 } from '@spurbridge/wire';
 import type { FastifyInstance, FastifyReply } from 'fastify';
-import { splitAddress } from './addresses.js';
 import { handleOrders, notifyDriver } from './driver-channel.js';
 import type { Meter } from './meter.js';
 import { jsonServer } from './json-server.js';
@@ -202,7 +201,7 @@
 /** Runs the key-value store of one region in this process. */
 export async function runStore(role: StoreRole, meter: Meter): Promise<void> {
   const server = new KeyValueStoreServer(role, meter);
-  await server.app.listen(splitAddress(role.listen));
+  await server.app.listen(parseSocketAddress(role.listen));
   handleOrders((order) => {
     if (order.order === 'read') notifyDriver({ notice: 'reading', reading: meter.read() });
     else if (order.order === 'remember') {
--- a/packages/scale/src/worker-host.ts
+++ b/packages/scale/src/worker-host.ts
@@ -12,7 +12,7 @@
   WorkerHost,
 } from '@spurbridge/simulated-worker';
 import { GangRegistry, SimulatedWorker, MonotonicTimeline } from '@spurbridge/simulated-worker';
-import { HTTP_STATUS, JsonClient, NoResponseError } from '@spurbridge/net';
+import { HTTP_STATUS, JsonClient, NoResponseError, parseSocketAddress } from '@spurbridge/net';
 import type { JobId, MachineId, Heartbeat } from '@spurbridge/wire';
 import {
   PATHS,
@@ -24,7 +24,7 @@
 import type { FastifyInstance, FastifyReply, FastifyRequest } from 'fastify';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
-import { splitAddress, workerAddress } from './addresses.js';
+import { workerAddress } from './addresses.js';
 import { handleOrders, notifyDriver } from './driver-channel.js';
 import type { Meter } from './meter.js';
 import { machineType } from './cloud-server.js';
@@ -131,7 +131,7 @@
   }
 
   private start(machine: MachineUp): void {
-    const { host, port } = splitAddress(workerAddress(this.role.region, machine.id));
+    const { host, port } = parseSocketAddress(workerAddress(this.role.region, machine.id));
     const server = createServer((request, response) => {
       this.app.routing(request, response);
     });
@@ -150,7 +150,7 @@
     this.workers.delete(id);
     this.links.get(id)?.client.close();
     this.links.delete(id);
-    this.byHost.delete(splitAddress(workerAddress(this.role.region, id)).host);
+    this.byHost.delete(parseSocketAddress(workerAddress(this.role.region, id)).host);
     const server = this.servers.get(id);
     server?.close();
     server?.closeAllConnections();
