--- a/packages/worker-shards/src/lease-delegation.ts
+++ b/packages/worker-shards/src/lease-delegation.ts
@@ -19,7 +19,7 @@
 /**
  * The leader's permission to respond to the heartbeats of one machine on its behalf: with the leader's fencing token,
  * and without new commands. It ends before the leader's own renewal period does, because the remaining time is counted
- * from the sending of the request, on this controller's monotonic clock.
+ * from when the request was sent, by this controller's monotonic clock.
  */
 export class LeaseDelegation {
   private current: Delegation | null = null;
--- a/packages/worker-shards/src/worker-shard.ts
+++ b/packages/worker-shards/src/worker-shard.ts
@@ -130,7 +130,7 @@
   }
 }
 
-/** Whether a heartbeat was made after the other one of the same machine. */
+/** Whether a heartbeat was created after another one of the same machine. */
 function isNewer(heartbeat: Heartbeat, other: Heartbeat): boolean {
   if (heartbeat.agentEpoch !== other.agentEpoch) return heartbeat.agentEpoch > other.agentEpoch;
   return heartbeat.sequence > other.sequence;
--- a/packages/worker-shards/test/delegation-model.test.ts
+++ b/packages/worker-shards/test/delegation-model.test.ts
@@ -2,13 +2,13 @@
 import { test } from 'node:test';
 import { GUARDS, explore } from './delegation-model.js';
 
-test('with all guards no state breaks a rule, however late messages are', () => {
-  const { rules, states } = explore(null);
-  assert.deepEqual([...rules], []);
-  assert.ok(states > 10_000, `${states} states`);
+test('delegated leases violate no invariant in any state when all guards are enabled', () => {
+  const { violations, stateCount } = explore(null);
+  assert.deepEqual([...violations], []);
+  assert.ok(stateCount > 10_000, `${stateCount} states`);
 });
 
 for (const guard of GUARDS)
-  test(`without "${guard}" a rule breaks`, () => {
-    assert.ok(explore(guard).rules.size > 0);
+  test(`delegated leases violate an invariant without the guard "${guard}"`, () => {
+    assert.ok(explore(guard).violations.size > 0);
   });
--- a/packages/worker-shards/test/delegation-model.ts
+++ b/packages/worker-shards/test/delegation-model.ts
@@ -1,44 +1,48 @@
 /**
- * A small model of delegated leases, explored completely: a leader, a controller that forwards heartbeats to it, one worker with
- * one task, later leaders, a cancellation, and messages that may be delayed for ever or get no further than to the forwarding
- * controller. Time goes in ticks; between two ticks anything may happen.
+ * A small model of delegated leases whose states are explored exhaustively. It has a leader, a controller that forwards
+ * heartbeats to the leader, one worker with one task, later leaders and a cancellation. A message may be delayed
+ * indefinitely or lost, also between the forwarding controller and the worker. Time advances in ticks; any number of
+ * other steps may occur between two ticks.
  *
  * @module
  */
 
-/** The rules of the protocol, each of which can be left out to show that it is needed. */
+/** Guards of the protocol. Each can be disabled to show that it is needed. */
 export const GUARDS = [
-  /** A delegation is counted from the sending of the request, not from the arrival of the response. */
-  'delegation counted from the request',
-  /** The time for which the leader's knowledge is out of date is taken off the period that it delegates. */
-  'delegation shortened by the age of the knowledge',
-  /** The leader itself counts a machine's lease from the end of what it has delegated. */
-  'the leader counts what it delegates',
+  /** The validity of a delegation starts when the request is sent, not when the response arrives. */
+  'delegation is valid from the request',
+  /** The delegated period is reduced by the time since the leader last confirmed its lease and all cancellations. */
+  'delegation is shortened by the age of the confirmed state',
+  /** The leader assumes that a machine's lease may be renewed until the end of the delegation. */
+  'leader accounts for delegated renewals',
   /** A new leader waits for the renewal period of the previous one. */
-  'the next leader waits',
-  /** A controller whose delegation is over responds to nobody. */
-  'a delegation ends',
-  /** A response with a stop delegates nothing: it may be lost behind the forwarding controller, which would renew without it. */
-  'no delegation with a stop',
-  /** A leader whose lease is over stops what it knows to be cancelled, as one with a valid lease does. */
-  'stops after its own lease',
-  /** A new leader responds by what it has read, and to nobody before it has read anything. */
-  'reads before it responds',
+  'new leader waits for the renewal period',
+  /** A controller does not respond to heartbeats once its delegation has expired. */
+  'delegation expires',
+  /**
+   * A response with a stop command delegates nothing: if it were lost between the forwarding controller and the worker,
+   * the controller would renew the lease without the stop command.
+   */
+  'response with a stop command delegates nothing',
+  /** A leader whose own lease has expired still stops tasks that it knows to be cancelled. */
+  'leader with an expired lease stops cancelled tasks',
+  /** A new leader responds to heartbeats only after it has read the records. */
+  'new leader reads the records before it responds',
 ] as const;
 export type Guard = (typeof GUARDS)[number];
 
 const WORKER_LEASE = 1;
 const RENEWAL_PERIOD = 3;
 const CANCELLATION_PERIOD = RENEWAL_PERIOD + WORKER_LEASE;
-/** The leader's own lease, as short as the others allow. */
+/** Duration of the leader's own lease, the shortest that the other periods allow. */
 const LEADER_LEASE = 1;
 const LAST_TICK = 8;
 
 interface ModelState {
   readonly time: number;
-  /** As of when the first leader has confirmed its lease and all cancellations. */
+  /** When the first leader last confirmed its lease and read all cancellations. */
   readonly confirmedAt: number;
-  /** A request on its way to the leader, and a response on its way back. */
+  /** The request in transit to the leader, and the response in transit from it. */
   readonly requestedAt: number | null;
   readonly response: {
     readonly requestedAt: number;
@@ -48,13 +52,13 @@
   readonly delegatedUntil: number;
   readonly leaseUntil: number;
   readonly isRunning: boolean;
-  /** Until when the first leader counts the machine as renewed. */
-  readonly countedUntil: number;
+  /** Time until which the first leader assumes that the machine's lease may be renewed. */
+  readonly assumedRenewableUntil: number;
   readonly nextLeaderAt: number | null;
-  /** As of when the next leader has read what is cancelled. */
+  /** When the next leader last read the cancellations. */
   readonly nextLeaderReadAt: number | null;
   readonly cancelledAt: number | null;
-  /** A leader takes the task for gone, and has started it elsewhere. */
+  /** A leader assumed that the task had stopped, and started it on another machine. */
   readonly isStartedElsewhere: boolean;
 }
 
@@ -66,21 +70,21 @@
   delegatedUntil: -1,
   leaseUntil: WORKER_LEASE,
   isRunning: true,
-  countedUntil: 0,
+  assumedRenewableUntil: 0,
   nextLeaderAt: null,
   nextLeaderReadAt: null,
   cancelledAt: null,
   isStartedElsewhere: false,
 };
 
-/** The rules that are in force, and whether the job may be cancelled. */
+/** The protocol variant to explore: the guard that is disabled, if any, and whether the job may be cancelled. */
 interface Protocol {
-  readonly without: Guard | null;
-  readonly cancels: boolean;
+  readonly disabledGuard: Guard | null;
+  readonly allowsCancellation: boolean;
 }
 
-/** Every state that one step leads to. */
-function steps(state: ModelState, protocol: Protocol): ModelState[] {
+/** Returns every state that one step leads to. */
+function successorsOf(state: ModelState, protocol: Protocol): ModelState[] {
   return [
     ...timeSteps(state),
     ...forwardingSteps(state, protocol),
@@ -91,25 +95,25 @@
   ];
 }
 
-function isInForce(guard: Guard, { without }: Protocol): boolean {
-  return guard !== without;
+function isEnabled(guard: Guard, { disabledGuard }: Protocol): boolean {
+  return guard !== disabledGuard;
 }
 
-/** Time passes, and a task ends with its worker's lease. */
+/** Time advances by one tick; the task ends when its worker's lease expires. */
 function timeSteps(state: ModelState): ModelState[] {
   const time = state.time + 1;
   if (time > LAST_TICK) return [];
   return [{ ...state, time, isRunning: state.isRunning && time <= state.leaseUntil }];
 }
 
-/** The first leader confirms its lease; the other controller forwards a heartbeat, or renews the lease by delegation. */
+/** The first leader confirms its lease; the other controller forwards a heartbeat, or renews a lease by delegation. */
 function forwardingSteps(state: ModelState, protocol: Protocol): ModelState[] {
   const now = state.time;
   const next: ModelState[] = [];
   if (state.nextLeaderAt === null && state.confirmedAt < now) next.push({ ...state, confirmedAt: now });
   if (state.requestedAt === null && state.response === null) next.push({ ...state, requestedAt: now });
   const isDelegated =
-    now < state.delegatedUntil || (state.delegatedUntil >= 0 && !isInForce('a delegation ends', protocol));
+    now < state.delegatedUntil || (state.delegatedUntil >= 0 && !isEnabled('delegation expires', protocol));
   if (state.isRunning && isDelegated) next.push({ ...state, leaseUntil: now + WORKER_LEASE });
   return next;
 }
@@ -120,29 +124,33 @@
   const now = state.time;
   const age = now - state.confirmedAt;
   if (age > RENEWAL_PERIOD) return [{ ...state, requestedAt: null }];
-  const isShortened = isInForce('delegation shortened by the age of the knowledge', protocol);
+  const isShortened = isEnabled('delegation is shortened by the age of the confirmed state', protocol);
   const remaining = isShortened ? RENEWAL_PERIOD - age : RENEWAL_PERIOD;
   const knowsCancellation = state.cancelledAt !== null && state.confirmedAt >= state.cancelledAt;
-  const mayStop = age <= LEADER_LEASE || isInForce('stops after its own lease', protocol);
-  const countsDelegation = isInForce('the leader counts what it delegates', protocol);
+  const mayStop =
+    age <= LEADER_LEASE || isEnabled('leader with an expired lease stops cancelled tasks', protocol);
+  const accountsForDelegation = isEnabled('leader accounts for delegated renewals', protocol);
   return [
     {
       ...state,
       requestedAt: null,
       response: { requestedAt: state.requestedAt, remaining, stop: knowsCancellation && mayStop },
-      countedUntil: Math.max(state.countedUntil, countsDelegation ? now + remaining : now),
+      assumedRenewableUntil: Math.max(
+        state.assumedRenewableUntil,
+        accountsForDelegation ? now + remaining : now,
+      ),
     },
   ];
 }
 
-/** The response arrives at the worker, or gets no further than to the forwarding controller, or nowhere. */
+/** The response reaches the worker, only the forwarding controller, or neither. */
 function responseSteps(state: ModelState, protocol: Protocol): ModelState[] {
   if (state.response === null) return [];
   const { requestedAt, remaining, stop } = state.response;
-  const countedFrom = isInForce('delegation counted from the request', protocol) ? requestedAt : state.time;
-  const delegates = !stop || !isInForce('no delegation with a stop', protocol);
+  const validFrom = isEnabled('delegation is valid from the request', protocol) ? requestedAt : state.time;
+  const delegates = !stop || !isEnabled('response with a stop command delegates nothing', protocol);
   const delegatedUntil = delegates
-    ? Math.max(state.delegatedUntil, countedFrom + remaining)
+    ? Math.max(state.delegatedUntil, validFrom + remaining)
     : state.delegatedUntil;
   return [
     {
@@ -162,15 +170,15 @@
   const now = state.time;
   const { cancelledAt, nextLeaderAt, nextLeaderReadAt } = state;
   const next: ModelState[] = [];
-  if (protocol.cancels && cancelledAt === null) next.push({ ...state, cancelledAt: now });
+  if (protocol.allowsCancellation && cancelledAt === null) next.push({ ...state, cancelledAt: now });
   if (nextLeaderAt === null && now - state.confirmedAt >= LEADER_LEASE)
     next.push({ ...state, nextLeaderAt: now });
-  if (!protocol.cancels || nextLeaderAt === null) return next;
+  if (!protocol.allowsCancellation || nextLeaderAt === null) return next;
   if (now - nextLeaderAt >= LEADER_LEASE) next.push({ ...state, nextLeaderAt: now, nextLeaderReadAt: null });
   next.push({ ...state, nextLeaderReadAt: now });
   const mayRespond =
     nextLeaderReadAt === null
-      ? !isInForce('reads before it responds', protocol)
+      ? !isEnabled('new leader reads the records before it responds', protocol)
       : now - nextLeaderReadAt <= RENEWAL_PERIOD;
   const stop = cancelledAt !== null && nextLeaderReadAt !== null && nextLeaderReadAt >= cancelledAt;
   if (state.isRunning && mayRespond)
@@ -178,18 +186,19 @@
   return next;
 }
 
-/** A leader takes the task for gone and starts it elsewhere. */
+/** A leader assumes that the task has stopped and starts it on another machine. */
 function restartSteps(state: ModelState, protocol: Protocol): ModelState[] {
-  if (protocol.cancels) return [];
+  if (protocol.allowsCancellation) return [];
   const now = state.time;
   const { nextLeaderAt } = state;
-  const wait = (isInForce('the next leader waits', protocol) ? RENEWAL_PERIOD : 0) + WORKER_LEASE;
-  const takesForGone =
-    nextLeaderAt !== null ? now > nextLeaderAt + wait : now > state.countedUntil + WORKER_LEASE;
-  return takesForGone ? [{ ...state, isStartedElsewhere: true }] : [];
+  const wait =
+    (isEnabled('new leader waits for the renewal period', protocol) ? RENEWAL_PERIOD : 0) + WORKER_LEASE;
+  const assumesStopped =
+    nextLeaderAt !== null ? now > nextLeaderAt + wait : now > state.assumedRenewableUntil + WORKER_LEASE;
+  return assumesStopped ? [{ ...state, isStartedElsewhere: true }] : [];
 }
 
-/** The rule that a state violates, or null. */
+/** Returns the invariant that a state violates, or null. */
 function violationIn(state: ModelState): string | null {
   if (state.isStartedElsewhere && state.isRunning) return 'ran_twice';
   if (state.cancelledAt !== null && state.isRunning && state.time > state.cancelledAt + CANCELLATION_PERIOD)
@@ -197,39 +206,39 @@
   return null;
 }
 
-/** Explores everything that can happen, with one guard left out or none. */
-export function explore(without: Guard | null): Explored {
-  // The two rules are explored separately: a violation of one needs nothing of a violation of the other.
-  const twice = exploreOne(without, false);
-  const cancelled = exploreOne(without, true);
+/** Explores all reachable states, with one guard disabled or none. */
+export function explore(disabledGuard: Guard | null): ExplorationResult {
+  // The two invariants are explored separately, because their violations are independent of each other.
+  const withoutCancellation = exploreVariant(disabledGuard, false);
+  const withCancellation = exploreVariant(disabledGuard, true);
   return {
-    rules: new Set([...twice.rules, ...cancelled.rules]),
-    states: twice.states + cancelled.states,
+    violations: new Set([...withoutCancellation.violations, ...withCancellation.violations]),
+    stateCount: withoutCancellation.stateCount + withCancellation.stateCount,
   };
 }
 
-interface Explored {
-  readonly rules: ReadonlySet<string>;
-  readonly states: number;
+interface ExplorationResult {
+  readonly violations: ReadonlySet<string>;
+  readonly stateCount: number;
 }
 
-function exploreOne(without: Guard | null, cancels: boolean): Explored {
+function exploreVariant(disabledGuard: Guard | null, allowsCancellation: boolean): ExplorationResult {
   const seen = new Set([JSON.stringify(INITIAL_STATE)]);
   const open: ModelState[] = [INITIAL_STATE];
-  const rules = new Set<string>();
+  const violations = new Set<string>();
   for (let state = open.pop(); state !== undefined; state = open.pop()) {
-    for (const successor of steps(state, { without, cancels })) {
+    for (const successor of successorsOf(state, { disabledGuard, allowsCancellation })) {
       const key = JSON.stringify(successor);
       if (seen.has(key)) continue;
       seen.add(key);
-      const rule = violationIn(successor);
-      // What follows a violation, or the task's end, shows nothing more.
-      if (rule !== null) rules.add(rule);
-      // With a guard left out the first violation is enough.
-      if (rule !== null && without !== null) return { rules, states: seen.size };
-      if (rule !== null) continue;
+      const violation = violationIn(successor);
+      // States after a violation, or after the task has ended, need not be explored.
+      if (violation !== null) violations.add(violation);
+      // With a disabled guard, one violation is sufficient.
+      if (violation !== null && disabledGuard !== null) return { violations, stateCount: seen.size };
+      if (violation !== null) continue;
       if (successor.isRunning && !successor.isStartedElsewhere) open.push(successor);
     }
   }
-  return { rules, states: seen.size };
+  return { violations, stateCount: seen.size };
 }
--- a/packages/worker-shards/test/worker-shards.test.ts
+++ b/packages/worker-shards/test/worker-shards.test.ts
@@ -39,14 +39,15 @@
   };
 }
 
-// The forwarding controller's clock runs up to 0.05 % slower than the leader's; the request is sent before it is answered.
-test('a delegated lease never outlives the renewal period of the leader that delegated it, whatever clocks and delays', () => {
-  const drift = fc.double({ min: 0.9995, max: 1.0005, noNaN: true });
+// Guards against a delegation that outlives the leader's renewal period, after which the leader may start the task on
+// another machine. Each clock deviates from true time by up to 0.05 %; request and response may be delayed.
+test('a delegated lease ends before the renewal period of the delegating leader for any clock drift and delay', () => {
+  const clockRate = fc.double({ min: 0.9995, max: 1.0005, noNaN: true });
   const delay = fc.nat(5000);
   fc.assert(
     fc.property(
-      drift,
-      drift,
+      clockRate,
+      clockRate,
       delay,
       delay,
       fc.nat(20_000),
@@ -54,7 +55,8 @@
       (ownRate, leaderRate, outMs, backMs, remainingMs, laterMs) => {
         const clock = new ManualClock();
         const delegation = new LeaseDelegation(clock);
-        // True time 0: requested. The leader responds at `outMs`; the response is read at `outMs + backMs`.
+        // The request is sent at true time 0, the leader responds at `outMs`, and the response arrives at
+        // `outMs + backMs`.
         const periodEndsAt = outMs + remainingMs / leaderRate;
         clock.nowMs = (outMs + backMs) * ownRate;
         delegation.extend(fencingToken(7), 0 as MonotonicMs, remainingMs);
@@ -67,7 +69,7 @@
   );
 });
 
-test('a delegated lease ends with its time or a higher token, and an older response does not bring it back', () => {
+test('a delegated lease ends on expiry or on a higher token, and an older response does not extend it', () => {
   const clock = new ManualClock();
   const delegation = new LeaseDelegation(clock);
   assert.equal(delegation.currentToken(fencingToken(0)), null);
@@ -85,12 +87,12 @@
   assert.equal(delegation.currentToken(fencingToken(8)), null);
 });
 
-test('a request is completed once: by the response of its target, by timeout, or when the connection ends', async () => {
+test('a pending request is completed once: by its target, by timeout, or when the connection ends', async () => {
   const clock = new ManualClock();
   const requests = new PendingRequests<string>(clock, 2000);
   const first = requests.register('one' as NodeId, 'n-1 1 7');
   requests.complete(first.id, 'two' as NodeId, 'n-1 1 7', 'forged');
-  requests.complete(first.id, 'one' as NodeId, 'n-9 1 7', 'of the process before');
+  requests.complete(first.id, 'one' as NodeId, 'n-9 1 7', 'for an earlier process');
   requests.complete(first.id, 'one' as NodeId, 'n-1 1 7', 'right');
   requests.complete(first.id, 'one' as NodeId, 'n-1 1 7', 'again');
   assert.equal(await first.response, 'right');
@@ -107,7 +109,7 @@
   assert.equal(await third.response, null);
 });
 
-test('a shard knows the newest heartbeat of each attached machine, and forgets those that departed', () => {
+test('a shard returns the newest heartbeat of each attached machine, and removes machines that departed', () => {
   const clock = new ManualClock();
   const shard = new WorkerShard(clock, 10_000);
   shard.recordHeartbeat(heartbeat('n-1', 5));
@@ -140,13 +142,16 @@
 interface BalancingResult {
   readonly counts: number[];
   readonly moves: number;
-  /** Machines that are served by the controller of their own zone. */
-  readonly home: number;
-  /** Moves in the last part of the time. */
-  readonly late: number;
+  /** Number of machines that the controller of their own zone serves. */
+  readonly machinesInOwnZone: number;
+  /** Number of moves after 300 seconds. */
+  readonly lateMoves: number;
 }
 
-/** Simulates controllers that serve machines of these zones, with one heartbeat at each controller every 10 ms. */
+/**
+ * Simulates controllers that serve machines of these zones, with one heartbeat at each controller every 10 ms. The
+ * announced shard sizes are updated every `staleMs` milliseconds.
+ */
 function simulateBalancing(
   zonesByNode: readonly (readonly string[])[],
   leader: number,
@@ -167,7 +172,7 @@
   });
   let announced: ShardOwner[] = [];
   let moves = 0;
-  let late = 0;
+  let lateMoves = 0;
   for (; clock.nowMs < 400_000; clock.nowMs += 10) {
     if (clock.nowMs % staleMs === 0) announced = nodes.map(ownerOf);
     nodes.forEach((node, i) => {
@@ -183,20 +188,23 @@
       target.zones.push(zone);
       if (target === node) return;
       moves += 1;
-      if (clock.nowMs > 300_000) late += 1;
+      if (clock.nowMs > 300_000) lateMoves += 1;
     });
   }
-  const home = nodes.reduce((sum, node) => sum + node.zones.filter((zone) => zone === node.zone).length, 0);
-  return { counts: nodes.map((node) => node.zones.length), moves, home, late };
+  const machinesInOwnZone = nodes.reduce(
+    (sum, node) => sum + node.zones.filter((zone) => zone === node.zone).length,
+    0,
+  );
+  return { counts: nodes.map((node) => node.zones.length), moves, machinesInOwnZone, lateMoves };
 }
 
-const machinesElsewhere = (count: number): string[] => Array.from({ length: count }, () => 'elsewhere');
+const zonesWithoutController = (count: number): string[] => Array.from({ length: count }, () => 'elsewhere');
 
-test('shards come close to balance with few moves, none back and forth, on statuses that are 700 ms old', () => {
+test('shards are nearly balanced after few moves when shard sizes are announced every 700 ms', () => {
   fc.assert(
-    fc.property(fc.array(fc.nat(600), { minLength: 2, maxLength: 5 }), fc.nat(4), (counts, lead) => {
-      const leader = lead % counts.length;
-      const all = counts.reduce((a, b) => a + b, 0);
+    fc.property(fc.array(fc.nat(600), { minLength: 2, maxLength: 5 }), fc.nat(4), (counts, leaderNumber) => {
+      const leader = leaderNumber % counts.length;
+      const total = counts.reduce((a, b) => a + b, 0);
       const owners = counts.map((machineCount, i) => ({
         node: `spur-${i}` as NodeId,
         zone: `z${i}`,
@@ -204,17 +212,17 @@
         isLeader: i === leader,
       }));
       const targets = [...targetShardSizes(owners).values()];
-      const due = counts.reduce((sum, c, i) => sum + Math.max(0, c - (targets[i] ?? 0)), 0);
-      const end = simulateBalancing(counts.map(machinesElsewhere), leader, 700);
+      const excess = counts.reduce((sum, c, i) => sum + Math.max(0, c - (targets[i] ?? 0)), 0);
+      const result = simulateBalancing(counts.map(zonesWithoutController), leader, 700);
       assert.equal(
-        end.counts.reduce((a, b) => a + b, 0),
-        all,
+        result.counts.reduce((a, b) => a + b, 0),
+        total,
       );
-      assert.ok(end.moves <= due + 5 * counts.length, `${end.moves} moves, ${due} due`);
-      end.counts.forEach((c, i) => {
+      assert.ok(result.moves <= excess + 5 * counts.length, `${result.moves} moves, ${excess} required`);
+      result.counts.forEach((c, i) => {
         assert.ok(
           c <= (targets[i] ?? 0) * 1.25 + 9,
-          `${JSON.stringify(end.counts)} of ${JSON.stringify(targets)}`,
+          `sizes ${JSON.stringify(result.counts)}, target sizes ${JSON.stringify(targets)}`,
         );
       });
     }),
@@ -222,21 +230,30 @@
   );
 });
 
-test('machines move to a controller of their zone where it has room, and stay there', () => {
+test('machines move to the controller of their zone if it has spare capacity, and stay there', () => {
   const zones = fc.array(fc.nat(3), { maxLength: 500 }).map((zs) => zs.map((z) => `z${z}`));
   fc.assert(
-    fc.property(fc.tuple(zones, zones, zones), fc.nat(2), (held, leader) => {
-      const all = held.flat();
-      const before = held.reduce((sum, zs, i) => sum + zs.filter((z) => z === `z${i}`).length, 0);
-      const end = simulateBalancing(held, leader, 700);
+    fc.property(fc.tuple(zones, zones, zones), fc.nat(2), (zonesByNode, leader) => {
+      const total = zonesByNode.flat().length;
+      const inOwnZoneBefore = zonesByNode.reduce(
+        (sum, zs, i) => sum + zs.filter((z) => z === `z${i}`).length,
+        0,
+      );
+      const result = simulateBalancing(zonesByNode, leader, 700);
       assert.equal(
-        end.counts.reduce((a, b) => a + b, 0),
-        all.length,
+        result.counts.reduce((a, b) => a + b, 0),
+        total,
+      );
+      assert.ok(
+        result.machinesInOwnZone >= inOwnZoneBefore * 0.9 - 10,
+        `${inOwnZoneBefore} machines in their own zone before, ${result.machinesInOwnZone} after`,
+      );
+      assert.equal(result.lateMoves, 0, `${result.lateMoves} of ${result.moves} moves after five minutes`);
+      const largest = Math.max(...result.counts);
+      assert.ok(
+        largest <= (total / 2.5) * 1.3 + 12,
+        `sizes ${JSON.stringify(result.counts)}, total ${total}`,
       );
-      assert.ok(end.home >= before * 0.9 - 10, `${before} at home, then ${end.home}`);
-      assert.equal(end.late, 0, `${end.late} of ${end.moves} moves after five minutes`);
-      const most = Math.max(...end.counts);
-      assert.ok(most <= (all.length / 2.5) * 1.3 + 12, `${JSON.stringify(end.counts)} of ${all.length}`);
     }),
     { numRuns: 25 },
   );
