--- a/packages/store/src/http-key-value-store.ts
+++ b/packages/store/src/http-key-value-store.ts
@@ -1,5 +1,5 @@
 /**
- * The key-value store over HTTP: Protocol, Controller nodes -> state service.
+ * A client of the key-value store over HTTP, by the protocol between controller nodes and the state service.
  *
  * @module
  */
@@ -43,17 +43,17 @@
   readonly rps: number;
   /** Puts and deletes per second. */
   readonly writeRps: number;
-  /** Longest value, in KiB. */
+  /** Maximum size of a value, in KiB. */
   readonly valueKb: number;
-  /** Most puts and deletes in one transaction. */
+  /** Maximum number of puts and deletes in one transaction. */
   readonly txnOps: number;
 }
 
 const RESPONSE_TIMEOUT_MS = 1500;
 const LIST_TIMEOUT_MS = 4000;
-/** Added to the blocking time of a watch request to get its timeout. */
+/** Added to the blocking time of a watch request to compute its timeout, in milliseconds. */
 const WATCH_TIMEOUT_SLACK_MS = 3000;
-/** Keys in one page of a list: the most that the store returns. */
+/** Number of keys in one page of a list, which is the maximum that the store returns. */
 const LIST_PAGE_SIZE = 1000;
 
 const REQUEST_SOCKETS = 24;
@@ -74,7 +74,7 @@
   readonly path: string;
   readonly body?: unknown;
   readonly timeoutMs: number;
-  /** The outcome of a response; null if its status says that the request was not served. */
+  /** Returns the outcome of a response, or null if its status indicates that the request was not served. */
   readonly interpret: (status: number, body: unknown) => T | null;
 }
 
@@ -83,7 +83,7 @@
   readonly outcome: 'page';
 }
 
-/** A client of the key-value store that stays within its node's share of the rate limits. */
+/** A client of the key-value store that keeps its node within a share of the common rate limits. */
 export class HttpKeyValueStore implements KeyValueStore {
   /** Always true: this client does not validate the content; the package `recovery` does. */
   readonly isTrusted = true;
@@ -114,7 +114,7 @@
     return this.failingFrom;
   }
 
-  /** The version of the leader's record, which rises with every election. */
+  /** The token is the version of the leader's record, which rises with every election. */
   fencingTokenOf(version: Version): FencingToken {
     return version as number as FencingToken;
   }
@@ -129,7 +129,7 @@
     });
   }
 
-  /** Reads all keys with a prefix, a page at a time. */
+  /** Reads all keys with a prefix, page by page. */
   async list(prefix: string, priority: RequestPriority): Promise<ListOutcome> {
     const items: KeyValue[] = [];
     let revision: Revision | null = null;
@@ -224,14 +224,14 @@
       else this.failingFrom ??= this.clock.now();
       return REFUSED;
     } catch (error) {
-      // A `NoResponseError`, or a `ValidationError` if the response cannot be understood.
+      // The error is a `NoResponseError`, or a `ValidationError` if the response is malformed.
       this.failingFrom ??= this.clock.now();
       return error instanceof NoResponseError && error.notSent ? REFUSED : { outcome: 'unknown' };
     }
   }
 }
 
-/** Path of the page of a list that begins after the key `from`, or of the first page if `from` is ''. */
+/** Returns the path of the list page that begins after the key `from`, or of the first page if `from` is ''. */
 function listPath(prefix: string, from: string): string {
   const after = from === '' ? '' : `&from=${encodeURIComponent(from)}`;
   return `${PATHS.keys}?starts=${encodeURIComponent(prefix)}${after}&most=${LIST_PAGE_SIZE}`;
--- a/packages/store/src/key-value-store.ts
+++ b/packages/store/src/key-value-store.ts
@@ -17,15 +17,15 @@
 
 /** A request that was not served. */
 export type RequestFailure =
-  /** Certainly not executed: refused, over a limit, or never sent. */
+  /** Certainly not executed: the request was refused, exceeded a rate limit, or was never sent. */
   | { readonly outcome: 'refused' }
-  /** No response: it may have been executed, or may still be, at any later time. */
+  /** No usable response was received: the request may have been executed, or may still be executed later. */
   | { readonly outcome: 'unknown' };
 
 /** Outcome of a transaction. */
 export type CommitOutcome =
   | { readonly outcome: 'committed'; readonly revision: Revision }
-  /** Not executed, because the versions of these keys differ. */
+  /** Not executed, because the versions of these keys differ from the compared ones. */
   | { readonly outcome: 'conflict'; readonly failed: readonly string[]; readonly revision: Revision }
   /** Not executed, because a lease that it refers to has ended. */
   | { readonly outcome: 'no_lease' }
--- a/packages/store/src/leadership/campaign-delay.ts
+++ b/packages/store/src/leadership/campaign-delay.ts
@@ -15,9 +15,9 @@
   readonly penalty: number;
 }
 
-/** Head start of a node with a lower penalty, in milliseconds. */
+/** Delay of a node while another node has a lower penalty, in milliseconds. */
 const LOWER_PENALTY_DELAY_MS = 500;
-/** Added for each step by which the other's penalty is lower, in milliseconds. */
+/** Additional delay for each point by which the lowest penalty is below the node's own, in milliseconds. */
 const PENALTY_STEP_DELAY_MS = 150;
 /**
  * Stagger between nodes of equal penalty, in milliseconds: concurrent campaigns conflict, which delays the election.
@@ -27,7 +27,7 @@
 
 /**
  * How long the node `own` waits before it campaigns, in milliseconds. The delay only gives better candidates a head
- * start: if no other node becomes leader, any node campaigns within 1.2 seconds, whatever the state of the others.
+ * start: if no other node becomes leader, every node campaigns within 1.2 seconds.
  */
 export function campaignDelayMs(own: LeaderCandidate, others: readonly LeaderCandidate[]): number {
   const equals = others.filter((other) => other.penalty === own.penalty);
--- a/packages/store/src/leadership/leader-lease.ts
+++ b/packages/store/src/leadership/leader-lease.ts
@@ -10,7 +10,7 @@
 /** How long a leader's lease lasts without a renewal, in milliseconds. */
 export const LEASE_TTL_MS = 3000;
 
-/** Assumed maximum relative drift between the clocks of two machines: twice the bound that the platform states. */
+/** Assumed maximum relative drift between the clocks of two machines: twice the bound that the platform guarantees. */
 const MAX_CLOCK_DRIFT = 0.001;
 /**
  * The holder treats the lease as expired this much earlier, in milliseconds, because an action begun just before the
@@ -31,8 +31,8 @@
   ) {}
 
   /**
-   * Records that a request sent at `sentAt` was served; returns false if a later one was recorded already. Validity is
-   * counted from the sending, because it is not known when the store executed the request.
+   * Records that a request sent at `sentAt` was served; returns false if a later one was already recorded. Validity is
+   * counted from when the request was sent, because it is not known when the store executed it.
    */
   confirm(sentAt: MonotonicMs): boolean {
     if (sentAt <= this.confirmedAt) return false;
--- a/packages/store/src/leadership/leader-record.ts
+++ b/packages/store/src/leadership/leader-record.ts
@@ -1,5 +1,5 @@
 /**
- * The record that names the leader. It is attached to the leader's lease and removed when that ends.
+ * The record that names the leader. It is attached to the leader's lease and removed when the lease ends.
  *
  * @module
  */
@@ -9,14 +9,14 @@
 /** Key of the leader's record. */
 export const LEADER_KEY = 'leader';
 
-/** Who leads. */
+/** The node and process that lead. */
 export interface LeaderRecord {
   readonly node: NodeId;
-  /** Identifies the node's process; it changes with every restart. Null if the record holds none. */
+  /** Identifies the node's process and changes with every restart. Null if the record has no incarnation. */
   readonly incarnation: string | null;
 }
 
-/** Reads a leader's record; throws a `ValidationError`. */
+/** Parses a leader's record; throws a `ValidationError` if it is malformed. */
 export function parseLeaderRecord(value: unknown): LeaderRecord {
   const fields = read.asObject(value, LEADER_KEY);
   const { incarnation } = fields;
--- a/packages/store/src/leadership/leadership-listener.ts
+++ b/packages/store/src/leadership/leadership-listener.ts
@@ -5,7 +5,7 @@
  */
 import type { FencingToken, NodeId } from '@spurbridge/wire';
 
-/** Receives changes of leadership, and provides what the election needs to know about other nodes. */
+/** Receives changes of leadership, and provides the election with information about other nodes. */
 export interface LeadershipListener {
   /** This node was elected. */
   onElected(token: FencingToken): void;
--- a/packages/store/src/leadership/leadership-state.ts
+++ b/packages/store/src/leadership/leadership-state.ts
@@ -6,7 +6,7 @@
 import { SpurbridgeError } from '@spurbridge/wire';
 
 /**
- * - `following`: another node leads, or none.
+ * - `following`: another node leads, or there is no leader.
  * - `campaigning`: no node leads; this one requests a lease and writes the leader's record.
  * - `leading`: the lease is valid.
  * - `holding`: the lease may have ended, but no other leader is known. Heartbeats may still be responded to with the
@@ -24,7 +24,7 @@
 /** A transition that `TRANSITIONS` does not allow, which is a programming error. */
 export class InvalidLeadershipTransitionError extends SpurbridgeError {
   constructor(from: LeadershipState, to: LeadershipState) {
-    super('INVALID_LEADERSHIP_TRANSITION', `leadership: ${from} -> ${to} is no transition`);
+    super('INVALID_LEADERSHIP_TRANSITION', `leadership: transition ${from} -> ${to} is not allowed`);
   }
 }
 
--- a/packages/store/src/leadership/leadership.ts
+++ b/packages/store/src/leadership/leadership.ts
@@ -14,7 +14,7 @@
 import type { LeadershipState } from './leadership-state.js';
 import { checkTransition, isLeaderState } from './leadership-state.js';
 
-/** Time between a renewal of the lease and the next, in milliseconds. */
+/** Interval between renewals of the lease, in milliseconds. */
 const RENEWAL_INTERVAL_MS = 800;
 /**
  * How long to wait for the response to a renewal before sending the next one, in milliseconds. A later response still
@@ -25,11 +25,11 @@
 const RETRY_DELAY_MS = 200;
 /** Delay before retrying a failed read of the leader's record, in milliseconds. */
 const READ_RETRY_DELAY_MS = RETRY_DELAY_MS * 1.5;
-/** Interval at which a restarted process checks whether it has peers, in milliseconds. */
+/** Interval at which a restarted process checks whether peers are connected, in milliseconds. */
 const PEER_CHECK_INTERVAL_MS = RETRY_DELAY_MS / 2;
 /** How long one watch request waits for a change of the leader's record, in milliseconds. */
 const WATCH_WAIT_MS = 2000;
-/** How long a node that has resigned does not campaign, so that another can become leader, in milliseconds. */
+/** How long a node does not campaign after it has resigned, so that another can become leader, in milliseconds. */
 const RESIGNATION_DELAY_MS = 5000;
 /** Minimum time between two resignations of a node, in milliseconds. */
 const MIN_TIME_BETWEEN_RESIGNATIONS_MS = 60_000;
@@ -50,14 +50,14 @@
   private ownToken = 0 as FencingToken;
   private ownVersion = KEY_ABSENT;
   private highestKnown: KnownLeader | null = null;
-  /** Since when there has been no leader, as far as this node knows. */
+  /** When this node first found no leader's record; reset to null when it finds one. */
   private vacantSince: MonotonicMs | null = null;
   /** Earliest time at which this node campaigns. */
-  private campaignsFrom = 0 as MonotonicMs;
+  private earliestCampaignAt = 0 as MonotonicMs;
   /** Earliest time at which this node may resign again. */
-  private mayResignFrom = 0 as MonotonicMs;
-  /** Until then, running peers may not have been discovered yet. */
-  private readonly peersKnownFrom: MonotonicMs;
+  private earliestResignationAt = 0 as MonotonicMs;
+  /** Time until which running peers may not have been discovered yet. */
+  private readonly peerDiscoveryEndsAt: MonotonicMs;
 
   constructor(
     private readonly store: KeyValueStore,
@@ -66,27 +66,27 @@
     private readonly incarnation: string,
     private readonly listener: LeadershipListener,
   ) {
-    this.peersKnownFrom = addMs(clock.now(), PEER_DISCOVERY_MS);
+    this.peerDiscoveryEndsAt = addMs(clock.now(), PEER_DISCOVERY_MS);
   }
 
   // --- state ---------------------------------------------------------------------------------------
 
-  /** The present state. */
+  /** The current state. */
   get state(): LeadershipState {
     return this.current;
   }
 
-  /** The fencing token of this node's last election; 0: it was never elected. */
+  /** The fencing token of this node's last election; 0 if it was never elected. */
   get fencingToken(): FencingToken {
     return this.ownToken;
   }
 
-  /** The leader with the highest token known; null if only the token or nothing is known. */
+  /** The leader with the highest known token; null if only its token is known, or nothing. */
   knownLeader(): KnownLeader | null {
     return this.highestKnown;
   }
 
-  /** Whether the lease is certainly valid now by this node's own clock, counted from when its renewals were sent. */
+  /** Whether the lease is certainly valid by this node's clock, counted from when the last served renewal was sent. */
   holdsValidLease(): boolean {
     return (
       this.current === 'leading' &&
@@ -99,13 +99,13 @@
   }
 
   /**
-   * Milliseconds since the lease was last confirmed, counted from the sending of the request; Infinity without a lease.
+   * Milliseconds since the request that last confirmed the lease was sent; Infinity without a lease.
    */
   msSinceLeaseConfirmed(): number {
     return this.lease?.msSinceConfirmed(this.clock.now()) ?? Infinity;
   }
 
-  /** The compare that guards every write by the leader: its record is still the one that it wrote. */
+  /** The comparison that guards every write by the leader: the leader's record is still the one that it wrote. */
   leadershipCompare(): Compare {
     return { key: LEADER_KEY, version: this.ownVersion };
   }
@@ -145,7 +145,7 @@
     if (highest !== undefined && token < highest) return;
     if (node !== null) this.highestKnown = { fencingToken: token, node };
     else if (highest === undefined || token > highest) this.highestKnown = null;
-    if (token > this.ownToken) this.stepDown('a higher token was shown');
+    if (token > this.ownToken) this.stepDown('a higher fencing token was received');
   }
 
   /** Ends this node's leadership, if it leads. */
@@ -158,21 +158,23 @@
    */
   stepDownOnConflict(outcome: CommitOutcome): boolean {
     if (outcome.outcome !== 'conflict' || !outcome.failed.includes(LEADER_KEY)) return false;
-    this.stepDown('a conditioned write failed');
+    this.stepDown('a write failed because the leader record had changed');
     return true;
   }
 
-  /** False for some time after a resignation: if no other node does better, the cause is not this node. */
+  /**
+   * False for some time after a resignation: if the problem persists under another leader, this node is not the cause.
+   */
   canResign(): boolean {
-    return this.clock.now() >= this.mayResignFrom;
+    return this.clock.now() >= this.earliestResignationAt;
   }
 
   /** Gives up leadership voluntarily, so that another node can lead. */
   async resign(reason: string): Promise<void> {
     const { lease } = this;
     if (!isLeaderState(this.current)) return;
-    this.campaignsFrom = addMs(this.clock.now(), RESIGNATION_DELAY_MS);
-    this.mayResignFrom = addMs(this.clock.now(), MIN_TIME_BETWEEN_RESIGNATIONS_MS);
+    this.earliestCampaignAt = addMs(this.clock.now(), RESIGNATION_DELAY_MS);
+    this.earliestResignationAt = addMs(this.clock.now(), MIN_TIME_BETWEEN_RESIGNATIONS_MS);
     this.transitionTo('following', reason);
     if (lease !== null) await this.store.revokeLease(lease.id);
   }
@@ -187,7 +189,7 @@
     }
   }
 
-  /** Leading or holding: renews the lease once, and waits until the next renewal is due. */
+  /** In the states `leading` and `holding`: renews the lease once, and waits until the next renewal is due. */
   private async renewLease(): Promise<void> {
     const { lease } = this;
     if (lease === null) return;
@@ -207,12 +209,14 @@
     }
   }
 
-  /** The outcome of a renewal; `unknown` on timeout, so that a missing response does not keep this node leading. */
+  /**
+   * Returns the outcome of a renewal; `unknown` on timeout, so that a missing response does not keep this node leading.
+   */
   private requestRenewal(lease: LeaderLease): Promise<LeaseRenewalOutcome> {
     const sentAt = this.clock.now();
     const renewal = this.store.renewLease(lease.id, this.leadershipCompare()).then((outcome) => {
-      // A late response still confirms the lease from the time of its request. Without this, a store slowed thirtyfold
-      // made renewals that took a second count as failed, and the lease was given up.
+      // A late response still confirms the lease from the time of its request. Without this, when the store was thirty
+      // times slower than normal, renewals that took a second counted as failed and the leader gave up its lease.
       if (outcome.outcome === 'renewed') this.confirmLease(lease, sentAt);
       return outcome;
     });
@@ -236,12 +240,12 @@
     this.holdUnlessLeaseValid();
   }
 
-  /** Following: reads which node leads, and campaigns if there is none. */
+  /** In the state `following`: reads which node leads, and campaigns if there is no leader. */
   private async follow(): Promise<void> {
     const found = await this.store.read(LEADER_KEY, REQUEST_PRIORITY.critical);
     switch (found.outcome) {
       case 'absent':
-        await this.campaignInTurn();
+        await this.campaignAfterDelay();
         return;
       case 'found':
         this.vacantSince = null;
@@ -252,23 +256,23 @@
     }
   }
 
-  /** Campaigns once this node's campaign delay has passed without a leader. */
-  private async campaignInTurn(): Promise<void> {
+  /** Campaigns once there has been no leader for this node's campaign delay. */
+  private async campaignAfterDelay(): Promise<void> {
     const now = this.clock.now();
     this.vacantSince ??= now;
     const delayedUntil = addMs(this.vacantSince, this.listener.campaignDelayMs?.() ?? 0);
-    const turnAt = Math.max(this.campaignsFrom, delayedUntil);
-    if (now < turnAt) await this.clock.sleep(Math.min(RETRY_DELAY_MS, turnAt - now));
+    const campaignAt = Math.max(this.earliestCampaignAt, delayedUntil);
+    if (now < campaignAt) await this.clock.sleep(Math.min(RETRY_DELAY_MS, campaignAt - now));
     else await this.campaign(KEY_ABSENT);
   }
 
   private async followRecord(item: KeyValue): Promise<void> {
     const record = parseLeaderRecord(item.value);
     if (record.node !== this.self) await this.followLeader(record.node, item.version);
-    // The record is this process's own, from a commit whose response was lost or a leadership that was given up. Its
+    // This process wrote the record, in a commit whose response was lost or before it gave up leadership. The record's
     // lease has to end before a new campaign.
     else if (record.incarnation === this.incarnation) await this.clock.sleep(RETRY_DELAY_MS);
-    else await this.replacePredecessor(item.version);
+    else await this.replacePreviousProcess(item.version);
   }
 
   /** Waits for a change of the record of the node that leads. */
@@ -280,27 +284,29 @@
   }
 
   /**
-   * Replaces the leadership of this node's previous process. That process has exited, since this one was able to bind
-   * its ports, so there is no need to wait for its lease to expire.
+   * Ends the leadership of this node's previous process. That process has exited, since this one was able to bind its
+   * ports, so there is no need to wait for its lease to expire.
    */
-  private async replacePredecessor(version: Version): Promise<void> {
-    if (this.listener.hasPeers?.() === true) await this.removePredecessor(version);
-    else if (this.clock.now() < this.peersKnownFrom) await this.clock.sleep(PEER_CHECK_INTERVAL_MS);
+  private async replacePreviousProcess(version: Version): Promise<void> {
+    if (this.listener.hasPeers?.() === true) await this.removePreviousRecord(version);
+    else if (this.clock.now() < this.peerDiscoveryEndsAt) await this.clock.sleep(PEER_CHECK_INTERVAL_MS);
     else await this.campaign(version);
   }
 
   /**
-   * Ends the leadership of this node's previous process, and gives its running peers a head start: a process that had
-   * just started was once short of processor time for ten seconds and lost its lease again.
+   * Removes the leader's record of this node's previous process, and gives running peers a head start in the election:
+   * a process that had just started was once short of processor time for ten seconds and lost its lease again.
    */
-  private async removePredecessor(version: Version): Promise<void> {
-    this.campaignsFrom = addMs(this.clock.now(), RESTART_DELAY_MS);
+  private async removePreviousRecord(version: Version): Promise<void> {
+    this.earliestCampaignAt = addMs(this.clock.now(), RESTART_DELAY_MS);
     const cleared = await this.store.commit(
       [{ key: LEADER_KEY, version }],
       [{ delete: LEADER_KEY }],
       REQUEST_PRIORITY.critical,
     );
-    this.listener.log('the process before this one led', { cleared: cleared.outcome });
+    this.listener.log('attempted to remove the leader record of the previous process', {
+      cleared: cleared.outcome,
+    });
     if (cleared.outcome !== 'committed') await this.clock.sleep(RETRY_DELAY_MS);
   }
 
@@ -308,7 +314,7 @@
   private async campaign(replaced: Version): Promise<void> {
     this.transitionTo(
       'campaigning',
-      replaced === KEY_ABSENT ? 'nobody leads' : 'the process before this one led',
+      replaced === KEY_ABSENT ? 'there is no leader' : 'the previous process of this node was the leader',
     );
     const { generation } = this.store;
     const sentAt = this.clock.now();
@@ -324,8 +330,8 @@
       this.beginTerm(lease, committed.revision as number as Version);
       return;
     }
-    this.transitionTo('following', `the campaign ended: ${committed.outcome}`);
-    // The lease is revoked in every case, so that the record of a commit that is applied late is removed with it.
+    this.transitionTo('following', `the leader record was not confirmed: ${committed.outcome}`);
+    // The lease is revoked for every other outcome, so that the record is also removed if the commit is applied late.
     await this.store.revokeLease(lease.id);
   }
 
@@ -343,6 +349,6 @@
     this.ownVersion = version;
     this.ownToken = this.store.fencingTokenOf(version);
     this.highestKnown = { fencingToken: this.ownToken, node: this.self };
-    this.transitionTo('leading', 'the campaign was won');
+    this.transitionTo('leading', 'the leader record was written');
   }
 }
--- a/packages/store/test/campaign-delay.test.ts
+++ b/packages/store/test/campaign-delay.test.ts
@@ -7,35 +7,39 @@
 
 const candidates = fc
   .array(fc.nat(3), { minLength: 1, maxLength: 5 })
-  .map((burdens) =>
-    burdens.map((burden, i): LeaderCandidate => ({ node: `spur-${i}` as NodeId, penalty: burden })),
+  .map((penalties) =>
+    penalties.map((penalty, i): LeaderCandidate => ({ node: `spur-${i}` as NodeId, penalty })),
   );
 
-test('of nodes that know of each other the fittest campaigns first, at once, and no two within 50 ms of it', () => {
+test('a candidate with the lowest penalty campaigns without delay, and all others at least 50 ms later', () => {
   fc.assert(
     fc.property(candidates, (all) => {
-      const delays = all.map((c) => ({
-        c,
+      const delays = all.map((candidate) => ({
+        candidate,
         ms: campaignDelayMs(
-          c,
-          all.filter((o) => o !== c),
+          candidate,
+          all.filter((other) => other !== candidate),
         ),
       }));
       delays.sort((a, b) => a.ms - b.ms);
-      const least = Math.min(...all.map((c) => c.penalty));
+      const lowestPenalty = Math.min(...all.map((candidate) => candidate.penalty));
       assert.equal(delays[0]?.ms, 0);
-      assert.equal(delays[0]?.c.penalty, least);
-      assert.ok(delays.slice(1).every((d) => d.ms >= 50));
-      for (const d of delays) assert.ok(d.c.penalty === least || d.ms >= 500, 'a fitter one has its time');
+      assert.equal(delays[0]?.candidate.penalty, lowestPenalty);
+      assert.ok(delays.slice(1).every((delay) => delay.ms >= 50));
+      for (const { candidate, ms } of delays)
+        assert.ok(
+          candidate.penalty === lowestPenalty || ms >= 500,
+          'a candidate with a higher penalty waits 500 ms',
+        );
     }),
     { seed: 4, numRuns: 300 },
   );
 });
 
-test('whatever is said of the others, any node campaigns within 1.2 seconds', () => {
+test('any candidate campaigns within 1.2 seconds regardless of the penalties of the others', () => {
   fc.assert(
-    fc.property(fc.nat(99), candidates, (burden, others) => {
-      assert.ok(campaignDelayMs({ node: 'spur-9' as NodeId, penalty: burden }, others) <= 1200);
+    fc.property(fc.nat(99), candidates, (penalty, others) => {
+      assert.ok(campaignDelayMs({ node: 'spur-9' as NodeId, penalty }, others) <= 1200);
     }),
     { seed: 5, numRuns: 200 },
   );
--- a/packages/store/test/http-key-value-store.test.ts
+++ b/packages/store/test/http-key-value-store.test.ts
@@ -8,7 +8,7 @@
 
 const LIMITS = { rps: 1000, writeRps: 1000, valueKb: 64, txnOps: 64 };
 
-/** Runs `use` with a store whose server responds to everything as it was last told. */
+/** Runs `use` with a store whose server responds to every request with the configured status and body. */
 async function withStore(
   use: (store: HttpKeyValueStore, server: ScriptedServer) => Promise<void>,
 ): Promise<void> {
@@ -17,7 +17,7 @@
   );
 }
 
-test('a key is read, or known to be absent', async () => {
+test('reading a key returns its value and version, or that it is absent', async () => {
   await withStore(async (store, server) => {
     server.body = { key: 'a/b', value: { x: 1 }, stamp: 412, permit: 7 };
     const item = { key: 'a/b', value: { x: 1 }, version: 412 };
@@ -29,7 +29,7 @@
   });
 });
 
-test('a list is read a page at a time, each from the last key of the one before', async () => {
+test('a list is read page by page, each page starting after the last key of the previous one', async () => {
   await withStore(async (store, server) => {
     const pages = [
       { pairs: [{ key: 'c/7', value: 1, stamp: 3 }], more: true, ledger: 10 },
@@ -51,7 +51,7 @@
   });
 });
 
-test('a transaction is committed, conflicts, or names a lease that has ended', async () => {
+test('a commit returns that it was committed, conflicts, or refers to a lease that has ended', async () => {
   await withStore(async (store, server) => {
     const commit = (): ReturnType<HttpKeyValueStore['commit']> =>
       store.commit([{ key: 'a', version: 0 as Version }], [{ delete: 'b' }], 0);
@@ -68,7 +68,7 @@
   });
 });
 
-test('a watch returns changes, or says that they are no longer kept', async () => {
+test('a watch returns changes, or that the changes were compacted', async () => {
   await withStore(async (store, server) => {
     server.body = { ledger: 433, log: [{ remove: 'c/d', stamp: 432 }] };
     const watch = (): ReturnType<HttpKeyValueStore['watch']> => store.watch('c/', 431 as Revision, 50);
@@ -80,15 +80,15 @@
   });
 });
 
-test('a lease is granted, renewed, found to have ended, and revoked', async () => {
+test('a lease can be granted, renewed and revoked, and its renewal fails after it has ended', async () => {
   await withStore(async (store, server) => {
     const lease = 7 as LeaseId;
-    const touch = (): ReturnType<HttpKeyValueStore['renewLease']> => store.renewLease(lease);
+    const renew = (): ReturnType<HttpKeyValueStore['renewLease']> => store.renewLease(lease);
     server.body = { permit: 7 };
     assert.deepEqual(await store.grantLease(3000), { outcome: 'granted', lease });
-    assert.deepEqual(await touch(), { outcome: 'renewed' });
+    assert.deepEqual(await renew(), { outcome: 'renewed' });
     server.status = 404;
-    assert.deepEqual(await touch(), { outcome: 'ended' });
+    assert.deepEqual(await renew(), { outcome: 'ended' });
     await store.revokeLease(lease);
     assert.deepEqual(server.requests, [
       'POST /leases {"ttlMs":3000}',
@@ -99,7 +99,7 @@
   });
 });
 
-test('a store that does not serve is failing from the first refusal until a request is served', async () => {
+test('the store is reported as failing from the first refused request until a request is served', async () => {
   await withStore(async (store, server) => {
     assert.equal(store.failingSince(), null);
     server.status = 503;
@@ -115,7 +115,7 @@
   });
 });
 
-test('a response that cannot be understood leaves the outcome unknown', async () => {
+test('a commit with a malformed response has an unknown outcome', async () => {
   await withStore(async (store, server) => {
     server.body = { ledger: 'many' };
     assert.deepEqual(await store.commit([], [], 0), { outcome: 'unknown' });
@@ -123,7 +123,7 @@
   });
 });
 
-test('over the limit only urgent requests are sent for a while, and the store is not failing', async () => {
+test('after a 429 response only critical requests are sent, and the store is not reported as failing', async () => {
   await withStore(async (store, server) => {
     server.status = 429;
     assert.deepEqual(await store.read('a', 1), { outcome: 'refused' });
--- a/packages/store/test/leader-lease.test.ts
+++ b/packages/store/test/leader-lease.test.ts
@@ -6,15 +6,15 @@
 
 const at = (ms: number): MonotonicMs => ms as MonotonicMs;
 
-test('a lease is counted as valid for less than it lasts, from the sending of what confirmed it', () => {
+test('a lease counts as valid for less than its duration, from when its last confirmed request was sent', () => {
   const lease = new LeaderLease(7 as LeaseId, 0, at(1000));
-  // 3000 ms less 0.1% for drift and 150 ms.
+  // 3000 ms less 0.1 % for clock drift and a safety margin of 150 ms.
   assert.equal(lease.isValidAt(at(1000 + 2846)), true);
   assert.equal(lease.isValidAt(at(1000 + 2847)), false);
   assert.ok(2847 < LEASE_TTL_MS);
 });
 
-test('a renewal extends the lease, unless one that was sent later has done so already', () => {
+test('a renewal extends the lease unless a later request has already confirmed it', () => {
   const lease = new LeaderLease(7 as LeaseId, 0, at(1000));
   assert.equal(lease.confirm(at(2000)), true);
   assert.equal(lease.isValidAt(at(4500)), true);
--- a/packages/store/test/leadership-state.test.ts
+++ b/packages/store/test/leadership-state.test.ts
@@ -14,7 +14,7 @@
   'holding following',
 ]);
 
-test('only the listed transitions are allowed', () => {
+test('a leadership transition outside the allowed list throws an error', () => {
   for (const from of STATES)
     for (const to of STATES) {
       const check = (): void => {
@@ -25,6 +25,6 @@
     }
 });
 
-test('a node leads while it leads or holds', () => {
+test('the states `leading` and `holding` are leader states', () => {
   assert.deepEqual(STATES.filter(isLeaderState), ['leading', 'holding']);
 });
--- a/packages/store/test/leadership.test.ts
+++ b/packages/store/test/leadership.test.ts
@@ -5,8 +5,15 @@
 import type { KeyValueStore } from '../src/index.js';
 import { Leadership } from '../src/index.js';
 
-/** Leads with a store whose renewals take as long as told; counts how often the lease was doubted. */
-async function lead(renewalMs: number, forMs: number): Promise<{ doubts: number; sure: boolean }> {
+/** Result of a leader's run. */
+interface LeadershipRun {
+  /** Number of transitions to the state `holding`. */
+  readonly holdingCount: number;
+  readonly holdsValidLease: boolean;
+}
+
+/** Runs a leader for `durationMs` with a store that responds to each renewal after `renewalMs`. */
+async function runLeader(renewalMs: number, durationMs: number): Promise<LeadershipRun> {
   const time = new SimTime();
   const clock = new ProcessClock(time, 1, 0);
   const store = {
@@ -22,31 +29,31 @@
     },
     revokeLease: () => Promise.resolve(),
   } as unknown as KeyValueStore;
-  let doubts = 0;
+  let holdingCount = 0;
   const leadership = new Leadership(store, clock, 'spur-0' as NodeId, 'a', {
     onElected: () => undefined,
     onLeaseConfirmedAgain: () => undefined,
     onDeposed: () => undefined,
     log: (_message, fields) => {
-      if (fields['to'] === 'holding') doubts += 1;
+      if (fields['to'] === 'holding') holdingCount += 1;
     },
   });
-  // Time passes also while nothing is waited for.
+  // A timer every 100 ms, so that the simulated time also advances between other events.
   const tick = (): void => {
     time.after(100, tick);
   };
   tick();
   void leadership.run();
-  await time.runUntil(forMs);
-  return { doubts, sure: leadership.holdsValidLease() };
+  await time.runUntil(durationMs);
+  return { holdingCount, holdsValidLease: leadership.holdsValidLease() };
 }
 
-test('a renewal that is answered late still confirms the lease from when it was sent', async () => {
-  assert.deepEqual(await lead(5, 20_000), { doubts: 0, sure: true });
-  assert.deepEqual(await lead(1200, 20_000), { doubts: 0, sure: true });
+test('a renewal whose response is late confirms the lease from when it was sent', async () => {
+  assert.deepEqual(await runLeader(5, 20_000), { holdingCount: 0, holdsValidLease: true });
+  assert.deepEqual(await runLeader(1200, 20_000), { holdingCount: 0, holdsValidLease: true });
 });
 
-test('a renewal answered after the lease would have ended confirms nothing', async () => {
-  const { sure } = await lead(3500, 20_000);
-  assert.equal(sure, false);
+test('a renewal whose response arrives after the lease has expired does not make the lease valid again', async () => {
+  const { holdsValidLease } = await runLeader(3500, 20_000);
+  assert.equal(holdsValidLease, false);
 });
