--- a/packages/recovery/src/attachment.ts
+++ b/packages/recovery/src/attachment.ts
@@ -22,7 +22,7 @@
 const INITIALIZE_AMONG_PEERS_MS = 700;
 /** Time after which an empty store may be initialized if the status of some peer is missing. */
 const INITIALIZE_ALONE_MS = 2000;
-/** Pause between attempts, in which peers or workers may still show that the store is not new. */
+/** Pauses between attempts, during which peers or workers may still prove that the store is not new. */
 const AWAIT_PEERS_MS = 50;
 const AWAIT_WORKERS_MS = 100;
 
@@ -31,7 +31,7 @@
   | { readonly outcome: 'attached'; readonly openEpoch: OpenEpoch }
   /** There is evidence against the store. */
   | { readonly outcome: 'suspect'; readonly evidence: string }
-  /** The evidence is not sufficient yet. The attempt has ended with a pause, and is to be repeated. */
+  /** There is not enough evidence yet. The attempt has ended with a pause and has to be repeated. */
   | { readonly outcome: 'undecided' };
 
 const UNDECIDED: AttachOutcome = { outcome: 'undecided' };
@@ -74,9 +74,11 @@
     const { epoch } = record;
     await this.loadSnapshot(epoch?.deployment ?? null);
     if (epoch === null) return this.attachWithoutEpoch();
-    const { highestEpoch: ahead } = observations.reachablePeers();
-    if (epoch.phase !== 'open' || epoch.number < ahead)
-      return suspect(`epoch ${epoch.number} is ${epoch.phase}, of others ${ahead}`);
+    const { highestEpoch: peerEpoch } = observations.reachablePeers();
+    if (epoch.phase !== 'open' || epoch.number < peerEpoch)
+      return suspect(
+        `the store is in epoch ${epoch.number} (${epoch.phase}), peers are in epoch ${peerEpoch}`,
+      );
     return this.attachToEpoch(epoch);
   }
 
@@ -88,7 +90,7 @@
     if (openEpoch === null) return UNDECIDED;
     const { latestRevision } = openEpoch;
     if (latestRevision < knownRevision)
-      return suspect(`revision ${latestRevision} was read, a peer knows ${knownRevision}`);
+      return suspect(`revision ${latestRevision} was read, but a peer has seen revision ${knownRevision}`);
     const evidence = this.snapshot === null ? null : findMissingFromSnapshot(this.snapshot, openEpoch);
     return evidence === null ? { outcome: 'attached', openEpoch } : suspect(evidence);
   }
@@ -97,11 +99,11 @@
   private async attachWithoutEpoch(): Promise<AttachOutcome> {
     const { clock, nodes, observations } = this.dependencies;
     const now = clock.now();
-    const { peers, highestEpoch: ahead } = observations.reachablePeers();
+    const { peers, highestEpoch: peerEpoch } = observations.reachablePeers();
     const waitMs = peers.length >= nodes - 1 ? INITIALIZE_AMONG_PEERS_MS : INITIALIZE_ALONE_MS;
     if (observations.highestToken > 0 || this.snapshot !== null)
-      return suspect('no epoch, but a token or a snapshot');
-    if (ahead > 0 || now - this.startedAt < waitMs) return this.pause(AWAIT_PEERS_MS);
+      return suspect('the store has no epoch record, but a fencing token or a snapshot exists');
+    if (peerEpoch > 0 || now - this.startedAt < waitMs) return this.pause(AWAIT_PEERS_MS);
     if (!(await observations.isNewToWorkers())) return this.pause(AWAIT_WORKERS_MS);
     return this.initialize();
   }
@@ -110,7 +112,8 @@
     const { underlyingStore, recovery } = this.dependencies;
     const listed = await underlyingStore.list('', CONTROL_PRIORITY);
     if (listed.outcome !== 'listed') return this.pause(RETRY_MS);
-    if (listed.items.some((item) => !isControlKey(item.key))) return suspect('records without an epoch');
+    if (listed.items.some((item) => !isControlKey(item.key)))
+      return suspect('the store has records, but no epoch record');
     await recovery.initializeStore();
     return UNDECIDED;
   }
--- a/packages/recovery/src/dependencies.ts
+++ b/packages/recovery/src/dependencies.ts
@@ -32,6 +32,6 @@
   readonly onIntegrityChanged: () => void;
   /** Called after the replica has changed. */
   readonly onReplicaChanged?: () => void;
-  /** Snapshots, if operators keep any. */
+  /** Source of snapshots, if operators keep any. */
   readonly snapshots?: SnapshotSource;
 }
--- a/packages/recovery/src/epoch-store/audit-selector.ts
+++ b/packages/recovery/src/epoch-store/audit-selector.ts
@@ -1,5 +1,5 @@
 /**
- * The choice of the keys that an audit compares with the key-value store.
+ * Selection of the keys that an audit compares with the key-value store.
  *
  * @module
  */
@@ -7,20 +7,20 @@
 import type { Replica } from '../replica/replica.js';
 
 /**
- * Chooses keys for audits: the most recently written ones, then all others in turn. Also tracks keys that may be lost.
+ * Selects keys for audits: the most recently written ones, then all others in turn. Also tracks keys that may be lost.
  */
 export class AuditSelector {
   private readonly recentlyWritten = new Set<string>();
   private rotation: Iterator<string> | null = null;
-  /** Keys that were absent from a response, with its revision, which the watch had not reached yet. */
+  /** Keys that were absent from a response, with the revision of the response. The watch had not reached it yet. */
   private readonly absentKeys = new Map<string, Revision>();
 
-  /** @param maxCompares - Number of keys that one audit compares at most. */
+  /** @param maxCompares - Maximum number of keys that one audit compares. */
   constructor(private readonly maxCompares: number) {}
 
   /** Records that a key was written, so that one of the next audits compares it. */
   noteWrite(key: string): void {
-    // Deleted and added again, the key moves to the end: the last writes are audited first.
+    // Deleting and adding the key moves it to the end: the latest writes are audited first.
     this.recentlyWritten.delete(key);
     this.recentlyWritten.add(key);
   }
@@ -52,7 +52,7 @@
     return [...selected.values()];
   }
 
-  /** Records that a known key was absent at a revision. The watch will show whether it was deleted. */
+  /** Records that a known key was absent at a revision. The watch will reveal whether it was deleted. */
   noteAbsent(key: string, revision: Revision): void {
     if (!this.absentKeys.has(key)) this.absentKeys.set(key, revision);
   }
--- a/packages/recovery/src/epoch-store/epoch-store.ts
+++ b/packages/recovery/src/epoch-store/epoch-store.ts
@@ -36,9 +36,9 @@
 
 /** Audits compare up to this many times as many keys as a transaction may mutate. */
 const COMPARES_PER_TRANSACTION_OPERATION = 4;
-/** Comparisons of an audit that are reserved for other keys than records. */
+/** Number of comparisons in an audit that are reserved for keys other than records. */
 const RESERVED_COMPARES = 2;
-/** Time for which users retry a submission. Until then, an unknown job id may still be submitted. */
+/** How long users retry a submission, in milliseconds. Until then, a job lost by the store may be submitted again. */
 const SUBMISSION_RETRY_MS = 60_000;
 
 type FoundOrAbsent = Extract<ReadOutcome, { outcome: 'found' | 'absent' }>;
@@ -152,7 +152,7 @@
     return this.follower.ageMs;
   }
 
-  /** Records that the epoch has reached a revision, as another controller or a worker has shown. */
+  /** Records that the epoch has reached a revision, according to another controller or a worker. */
   noteRevision(revision: number): void {
     this.validator.highestKnownRevision = Math.max(this.validator.highestKnownRevision, revision);
   }
@@ -180,7 +180,7 @@
   private validateFound(key: string, found: Found, known: ReplicaEntry | undefined): ReadOutcome {
     const { version, value } = found.item;
     if (key === LEADER_KEY && !isObject(value)) {
-      this.dependencies.suspect('the leader record cannot be read');
+      this.dependencies.suspect('the leader record is not an object');
       return REFUSED;
     }
     if (isTombstone(value)) return { outcome: 'absent', revision: this.highestKnownRevision as Revision };
@@ -211,7 +211,7 @@
       if (!listedKeys.has(item.key)) items.push(item);
     const lostJobKey = this.findLostJob(prefix, listed, listedKeys);
     if (lostJobKey !== null) {
-      this.dependencies.suspect(`${lostJobKey} is gone`);
+      this.dependencies.suspect(`${lostJobKey} is missing`);
       return REFUSED;
     }
     return { ...listed, items };
--- a/packages/recovery/src/epoch-store/integrity-auditor.ts
+++ b/packages/recovery/src/epoch-store/integrity-auditor.ts
@@ -1,5 +1,5 @@
 /**
- * Audits: comparisons of the replica with the store that detect losses which no other request would reveal.
+ * Audits: comparisons of the replica with the store that detect losses that no other request would reveal.
  *
  * @module
  */
@@ -52,7 +52,7 @@
     if (outcome.outcome !== 'conflict') return;
     for (const key of outcome.failed) if (!(await this.checkKey(key))) return;
     const lostKey = selector.findLostKey(replica);
-    if (lostKey !== null) trust.suspect(`${lostKey} is gone`);
+    if (lostKey !== null) trust.suspect(`${lostKey} is missing`);
   }
 
   /** Reads a key whose comparison failed. Returns false if the epoch is no longer trusted. */
@@ -67,7 +67,7 @@
     }
     if (found.outcome === 'absent') {
       if (!validator.accepts(key, known, KEY_ABSENT, undefined)) return false;
-      // Deleted meanwhile, or lost: only a deletion appears in the watch.
+      // The key was deleted meanwhile, or is lost. Only a deletion appears in the watch.
       selector.noteAbsent(key, found.revision);
     }
     return true;
--- a/packages/recovery/src/epoch-store/replica-follower.ts
+++ b/packages/recovery/src/epoch-store/replica-follower.ts
@@ -91,7 +91,7 @@
     const found = await underlyingStore.read(EPOCH_KEY, CONTROL_PRIORITY);
     const id = found.outcome === 'found' ? decodeEpoch(found.item.value)?.id : null;
     if ((found.outcome === 'found' && id !== epoch.id) || found.outcome === 'absent')
-      trust.suspect('the fence was moved');
+      trust.suspect('the epoch record was replaced or removed');
   }
 
   private apply(events: readonly WatchEvent[], revision: Revision): void {
--- a/packages/recovery/src/epoch-store/response-validator.ts
+++ b/packages/recovery/src/epoch-store/response-validator.ts
@@ -36,7 +36,7 @@
     public highestKnownRevision: number,
   ) {}
 
-  /** Sends a request. The revision of the response must be at least the one that was known when the request was sent. */
+  /** Sends a request. The response's revision must not be lower than the one known when the request was sent. */
   async send<T extends { readonly outcome: string; readonly revision?: Revision }>(
     request: () => Promise<T | RequestFailure>,
   ): Promise<T | RequestFailure> {
@@ -45,7 +45,9 @@
     if (!('revision' in response) || response.revision === undefined || !this.trust.isCurrent())
       return response;
     if (response.revision < knownRevision) {
-      this.trust.suspect(`revision ${response.revision} was answered, ${knownRevision} was known`);
+      this.trust.suspect(
+        `a response has revision ${response.revision}, but revision ${knownRevision} was seen before`,
+      );
       return response.outcome === 'committed' ? UNKNOWN : REFUSED;
     }
     this.highestKnownRevision = Math.max(this.highestKnownRevision, response.revision);
@@ -59,15 +61,15 @@
     );
   }
 
-  /** Returns the outcome of a commit, unless the fence has moved, which ends the epoch. */
+  /** Returns the outcome of a commit; refused if the fence has moved, which ends the epoch. */
   checkFence(outcome: CommitOutcome): CommitOutcome {
     if (outcome.outcome !== 'conflict' || !outcome.failed.includes(this.fence.key)) return outcome;
-    if (this.trust.isCurrent()) this.trust.suspect('the fence is gone');
+    if (this.trust.isCurrent()) this.trust.suspect('the fence was replaced or removed');
     return REFUSED;
   }
 
   /**
-   * Returns whether a response is consistent with what was known of the key (`findContradiction`), and reports it if
+   * Returns whether a response is consistent with the known entry of the key (`findContradiction`), and reports it if
    * not.
    */
   accepts(key: string, known: ReplicaEntry | undefined, version: Version, value: unknown): boolean {
--- a/packages/recovery/src/epoch-store/transaction-translation.ts
+++ b/packages/recovery/src/epoch-store/transaction-translation.ts
@@ -34,7 +34,7 @@
   const failedKeys: string[] = [];
   for (const compare of compares) {
     const version = overlay.storeVersionOf(compare);
-    // A record that was read once cannot count as one that never existed, whatever the store responds now.
+    // A record that was read before must not count as one that never existed, even if the store now omits it.
     const known = compare.version === KEY_ABSENT ? replica.get(compare.key) : undefined;
     const isLost = known !== undefined && isNeverDeleted(compare.key, known);
     if (version === null || isLost) failedKeys.push(compare.key);
--- a/packages/recovery/src/epoch/epoch-record.ts
+++ b/packages/recovery/src/epoch/epoch-record.ts
@@ -1,5 +1,6 @@
 /**
- * The epoch record: which uninterrupted life of the key-value store is current (docs/state-loss.md).
+ * The epoch record, which identifies the current epoch: the period since the key-value store last lost data
+ * (docs/state-loss.md).
  *
  * @module
  */
@@ -7,7 +8,7 @@
 import { read } from '@spurbridge/wire';
 import { EPOCH_KEY } from './control-keys.js';
 
-/** Number of one uninterrupted life of the key-value store; `NO_EPOCH` stands for none. */
+/** Number of an epoch; `NO_EPOCH` stands for none. */
 export type EpochNumber = Brand<number, 'EpochNumber'>;
 
 /** The epoch number that means that there is no epoch. */
@@ -15,10 +16,10 @@
 
 const EPOCH_PHASES = ['gathering', 'open'] as const;
 
-/** Whether controllers still contribute their replicas to an epoch, or already work in it. */
+/** Phase of an epoch: controllers contribute their replicas to it (`gathering`), or work in it (`open`). */
 export type EpochPhase = (typeof EPOCH_PHASES)[number];
 
-/** One uninterrupted life of the key-value store, as the record `epoch` describes it. */
+/** A period in which the key-value store has lost no data, as the record `epoch` describes it. */
 export interface Epoch {
   readonly number: EpochNumber;
   /** Random. It is part of the name of the fence, so a fence of an earlier epoch never becomes valid again. */
@@ -30,11 +31,11 @@
   readonly phase: EpochPhase;
   /** Number of the epoch that the store's own records belong to: replicas of a later epoch take precedence over them. */
   readonly baseEpoch: number;
-  /** The controller that moved the fence and that is to open the epoch. */
+  /** The controller that moved the fence and will open the epoch. */
   readonly initiator: NodeId;
   /** Whether this is the first epoch of the deployment, with no records before it. */
   readonly isInitial: boolean;
-  /** Once open: whether the merged replicas hold every intent that a leader may have acted on. */
+  /** Once open: whether the merged replicas contain every intended placement that a leader may have acted on. */
   readonly continuous: boolean;
 }
 
@@ -76,7 +77,7 @@
       continuous: read.boolean(record, 'continuous'),
     };
   } catch {
-    // Whatever the error, an undecodable record does not identify the current epoch.
+    // A record that cannot be decoded does not identify the current epoch, regardless of the error.
     return null;
   }
 }
--- a/packages/recovery/src/epoch/fencing-tokens.ts
+++ b/packages/recovery/src/epoch/fencing-tokens.ts
@@ -20,12 +20,12 @@
 }
 
 /**
- * Returns the token floor of the next epoch. It lies above the last floor that is known, above every token that was
- * seen in use and, because it also rises with the time of day, above those that may have been used unseen.
+ * Returns the token floor of the next epoch. It lies above the last known floor and every token that was seen. It also
+ * rises with the wall-clock time, so that it lies above tokens that were issued but never seen.
  */
 export function nextTokenFloor(lastFloor: number, highestSeenToken: FencingToken, wallMs: number): number {
-  // Milliseconds rather than seconds: with seconds, two epochs begun within one second got the same floor, and a token
-  // was issued twice.
-  const aboveTime = Math.floor(wallMs) * TOKENS_PER_MS;
-  return Math.max(Math.max(lastFloor, highestSeenToken) + TOKENS_PER_EPOCH, aboveTime);
+  // The unit is milliseconds: with seconds, two epochs that began within one second had the same floor, and a token was
+  // issued twice.
+  const timeFloor = Math.floor(wallMs) * TOKENS_PER_MS;
+  return Math.max(Math.max(lastFloor, highestSeenToken) + TOKENS_PER_EPOCH, timeFloor);
 }
--- a/packages/recovery/src/epoch/open-epoch.ts
+++ b/packages/recovery/src/epoch/open-epoch.ts
@@ -10,7 +10,7 @@
 /** The whole content of the store in an open epoch. */
 export interface OpenEpoch {
   readonly epoch: Epoch;
-  /** The comparison that every commit of the epoch carries. */
+  /** The comparison that every commit of the epoch contains. */
   readonly fence: Compare;
   /** Records that the store itself holds; those that a pending repair replaces are left out. */
   readonly records: readonly KeyValue[];
@@ -18,9 +18,9 @@
   readonly pendingRepairs: readonly PendingRepair[];
   /** Keys of contributions and of tombstones, which are deleted once everything is written back. */
   readonly obsoleteKeys: readonly string[];
-  /** Revision at the beginning of the reading, which may take several requests. */
+  /** Revision of the first response; reading the store may take several requests. */
   readonly revision: Revision;
-  /** Revision at the end of the reading: no record can have a later version. */
+  /** Revision of the last response: no record can have a later version. */
   readonly latestRevision: Revision;
   /** Whether this controller contributed to the recovery, and so has followed the epoch from its opening. */
   readonly tookPartInRecovery: boolean;
--- a/packages/recovery/src/peer-observations.ts
+++ b/packages/recovery/src/peer-observations.ts
@@ -1,5 +1,5 @@
 /**
- * What the messages of peers and workers imply about the key-value store.
+ * Information about the key-value store that the messages of peers and workers contain.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 
 /** A peer whose latest status is older than this does not count as reachable. */
 const PEER_TIMEOUT_MS = 4000;
-/** Limit on waiting for a peer that takes part in a later epoch without trusting it yet. */
+/** Maximum time to wait for a peer that takes part in a later epoch but does not trust it yet. */
 const PEER_RECOVERY_TIMEOUT_MS = 10_000;
 /** Number of workers without a token that proves a first start, regardless of the number of machines. */
 const SUFFICIENT_NEW_WORKERS = 20;
@@ -40,7 +40,7 @@
     private readonly countRunningMachines: () => Promise<number | null>,
   ) {}
 
-  /** Highest token that a peer, a worker or a leader record has shown; 0 without any. */
+  /** Highest token that was received from a peer, a worker or a leader record; 0 without any. */
   get highestToken(): FencingToken {
     return this.highestTokenSeen;
   }
@@ -65,7 +65,7 @@
     this.highestEpochSeen = Math.max(this.highestEpochSeen, epoch);
   }
 
-  /** Receives a token. Returns whether it is higher than all before. */
+  /** Receives a token. Returns whether it is higher than all previous ones. */
   receiveToken(token: FencingToken): boolean {
     if (token <= this.highestTokenSeen) return false;
     this.highestTokenSeen = token;
@@ -77,7 +77,7 @@
     this.newWorkers.add(machine);
   }
 
-  /** Returns the peers whose status is recent, and the highest epoch that one of them is in. */
+  /** Returns the peers whose status is recent, and the highest epoch among them. */
   reachablePeers(): ReachablePeers {
     const now = this.clock.now();
     const reachable = this.currentPeers();
@@ -88,7 +88,7 @@
     return { peers: reachable.map((peer) => peer.status.node), highestEpoch: Math.max(0, ...epochs) };
   }
 
-  /** Returns whether a peer that is reachable has followed the epoch from its opening. */
+  /** Returns whether a reachable peer has followed the epoch from its opening without a gap. */
   isConfirmedContinuous(epochId: string): boolean {
     return this.trustingPeers(epochId).some((status) => status.hasContinuousReplica);
   }
@@ -99,9 +99,9 @@
   }
 
   /**
-   * Returns whether enough workers have never seen a leader. If the cloud lists machines, half of them or
-   * `SUFFICIENT_NEW_WORKERS` must have shown it: otherwise a store that was emptied while no controller was running was
-   * mistaken for a new one, and its first token for a higher one.
+   * Returns whether enough workers have reported that they have never seen a leader. If the cloud lists machines, half
+   * of them or `SUFFICIENT_NEW_WORKERS` must have done so. Without this check, a store that was emptied while no
+   * controller was running was taken for a new one, and its first token for one higher than all before.
    */
   async isNewToWorkers(): Promise<boolean> {
     this.runningMachines ??= await this.countRunningMachines();
@@ -124,12 +124,14 @@
 
 /** Returns why a peer's status contradicts the epoch that this controller works in, or null if it does not. */
 export function findPeerContradiction(status: PeerStatus, { number, id }: Epoch): string | null {
-  if (status.storeEpoch > number) return `${status.node} is in epoch ${status.storeEpoch}`;
+  if (status.storeEpoch > number) return `${status.node} is in the later epoch ${status.storeEpoch}`;
   if (status.storeEpoch < number || status.storeEpochId === '') return null;
   if (status.storeEpochId !== id) {
-    // There are two stores behind one address. Comparing ids lets exactly one side start a recovery, so that the other
-    // one receives a later epoch number and refuses.
-    return status.storeEpochId > id ? `${status.node} follows another epoch ${status.storeEpoch}` : null;
+    // Two stores are reachable at the same address. Comparing ids lets exactly one side start a recovery; the other
+    // side then receives a later epoch number and refuses all calls.
+    return status.storeEpochId > id
+      ? `${status.node} is in another epoch with number ${status.storeEpoch}`
+      : null;
   }
-  return status.isStoreTrusted ? null : `${status.node} doubts it`;
+  return status.isStoreTrusted ? null : `${status.node} does not trust the store`;
 }
--- a/packages/recovery/src/phases/contribute.ts
+++ b/packages/recovery/src/phases/contribute.ts
@@ -37,7 +37,7 @@
   readonly earlierContributions: readonly EpochReplica[];
 }
 
-/** Waits until the initiator of an epoch has left its marker, or for `INITIATOR_TIMEOUT_MS`. */
+/** Waits until the initiator of an epoch has written its marker, for at most `INITIATOR_TIMEOUT_MS`. */
 export async function awaitInitiator(dependencies: StoreRecoveryDependencies, epoch: Epoch): Promise<void> {
   const { underlyingStore, clock } = dependencies;
   const deadline = addMs(clock.now(), INITIATOR_TIMEOUT_MS);
@@ -110,7 +110,8 @@
 ): RecordRepair[] {
   const missing = mergeReplicas(merged, [...localState.replicas, ...earlierContributions]);
   const missingKeys = new Set(missing.map((repair) => repair.key));
-  // The store would issue a version above its revision a second time, so such a record is rewritten unchanged.
+  // The store would issue versions above its revision a second time, so records with such versions are rewritten
+  // unchanged.
   const beyondRevision = listed.items
     .filter(({ key, version }) => version > listed.latest && !isControlKey(key) && !contributedKeys.has(key))
     .filter(({ key }) => !missingKeys.has(key))
@@ -122,7 +123,7 @@
     }));
   return [...missing, ...beyondRevision].map((repair) => ({
     ...repair,
-    // A repair replaces the store's own record, even if a contribution had already replaced that.
+    // A repair replaces the store's own record, even if another contribution has already replaced it.
     replacedVersion: stored.get(repair.key)?.version ?? KEY_ABSENT,
   }));
 }
--- a/packages/recovery/src/phases/contribution-codec.ts
+++ b/packages/recovery/src/phases/contribution-codec.ts
@@ -144,7 +144,7 @@
   if (typeof key !== 'string' || typeof text !== 'string')
     throw new ContributionFormatError(
       'page entry',
-      'a key and a value as texts',
+      'a string key and a string value',
       `${typeof key} and ${typeof text}`,
     );
   return {
--- a/packages/recovery/src/phases/late-contribution.ts
+++ b/packages/recovery/src/phases/late-contribution.ts
@@ -18,7 +18,7 @@
 import type { StoreRecoveryDependencies } from './recovery-dependencies.js';
 import { pauseBeforeRetry } from './recovery-dependencies.js';
 
-/** Reads an open epoch, and writes the job records that it lacks until none is left. Returns null on failure. */
+/** Reads an open epoch, and writes the job records that it lacks until none is missing. Returns null on failure. */
 export async function enterWithLateContribution(
   dependencies: StoreRecoveryDependencies,
   epoch: Epoch,
@@ -35,7 +35,10 @@
       if (!(await commitWithRetry(dependencies, compares, mutations)))
         return pauseBeforeRetry(dependencies.clock);
     }
-    dependencies.log.info({ epoch: epoch.number, records: repairs.length }, 'replica contributed late');
+    dependencies.log.info(
+      { epoch: epoch.number, records: repairs.length },
+      'missing job records written to open epoch',
+    );
   }
 }
 
--- a/packages/recovery/src/phases/quorum.ts
+++ b/packages/recovery/src/phases/quorum.ts
@@ -1,5 +1,5 @@
 /**
- * Third phase of a recovery: the initiator waits until enough controllers have left their markers.
+ * Third phase of a recovery: the initiator waits until enough controllers have written their markers.
  *
  * @module
  */
@@ -17,11 +17,11 @@
 /** Largest deviation of a controller's clock rate. */
 const CLOCK_DRIFT = 0.002;
 const LEASE_MARGIN_MS = 200;
-/** After this time, even an earlier leader that has not noticed the loss no longer relies on its lease. */
+/** After this time, even an earlier leader that has not detected the loss no longer relies on its lease. */
 const LEASE_EXPIRY_MS = LEASE_TTL_MS * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
-/** Limit on waiting for controllers that are reachable, but do not write a marker. */
+/** Maximum time to wait for controllers that are reachable but do not write a marker. */
 const MARKER_TIMEOUT_MS = 5000;
-/** Maximum number of leases that are requested to pass the ids from before the loss. */
+/** Maximum number of leases that are requested to exceed the ids from before the loss. */
 const MAX_REQUESTED_LEASES = 200;
 const REQUESTED_LEASE_TTL_MS = 100;
 
@@ -62,10 +62,10 @@
 }
 
 /**
- * Requests leases until their ids are past all that were granted before the loss, so that a late revocation of an
- * earlier lease cannot end a new one. Returns false if the store does not grant a lease.
+ * Requests leases until their ids exceed all that were granted before the loss, so that a late revocation of an earlier
+ * lease cannot end a new one. Returns false if the store does not grant a lease.
  */
-export async function passEarlierLeaseIds(
+export async function skipEarlierLeaseIds(
   { underlyingStore, log }: StoreRecoveryDependencies,
   markers: Markers,
 ): Promise<boolean> {
@@ -75,13 +75,13 @@
     if (granted.outcome !== 'granted') return false;
     if (granted.lease > highestEarlierId) return true;
   }
-  log.info({ past: highestEarlierId }, 'lease ids were set back too far to pass them');
+  log.info({ past: highestEarlierId }, 'lease ids are still not above those granted before the data loss');
   return true;
 }
 
 /**
- * Returns whether no intent of a leader is missing from the merged replicas: the replica of the last leader is among them
- * and is continuous, and no other controller has added records without knowing that they are the latest.
+ * Returns whether the merged replicas contain every intended placement: they include the last leader's replica, which
+ * is continuous, and no other controller has added records that it does not know to be the latest.
  */
 export function isContinuous(markers: Markers): boolean {
   const all = [...markers.values()];
--- a/packages/recovery/src/phases/recovery-dependencies.ts
+++ b/packages/recovery/src/phases/recovery-dependencies.ts
@@ -10,7 +10,7 @@
 import type { EpochNumber } from '../epoch/epoch-record.js';
 import type { EpochReplica } from '../replica/merge.js';
 
-/** Time before a failed request, or a failed attempt, is repeated. */
+/** Delay before a failed request or a failed attempt is repeated. */
 export const RETRY_MS = 150;
 
 /** Interval at which the progress of other controllers is polled. */
--- a/packages/recovery/src/phases/store-recovery.ts
+++ b/packages/recovery/src/phases/store-recovery.ts
@@ -2,9 +2,9 @@
  * Recovery of the key-value store: the phases that lead from a store that is not trusted to an open epoch
  * (docs/state-loss.md).
  *
- * 1. `move-fence.ts`: a new epoch begins, and commits of earlier epochs fail from now on.
+ * 1. `move-fence.ts`: a new epoch begins, and commits of earlier epochs fail from then on.
  * 2. `contribute.ts`: each controller writes the records of its replica that the store lacks.
- * 3. `quorum.ts`: the initiator waits for the others, and until no earlier lease is relied on.
+ * 3. `quorum.ts`: the initiator waits for the others, and until no controller relies on an earlier lease.
  * 4. `open-epoch.ts`: the initiator opens the epoch.
  * 5. `load-epoch.ts`: each controller reads the whole epoch and begins to work in it.
  * 6. `write-back.ts`: contributed records are written to their own keys.
@@ -20,7 +20,7 @@
 import { loadEpoch } from './load-epoch.js';
 import { FenceMover } from './move-fence.js';
 import { awaitOpening, openEpoch } from './open-epoch.js';
-import { collectMarkers, passEarlierLeaseIds } from './quorum.js';
+import { collectMarkers, skipEarlierLeaseIds } from './quorum.js';
 import { readEpochRecord } from './read-epoch.js';
 import type { LocalRecoveryState, StoreRecoveryDependencies } from './recovery-dependencies.js';
 import { STALL_TIMEOUT_MS, pauseBeforeRetry } from './recovery-dependencies.js';
@@ -34,7 +34,7 @@
   readonly since: MonotonicMs;
 }
 
-/** Carries out recoveries, one attempt after the other. */
+/** Carries out recoveries in successive attempts. */
 export class StoreRecovery {
   private readonly fenceMover: FenceMover;
   private observed: ObservedEpoch | null = null;
@@ -95,7 +95,7 @@
     if (!(await contribute(this.dependencies, epoch))) return pauseBeforeRetry(clock);
     if (!isInitiator) return awaitOpening(this.dependencies, epoch);
     const markers = await collectMarkers(this.dependencies, this.fenceMover, epoch);
-    if (markers === null || !(await passEarlierLeaseIds(this.dependencies, markers)))
+    if (markers === null || !(await skipEarlierLeaseIds(this.dependencies, markers)))
       return pauseBeforeRetry(clock);
     return openEpoch(this.dependencies, epoch, version, markers);
   }
--- a/packages/recovery/src/phases/write-back.ts
+++ b/packages/recovery/src/phases/write-back.ts
@@ -13,7 +13,7 @@
 import { writeBackPriority } from './write-back-priority.js';
 
 const WRITE_BACK_INTERVAL_MS = 250;
-/** The lowest priority suffices, because a record that is needed sooner is written by the commit that needs it. */
+/** The lowest priority is sufficient, because a record that is needed sooner is written by the commit that needs it. */
 const WRITE_BACK_PRIORITY = BACKGROUND_PRIORITY;
 
 /** The dependencies of the write-back phase. */
--- a/packages/recovery/src/recoverable-store.ts
+++ b/packages/recovery/src/recoverable-store.ts
@@ -42,7 +42,7 @@
   readonly replica: Replica;
 }
 
-/** The part of a status that describes the store. */
+/** The fields of a controller's status that describe the store. */
 export type StoreStatus = Pick<
   PeerStatus,
   'storeEpoch' | 'storeEpochId' | 'storeRevision' | 'isStoreTrusted' | 'hasContinuousReplica'
@@ -119,12 +119,12 @@
     return fencingTokenAt(this.lifecycle.epochStore?.epoch.tokenFloor ?? 0, version);
   }
 
-  /** Returns since when the store is not trusted, or has not served requests; null while it works. */
+  /** Returns since when the store is not trusted, or has not served requests; null while it is available. */
   failingSince(): MonotonicMs | null {
     return this.lifecycle.suspectSince ?? this.dependencies.underlyingStore.failingSince();
   }
 
-  /** Returns the part of this controller's status that describes the store. */
+  /** Returns the fields of this controller's status that describe the store. */
   status(): StoreStatus {
     const { joinedEpoch, epochStore, trustedStore } = this.lifecycle;
     return {
@@ -155,7 +155,7 @@
     this.lifecycle.recordElection(token);
   }
 
-  /** Records that the leader knows what runs on every machine, so that no earlier write can be missing any more. */
+  /** Records that the leader knows the state of every machine, so that no earlier write can still be missing. */
   confirmReconciled(): void {
     this.lifecycle.confirmContinuous();
   }
--- a/packages/recovery/src/replica/compacted-jobs.ts
+++ b/packages/recovery/src/replica/compacted-jobs.ts
@@ -8,7 +8,7 @@
 import { MAX_TASKS_PER_JOB } from '@spurbridge/wire';
 import type { ReplicaEntry } from './replica-entry.js';
 
-/** Number of possible task counts of a job. With it a packed job is an exact integer up to revision 2^34. */
+/** Number of possible task counts of a job. With this factor, a packed job is an exact integer up to revision 2^34. */
 const TASK_COUNT_SPAN = MAX_TASKS_PER_JOB + 1;
 
 /** Bytes of a packed job besides its id. */
@@ -42,7 +42,7 @@
     return packed === undefined ? undefined : unpack(id, packed);
   }
 
-  /** Removes a job, if it is here. */
+  /** Removes a job, if it is compacted. */
   delete(id: string): void {
     this.packedById.delete(id);
   }
--- a/packages/recovery/src/replica/merge.ts
+++ b/packages/recovery/src/replica/merge.ts
@@ -59,7 +59,7 @@
 
 /**
  * Returns the repairs that bring `store` up to date with all records in `replicas` that are newer there or missing in
- * the store. An entry with the same value needs no repair, whatever its version.
+ * the store. An entry with the same value needs no repair, regardless of its version.
  *
  * @param store - The store's records as they were read after the fence had moved.
  */
--- a/packages/recovery/src/replica/repair-overlay.ts
+++ b/packages/recovery/src/replica/repair-overlay.ts
@@ -22,7 +22,7 @@
 
 /**
  * Returns whether a repair still applies if the store has `version` of its key. A version from before the fence does
- * not show a new write: a store that is being restored may show old records of keys that had been absent.
+ * not prove a new write: a store that is being restored may return old records of keys that had been absent.
  */
 export function isRepairApplicable(
   replacedVersion: Version,
@@ -58,7 +58,7 @@
 
   /**
    * Returns the repaired value of a key that the store has at `version`, or null if the store's own value applies. A
-   * repair that does not apply any more is dropped.
+   * repair that no longer applies is dropped.
    */
   substitute(key: string, version: Version): KeyValue | null {
     const entry = this.entriesByKey.get(key);
@@ -71,7 +71,7 @@
     return toKeyValue(entry);
   }
 
-  /** Returns the repairs of keys with this prefix that the store does not have at all. */
+  /** Returns the repairs of keys with this prefix that are absent from the store. */
   substitutesOfAbsentKeys(prefix: string): KeyValue[] {
     return [...this.entriesByKey.values()]
       .filter((entry) => entry.key.startsWith(prefix) && entry.replacedVersion === KEY_ABSENT)
@@ -79,7 +79,7 @@
   }
 
   /**
-   * Translates a comparison with a version that readers saw to the store's version; null if it cannot hold any more.
+   * Translates a comparison with a version that readers saw to the store's version; null if it can no longer succeed.
    */
   storeVersionOf(compare: Compare): Version | null {
     const entry = this.entriesByKey.get(compare.key);
--- a/packages/recovery/src/replica/replica-entry.ts
+++ b/packages/recovery/src/replica/replica-entry.ts
@@ -15,13 +15,13 @@
 }
 
 /**
- * Compares a response with what was known when the request was sent.
+ * Compares a response with the replica's entry at the time the request was sent.
  *
  * @param known - The replica's entry at that time; undefined if the key was not known.
  * @param version - The version in the response.
  * @param value - The value in the response; undefined if the key is absent, which is only a contradiction for records
  * that are never deleted.
- * @returns Why an intact store cannot give this response, or null if it can.
+ * @returns Why an intact store cannot return this response, or null if it can.
  */
 export function findContradiction(
   key: string,
@@ -30,10 +30,11 @@
   value: unknown,
 ): string | null {
   if (known === undefined) return null;
-  if (value === undefined) return isNeverDeleted(key, known) ? `${key} is gone` : null;
-  if (version < known.version) return `${key} is at ${version}, was at ${known.version}`;
+  if (value === undefined) return isNeverDeleted(key, known) ? `${key} is missing` : null;
+  if (version < known.version)
+    return `${key} has version ${version}, but version ${known.version} was read earlier`;
   if (version === known.version && !isSameValue(key, known.text, JSON.stringify(value)))
-    return `${key} has another value at ${version}`;
+    return `${key} has a different value at version ${version}`;
   return null;
 }
 
--- a/packages/recovery/src/replica/replica.ts
+++ b/packages/recovery/src/replica/replica.ts
@@ -131,7 +131,7 @@
     }
   }
 
-  /** Once the last task record of an ended job is gone, the job's own record can be compacted. */
+  /** Compacts the job of a removed task record if it has ended and this was its last task record. */
   private compactJobOfLastTaskRecord(taskRecordKey: string): void {
     const jobId = jobIdOfTaskRecordKey(taskRecordKey);
     if (jobId === null || this.taskRecordCounts.has(jobId)) return;
--- a/packages/recovery/src/snapshot-source.ts
+++ b/packages/recovery/src/snapshot-source.ts
@@ -1,5 +1,5 @@
 /**
- * Snapshots as a source of records that outlives all controllers.
+ * Snapshots as a source of records that remains available after all controllers have failed.
  *
  * @module
  */
@@ -12,19 +12,19 @@
 /** The records of a snapshot, as of one revision of an epoch. */
 export type SnapshotReplica = EpochReplica & { readonly revision: number; readonly deployment: string };
 
-/** Where snapshots are kept, if operators keep any. */
+/** Source of the snapshots that operators keep. */
 export interface SnapshotSource {
   /** Returns the newest undamaged snapshot of a deployment, or of any if that is null; null without one. */
   latest(deployment: string | null): Promise<SnapshotReplica | null>;
 }
 
-/** Returns why the store's content must be older than a snapshot of it, or null without such evidence. */
+/** Returns evidence that the store's content is older than a snapshot of it, or null without any. */
 export function findMissingFromSnapshot(
   snapshot: SnapshotReplica,
   { epoch, records, pendingRepairs, revision }: OpenEpoch,
 ): string | null {
   if (snapshot.epoch > epoch.number || (snapshot.epoch === epoch.number && snapshot.revision > revision))
-    return `a snapshot is later: epoch ${snapshot.epoch}, revision ${snapshot.revision}`;
+    return `a snapshot is newer than the store: epoch ${snapshot.epoch}, revision ${snapshot.revision}`;
   const current = new Map<string, KeyValue>(records.map((record) => [record.key, record]));
   for (const { key, text } of pendingRepairs)
     current.set(key, { key, value: JSON.parse(text) as unknown, version: snapshot.revision as Version });
@@ -34,7 +34,7 @@
     // Versions of different epochs cannot be compared, but a missing job is evidence in any epoch.
     if (entry === undefined || (record !== undefined && snapshot.epoch < epoch.number)) continue;
     const contradiction = findContradiction(key, entry, record?.version ?? KEY_ABSENT, record?.value);
-    if (contradiction !== null) return `${contradiction} in a snapshot`;
+    if (contradiction !== null) return `compared with a snapshot: ${contradiction}`;
   }
   return null;
 }
--- a/packages/recovery/src/store-integrity.ts
+++ b/packages/recovery/src/store-integrity.ts
@@ -23,7 +23,7 @@
 /** Called after each change of state, with the evidence for it. */
 export type IntegrityListener = (from: IntegrityState, to: IntegrityState, evidence: string) => void;
 
-/** The integrity of the store as this controller sees it. */
+/** The integrity of the store as this controller knows it. */
 export class StoreIntegrity {
   private current: IntegrityState = 'unattached';
 
@@ -44,10 +44,10 @@
   }
 
   /**
-   * Changes the state; has no effect if the store is already in it.
+   * Changes the state; has no effect if `next` is the current state.
    *
    * @param evidence - Why the state changes, for the log.
-   * @throws InvalidTransitionError if the state cannot follow the current one.
+   * @throws InvalidTransitionError if the transition is not allowed.
    */
   transitionTo(next: IntegrityState, evidence: string): void {
     if (next === this.current) return;
--- a/packages/recovery/src/store-lifecycle.ts
+++ b/packages/recovery/src/store-lifecycle.ts
@@ -20,7 +20,7 @@
 
 const AUDIT_INTERVAL_MS = 1000;
 
-/** Runs the state machine of the store's integrity, and keeps the store of the epoch that the controller works in. */
+/** Runs the state machine of the store's integrity, and holds the store of the epoch that the controller works in. */
 export class StoreLifecycle {
   readonly integrity: StoreIntegrity;
   readonly observations: PeerObservations;
@@ -84,7 +84,7 @@
     return this.suspectedAt;
   }
 
-  /** Records that no earlier write can be missing any more. */
+  /** Records that no earlier write can still be missing. */
   confirmContinuous(): void {
     if (this.integrity.isTrusted) this.wasFollowedWithoutGap = true;
   }
@@ -128,14 +128,14 @@
   async run(): Promise<never> {
     const { clock, log } = this.dependencies;
     void this.runAudits().catch((error: unknown) => {
-      log.info({ error: String(error) }, 'audits ended');
+      log.info({ error: String(error) }, 'audits stopped by an error');
     });
     for (;;) {
       try {
         await this.step();
       } catch (error) {
-        // Whatever the error, a store whose content cannot be decoded is not trusted.
-        log.info({ error: String(error) }, 'store cannot be read');
+        // A store whose content cannot be decoded is not trusted, regardless of the error.
+        log.info({ error: String(error) }, 'store cannot be read and is treated as suspect');
         if (this.integrity.state === 'recovering') this.integrity.transitionTo('suspect', String(error));
         else this.suspect(String(error));
         await clock.sleep(RETRY_MS);
@@ -150,7 +150,7 @@
       case 'trusted':
         return this.trustedStore?.follow();
       case 'suspect':
-        this.integrity.transitionTo('recovering', 'recovery begins');
+        this.integrity.transitionTo('recovering', 'recovery started');
         return;
       case 'recovering': {
         const openEpoch = await this.recovery.attempt();
@@ -185,8 +185,8 @@
     const { epoch, records, pendingRepairs, revision, latestRevision, tookPartInRecovery } = openEpoch;
     this.latestEpochStore = this.createEpochStore(openEpoch);
     this.latestJoinedEpoch = epoch.number;
-    // A controller that enters an open epoch learns only from its peers whether the epoch was followed from its
-    // opening.
+    // A controller that enters an epoch after its opening depends on its peers to know whether any earlier write is
+    // missing.
     const hasInitialized = epoch.isInitial && this.recovery.hasInitiated(epoch);
     this.wasFollowedWithoutGap =
       this.observations.isConfirmedContinuous(epoch.id) ||
@@ -194,12 +194,13 @@
       (tookPartInRecovery && epoch.continuous);
     this.attachment.releaseSnapshot();
     this.suspectedAt = null;
-    const evidence = `epoch ${epoch.number} at ${revision}, ${pendingRepairs.length} to write back`;
+    const evidence = `entered epoch ${epoch.number} at revision ${revision} with ${pendingRepairs.length} pending repairs`;
     this.integrity.transitionTo('trusted', evidence);
     this.dependencies.onIntegrityChanged();
     this.dependencies.onReplicaChanged?.();
-    const impossible = records.find((record) => record.version > latestRevision);
-    if (impossible !== undefined) this.suspect(`${impossible.key} is later than the store`);
+    const beyondRevision = records.find((record) => record.version > latestRevision);
+    if (beyondRevision !== undefined)
+      this.suspect(`${beyondRevision.key} has a version above the store's revision ${latestRevision}`);
   }
 
   private createEpochStore(openEpoch: OpenEpoch): EpochStore {
--- a/packages/recovery/test/audit-selector.test.ts
+++ b/packages/recovery/test/audit-selector.test.ts
@@ -7,24 +7,24 @@
 const KEY = 't/wk-000001/0';
 const at = (revision: number): Revision => revision as Revision;
 
-/** A replica that received the key at these versions, and then followed the store up to a revision. */
-function replicaOf(versions: readonly number[], upTo: number): Replica {
+/** Returns a replica that received the key at these versions, and then followed the store up to a revision. */
+function replicaOf(versions: readonly number[], revision: number): Replica {
   const replica = new Replica();
   for (const version of versions)
     replica.applyWatchEvents([{ put: KEY, value: { n: version }, version: version as Version }], at(version));
-  replica.applyWatchEvents([], at(upTo));
+  replica.applyWatchEvents([], at(revision));
   return replica;
 }
 
-test('a key that was absent, and that no deletion was shown of, is lost once the watch is past that', () => {
+test('an absent key without a watched deletion is lost once the watch has reached the revision of its absence', () => {
   const selector = new AuditSelector(4);
   selector.noteAbsent(KEY, at(8));
   assert.equal(selector.findLostKey(replicaOf([5], 7)), null);
   assert.equal(selector.findLostKey(replicaOf([5], 8)), KEY);
-  assert.equal(selector.findLostKey(replicaOf([5], 9)), null, 'said once');
+  assert.equal(selector.findLostKey(replicaOf([5], 9)), null, 'a lost key is reported once');
 });
 
-test('a key that was deleted and written again since it was absent is not lost', () => {
+test('a key that was absent is not lost if it was deleted and then written again', () => {
   const selector = new AuditSelector(4);
   const replica = replicaOf([5], 6);
   selector.noteAbsent(KEY, at(8));
--- a/packages/recovery/test/contribution-codec.test.ts
+++ b/packages/recovery/test/contribution-codec.test.ts
@@ -25,7 +25,7 @@
   };
 }
 
-/** Pages and marker as the store lists them; with the first page damaged, if that is asked for. */
+/** Returns pages and marker as the store lists them; the first page is damaged if `isDamaged` is true. */
 function storedContribution(
   pages: readonly string[],
   marker: ContributionMarker,
@@ -48,7 +48,7 @@
   return [...repairs].sort((first, second) => (first.key < second.key ? -1 : 1));
 }
 
-test('pages return the repairs that were encoded, fit into values, and are left out where they are damaged', () => {
+test('encoded pages fit into values, decode to the same repairs, and are skipped if damaged', () => {
   const generatedValueKb = fc.integer({ min: 1, max: 16 });
   fc.assert(
     fc.property(generatedJobs, generatedValueKb, fc.boolean(), (jobs, valueKb, isDamaged) => {
@@ -63,20 +63,20 @@
       assert.ok(pages.every((page) => JSON.stringify({ text: page }).length <= valueKb * 1024));
       const marker = markerOf(pages, digest);
       const stored = storedContribution(pages, marker, isDamaged);
-      const damaged: string[] = [];
-      const found = readContributions(stored, (description) => damaged.push(description));
+      const damageReports: string[] = [];
+      const contributions = readContributions(stored, (description) => damageReports.push(description));
       if (isDamaged && pages.length > 0) {
-        assert.equal(found.length, 0);
-        assert.equal(damaged.length, 1);
+        assert.equal(contributions.length, 0);
+        assert.equal(damageReports.length, 1);
         return;
       }
-      assert.deepEqual(found[0]?.marker, marker);
-      assert.deepEqual(sortedByKey(found[0]?.repairs ?? []), sortedByKey(repairs));
+      assert.deepEqual(contributions[0]?.marker, marker);
+      assert.deepEqual(sortedByKey(contributions[0]?.repairs ?? []), sortedByKey(repairs));
     }),
   );
 });
 
-test('a marker is stored under the field names of earlier versions', () => {
+test('a marker is encoded with the field names that earlier versions used', () => {
   assert.equal(
     JSON.stringify(encodeMarker(markerOf(['page'], 'abc'))),
     '{"pages":1,"digest":"abc","led":3,"seen":4,"continuous":true,"lease":5}',
--- a/packages/recovery/test/epoch-record.test.ts
+++ b/packages/recovery/test/epoch-record.test.ts
@@ -5,7 +5,7 @@
 import type { Epoch } from '../src/index.js';
 import { decodeEpoch, encodeEpoch, nextTokenFloor } from '../src/index.js';
 
-test('an epoch is read as it was written; anything else counts as lost', () => {
+test('an epoch record decodes to the encoded epoch, and a malformed record decodes to null', () => {
   const record = {
     number: 3,
     id: 'a',
@@ -22,7 +22,7 @@
   assert.equal(decodeEpoch('"?"'), null);
 });
 
-test('token floors rise whatever is remembered, and stay exact', () => {
+test('the next token floor exceeds the last floor and all seen tokens, rises with time and is a safe integer', () => {
   fc.assert(
     fc.property(
       fc.nat(2 ** 40),
--- a/packages/recovery/test/job-records.ts
+++ b/packages/recovery/test/job-records.ts
@@ -12,7 +12,7 @@
 /** Phase of a job's record. */
 export type JobPhase = 'active' | 'done' | 'cancelled';
 
-/** A job's record, as far as it differs from others. */
+/** The properties in which generated job records differ. */
 export interface GeneratedJob {
   readonly number: number;
   readonly phase: JobPhase;
--- a/packages/recovery/test/merge.test.ts
+++ b/packages/recovery/test/merge.test.ts
@@ -21,7 +21,7 @@
   return entry === undefined ? null : decodeJob(JSON.parse(entry.text)).phase;
 }
 
-test('a merge keeps every job that any replica knows, and a job that has ended stays so', () => {
+test('a merge keeps every job of every replica, and an ended job does not become active again', () => {
   const generatedReplicas = fc.array(generatedJobs, { minLength: 1, maxLength: 3 });
   fc.assert(
     fc.property(generatedJobs, generatedReplicas, (storedJobs, replicatedJobs) => {
@@ -35,7 +35,7 @@
           assert.notEqual(merged, null, key);
           if (phaseIn(replica, key) !== 'active') assert.notEqual(merged, 'active', key);
         }
-      // A second merge changes nothing: a recovery that was interrupted ends the same.
+      // A second merge must find nothing to repair, so that a repeated recovery has the same result.
       assert.deepEqual(
         mergeReplicas(store, replicas).filter((repair) => phaseIn(store, repair.key) === 'active'),
         [],
@@ -44,7 +44,7 @@
   );
 });
 
-test('a replica of a later epoch takes precedence over the store, whatever the versions', () => {
+test('a replica of a later epoch takes precedence over the store regardless of versions', () => {
   const store = epochReplicaOf(1, [{ key: 't/wk-1/0', value: { tries: 9 }, version: 900 as Version }]);
   const replica = epochReplicaOf(2, [{ key: 't/wk-1/0', value: { tries: 2 }, version: 7 as Version }]);
   assert.equal(mergeReplicas(store, [replica])[0]?.text, '{"tries":2}');
--- a/packages/recovery/test/replica.test.ts
+++ b/packages/recovery/test/replica.test.ts
@@ -6,26 +6,32 @@
 import { findContradiction } from '../src/replica/replica-entry.js';
 import { jobRecord } from './job-records.js';
 
-test('a replica folds jobs that have ended, once they have no task records left, and still knows them', () => {
+test('a replica compacts an ended job without task records, and still returns its id, phase and task count', () => {
   const replica = new Replica();
   replica.put('j/wk-000001', jobRecord(1, 'active'), 3 as Version);
   replica.put('t/wk-000001/0', { tries: 1, done: '', placed: [] }, 4 as Version);
   replica.put('j/wk-000001', jobRecord(1, 'cancelled'), 5 as Version);
-  assert.ok((replica.get('j/wk-000001')?.text ?? '').includes('"crew"'), 'its tasks may still run');
+  assert.ok(
+    (replica.get('j/wk-000001')?.text ?? '').includes('"crew"'),
+    'a job with task records is not compacted',
+  );
   replica.remove('t/wk-000001/0', 6 as Version);
-  const folded = replica.get('j/wk-000001');
-  assert.equal(folded?.version, 5);
-  const decoded = decodeJob(JSON.parse(folded.text));
+  const compacted = replica.get('j/wk-000001');
+  assert.equal(compacted?.version, 5);
+  const decoded = decodeJob(JSON.parse(compacted.text));
   assert.deepEqual([decoded.spec.id, decoded.phase, decoded.spec.tasks], ['wk-000001', 'cancelled', 4]);
-  assert.ok(folded.text.length < 100);
+  assert.ok(compacted.text.length < 100);
 });
 
-test('a response that an intact store cannot give is found, and one that is only newer or reordered is not', () => {
+test('a response contradicts an entry if it is older, different or missing, but not if newer or reordered', () => {
   const known = { version: 7 as Version, text: '{"a":1,"b":2}' };
   assert.equal(findContradiction('t/x/0', known, 7 as Version, { b: 2, a: 1 }), null);
   assert.equal(findContradiction('t/x/0', known, 8 as Version, { a: 9 }), null);
   assert.equal(findContradiction('t/x/0', known, 0 as Version, undefined), null);
-  assert.match(findContradiction('t/x/0', known, 6 as Version, { a: 1, b: 2 }) ?? '', /was at 7/);
-  assert.match(findContradiction('t/x/0', known, 7 as Version, '?') ?? '', /another value/);
-  assert.match(findContradiction('j/x', known, 0 as Version, undefined) ?? '', /gone/);
+  assert.match(
+    findContradiction('t/x/0', known, 6 as Version, { a: 1, b: 2 }) ?? '',
+    /has version 6, but version 7 was read/,
+  );
+  assert.match(findContradiction('t/x/0', known, 7 as Version, '?') ?? '', /different value at version 7/);
+  assert.match(findContradiction('j/x', known, 0 as Version, undefined) ?? '', /is missing/);
 });
--- a/packages/recovery/test/state-loss/model-state.ts
+++ b/packages/recovery/test/state-loss/model-state.ts
@@ -1,27 +1,27 @@
 /**
- * State of a small model of docs/state-loss.md: one task, two machines, two controllers and a key-value store that is emptied
- * or rolled back once. Every message may be late forever.
+ * State of a small model of recovery from state loss (docs/state-loss.md): one task, two machines, two controllers and
+ * a key-value store that is emptied or rolled back once. Every message may be delayed indefinitely.
  *
  * @module
  */
 
-/** Protections of the protocol, each of which can be taken out of the model. */
+/** Guards of the protocol. Each can be disabled to show that it is needed. */
 export interface Guards {
   /** Commits compare the fence. */
   readonly fencing: boolean;
-  /** The fence is identified by a name that is never used again, not by its version. */
+  /** The fence is identified by a name that is never reused, not by its version. */
   readonly uniqueFenceNames: boolean;
-  /** An epoch opens only when no controller can rely on an earlier lease any more. */
+  /** An epoch opens only when no controller can still rely on an earlier lease. */
   readonly waitsForLeases: boolean;
-  /** A leader reconciles records with machines where replicas may be incomplete. */
+  /** A leader reconciles records with machines if replicas may be incomplete. */
   readonly reconciles: boolean;
   /** Token floors rise with every epoch. */
   readonly risingTokenFloors: boolean;
-  /** The replicas of living controllers are merged into a new epoch. */
+  /** The replicas of running controllers are merged into a new epoch. */
   readonly mergesReplicas: boolean;
 }
 
-/** All protections of the protocol. */
+/** All guards of the protocol. */
 export const ALL_GUARDS: Guards = {
   fencing: true,
   uniqueFenceNames: true,
@@ -45,7 +45,7 @@
   /** Machine that the leader has placed the task on (0: none), and the version of the task's record. */
   placedOn: number;
   recordVersion: number;
-  /** The placement is durable: starts may be sent. */
+  /** Whether the placement is durable, so that start commands may be sent. */
   isDurable: boolean;
   isReconciled: boolean;
 }
@@ -60,7 +60,7 @@
   isContinuous: boolean;
 }
 
-/** A leader's write of the task's record, with what it compares. */
+/** A leader's write of the task's record, with the values that it compares. */
 export interface CommitMessage {
   readonly kind: 'commit';
   readonly fence: number;
@@ -70,7 +70,7 @@
   readonly machine: number;
 }
 
-/** A leader's order to a machine to start the task. */
+/** A leader's command to a machine to start the task. */
 export interface StartMessage {
   readonly kind: 'start';
   readonly token: number;
@@ -100,7 +100,7 @@
 /** State of the whole model. */
 export interface ModelState {
   store: StoreState;
-  /** What the store is rolled back to. */
+  /** The state that the store can be rolled back to. */
   readonly backup: StoreState;
   controllers: [ControllerState, ControllerState];
   machines: [MachineState, MachineState];
@@ -112,7 +112,7 @@
   crashesLeft: number;
 }
 
-/** Returns the state in which the model begins. */
+/** Returns the initial state of the model. */
 export function initialState(): ModelState {
   const store: StoreState = {
     revision: 1,
@@ -151,7 +151,7 @@
   };
 }
 
-/** Returns whether a controller gives orders under a lease that it still relies on. */
+/** Returns whether a controller acts as leader under a lease that it still relies on. */
 export function reliesOnLease(guards: Guards, state: ModelState, controller: ControllerState): boolean {
   if (controller.term === null) return false;
   if (!guards.waitsForLeases) return true;
@@ -160,8 +160,8 @@
   return controller.fence === fence && controller.term.version === leaderVersion;
 }
 
-/** Returns whether a rule is broken: the task runs twice, a token was issued twice, or two controllers lead. */
-export function isRuleBroken(guards: Guards, state: ModelState): boolean {
+/** Returns whether an invariant is violated: the task runs twice, a token was issued twice, or two controllers lead. */
+export function isInvariantViolated(guards: Guards, state: ModelState): boolean {
   return (
     state.machines.every((machine) => machine.runsTask) ||
     new Set(state.issuedTokens).size < state.issuedTokens.length ||
--- a/packages/recovery/test/state-loss/model-steps.ts
+++ b/packages/recovery/test/state-loss/model-steps.ts
@@ -1,5 +1,5 @@
 /**
- * The steps of the model: what controllers, machines, messages and the store can do next.
+ * The steps of the model: the possible transitions of controllers, machines, messages and the store.
  *
  * @module
  */
@@ -15,13 +15,13 @@
 import { reliesOnLease } from './model-state.js';
 import { joinEpoch, moveFence, reconcile } from './recovery-steps.js';
 
-/** A step of the model: what happens, and the state that it leads to. */
+/** A step of the model: its description, and the state that it leads to. */
 export type Step = [description: string, state: ModelState];
 
-/** Messages on their way at the same time. */
+/** Maximum number of messages in transit. */
 const MAX_MESSAGES = 2;
 const MACHINES = [1, 2];
-/** Fence of a store that was rolled back: not that of any epoch. */
+/** Fence of a store that was rolled back; it differs from the fence of every epoch. */
 const ROLLED_BACK_FENCE = -1;
 
 /** Returns all steps that are possible in a state. */
@@ -62,7 +62,7 @@
   controller.replica = [...store.record];
   next.issuedTokens.push(token);
   next.lastToken = token;
-  return [`node ${index} leads with ${token}`, next];
+  return [`node ${index} is elected with token ${token}`, next];
 }
 
 function* leaderSteps(
@@ -74,16 +74,23 @@
   if (state.crashesLeft > 0 || state.lossesLeft === 0) yield stepDownStep(state, index, term);
   if (term.isReconciled && term.placedOn === 0)
     for (const machine of MACHINES)
-      yield* writeSteps(guards, state, index, machine, `node ${index} places on ${machine}`);
+      yield* writeSteps(
+        guards,
+        state,
+        index,
+        machine,
+        `node ${index} writes a placement on machine ${machine}`,
+      );
   if (term.placedOn !== 0 && term.isDurable) {
-    if (isKnownToBeGone(state, term)) yield* writeSteps(guards, state, index, 0, `node ${index} clears`);
-    if (!isStarting(state, term) && state.messages.length < MAX_MESSAGES && term.isReconciled)
+    if (isKnownToHaveStopped(state, term))
+      yield* writeSteps(guards, state, index, 0, `node ${index} clears the placement`);
+    if (!isStartInTransit(state, term) && state.messages.length < MAX_MESSAGES && term.isReconciled)
       yield startStep(state, index, term);
   }
   if (!term.isReconciled) {
     const next = structuredClone(state);
     reconcile(next, index);
-    yield [`node ${index} settles`, next];
+    yield [`node ${index} reconciles`, next];
   }
 }
 
@@ -99,10 +106,10 @@
 function startStep(state: ModelState, index: ControllerIndex, term: LeaderTerm): Step {
   const next = structuredClone(state);
   next.messages.push({ kind: 'start', token: term.token, machine: term.placedOn });
-  return [`node ${index} starts on ${term.placedOn}`, next];
+  return [`node ${index} sends a start command to machine ${term.placedOn}`, next];
 }
 
-/** A write of the leader's: confirmed at once, or without a response and possibly late. */
+/** A write by the leader, which is either confirmed immediately, or applied late or never without a response. */
 function* writeSteps(
   guards: Guards,
   state: ModelState,
@@ -125,18 +132,18 @@
   if (state.messages.length < MAX_MESSAGES) {
     const late = structuredClone(state);
     late.messages.push(commit);
-    // What is known to be gone is not started again, whether the store has received the write or not.
+    // A task that is known to have stopped is not started again, even if the store has not received the write.
     if (machine === 0) (late.controllers[index].term as LeaderTerm).isDurable = false;
-    yield [`${description}, without an answer`, late];
+    yield [`${description}, without a response`, late];
   }
 }
 
-/** A controller notices the loss: it joins the epoch that is there, or moves the fence where there is none. */
+/** A controller detects the loss: it joins a later epoch if there is one, otherwise it moves the fence to a new one. */
 function recoveryStep(guards: Guards, state: ModelState, index: ControllerIndex): Step {
   const next = structuredClone(state);
   if (state.store.fence > state.controllers[index].fence) joinEpoch(next, index);
   else moveFence(guards, next, index);
-  return [`node ${index} rebuilds`, next];
+  return [`node ${index} recovers the store`, next];
 }
 
 function crashStep(state: ModelState, index: ControllerIndex): Step {
@@ -165,7 +172,7 @@
       machine.token = message.token;
       machine.runsTask = true;
     }
-    yield [`a late ${message.kind} arrives`, next];
+    yield [`a ${message.kind} message arrives`, next];
   }
 }
 
@@ -174,7 +181,7 @@
     if (!runsTask) continue;
     const next = structuredClone(state);
     for (const machine of next.machines.slice(position, position + 1)) machine.runsTask = false;
-    yield [`the task exits on ${position + 1}`, next];
+    yield [`the task exits on machine ${position + 1}`, next];
   }
 }
 
@@ -194,7 +201,8 @@
   yield ['the store is emptied', emptied];
   const rolledBack = structuredClone(state);
   rolledBack.lossesLeft -= 1;
-  // The fence is the same, but what was written since is gone; the revision shows that.
+  // A store that was rolled back still has the fence of the epoch, but its lower revision reveals the loss. The model
+  // represents that by a different fence.
   rolledBack.store = { ...structuredClone(state.backup), fence: ROLLED_BACK_FENCE };
   yield ['the store is rolled back', rolledBack];
 }
@@ -226,13 +234,13 @@
   store.record = [commit.machine, store.revision];
 }
 
-/** The machine itself has said under this token that the task is not there, and no older start can arrive. */
-function isKnownToBeGone(state: ModelState, term: LeaderTerm): boolean {
+/** Returns whether the machine reported under this token that the task is not running, and no start is in transit. */
+function isKnownToHaveStopped(state: ModelState, term: LeaderTerm): boolean {
   const machine = state.machines[term.placedOn - 1];
-  return machine?.runsTask === false && machine.token === term.token && !isStarting(state, term);
+  return machine?.runsTask === false && machine.token === term.token && !isStartInTransit(state, term);
 }
 
-function isStarting(state: ModelState, term: LeaderTerm): boolean {
+function isStartInTransit(state: ModelState, term: LeaderTerm): boolean {
   return state.messages.some(
     (message) =>
       message.kind === 'start' && message.token === term.token && message.machine === term.placedOn,
--- a/packages/recovery/test/state-loss/recovery-steps.ts
+++ b/packages/recovery/test/state-loss/recovery-steps.ts
@@ -1,14 +1,14 @@
 /**
- * What the model's controllers do after a loss: recovery of the store, and reconciliation with the machines.
+ * The steps of the model's controllers after a loss: recovery of the store, and reconciliation with the machines.
  *
  * @module
  */
 import type { ControllerIndex, Guards, LeaderTerm, ModelState, TaskRecord } from './model-state.js';
 
-/** Rise of the token floor, above all that an epoch of the model issues. */
+/** Increase of the token floor per epoch, larger than the number of tokens that an epoch of the model issues. */
 const TOKEN_FLOOR_RISE = 100;
 
-/** The leader hears from every machine under its token; what the machines say replaces the record. */
+/** The leader receives the state of every machine under its token, and replaces the record by what they report. */
 export function reconcile(state: ModelState, index: ControllerIndex): void {
   const term = state.controllers[index].term as LeaderTerm;
   for (const machine of state.machines) machine.token = Math.max(machine.token, term.token);
@@ -26,7 +26,7 @@
   state.store.isContinuous = true;
 }
 
-/** A controller enters the epoch that the store is in. */
+/** A controller joins the epoch that the store is in. */
 export function joinEpoch(state: ModelState, index: ControllerIndex): void {
   const controller = state.controllers[index];
   controller.term = null;
@@ -36,9 +36,9 @@
   controller.isContinuous = state.store.isContinuous;
 }
 
-/** A controller moves the fence to a new epoch; the replica of the other one is merged unless it is dead. */
+/** A controller moves the fence to a new epoch; the replicas of all running controllers are merged into it. */
 export function moveFence(guards: Guards, state: ModelState, index: ControllerIndex): void {
-  const aliveBefore = structuredClone(state.controllers).filter((controller) => controller.isAlive);
+  const alive = structuredClone(state.controllers).filter((controller) => controller.isAlive);
   const { store } = state;
   state.fenceCount += 1;
   store.revision += 1;
@@ -46,15 +46,15 @@
   store.fenceVersion = store.revision;
   store.tokenFloor = guards.risingTokenFloors ? state.lastToken + TOKEN_FLOOR_RISE : 0;
   store.leaderVersion = 0;
-  const newest = newestRecord(aliveBefore.map((controller) => controller.replica));
+  const newest = newestRecord(alive.map((controller) => controller.replica));
   if (guards.mergesReplicas && newest[1] > 0 && newest[0] !== store.record[0]) {
     store.revision += 1;
     store.record = [newest[0], store.revision];
   }
-  const lastLeader = aliveBefore.find((controller) => controller.term?.token === state.lastToken);
+  const lastLeader = alive.find((controller) => controller.term?.token === state.lastToken);
   store.isContinuous = state.lastToken === 0 || lastLeader?.isContinuous === true;
   joinEpoch(state, index);
-  // The other one has left its marker, or its lease has expired, before the epoch opens.
+  // Before the epoch opens, the other controller has written its marker or its lease has expired.
   if (guards.waitsForLeases) for (const controller of state.controllers) controller.term = null;
 }
 
--- a/packages/recovery/test/state-loss/state-space.ts
+++ b/packages/recovery/test/state-loss/state-space.ts
@@ -1,17 +1,17 @@
 /**
- * Breadth-first search of the model's states for one in which a rule is broken.
+ * Breadth-first search of the model's states for one that violates an invariant.
  *
  * @module
  */
 import type { Guards, ModelState } from './model-state.js';
-import { initialState, isRuleBroken } from './model-state.js';
+import { initialState, isInvariantViolated } from './model-state.js';
 import { possibleSteps } from './model-steps.js';
 
 /** Result of a search. */
 export interface SearchResult {
   readonly stateCount: number;
-  /** The steps after the prefix that break a rule; null if none do. */
-  readonly stepsToBrokenRule: readonly string[] | null;
+  /** The steps after the prefix that lead to a violation; null if none do. */
+  readonly stepsToViolation: readonly string[] | null;
 }
 
 /** How a state was reached: the key of the state before, and the step from there. */
@@ -20,10 +20,12 @@
   readonly step: string;
 }
 
-/** Searches all states that can be reached by `maxSteps` steps after a prefix, until a rule is broken. */
+/**
+ * Searches all states that can be reached by `maxSteps` steps after a prefix, until one of them violates an invariant.
+ */
 export function searchStates(guards: Guards, maxSteps: number, prefix: readonly string[] = []): SearchResult {
   const start = stateAfter(guards, prefix);
-  const origins = new Map<string, Origin>([[keyOf(start), { previousKey: null, step: 'begin' }]]);
+  const origins = new Map<string, Origin>([[keyOf(start), { previousKey: null, step: 'initial state' }]]);
   let level: ModelState[] = [start];
   for (let depth = 0; depth < maxSteps && level.length > 0; depth += 1) {
     const nextLevel: ModelState[] = [];
@@ -32,20 +34,20 @@
         const key = keyOf(next);
         if (origins.has(key)) continue;
         origins.set(key, { previousKey: keyOf(state), step });
-        if (isRuleBroken(guards, next))
-          return { stateCount: origins.size, stepsToBrokenRule: stepsTo(origins, key) };
+        if (isInvariantViolated(guards, next))
+          return { stateCount: origins.size, stepsToViolation: stepsTo(origins, key) };
         nextLevel.push(next);
       }
     level = nextLevel;
   }
-  return { stateCount: origins.size, stepsToBrokenRule: null };
+  return { stateCount: origins.size, stepsToViolation: null };
 }
 
 function stateAfter(guards: Guards, prefix: readonly string[]): ModelState {
   let state = initialState();
-  for (const wanted of prefix) {
-    const found = [...possibleSteps(guards, state)].find(([step]) => step === wanted);
-    if (found === undefined) throw new Error(`${wanted} is no step here`);
+  for (const description of prefix) {
+    const found = [...possibleSteps(guards, state)].find(([step]) => step === description);
+    if (found === undefined) throw new Error(`step "${description}" is not possible in this state`);
     state = found[1];
   }
   return state;
