--- a/packages/controller/test/cluster-state.test.ts
+++ b/packages/controller/test/cluster-state.test.ts
@@ -7,16 +7,18 @@
 import type { JobId, MachineId, AgentEpoch, Version } from '@spurbridge/wire';
 import { ClusterState } from '../src/index.js';
 
-const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
+const silentLogger = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
-for (const [agentEpoch, pending] of [
+// A heartbeat that is received before the records are read may report a newer agent epoch than the recorded placement.
+// The epoch change is not detected again, so restoring the records has to remove that placement.
+for (const [agentEpoch, pendingCount] of [
   [1, 1],
   [2, 2],
 ] as const)
-  test(`a machine heard of in agent epoch ${agentEpoch} before the records were read: ${pending} tasks are pending`, () => {
+  test(`restoring the records after a heartbeat in agent epoch ${agentEpoch} leaves ${pendingCount} of 2 tasks pending`, () => {
     const cluster = new ClusterState({
       clock: { now: () => 5 as MonotonicMs, sleep: () => Promise.resolve() },
-      log: silent,
+      log: silentLogger,
       machineTypes: () => TYPES,
       ageMs: () => 0,
       previousLeaderRenewsUntil: 0 as MonotonicMs,
@@ -35,6 +37,6 @@
       version: 4 as Version,
     });
     cluster.finishRestore(job);
-    assert.equal(job.pendingCount, pending);
-    assert.equal(cluster.taskCountOn(machine), 2 - pending);
+    assert.equal(job.pendingCount, pendingCount);
+    assert.equal(cluster.taskCountOn(machine), 2 - pendingCount);
   });
--- a/packages/controller/test/http-server.test.ts
+++ b/packages/controller/test/http-server.test.ts
@@ -6,16 +6,17 @@
 import { buildHttpServer } from '../src/index.js';
 
 const spec = jobSpec({ id: 'wk-000001' as JobId });
-const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
+const silentLogger = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
-interface Reply {
+interface HttpResponse {
   readonly code: number;
   readonly body: Record<string, unknown>;
   readonly retryAfter: unknown;
 }
 
-async function service() {
-  const w = new World({
+/** Starts a simulated deployment, and returns a function that calls the HTTP server of its first node. */
+async function startServer() {
+  const world = new World({
     seed: 1,
     teams: TEAMS,
     types: TYPES,
@@ -24,39 +25,39 @@
     leaseS: 12,
     cancelS: 26,
   });
-  await w.runUntil(4000);
-  const node = w.nodes[0];
+  await world.runUntil(4000);
+  const node = world.nodes[0];
   assert.ok(node !== undefined);
-  const app = buildHttpServer(node.controller, silent);
+  const app = buildHttpServer(node.controller, silentLogger);
   await app.ready();
-  const call = async (method: 'GET' | 'POST', url: string, payload?: unknown): Promise<Reply> => {
+  const call = async (method: 'GET' | 'POST', url: string, payload?: unknown): Promise<HttpResponse> => {
     const text = typeof payload === 'string' ? payload : JSON.stringify(payload);
     const headers = { 'content-type': 'application/json' };
     const request = payload === undefined ? { method, url } : { method, url, payload: text, headers };
-    const answers: Reply[] = [];
+    const responses: HttpResponse[] = [];
     void app.inject(request).then((r) => {
-      answers.push({ code: r.statusCode, body: r.json(), retryAfter: r.headers['retry-after'] });
+      responses.push({ code: r.statusCode, body: r.json(), retryAfter: r.headers['retry-after'] });
     });
-    for (let i = 0; answers.length === 0 && i < 400; i += 1) {
+    for (let i = 0; responses.length === 0 && i < 400; i += 1) {
       await new Promise((resolve) => setImmediate(resolve));
-      await w.runUntil(w.time.now + 20);
+      await world.runUntil(world.time.now + 20);
     }
-    const answer = answers[0];
-    assert.ok(answer !== undefined, 'no answer');
-    return answer;
+    const response = responses[0];
+    assert.ok(response !== undefined, 'no response');
+    return response;
   };
-  return { w, call };
+  return { world, call };
 }
 
-test('the four calls of users, from submission to the end', async () => {
-  const { w, call } = await service();
+test('the health, submission, status and cancellation routes serve a job from its submission until it is done', async () => {
+  const { world, call } = await startServer();
   assert.equal((await call('GET', '/up')).code, 200);
   assert.equal((await call('GET', '/submissions/wk-000001')).code, 404);
-  w.checker.jobSubmitted(spec);
+  world.checker.jobSubmitted(spec);
   const first = await call('POST', '/submissions', formatSubmission(spec));
   assert.deepEqual([first.code, first.body['phase']], [201, 'queued']);
   assert.equal((await call('POST', '/submissions', formatSubmission(spec))).code, 200);
-  await w.runUntil(w.time.now + 40_000);
+  await world.runUntil(world.time.now + 40_000);
   assert.deepEqual((await call('GET', '/submissions/wk-000001')).body, {
     nameId: 'wk-000001',
     phase: 'done',
@@ -67,8 +68,8 @@
   assert.equal((await call('POST', '/submissions/wk-000002/cancel')).code, 404);
 });
 
-test('bad input is 400, what can never run 422, and neither forgets a known job', async () => {
-  const { call } = await service();
+test('malformed submissions get 400 and jobs that can never run get 422, but a known job always gets its status', async () => {
+  const { call } = await startServer();
   const body = formatSubmission(spec);
   for (const bad of [
     '{',
@@ -87,30 +88,30 @@
     { ...body, crew: 'nobody' },
     { ...body, cpus: 'many' },
   ]) {
-    const answer = await call('POST', '/submissions', retry);
-    assert.deepEqual([answer.code, answer.body['nameId']], [200, 'wk-000001']);
+    const response = await call('POST', '/submissions', retry);
+    assert.deepEqual([response.code, response.body['nameId']], [200, 'wk-000001']);
   }
 });
 
-test('a cancelled job remains cancelled, told by every later answer', async () => {
-  const { call } = await service();
+test('every call after a cancellation reports the job as cancelled', async () => {
+  const { call } = await startServer();
   await call('POST', '/submissions', formatSubmission(spec));
-  // An empty body under a content type was refused as malformed.
+  // An empty body with a declared content type was once rejected as malformed.
   assert.equal((await call('POST', '/submissions/wk-000001/cancel', '')).body['phase'], 'cancelled');
   assert.equal((await call('POST', '/submissions/wk-000001/cancel')).body['phase'], 'cancelled');
   assert.equal((await call('GET', '/submissions/wk-000001')).body['phase'], 'cancelled');
   assert.equal((await call('POST', '/submissions', formatSubmission(spec))).body['phase'], 'cancelled');
 });
 
-test('while the state service is away, callers are told at once when to come back', async () => {
-  const { w, call } = await service();
-  w.store.setOutage(true);
-  const before = w.time.now;
-  for (const answer of [
+test('calls get 503 with Retry-After without delay while the key-value store is unavailable', async () => {
+  const { world, call } = await startServer();
+  world.store.setOutage(true);
+  const before = world.time.now;
+  for (const response of [
     await call('POST', '/submissions', formatSubmission(spec)),
     await call('GET', '/submissions/wk-000001'),
     await call('POST', '/submissions/wk-000001/cancel'),
   ])
-    assert.deepEqual([answer.code, answer.retryAfter], [503, '1']);
-  assert.ok(w.time.now - before < 500, 'nothing is held back');
+    assert.deepEqual([response.code, response.retryAfter], [503, '1']);
+  assert.ok(world.time.now - before < 500, 'calls are not delayed');
 });
--- a/packages/controller/test/peer-connection.test.ts
+++ b/packages/controller/test/peer-connection.test.ts
@@ -6,34 +6,41 @@
 import type { NodeId } from '@spurbridge/wire';
 import { PeerConnection } from '../src/peers/peer-connection.js';
 
-const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
-/** Nothing is tried again by itself. */
-const stopped: Clock = { now: () => 0 as MonotonicMs, sleep: () => new Promise(() => undefined) };
+const silentLogger = { debug: () => undefined, info: () => undefined, error: () => undefined };
+/** No sleep on this clock ends, so that no reconnection is attempted after an interval. */
+const stoppedClock: Clock = { now: () => 0 as MonotonicMs, sleep: () => new Promise(() => undefined) };
 
-async function listen(port: number, met: () => void): Promise<net.Server> {
+async function listen(port: number, onConnection: () => void): Promise<net.Server> {
   const server = net.createServer((socket) => {
-    met();
+    onConnection();
     socket.destroy();
   });
   await new Promise<void>((resolve) => server.listen(port, '127.0.0.1', resolve));
   return server;
 }
 
-// Nodes that ran on dialled a process that was back only a second later: it had met nobody by then, and led.
-test('a link that waits to be tried again is tried at once when its node is heard', async () => {
+// Running peers reconnected to a restarted process only after their retry interval of a second. By then the process had
+// seen no peer and had become leader.
+test('a connection that waits for its next attempt reconnects immediately when its peer sends a status', async () => {
   const first = await listen(0, () => undefined);
   const { port } = first.address() as AddressInfo;
   await new Promise((resolve) => first.close(resolve));
-  const link = new PeerConnection('spur-1' as NodeId, `127.0.0.1:${port}`, stopped, silent, () => undefined);
-  const greeting = { jobProgress: [], sender: 'spur-0' as NodeId };
-  void link.run(() => greeting);
-  // The first attempt is refused.
+  const connection = new PeerConnection(
+    'spur-1' as NodeId,
+    `127.0.0.1:${port}`,
+    stoppedClock,
+    silentLogger,
+    () => undefined,
+  );
+  const statusMessage = { jobProgress: [], sender: 'spur-0' as NodeId };
+  void connection.run(() => statusMessage);
+  // Time for the first attempt, which is refused.
   await new Promise((resolve) => setTimeout(resolve, 100));
   let connections = 0;
   const server = await listen(port, () => (connections += 1));
   await new Promise((resolve) => setTimeout(resolve, 50));
   assert.equal(connections, 0);
-  link.onStatusReceived();
+  connection.onStatusReceived();
   await new Promise((resolve) => setTimeout(resolve, 200));
   assert.equal(connections, 1);
   server.close();
--- a/packages/controller/test/quota-enforcement.test.ts
+++ b/packages/controller/test/quota-enforcement.test.ts
@@ -13,22 +13,22 @@
 import { LeaderTerm } from '../src/leadership/leader-term.js';
 
 const MACHINE = 'n-000001' as MachineId;
-const SESSION = 1 as AgentEpoch;
-const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
+const AGENT_EPOCH = 1 as AgentEpoch;
+const silentLogger = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
-/** Queues tasks on one machine, makes one scheduling pass under this limit of CPUs, and starts what fits. */
-async function jobAfterPass(waiting: number, cpusMax: number): Promise<Job> {
+/** Queues tasks of one CPU on a machine, runs one scheduling pass with this quota, and starts the tasks that fit. */
+async function scheduleQueuedTasks(queuedCount: number, cpusMax: number): Promise<Job> {
   const clock = { now: () => 50_000 as MonotonicMs, sleep: () => Promise.resolve() };
   const team: Team = { name: 'red', cpus: 0, cpusMax, gpus: 0, gpusMax: Infinity };
   const configuration = { version: 3 as ConfigurationVersion, teams: [team], objectives: [] };
-  const planned: number[] = [];
+  const usedVersions: number[] = [];
   const context = {
     clock,
-    log: silent,
+    log: silentLogger,
     settings: { workers: { reportS: 4, leaseS: 22, cancelS: 42 } },
     configuration: () => configuration,
     onPlanned: (version: ConfigurationVersion) => {
-      planned.push(version);
+      usedVersions.push(version);
       term.end();
     },
     leadership: { holdsValidLease: () => true },
@@ -37,19 +37,19 @@
   const term: LeaderTerm = new LeaderTerm(context);
   const cluster = new ClusterState({
     clock,
-    log: silent,
+    log: silentLogger,
     machineTypes: () => TYPES,
     ageMs: () => 0,
     previousLeaderRenewsUntil: 0 as MonotonicMs,
   });
-  const spec = jobSpec({ id: 'wk-000001' as JobId, tasks: waiting, cpus: 1, memoryGb: 1 });
+  const spec = jobSpec({ id: 'wk-000001' as JobId, tasks: queuedCount, cpus: 1, memoryGb: 1 });
   const record = { spec, phase: 'active' as const, submittedAt: 0 as WallClockMs, chunkSize: 100 };
   const job = cluster.applyJobRecord(record, 1 as Version);
   assert.ok(job !== null);
   const machine = cluster.registerMachine(MACHINE, 'm16', 'a', true);
-  machine.agentEpoch = SESSION;
-  for (let task = 0; task < waiting; task += 1) {
-    const placement = cluster.placeTask(job, task, MACHINE, SESSION, null);
+  machine.agentEpoch = AGENT_EPOCH;
+  for (let task = 0; task < queuedCount; task += 1) {
+    const placement = cluster.placeTask(job, task, MACHINE, AGENT_EPOCH, null);
     cluster.markDurable(job, [{ task, attempt: placement.attempt }]);
     assert.equal(placement.state, 'queued');
   }
@@ -62,17 +62,17 @@
   });
   loop.requestPass();
   await loop.run();
-  assert.deepEqual(planned, [3]);
+  assert.deepEqual(usedVersions, [3]);
   const queues = new MachineQueues(cluster, clock.now);
   queues.startFitting(MACHINE);
   return job;
 }
 
-const startingOf = (job: Job): number =>
+const startingCount = (job: Job): number =>
   [...job.placements.values()].filter(({ state }) => state === 'starting').length;
 
-test('of the queued tasks only those start that a lowered limit allows', async () => {
-  assert.equal(startingOf(await jobAfterPass(4, 2)), 2);
-  assert.equal(startingOf(await jobAfterPass(4, 0)), 0);
-  assert.equal(startingOf(await jobAfterPass(4, 4)), 4);
+test('only as many queued tasks start as a lowered CPU limit of their team allows', async () => {
+  assert.equal(startingCount(await scheduleQueuedTasks(4, 2)), 2);
+  assert.equal(startingCount(await scheduleQueuedTasks(4, 0)), 0);
+  assert.equal(startingCount(await scheduleQueuedTasks(4, 4)), 4);
 });
--- a/packages/controller/test/record-staleness.test.ts
+++ b/packages/controller/test/record-staleness.test.ts
@@ -11,13 +11,14 @@
 import { JobRecordReader } from '../src/jobs/job-record-reader.js';
 import type { Settings } from '../src/index.js';
 
-const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
+const silentLogger = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const ID = 'wk-000001' as JobId;
 
-function records(replicaAgeMs: number): {
+/** A reader of a store that holds one job's record, on a node whose replica has this age. */
+function createReader(replicaAgeMs: number): {
   time: { now: number };
   cluster: ClusterState;
-  records: JobRecordReader;
+  reader: JobRecordReader;
 } {
   const time = { now: 50_000 };
   const clock = { now: () => time.now as MonotonicMs, sleep: () => Promise.resolve() };
@@ -31,9 +32,9 @@
   const jobs = [{ key: jobKey(ID), value, version: 3 as Version }];
   const store = {
     list: (prefix: string) => {
-      // The answer takes its time: what was read is as old as the question.
+      // A list takes 400 ms; its result is as old as the request.
       time.now += 400;
-      const items = jobs.filter((i) => i.key.startsWith(prefix));
+      const items = jobs.filter((item) => item.key.startsWith(prefix));
       return Promise.resolve({ outcome: 'listed', items, revision: 3, latest: 3 });
     },
   };
@@ -41,12 +42,12 @@
     clock,
     settings,
     store,
-    log: silent,
+    log: silentLogger,
     storeIntegrity: { replicaAgeMs },
   } as unknown as LeaderContext;
   const cluster = new ClusterState({
     clock,
-    log: silent,
+    log: silentLogger,
     machineTypes: () => [],
     ageMs: () => 0,
     previousLeaderRenewsUntil: 0 as MonotonicMs,
@@ -54,23 +55,23 @@
   return {
     time,
     cluster,
-    records: new JobRecordReader(new LeaderTerm(context), cluster, { onJobRecord: () => undefined }),
+    reader: new JobRecordReader(new LeaderTerm(context), cluster, { onJobRecord: () => undefined }),
   };
 }
 
-test('before its records are read a leader knows no more of cancellations than its node’s copy does', () => {
-  assert.equal(records(Infinity).records.stalenessMs, Infinity);
-  assert.equal(records(17_500).records.stalenessMs, 17_500);
+test('until the records are read, known cancellations are as stale as the replica of the node', () => {
+  assert.equal(createReader(Infinity).reader.stalenessMs, Infinity);
+  assert.equal(createReader(17_500).reader.stalenessMs, 17_500);
 });
 
-test('what was read is as old as the question, and a cancellation learned later was confirmed after it', async () => {
-  const r = records(Infinity);
-  await r.records.load();
-  assert.equal(r.records.stalenessMs, 800);
-  const job = r.cluster.jobs.get(ID);
+test('staleness counts from the first request, and a cancellation read later was confirmed after that time', async () => {
+  const { time, cluster, reader } = createReader(Infinity);
+  await reader.load();
+  assert.equal(reader.stalenessMs, 800);
+  const job = cluster.jobs.get(ID);
   assert.equal(job?.state, 'active');
-  r.time.now += 5000;
-  const spec = decodeJob(
+  time.now += 5000;
+  const cancelledRecord = decodeJob(
     encodeJob({
       spec: jobSpec({ id: ID }),
       phase: 'cancelled',
@@ -78,7 +79,7 @@
       chunkSize: 256,
     }),
   );
-  r.records.apply({ key: jobKey(ID), value: encodeJob(spec), version: 4 as Version });
+  reader.apply({ key: jobKey(ID), value: encodeJob(cancelledRecord), version: 4 as Version });
   assert.equal(job?.state, 'cancelled');
   assert.equal(job?.cancelledAfter, 50_000);
 });
--- a/packages/controller/test/service-level-tracker.test.ts
+++ b/packages/controller/test/service-level-tracker.test.ts
@@ -9,28 +9,28 @@
 import type { LeaderContext } from '../src/leadership/leader-term.js';
 import { LeaderTerm } from '../src/leadership/leader-term.js';
 
-const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
+const silentLogger = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
-test('a job that began under an earlier leader does not count as started when this one first hears that it runs', async () => {
+test('the first report to a new leader does not count as the start of a job that ran under an earlier leader', async () => {
   for (const isRestored of [true, false]) {
     const time = { now: 1000 };
-    let slept = 0;
+    let sleepCount = 0;
     const clock = {
       now: () => time.now as MonotonicMs,
-      // One sample of the sizes, then the leader's term is over.
+      // The tracker takes one sample of the job sizes, then the term ends.
       sleep: () => {
-        if ((slept += 1) > 1) term.end();
+        if ((sleepCount += 1) > 1) term.end();
         return Promise.resolve();
       },
     };
     const cluster = new ClusterState({
       clock,
-      log: silent,
+      log: silentLogger,
       machineTypes: () => TYPES,
       ageMs: () => 0,
       previousLeaderRenewsUntil: 0 as MonotonicMs,
     });
-    const term = new LeaderTerm({ clock, log: silent } as unknown as LeaderContext);
+    const term = new LeaderTerm({ clock, log: silentLogger } as unknown as LeaderContext);
     const tracker = new ServiceLevelTracker(term, cluster);
     const jobs = Array.from({ length: 8 }, (_, index) => {
       const spec = jobSpec({ id: `wk-00000${index}` as JobId, tasks: 1 + index });
@@ -39,13 +39,13 @@
         3 as Version,
       );
     });
-    const place = (): void => {
+    const placeFirstTasks = (): void => {
       for (const job of jobs)
         if (job !== null) cluster.placeTask(job, 0, 'n-000001' as MachineId, 1 as AgentEpoch, null);
     };
-    if (isRestored) place();
+    if (isRestored) placeFirstTasks();
     await tracker.run();
-    if (!isRestored) place();
+    if (!isRestored) placeFirstTasks();
     time.now += 300_000;
     for (const job of jobs) job?.applyReportedPhase(0, 'running', time.now as MonotonicMs);
     const largest = tracker.current().get('class work, largest');
