--- a/packages/controller/src/jobs/cluster-state.ts
+++ b/packages/controller/src/jobs/cluster-state.ts
@@ -43,8 +43,8 @@
   readonly previousLeaderRenewsUntil: MonotonicMs;
 }
 
-/** One attempt of a task whose start may be sent. */
-export interface StartedAttempt {
+/** One attempt of a task. */
+export interface TaskAttempt {
   readonly task: number;
   readonly attempt: Attempt;
 }
@@ -219,9 +219,9 @@
   /**
    * Records that the placements of these attempts are durable: their starts may be sent to machines with free capacity.
    */
-  markDurable(job: Job, started: readonly StartedAttempt[]): void {
+  markDurable(job: Job, attempts: readonly TaskAttempt[]): void {
     const machines = new Set<MachineId>();
-    for (const { task, attempt } of started) {
+    for (const { task, attempt } of attempts) {
       job.markDurable(task, attempt, this.now());
       const placement = job.placements.get(task);
       if (placement?.state === 'queued' || placement?.state === 'starting') machines.add(placement.machine);
@@ -255,7 +255,7 @@
     this.emit('taskRemoved', job, placement, isDone, reason);
     // A gang that has lost a task cannot continue: the other tasks are stopped, so that all restart together. A gang
     // that has certainly not started can be completed by a replacement under the same attempt, but not on a machine
-    // whose agent still knows this attempt of the task, because it would not start it again.
+    // whose agent still knows this attempt of the task, because that agent would not start it again.
     const canReplace = isMachineCleared && job.awaitsReplacementTask;
     if (job.spec.kind === 'gang' && !isDone && job.state === 'active' && !canReplace)
       this.stopGang(job, 0, 'gang');
@@ -348,7 +348,7 @@
     this.registry.drain(machine, reason);
   }
 
-  /** Puts a draining machine back into use, unless the cloud is about to take it back. */
+  /** Puts a draining machine back into use, unless the cloud is about to reclaim it. */
   cancelDrain(machine: Machine): void {
     this.registry.cancelDrain(machine);
   }
--- a/packages/controller/src/jobs/job-record-reader.ts
+++ b/packages/controller/src/jobs/job-record-reader.ts
@@ -78,11 +78,11 @@
     const record = this.decode(item);
     if (record === null) return null;
     this.listener.onJobRecord(record);
-    const wasActive = this.cluster.jobs.get(record.spec.id)?.state !== 'cancelled';
+    const wasNotCancelled = this.cluster.jobs.get(record.spec.id)?.state !== 'cancelled';
     const job = this.cluster.applyJobRecord(record, item.version);
     // The cancellation was not known when the records were last up to date, so it was confirmed after that; `cancel_s`
     // counts from that time at the earliest.
-    if (job?.state === 'cancelled' && wasActive) job.cancelledAfter = this.watcher.knownAsOf;
+    if (job?.state === 'cancelled' && wasNotCancelled) job.cancelledAfter = this.watcher.knownAsOf;
     return job;
   }
 
--- a/packages/controller/src/jobs/job-service.ts
+++ b/packages/controller/src/jobs/job-service.ts
@@ -25,7 +25,7 @@
 const MAX_CANCEL_ATTEMPTS = 3;
 const USER_REQUEST_PRIORITY: RequestPriority = 1;
 
-/** The configuration that submissions are checked against. */
+/** The configuration against which submissions are validated. */
 export interface ConfigurationSource {
   /** The version that this controller uses. */
   current(): Configuration;
@@ -78,8 +78,9 @@
     );
     if (outcome.outcome === 'committed')
       return { outcome: 'created', status: { id: spec.id, phase: 'queued' } };
-    if (outcome.outcome === 'conflict') return this.statusOr(spec.id, jobUnavailable('the id is in use'));
-    return jobUnavailable('the state service did not confirm');
+    if (outcome.outcome === 'conflict')
+      return this.statusOr(spec.id, jobUnavailable('a record with this job id already exists'));
+    return jobUnavailable('the state service did not confirm the write');
   }
 
   private newRecord(spec: JobSpec): JobRecord {
@@ -99,15 +100,15 @@
   }
 
   /**
-   * A rejection is final for its user, so it must not be based on an outdated configuration. The key-value store has to
-   * confirm first that there is no later one.
+   * A rejection is final for its user, so it must not be based on an outdated configuration. The latest version in the
+   * key-value store is read first, to confirm that there is no later one.
    */
   private async confirmRejection(spec: JobSpec, reason: string): Promise<JobOutcome> {
     const version = await this.configuration.latestVersion();
-    if (version === null) return jobUnavailable('the configuration cannot be confirmed');
+    if (version === null) return jobUnavailable('the latest configuration version cannot be read');
     if (version === this.configuration.current().version)
       return { outcome: 'rejected', error: this.rejectionOf(spec) ?? reason };
-    return jobUnavailable('a later configuration is being taken in');
+    return jobUnavailable('a later configuration version is being applied');
   }
 
   private async malformed(body: unknown, error: unknown): Promise<JobOutcome> {
@@ -157,18 +158,20 @@
         USER_REQUEST_PRIORITY,
       );
       if (outcome.outcome === 'committed') return { outcome: 'known', status: { id, phase: 'cancelled' } };
-      if (outcome.outcome !== 'conflict') return jobUnavailable('the state service did not confirm');
+      if (outcome.outcome !== 'conflict')
+        return jobUnavailable('the state service did not confirm the write');
     }
-    return jobUnavailable('the job keeps changing');
+    return jobUnavailable('the job record was changed concurrently on every attempt');
   }
 }
 
 function lookUp(found: ReadOutcome): JobLookup {
   if (found.outcome === 'absent') return { kind: 'outcome', outcome: JOB_NOT_FOUND };
   if (found.outcome !== 'found')
-    return { kind: 'outcome', outcome: jobUnavailable('the state service does not answer') };
-  const record = decodeReadable(found.item.value);
-  if (record === null) return { kind: 'outcome', outcome: jobUnavailable('the record cannot be read') };
+    return { kind: 'outcome', outcome: jobUnavailable('the state service does not respond') };
+  const record = decodeOrNull(found.item.value);
+  if (record === null)
+    return { kind: 'outcome', outcome: jobUnavailable('the job record cannot be decoded') };
   // Jobs of a task graph were not submitted by users; status requests and cancellations apply to the graph.
   if (record.graph !== undefined) return { kind: 'outcome', outcome: JOB_NOT_FOUND };
   return { kind: 'found', record, version: found.item.version };
@@ -177,7 +180,7 @@
 /**
  * Decodes a record. Null for a damaged record without an intact replica, which does not show whether the job exists.
  */
-function decodeReadable(value: unknown): JobRecord | null {
+function decodeOrNull(value: unknown): JobRecord | null {
   try {
     return decodeJob(value);
   } catch (error) {
--- a/packages/controller/src/jobs/record-watcher.ts
+++ b/packages/controller/src/jobs/record-watcher.ts
@@ -22,9 +22,9 @@
   ) {}
 
   /**
-   * Whether the known records are recent enough to renew workers' leases. A renewal keeps tasks alive, so tasks that
-   * were cancelled in the meantime could outlive `cancel_s`: a leader far above its processor share once read a
-   * cancellation so late that the task ran on after that time.
+   * Whether the known records are recent enough to renew workers' leases. A renewal lets tasks continue to run, so tasks
+   * that were cancelled in the meantime could run for longer than `cancel_s`. This has happened when a leader far above
+   * its processor share read a cancellation too late.
    */
   get isFresh(): boolean {
     return this.ageMs <= maxRenewalStalenessMs(this.term.context.settings);
--- a/packages/controller/src/jobs/record-writer.ts
+++ b/packages/controller/src/jobs/record-writer.ts
@@ -15,7 +15,7 @@
 import { WakeSignal } from '../wake-signal.js';
 import type { ChunkWriteBatch } from './chunk-write-queue.js';
 import { ChunkWriteQueue } from './chunk-write-queue.js';
-import type { ClusterState, StartedAttempt } from './cluster-state.js';
+import type { ClusterState, TaskAttempt } from './cluster-state.js';
 
 /** Maximum number of concurrent commits. */
 const MAX_CONCURRENT_COMMITS = 4;
@@ -55,14 +55,14 @@
  */
 export class RecordWriter {
   private readonly queue = new ChunkWriteQueue();
-  /** Jobs whose tasks are all done while their record does not say so. */
+  /** Jobs whose tasks are all done but whose record is not updated yet. */
   private readonly closingJobs = new Map<JobId, Job>();
   /** Jobs that have ended and whose task records are to be deleted. */
   private readonly endedJobs = new Set<Job>();
   /** Keys that a commit in progress writes or deletes. */
   private readonly busyKeys = new Set<string>();
   private readonly signal = new WakeSignal();
-  private commitsUnderWay = 0;
+  private commitsInProgress = 0;
   private backOffUntil = 0 as MonotonicMs;
 
   constructor(
@@ -90,7 +90,7 @@
     const { clock } = this.term.context;
     while (this.term.isActive) {
       await this.signal.wait(clock, POLL_INTERVAL_MS);
-      while (this.term.isActive && this.commitsUnderWay < MAX_CONCURRENT_COMMITS && this.startCommit());
+      while (this.term.isActive && this.commitsInProgress < MAX_CONCURRENT_COMMITS && this.startCommit());
     }
   }
 
@@ -118,13 +118,13 @@
     if (clock.now() < this.backOffUntil || !leadership.holdsValidLease()) return false;
     const commit = this.closeNextJob() ?? this.writeDueChunks() ?? this.deleteNextTaskRecords();
     if (commit === null) return false;
-    this.commitsUnderWay += 1;
+    this.commitsInProgress += 1;
     commit
       .catch((error: unknown) => {
-        log.error({ error: String(error) }, 'writing records failed');
+        log.error({ error: String(error) }, 'record commit failed');
       })
       .finally(() => {
-        this.commitsUnderWay -= 1;
+        this.commitsInProgress -= 1;
         this.signal.notify();
       });
     return true;
@@ -150,7 +150,7 @@
     const { store, leadership, log } = this.term.context;
     this.busyKeys.add(key);
     const mutations: Mutation[] = [{ put: key, value: this.encodeDone(job) }];
-    // A job with a single task record saves the commit that would delete it.
+    // The only task record of a job is deleted in the same commit, which saves a separate one.
     const onlyChunk = job.chunks.length === 1 ? job.chunks[0] : undefined;
     if (onlyChunk !== undefined && onlyChunk.version !== KEY_ABSENT)
       mutations.push({ delete: chunkKey(job.spec.id, onlyChunk.index) });
@@ -292,12 +292,12 @@
 }
 
 /** The attempts of a chunk's tasks whose intent is not durable yet. */
-function intendedAttempts(job: Job, chunk: TaskChunk): StartedAttempt[] {
+function intendedAttempts(job: Job, chunk: TaskChunk): TaskAttempt[] {
   const firstTask = chunk.index * job.chunkSize;
   const isInChunk = ({ task }: Placement): boolean => task >= firstTask && task < firstTask + job.chunkSize;
-  const found: StartedAttempt[] = [];
+  const attempts: TaskAttempt[] = [];
   for (const placement of job.placements.values())
     if (placement.state === 'intended' && isInChunk(placement))
-      found.push({ task: placement.task, attempt: placement.attempt });
-  return found;
+      attempts.push({ task: placement.task, attempt: placement.attempt });
+  return attempts;
 }
--- a/packages/controller/src/jobs/service-level-tracker.ts
+++ b/packages/controller/src/jobs/service-level-tracker.ts
@@ -27,7 +27,7 @@
 /** Sizes of a class's most recent jobs, and the size from which a job counts as one of the largest. */
 interface ClassSizes {
   readonly sizes: number[];
-  largestFrom: number;
+  largestThreshold: number;
 }
 
 /** The counts of a class or team by its name, created if there are none. */
@@ -65,7 +65,10 @@
     });
   }
 
-  /** Called once the records are read: what runs, or is partly done, began under an earlier leader. */
+  /**
+   * Marks the jobs that began under an earlier leader: those that have placed or completed tasks once the records are
+   * read.
+   */
   markRestoredJobs(): void {
     for (const job of this.cluster.jobs.values())
       if (job.placements.size > 0 || job.doneCount > 0) this.restoredJobs.add(job);
@@ -114,7 +117,7 @@
       isCancelled: job.state === 'cancelled',
     };
     for (const name of countedNames(job)) countJob(countsOf(name), outcome);
-    if (jobSize(spec) >= this.sizesOf(spec.class).largestFrom)
+    if (jobSize(spec) >= this.sizesOf(spec.class).largestThreshold)
       countLargestJob(countsOf(`class ${spec.class}, largest`), outcome);
   }
 
@@ -131,7 +134,7 @@
   private sizesOf(jobClass: string): ClassSizes {
     let sizes = this.sizesByClass.get(jobClass);
     if (sizes === undefined) {
-      sizes = { sizes: [], largestFrom: Infinity };
+      sizes = { sizes: [], largestThreshold: Infinity };
       this.sizesByClass.set(jobClass, sizes);
     }
     return sizes;
@@ -139,7 +142,7 @@
 
   private sample(): void {
     const now = this.term.context.clock.now();
-    for (const sizes of this.sizesByClass.values()) sizes.largestFrom = largestJobThreshold(sizes.sizes);
+    for (const sizes of this.sizesByClass.values()) sizes.largestThreshold = largestJobThreshold(sizes.sizes);
     for (const job of this.cluster.jobs.values()) {
       if (job.state !== 'active' || job.spec.kind !== 'service') continue;
       if (now - job.submittedAt >= REPLICA_GRACE_S * 1000) this.sampleReplicas(job);
--- a/packages/controller/src/leadership/controller.ts
+++ b/packages/controller/src/leadership/controller.ts
@@ -132,7 +132,7 @@
     return new ConfigurationReplica(configurationFromSettings(settings.teams, settings.objectives), {
       log,
       onChange: () => {
-        this.leaderRole.requestPlan();
+        this.leaderRole.requestSchedulingPass();
         this.broadcastStatus();
       },
     });
@@ -154,7 +154,7 @@
         this.leaderRole.start(fencingToken);
       },
       onLeaseConfirmedAgain: () => {
-        this.leaderRole.requestPlan();
+        this.leaderRole.requestSchedulingPass();
       },
       onDeposed: (reason) => {
         this.suitability.recordLeadershipLoss();
--- a/packages/controller/src/leadership/leader-component.ts
+++ b/packages/controller/src/leadership/leader-component.ts
@@ -20,7 +20,7 @@
   isSchedulable(job: Job): boolean;
   /** Whether a job whose tasks are all done may be closed, and its task records deleted. */
   mayClose(job: Job): boolean;
-  /** Whether all cancellations are known that must take effect before a lease is renewed (docs/design.md, "Renewals"). */
+  /** Whether the component knows all cancellations that must precede a lease renewal (docs/design.md, "Renewals"). */
   readonly isFresh: boolean;
 }
 
@@ -31,7 +31,7 @@
 export class LeaderComponents {
   constructor(readonly components: readonly LeaderComponent[]) {}
 
-  /** Whether every component is fresh. */
+  /** Whether every component knows all cancellations that must precede a lease renewal. */
   get areFresh(): boolean {
     return this.components.every((component) => component.isFresh);
   }
--- a/packages/controller/src/leadership/leader-role.ts
+++ b/packages/controller/src/leadership/leader-role.ts
@@ -63,8 +63,8 @@
   }
 
   /** Requests a scheduling pass, if a leader runs here. */
-  requestPlan(): void {
-    this.leader?.requestPlan();
+  requestSchedulingPass(): void {
+    this.leader?.requestSchedulingPass();
   }
 
   /** Starts a leader under the fencing token of the election. */
@@ -78,7 +78,7 @@
     store
       .writeBack(() => this.leader === leader)
       .catch((error: unknown) => {
-        log.error({ error: String(error) }, 'writing back ended');
+        log.error({ error: String(error) }, 'writing recovered records back failed');
       });
     this.host.broadcastStatus();
     leader.run().catch((error: unknown) => {
@@ -143,7 +143,7 @@
       directWorkers: () => host.directWorkers(),
       onPlanned: (version) => {
         if (!host.rollout.recordPlan(version)) return;
-        log.info({ version }, 'plans by this configuration');
+        log.info({ version }, 'first scheduling pass with this configuration version');
         host.broadcastStatus();
       },
       onReady: () => {
--- a/packages/controller/src/leadership/leader-suitability.ts
+++ b/packages/controller/src/leadership/leader-suitability.ts
@@ -12,8 +12,8 @@
 const MAX_TIMER_DELAY_MS = 150;
 /** Warm-up time of a process, after which code is compiled, records are replicated and workers are connected. */
 const WARM_UP_MS = 20_000;
-/** How long a lost leadership adds to a controller's penalty. */
-const LOSS_MEMORY_MS = 10_000;
+/** How long the loss of leadership adds to a controller's penalty. */
+const LOSS_PENALTY_MS = 10_000;
 
 /** Computes this controller's penalty in elections. */
 export class LeaderSuitability {
@@ -34,17 +34,17 @@
   get penalty(): number {
     const now = this.clock.now();
     const isWarmingUp = now - this.startedAt < WARM_UP_MS;
-    const hasLostLately = this.lastLossAt !== null && now - this.lastLossAt < LOSS_MEMORY_MS;
+    const hasLostRecently = this.lastLossAt !== null && now - this.lastLossAt < LOSS_PENALTY_MS;
     const isOverloaded = this.averageTimerDelayMs > MAX_TIMER_DELAY_MS;
-    return Number(isWarmingUp) + Number(hasLostLately) + Number(isOverloaded);
+    return Number(isWarmingUp) + Number(hasLostRecently) + Number(isOverloaded);
   }
 
   /** Samples the delay of timers until the process ends. */
   async run(): Promise<never> {
     for (;;) {
-      const sampledFrom = this.clock.now();
+      const sleepStartedAt = this.clock.now();
       await this.clock.sleep(SAMPLE_INTERVAL_MS);
-      const delayMs = Math.max(0, this.clock.now() - sampledFrom - SAMPLE_INTERVAL_MS);
+      const delayMs = Math.max(0, this.clock.now() - sleepStartedAt - SAMPLE_INTERVAL_MS);
       this.averageTimerDelayMs += (delayMs - this.averageTimerDelayMs) * SAMPLE_WEIGHT;
     }
   }
--- a/packages/controller/src/leadership/leader.ts
+++ b/packages/controller/src/leadership/leader.ts
@@ -123,7 +123,7 @@
   }
 
   /** Requests a scheduling pass. */
-  requestPlan(): void {
+  requestSchedulingPass(): void {
     this.scheduling.requestPass();
   }
 
--- a/packages/controller/src/leadership/machine-type-catalog.ts
+++ b/packages/controller/src/leadership/machine-type-catalog.ts
@@ -11,7 +11,7 @@
 const REFRESH_INTERVAL_MS = 60_000;
 const RETRY_INTERVAL_MS = 700;
 
-/** The part of the controller's role that the catalog uses. */
+/** Tells the catalog whether this controller leads. */
 export interface LeaderPresence {
   /** Whether a leader runs in this process. */
   hasLeader(): boolean;
@@ -21,7 +21,7 @@
  * Reads the machine types from the cloud. They are read at the start and refreshed periodically, because prices change.
  */
 export class MachineTypeCatalog {
-  private known: readonly MachineType[] = [];
+  private knownTypes: readonly MachineType[] = [];
 
   constructor(
     private readonly cloud: CloudProvider,
@@ -32,12 +32,12 @@
 
   /** The types as the cloud last described them; empty until they are known. */
   get types(): readonly MachineType[] {
-    return this.known;
+    return this.knownTypes;
   }
 
   /** Whether any type is known. */
   get isKnown(): boolean {
-    return this.known.length > 0;
+    return this.knownTypes.length > 0;
   }
 
   /** Reads and refreshes the types until the process ends. */
@@ -47,7 +47,7 @@
       if (!this.isKnown || this.role.hasLeader()) {
         try {
           const types = await this.cloud.listMachineTypes();
-          if (types !== null) this.known = types;
+          if (types !== null) this.knownTypes = types;
         } catch (error) {
           this.log.error({ error: String(error) }, 'machine types cannot be read');
         }
--- a/packages/controller/src/peers/configuration-rollout.ts
+++ b/packages/controller/src/peers/configuration-rollout.ts
@@ -9,7 +9,7 @@
 import type { NodeId, PeerStatus } from '@spurbridge/wire';
 import type { Settings } from '../settings.js';
 
-/** An age that stands for "unknown", and the largest one that is sent. */
+/** The largest age that is reported; also reported when the age is not known. */
 const MAX_AGE_MS = 2 ** 31;
 
 /** The configuration version that one controller applies. */
@@ -56,7 +56,7 @@
     this.plannedVersion = SETTINGS_FILE_VERSION;
   }
 
-  /** Records a scheduling pass that used this version; returns true if it is the first one. */
+  /** Records a scheduling pass that used this version; returns true if the version differs from the last one. */
   recordPlan(version: ConfigurationVersion): boolean {
     const isFirst = version !== this.plannedVersion;
     this.plannedVersion = version;
--- a/packages/controller/src/peers/peer-connection.ts
+++ b/packages/controller/src/peers/peer-connection.ts
@@ -13,7 +13,7 @@
 
 const RECONNECT_INTERVAL_MS = 1000;
 const CONNECT_TIMEOUT_MS = 2000;
-/** Unsent bytes above which a peer counts as not reading. */
+/** Unsent bytes above which a peer is considered not to be reading. */
 const MAX_QUEUED_BYTES = 256 * 1024;
 
 /** idle -> connecting -> open -> idle */
@@ -40,9 +40,9 @@
   }
 
   /**
-   * To be called when a message of the peer was received: a connection that waits for its next attempt is attempted
-   * immediately. Without this, peers reconnected only once a second, and a process that had just started discovered
-   * none within a second and became leader although others were running.
+   * To be called when a status of the peer was received: reconnects immediately instead of after the retry interval.
+   * Without this, peers reconnected to a restarted process only after a second. By then it had discovered no peers, and
+   * became leader although others were running.
    */
   onStatusReceived(): void {
     if (this.state === 'idle') this.reconnectSignal.notify();
@@ -60,11 +60,11 @@
     return true;
   }
 
-  /** Keeps reconnecting, and sends the greeting on each new connection. */
-  async run(greeting: () => PeerMessage): Promise<never> {
+  /** Keeps the connection open, and sends the current status on each new connection. */
+  async run(currentStatus: () => PeerMessage): Promise<never> {
     for (;;) {
       this.transitionTo('connecting');
-      const socket = this.connect(greeting);
+      const socket = this.connect(currentStatus);
       this.socket = socket;
       try {
         // Nothing is received on this connection; the iteration ends when the connection does.
@@ -79,14 +79,14 @@
     }
   }
 
-  private connect(greeting: () => PeerMessage): net.Socket {
+  private connect(currentStatus: () => PeerMessage): net.Socket {
     const socket = net.connect({ ...parseSocketAddress(this.address), noDelay: true });
     socket.setTimeout(CONNECT_TIMEOUT_MS, () => {
       if (socket.connecting) socket.destroy();
     });
     socket.once('connect', () => {
       this.transitionTo('open');
-      this.send(greeting());
+      this.send(currentStatus());
     });
     return socket;
   }
@@ -96,7 +96,7 @@
     const previous = this.state;
     if (next === previous) return;
     if (next === 'open' || previous === 'open')
-      this.log.info({ peer: this.node, from: previous, to: next }, 'peer link');
+      this.log.info({ peer: this.node, from: previous, to: next }, 'peer connection state changed');
     this.state = next;
     if (previous === 'open') this.onDisconnected(this.node);
   }
--- a/packages/controller/src/peers/tcp-peer-transport.ts
+++ b/packages/controller/src/peers/tcp-peer-transport.ts
@@ -13,7 +13,7 @@
 import type { PeerTransport, PeerTransportHost } from './peer-transport.js';
 
 const STATUS_INTERVAL_MS = 700;
-/** A status older than this is not relied on. */
+/** An older status is ignored. */
 const MAX_STATUS_AGE_MS = 4000;
 const LISTEN_RETRY_INTERVAL_MS = 200;
 
@@ -69,7 +69,7 @@
     this.listen();
     for (const connection of this.connections)
       connection.run(host.status).catch((error: unknown) => {
-        log.error({ error: String(error) }, 'peer link failed');
+        log.error({ error: String(error) }, 'peer connection failed');
       });
     for (;;) {
       await clock.sleep(STATUS_INTERVAL_MS);
@@ -86,16 +86,16 @@
     const { host, port } = parseSocketAddress(listen);
     const server = net.createServer({ noDelay: true }, (socket) => {
       this.receive(socket).catch((error: unknown) => {
-        log.debug({ error: String(error) }, 'peer connection ended');
+        log.debug({ error: String(error) }, 'incoming peer connection failed');
         socket.destroy();
       });
     });
     const tryListen = (): void => {
       server.listen(port, host);
     };
-    // The previous process of this node may still hold the port for a moment.
+    // The previous process of this node may not have released the port yet.
     server.on('error', (error) => {
-      log.info({ listen, error: String(error) }, 'cannot listen yet');
+      log.info({ listen, error: String(error) }, 'cannot listen for peers; retrying');
       setTimeout(tryListen, LISTEN_RETRY_INTERVAL_MS);
     });
     tryListen();
--- a/packages/controller/src/settings.ts
+++ b/packages/controller/src/settings.ts
@@ -79,8 +79,8 @@
 /** After a failover, a worker finds the new leader with its next heartbeat, or with the one after. */
 export const FAILOVER_DISCOVERY_MS = 3250;
 /**
- * A heartbeat takes about a quarter of a millisecond of a core; heartbeats of idle machines should take an eighth of
- * the process's processor share.
+ * A heartbeat takes about 0.25 ms of processor time, and the heartbeats of idle machines are allowed an eighth of the
+ * process's processor share.
  */
 const SUSTAINABLE_HEARTBEATS_PER_S = 500;
 
