--- a/packages/controller/test/fleet-view.test.ts
+++ b/packages/controller/test/fleet-view.test.ts
@@ -7,13 +7,14 @@
 import { ClusterState } from '../src/index.js';
 import { buildFleetView } from '../src/machines/fleet-view.js';
 
-const silent = { debug: () => undefined, info: () => undefined, error: () => undefined };
+const silentLogger = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
-// A zone that was cut off before a failover was taken for one that was booting: no machines replaced the lost ones.
-test('a machine that ran tasks before this leader and is not heard of counts as booting for a while only', () => {
+// When a zone became unreachable before a failover, the new leader counted its machines as booting, so it did not scale
+// out to replace them.
+test('a machine with restored tasks that sends no heartbeat counts as booting only until the discovery deadline', () => {
   const cluster = new ClusterState({
     clock: { now: () => 0 as MonotonicMs, sleep: () => Promise.resolve() },
-    log: silent,
+    log: silentLogger,
     machineTypes: () => TYPES,
     ageMs: () => 0,
     previousLeaderRenewsUntil: 0 as MonotonicMs,
--- a/packages/controller/test/heartbeat-handler.test.ts
+++ b/packages/controller/test/heartbeat-handler.test.ts
@@ -31,16 +31,16 @@
 
 let jobCount = 0;
 
-/** Makes a job of one task with a new id known to the cluster. */
+/** Adds a job with one task and a new id to the cluster. */
 function addNewJob({ cluster }: Fixture, overrides: Partial<Parameters<typeof jobSpec>[0]> = {}): Job {
   jobCount += 1;
   const id = `wk-${String(jobCount).padStart(6, '0')}` as JobId;
   return addJob(cluster, jobSpec({ id, cpus: 4, tasks: 1, ...overrides }));
 }
 
-// The start was on its way in the response to a heartbeat when the machine answered a direct stop: taken for never started,
-// the task was placed elsewhere, and then it started here.
-test('a task missing in the response to a direct call proves nothing; missing in the next own heartbeat it was never started', () => {
+// A start was in flight in a heartbeat response when the machine responded to a direct stop. The leader concluded that
+// the task had never started and placed it elsewhere, and then it started on the first machine as well.
+test('a stopped task counts as never started only if a regular heartbeat with the current fencing token omits it', () => {
   const fixture = createFixture();
   const { cluster, handler, queues, time } = fixture;
   handler.receive(makeHeartbeat(1), true);
@@ -49,14 +49,14 @@
   assert.ok(queues.startFitting(MACHINE));
   job.requestStop(0, 0, 'preempted', time.now as MonotonicMs);
   handler.receive(makeHeartbeat(2), false);
-  assert.equal(job.placements.size, 1, 'the response to a direct call');
+  assert.equal(job.placements.size, 1, 'after the response to a direct call');
   handler.receive(makeHeartbeat(3, [], 4 as FencingToken), true);
-  assert.equal(job.placements.size, 1, 'an own heartbeat under an earlier token');
+  assert.equal(job.placements.size, 1, 'after a regular heartbeat with an earlier fencing token');
   handler.receive(makeHeartbeat(4), true);
   assert.equal(job.placements.size, 0);
 });
 
-test('a task waits in its machine’s queue until a heartbeat shows room, a service before an array', () => {
+test('queued tasks start when a heartbeat shows free resources, a service before an array', () => {
   const fixture = createFixture();
   const { cluster, handler, queues } = fixture;
   handler.receive(makeHeartbeat(1), true);
@@ -69,23 +69,23 @@
   const service = addNewJob(fixture, { kind: 'service', priority: 'production', estimateS: 0 });
   placeFirstTask(cluster, array);
   placeFirstTask(cluster, service);
-  assert.ok(!queues.startFitting(MACHINE), 'no room yet');
+  assert.ok(!queues.startFitting(MACHINE), 'the running task still uses the resources');
   handler.receive(makeHeartbeat(3, [{ ...status, phase: 'exited', cause: 'done' }]), true);
   assert.ok(queues.startFitting(MACHINE));
   assert.equal(service.placements.get(0)?.state, 'starting');
   assert.equal(array.placements.get(0)?.state, 'queued');
 });
 
-test('tasks that wait too long in a queue, or are to be stopped, are given up at once; those read from a record are not', () => {
+test('queued tasks are evicted if they wait too long or are to be stopped, but restored tasks are not', () => {
   const fixture = createFixture();
   const { cluster, handler, queues, time } = fixture;
   handler.receive(makeHeartbeat(1), true);
   const running = addNewJob(fixture);
   placeFirstTask(cluster, running);
   queues.startFitting(MACHINE);
-  const late = addNewJob(fixture);
+  const waiting = addNewJob(fixture);
   const stopped = addNewJob(fixture);
-  placeFirstTask(cluster, late);
+  placeFirstTask(cluster, waiting);
   placeFirstTask(cluster, stopped);
   const restored = addNewJob(fixture);
   restored.restorePlacement(0, MACHINE, AGENT_EPOCH, 1 as Attempt, time.now as MonotonicMs);
@@ -93,13 +93,13 @@
   stopped.requestStop(0, 0, 'preempted', time.now as MonotonicMs);
   queues.evictStale(MACHINE);
   assert.deepEqual(
-    [late, stopped, restored].map((job) => job.placements.size),
+    [waiting, stopped, restored].map((job) => job.placements.size),
     [1, 0, 1],
   );
   time.now += 60_000;
   queues.evictStale(MACHINE);
   assert.deepEqual(
-    [running, late, restored].map((job) => job.placements.size),
+    [running, waiting, restored].map((job) => job.placements.size),
     [1, 0, 1],
   );
 });
--- a/packages/controller/test/unanswered-commands.test.ts
+++ b/packages/controller/test/unanswered-commands.test.ts
@@ -25,13 +25,13 @@
   readonly sent: WorkerCommand[];
   /** A job with one task, which is placed on the machine. */
   readonly job: Job;
-  /** The worker's next heartbeat; the commands in the response to it. */
+  /** Processes the worker's next heartbeat and returns the commands in the response, or null without a response. */
   sendHeartbeat(tasks?: Heartbeat['tasks']): readonly WorkerCommand[] | null;
-  cancel(after: MonotonicMs): void;
+  cancel(cancelledAfter: MonotonicMs): void;
   preempt(): void;
 }
 
-/** One machine that sends heartbeats, while no direct call to it is ever answered. */
+/** Creates a machine that sends heartbeats but answers no direct call. */
 function createFixture(): Fixture {
   const sent: WorkerCommand[] = [];
   const { time, clock, term, cluster } = createLeaderFixture({
@@ -74,10 +74,10 @@
     sent,
     job,
     sendHeartbeat,
-    cancel: (after) => {
+    cancel: (cancelledAfter) => {
       const record = { spec, phase: 'cancelled', submittedAt: 0 as WallClockMs, chunkSize: 256 } as const;
       cluster.applyJobRecord(record, 4 as Version);
-      job.cancelledAfter = after;
+      job.cancelledAfter = cancelledAfter;
     },
     preempt: () => {
       job.requestStop(0, 0, 'preempted', clock.now());
@@ -85,8 +85,9 @@
   };
 }
 
-// Nothing could prove the task gone during the worker's agent epoch, and its job never went on.
-test('a stopped task with an unconfirmed direct start gets both commands, is reported to have ended, and is free again', async () => {
+// An unanswered direct start may arrive at any time. When only the stop was sent, the worker never reported the
+// attempt, so nothing could prove the task gone during the worker's agent epoch, and its job never continued.
+test('a stopped task with an unconfirmed direct start is sent a start and a stop, and is removed when its exit is reported', async () => {
   const fixture = createFixture();
   await new Promise(setImmediate);
   assert.deepEqual(
@@ -100,13 +101,20 @@
   );
   const { attempt } = [...fixture.job.placements.values()][0] ?? {};
   assert.ok(attempt !== undefined);
-  const ended = { job: fixture.job.spec.id, task: 0, attempt, phase: 'exited', cause: 'stopped' } as const;
-  // The attempt is not forgotten in this agent epoch: a start that arrives late must find it known.
-  assert.deepEqual(fixture.sendHeartbeat([ended as Heartbeat['tasks'][number]]), []);
+  const exitStatus = {
+    job: fixture.job.spec.id,
+    task: 0,
+    attempt,
+    phase: 'exited',
+    cause: 'stopped',
+  } as const;
+  // No forget command is sent in this agent epoch, so that the worker recognizes the attempt in a start that arrives
+  // late.
+  assert.deepEqual(fixture.sendHeartbeat([exitStatus as Heartbeat['tasks'][number]]), []);
   assert.equal(fixture.job.placements.size, 0);
 });
 
-test('a cancelled task gets no start; after the maximum staleness the lease of its machine is not renewed', async () => {
+test('a cancelled task with an unconfirmed start is only sent a stop, and its machine gets no renewal after the maximum staleness', async () => {
   const fixture = createFixture();
   await new Promise(setImmediate);
   fixture.time.now += 1000;
--- a/packages/controller/test/zone-reachability.test.ts
+++ b/packages/controller/test/zone-reachability.test.ts
@@ -7,84 +7,84 @@
 
 const HEARTBEAT_MS = 4000;
 
-function fleet(perZone: number): Machine[] {
-  const all: Machine[] = [];
+function createFleet(machinesPerZone: number): Machine[] {
+  const machines: Machine[] = [];
   for (const zone of ['a', 'b', 'c'])
-    for (let index = 0; index < perZone; index += 1)
-      all.push(new Machine(`n-${zone}${index}` as MachineId, 's', zone, false, true, 0 as MonotonicMs));
-  return all;
+    for (let index = 0; index < machinesPerZone; index += 1)
+      machines.push(new Machine(`n-${zone}${index}` as MachineId, 's', zone, false, true, 0 as MonotonicMs));
+  return machines;
 }
 
-/** Has every machine of the zones send its heartbeats in turn, and updates the zones twice a second. */
+/** Lets the machines of the given zones send staggered heartbeats, and updates the reachability every 500 ms. */
 function simulate(
   reachability: ZoneReachability,
-  all: readonly Machine[],
+  machines: readonly Machine[],
   zones: string,
   fromMs: number,
   untilMs: number,
 ): void {
   for (let now = fromMs; now <= untilMs; now += 500) {
-    all.forEach((machine, index) => {
+    machines.forEach((machine, index) => {
       if (zones.includes(machine.zone) && (now / 500 + index) % 8 === 0)
         machine.lastHeartbeatAt = now as MonotonicMs;
     });
-    reachability.update(all, now as MonotonicMs, 0 as MonotonicMs, () => false);
+    reachability.update(machines, now as MonotonicMs, 0 as MonotonicMs, () => false);
   }
 }
 
-test('a zone is away when none of its machines is heard of while others are, which explains their silence', () => {
+test('a zone is away while only its machines send no heartbeats, and explains their silence until it is whole again', () => {
   const states: string[] = [];
   const reachability = new ZoneReachability(HEARTBEAT_MS, ({ to }) => states.push(to));
-  const all = fleet(20);
-  const [inA, inB] = [all[0], all[20]];
-  assert.ok(inA !== undefined && inB !== undefined);
-  simulate(reachability, all, 'abc', 0, 20_000);
+  const machines = createFleet(20);
+  const [machineInA, machineInB] = [machines[0], machines[20]];
+  assert.ok(machineInA !== undefined && machineInB !== undefined);
+  simulate(reachability, machines, 'abc', 0, 20_000);
   assert.deepEqual(states, []);
-  simulate(reachability, all, 'bc', 20_500, 26_000);
+  simulate(reachability, machines, 'bc', 20_500, 26_000);
   assert.deepEqual(states, ['away']);
   assert.ok(
-    reachability.explainsSilenceOf(inA, 26_000 as MonotonicMs) &&
-      !reachability.explainsSilenceOf(inB, 26_000 as MonotonicMs),
+    reachability.explainsSilenceOf(machineInA, 26_000 as MonotonicMs) &&
+      !reachability.explainsSilenceOf(machineInB, 26_000 as MonotonicMs),
   );
-  simulate(reachability, all, 'abc', 26_500, 28_000);
+  simulate(reachability, machines, 'abc', 26_500, 28_000);
   assert.deepEqual(states, ['away', 'returning']);
   assert.ok(
-    reachability.explainsSilenceOf(inA, 28_000 as MonotonicMs),
-    'those that come last are excused as well',
+    reachability.explainsSilenceOf(machineInA, 28_000 as MonotonicMs),
+    'machines that have not sent a heartbeat again yet are covered as well',
   );
-  simulate(reachability, all, 'abc', 28_500, 40_000);
+  simulate(reachability, machines, 'abc', 28_500, 40_000);
   assert.deepEqual(states, ['away', 'returning', 'whole']);
-  assert.ok(!reachability.explainsSilenceOf(inA, 40_000 as MonotonicMs));
+  assert.ok(!reachability.explainsSilenceOf(machineInA, 40_000 as MonotonicMs));
 });
 
-test('silence of all zones, of a few machines, or of half a zone explains nothing', () => {
+test('no zone is away when all zones, a zone with few machines, or half of the machines are silent', () => {
   const states: string[] = [];
   const reachability = new ZoneReachability(HEARTBEAT_MS, ({ to }) => states.push(to));
-  const all = fleet(20);
-  simulate(reachability, all, 'abc', 0, 20_000);
-  simulate(reachability, all, '', 20_500, 40_000);
-  const few = fleet(5);
-  simulate(reachability, few, 'abc', 0, 20_000);
-  simulate(reachability, few, 'bc', 20_500, 40_000);
-  const half = fleet(20);
-  simulate(reachability, half, 'abc', 0, 20_000);
-  const heard = half.filter((_, index) => index % 2 === 0);
+  const machines = createFleet(20);
+  simulate(reachability, machines, 'abc', 0, 20_000);
+  simulate(reachability, machines, '', 20_500, 40_000);
+  const smallFleet = createFleet(5);
+  simulate(reachability, smallFleet, 'abc', 0, 20_000);
+  simulate(reachability, smallFleet, 'bc', 20_500, 40_000);
+  const halfSilentFleet = createFleet(20);
+  simulate(reachability, halfSilentFleet, 'abc', 0, 20_000);
+  const sending = halfSilentFleet.filter((_, index) => index % 2 === 0);
   for (let now = 20_500; now < 40_000; now += 500) {
-    for (const machine of heard) machine.lastHeartbeatAt = now as MonotonicMs;
-    reachability.update(half, now as MonotonicMs, 0 as MonotonicMs, () => false);
+    for (const machine of sending) machine.lastHeartbeatAt = now as MonotonicMs;
+    reachability.update(halfSilentFleet, now as MonotonicMs, 0 as MonotonicMs, () => false);
   }
   assert.deepEqual(states, []);
 });
 
-test('a new leader takes a zone that it never heard of for away, but not for ever', () => {
+test('a new leader considers a zone that sends it no heartbeats away, but only for a limited time', () => {
   const reachability = new ZoneReachability(HEARTBEAT_MS, () => undefined);
-  const all = fleet(20);
-  const [inA] = all;
-  assert.ok(inA !== undefined);
+  const machines = createFleet(20);
+  const [machineInA] = machines;
+  assert.ok(machineInA !== undefined);
   for (let now = 0; now <= 12_000; now += 500) {
-    for (const machine of all) if (machine.zone !== 'a') machine.lastHeartbeatAt = now as MonotonicMs;
-    reachability.update(all, now as MonotonicMs, 0 as MonotonicMs, () => true);
+    for (const machine of machines) if (machine.zone !== 'a') machine.lastHeartbeatAt = now as MonotonicMs;
+    reachability.update(machines, now as MonotonicMs, 0 as MonotonicMs, () => true);
   }
-  assert.ok(reachability.explainsSilenceOf(inA, 12_000 as MonotonicMs));
-  assert.ok(!reachability.explainsSilenceOf(inA, 120_000 as MonotonicMs));
+  assert.ok(reachability.explainsSilenceOf(machineInA, 12_000 as MonotonicMs));
+  assert.ok(!reachability.explainsSilenceOf(machineInA, 120_000 as MonotonicMs));
 });
