--- a/packages/controller/src/heartbeats/command-dispatcher.ts
+++ b/packages/controller/src/heartbeats/command-dispatcher.ts
@@ -17,9 +17,9 @@
 /** Maximum number of consecutive direct calls to one machine. */
 const MAX_CALL_ROUNDS = 5;
 /**
- * Maximum number of concurrent direct calls. A start reaches its machine with the response to the next heartbeat
- * anyway. Without the limit, when two thousand tasks were placed after a restart of all nodes, calls to a thousand
- * machines made the new leader lose its lease.
+ * Maximum number of concurrent direct calls. A start that is not sent directly reaches its machine with the response to
+ * the next heartbeat. Without the limit, calls to a thousand machines made a new leader lose its lease when two
+ * thousand tasks were placed after a restart of all nodes.
  */
 const MAX_CONCURRENT_CALLS = 16;
 
@@ -74,7 +74,10 @@
     return holdsLease ? commands : commands.filter((command) => this.planner.isStopOfCancelledTask(command));
   }
 
-  /** Stops for the tasks of a heartbeat whose jobs are cancelled, by the leader's own records first. */
+  /**
+   * The stop commands for those tasks of a heartbeat whose jobs are cancelled. The leader's cluster state takes
+   * precedence over the records read from the store.
+   */
   stopsForCancelledTasks(heartbeat: Heartbeat): WorkerCommand[] {
     return this.planner.stopsForCancelledTasks(heartbeat);
   }
--- a/packages/controller/src/heartbeats/command-planner.ts
+++ b/packages/controller/src/heartbeats/command-planner.ts
@@ -69,7 +69,10 @@
     return commands;
   }
 
-  /** Stops for the tasks of a heartbeat whose jobs are cancelled, by the leader's own records first. */
+  /**
+   * The stop commands for those tasks of a heartbeat whose jobs are cancelled. The leader's cluster state takes
+   * precedence over the recorded phase.
+   */
   stopsForCancelledTasks(heartbeat: Heartbeat): WorkerCommand[] {
     return stopsForCancelledTasks(heartbeat, (job) => this.phaseOf(job));
   }
@@ -115,9 +118,9 @@
     if (placement.stopRequest === null) return [];
     const { graceS, reason } = placement.stopRequest;
     const commands: WorkerCommand[] = [];
-    // The direct start of the task is not confirmed and may arrive at any time, so nothing could prove the task gone
-    // during this agent epoch, and its job waited forever. With both the start and the stop in one response, the
-    // machine knows the attempt and reports its end.
+    // The direct start of the task is not confirmed and may arrive at any time. If only the stop were sent, nothing
+    // could prove the task gone during this agent epoch, and its job would wait forever. With both the start and the
+    // stop in one response, the machine knows the attempt and reports its end.
     if (selection === 'all' && job.state === 'active' && isUnconfirmedStart(machine, job, placement))
       commands.push({ op: 'start', ...attemptOf(job, placement) });
     // A second stop would interrupt a task that is saving a checkpoint.
--- a/packages/controller/src/heartbeats/heartbeat-handler.ts
+++ b/packages/controller/src/heartbeats/heartbeat-handler.ts
@@ -13,7 +13,7 @@
 import type { RuntimeEstimator } from '../placement/runtime-estimator.js';
 import { TaskStatusHandler } from './task-status-handler.js';
 
-/** Added to the time that a task needs to save a checkpoint, because the command takes time to reach it; in seconds. */
+/** Added to the time that a task needs to save a checkpoint, for the delivery of the command, in seconds. */
 export const CHECKPOINT_MARGIN_S = 4;
 
 /** Updates the cluster state with the heartbeats that the leader receives. */
@@ -29,19 +29,19 @@
   }
 
   /**
-   * Processes a heartbeat, which the worker sent on its own schedule (`isOwn`) or in response to a direct call. `ageMs`
-   * is the time since another controller received it. A heartbeat that is not newer than the latest one of its machine
-   * is ignored.
+   * Processes a heartbeat, which the worker sent on its own schedule (`isRegular`) or in response to a direct call.
+   * `ageMs` is the time since another controller received it. A heartbeat that is not newer than the latest one of its
+   * machine is ignored.
    */
-  receive(heartbeat: Heartbeat, isOwn: boolean, ageMs = 0): void {
+  receive(heartbeat: Heartbeat, isRegular: boolean, ageMs = 0): void {
     const { clock, leadership } = this.term.context;
-    const showsOurToken = heartbeat.fencingToken === leadership.fencingToken;
+    const hasCurrentToken = heartbeat.fencingToken === leadership.fencingToken;
     const machine = this.cluster.registerMachine(
       heartbeat.machine,
       heartbeat.type,
       heartbeat.zone,
       heartbeat.spot,
-      !isOwn || showsOurToken,
+      !isRegular || hasCurrentToken,
     );
     const now = clock.now();
     if (machine.state === 'gone' || machine.state === 'releasing') return;
@@ -53,7 +53,7 @@
     // A start in the response to a heartbeat is executed or dropped before the worker's next regular heartbeat, but a
     // direct call may overtake it. Besides, a worker may execute commands of an earlier leader until it reports this
     // leader's token.
-    this.taskStatuses.receive(machine, heartbeat, isOwn && showsOurToken, now);
+    this.taskStatuses.receive(machine, heartbeat, isRegular && hasCurrentToken, now);
   }
 
   /**
@@ -109,7 +109,7 @@
   private onPreemptionNotice(machine: Machine, noticeS: number, now: MonotonicMs): void {
     machine.preemptionNoticeAt = now;
     machine.preemptionDeadline = addMs(now, noticeS * 1000);
-    this.term.context.log.info({ machine: machine.id, noticeS }, 'machine will be taken back');
+    this.term.context.log.info({ machine: machine.id, noticeS }, 'preemption notice received');
     this.cluster.drainMachine(machine, 'notice');
     for (const { job, task } of [...this.cluster.tasksOn(machine.id)]) {
       const graceS = job.spec.saveS + CHECKPOINT_MARGIN_S;
@@ -126,7 +126,7 @@
   }
 }
 
-/** Whether the heartbeat is the latest known one of its machine, or older. */
+/** Whether the heartbeat is the latest one received from its machine, or an older one. */
 function isOutdated(heartbeat: Heartbeat, machine: Machine): boolean {
   if (machine.agentEpoch === null) return false;
   if (heartbeat.agentEpoch !== machine.agentEpoch) return heartbeat.agentEpoch < machine.agentEpoch;
--- a/packages/controller/src/heartbeats/heartbeat-outcome.ts
+++ b/packages/controller/src/heartbeats/heartbeat-outcome.ts
@@ -35,5 +35,5 @@
 /** The outcome of a heartbeat at the leader. */
 export type LeaderHeartbeatOutcome = LeaderHeartbeatAccepted | HeartbeatUnavailable;
 
-/** The unavailable outcome, a shared constant because it has no data. */
+/** The shared `unavailable` outcome, which has no data. */
 export const HEARTBEAT_UNAVAILABLE: HeartbeatUnavailable = { outcome: 'unavailable' };
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -17,7 +17,7 @@
   readonly delegatedLeaseMs: number;
 }
 
-/** How up to date the leader's knowledge of confirmed cancellations is. */
+/** Tells how up to date the leader's knowledge of confirmed cancellations is. */
 export interface CancellationKnowledge {
   /** Staleness of that knowledge in milliseconds; Infinity without any. */
   stalenessMs(): number;
@@ -40,23 +40,25 @@
     return this.hasRecords;
   }
 
-  /** Records that the records have been read: heartbeats are reconciled with them from now on. */
+  /** Marks the records as read: from now on, heartbeats are reconciled with them. */
   markReady(): void {
     this.hasRecords = true;
   }
 
   /**
-   * Processes a heartbeat, which the worker sent on its own schedule (`isOwn`) or in response to a direct call; `ageMs`
-   * is the time since another controller received it.
+   * Processes a heartbeat, which the worker sent on its own schedule (`isRegular`) or in response to a direct call;
+   * `ageMs` is the time since another controller received it.
    */
-  receive(heartbeat: Heartbeat, isOwn: boolean, ageMs = 0): void {
-    this.handler.receive(heartbeat, isOwn, ageMs);
+  receive(heartbeat: Heartbeat, isRegular: boolean, ageMs = 0): void {
+    this.handler.receive(heartbeat, isRegular, ageMs);
     if (this.hasRecords) this.reconciliation.receive(heartbeat);
   }
 
   /**
-   * Processes a heartbeat and decides on the response, or on none (null): a response renews the machine's lease, but
-   * all tasks whose cancellation may have been confirmed must end in time (docs/design.md, "Renewals").
+   * Processes a heartbeat and returns the renewal to respond with, or null if no response may be sent. A response
+   * renews the machine's lease, but all tasks whose cancellation may have been confirmed must end in time
+   * (docs/design.md, "Renewals").
+   *
    * `msSinceLeaseConfirmed` is the time since the leader's own lease was confirmed; `isForwarded` means that another
    * controller forwarded the heartbeat.
    */
@@ -81,10 +83,10 @@
   }
 
   /**
-   * Whether the lease extension may be delegated to the controller that forwarded the heartbeat. Not while the response
-   * has stops for cancelled tasks, because that controller does not know them and the worker may not receive them, so
-   * that each heartbeat has to reach the leader; nor before the leader has read the records, because it does not know
-   * yet which commands are in flight.
+   * Whether the lease extension may be delegated to the controller that forwarded the heartbeat. It may not while tasks
+   * of cancelled jobs may be on the machine: the forwarding controller does not know their stops and the worker may not
+   * receive them, so each heartbeat has to reach the leader. It may not before the leader has read the records either,
+   * because the leader does not know yet which commands are in flight.
    */
   private mayDelegate(heartbeat: Heartbeat, commands: readonly WorkerCommand[]): boolean {
     return this.hasRecords && !this.commands.hasCancelledTasks(heartbeat.machine, commands);
--- a/packages/controller/src/heartbeats/task-status-handler.ts
+++ b/packages/controller/src/heartbeats/task-status-handler.ts
@@ -15,7 +15,7 @@
 
 /** A job whose tasks failed on this many machines in a row is considered faulty. */
 const FAULTY_JOB_MACHINES = 3;
-/** A machine on which this many different jobs failed is considered faulty. */
+/** A machine on which tasks of this many different jobs failed is considered faulty. */
 const FAULTY_MACHINE_JOBS = 2;
 /** A machine whose tasks take this many times as long as expected is drained. */
 const SLOW_MACHINE_FACTOR = 1.7;
@@ -70,7 +70,7 @@
       this.cluster.emit('jobChanged', job);
     if (status.phase === 'running' && state !== 'running') this.onRunning(machine, job, placement);
     job.applyReportedPhase(placement.task, status.phase, now);
-    // Tasks of the gang whose start was delayed for the slower ones may start now.
+    // Tasks of the gang whose start was delayed until the slower ones had fetched their image may start now.
     if (status.phase === 'waiting' && state !== 'waiting') this.dispatchDelayedStarts(job);
   }
 
@@ -78,7 +78,7 @@
     const { id, image, imageGb } = job.spec;
     machine.cacheImage(image, imageGb, this.cluster.machineType(machine.type)?.cacheGb ?? 0);
     const task = formatTaskName(id, placement.task);
-    this.term.context.log.debug({ task, machine: machine.id, image }, 'task runs');
+    this.term.context.log.debug({ task, machine: machine.id, image }, 'task running');
   }
 
   private dispatchDelayedStarts(job: Job): void {
--- a/packages/controller/src/heartbeats/worker-client.ts
+++ b/packages/controller/src/heartbeats/worker-client.ts
@@ -12,7 +12,7 @@
   | { readonly outcome: 'executed' | 'rejected'; readonly report: Heartbeat }
   /** The commands will certainly never arrive. */
   | { readonly outcome: 'unsent' }
-  /** The commands may have been executed, or may still be during the worker's agent epoch. */
+  /** The commands may have been executed already, or may be executed later in the worker's agent epoch. */
   | { readonly outcome: 'unknown' };
 
 /** Calls workers at their own addresses. */
@@ -42,14 +42,14 @@
 const MIN_CLIENTS = 4;
 /**
  * The share of a controller's sockets kept open for direct calls, in addition to those on which workers send
- * heartbeats. With a quarter, the workers that reconnected at a failover exhausted the rest, and new connections were
- * refused.
+ * heartbeats. With a share of a quarter, the workers that reconnected at a failover exhausted the remaining sockets,
+ * and new connections were refused.
  */
 const SOCKET_SHARE = 0.06;
 
 /** Calls workers over HTTP. */
 export class HttpWorkerClient implements WorkerClient {
-  /** By address, the most recently used last. */
+  /** Clients by address, the most recently used last. */
   private readonly clients = new Map<string, JsonClient>();
   private readonly maxClients: number;
 
--- a/packages/controller/src/heartbeats/worker-reachability.ts
+++ b/packages/controller/src/heartbeats/worker-reachability.ts
@@ -1,5 +1,5 @@
 /**
- * Whether direct calls to workers succeed.
+ * Tracks whether direct calls to workers succeed.
  *
  * @module
  */
--- a/packages/controller/src/machines/demand-history.ts
+++ b/packages/controller/src/machines/demand-history.ts
@@ -1,5 +1,5 @@
 /**
- * The recent demand for processors, which determines the fleet's target size.
+ * The recent demand for CPUs, which determines the fleet's target size.
  *
  * @module
  */
@@ -17,11 +17,11 @@
  */
 const MAX_RESERVE_SHARE = 0.1;
 
-/** Processors of the whole fleet. */
+/** Demand for CPUs across the whole fleet. */
 export interface CpuDemand {
-  /** On any machines. */
+  /** The total demand. */
   readonly cpus: number;
-  /** Those of them for jobs that may not run on spot machines. */
+  /** The part of the demand that comes from jobs that may not run on spot machines. */
   readonly onDemandCpus: number;
 }
 
@@ -75,14 +75,14 @@
   /** The CPUs that the loss of one machine would displace: the most that services use on any machine. */
   private reserveCpus(): number {
     const types = this.machineTypes();
-    let most = 0;
+    let maxCpus = 0;
     for (const machine of this.cluster.machines.values()) {
       if (machine.spot || machine.state !== 'ready') continue;
       let cpus = 0;
       for (const { job } of this.cluster.tasksOn(machine.id))
         if (job.spec.kind === 'service') cpus += effectiveCpus(job.spec, types);
-      most = Math.max(most, cpus);
+      maxCpus = Math.max(maxCpus, cpus);
     }
-    return most;
+    return maxCpus;
   }
 }
--- a/packages/controller/src/machines/failure-detector.ts
+++ b/packages/controller/src/machines/failure-detector.ts
@@ -31,14 +31,14 @@
 const BOOT_TIMEOUT_MARGIN_MS = 5000;
 /** Boot time of a machine of an unknown type, in seconds. */
 const DEFAULT_BOOT_S = 60;
-/** Delay before a silent machine is released. The release proves its tasks gone sooner than the expiry of its lease. */
+/** Delay before a silent machine is released. The release proves its tasks gone before its lease expires. */
 const SILENT_RELEASE_DELAY_MS = 1500;
 /** The same for a machine that ran under an earlier leader and has never sent a heartbeat to this one. */
 const UNDISCOVERED_RELEASE_DELAY_MS = 6000;
-/** A preempted machine counts as taken back this long after its deadline. */
+/** A preempted machine counts as reclaimed by the cloud this long after its deadline. */
 const PREEMPTION_MARGIN_MS = 1500;
 
-/** Unconfirmed machines count as the last few up to this number, or up to this share of the ready machines. */
+/** The remaining unconfirmed machines count as the last few up to this number, or this share of the ready machines. */
 const LAST_UNCONFIRMED_COUNT = 2;
 const LAST_UNCONFIRMED_SHARE = 0.05;
 
@@ -78,7 +78,7 @@
   ) {
     const { settings, log } = term.context;
     this.zones = new ZoneReachability(maxHeartbeatIntervalMs(settings), (fields) => {
-      log.info(fields, 'zone reachability');
+      log.info(fields, 'zone reachability changed');
     });
     this.prober = new MachineProber(term, dependencies.onHeartbeat);
     this.isolation = new LeaderIsolationDetector(term);
@@ -111,7 +111,7 @@
   private checkMachine(machine: Machine, now: MonotonicMs): void {
     if (machine.state === 'gone' || machine.state === 'releasing') return;
     if (this.cluster.taskCountOn(machine.id) > 0 && this.isLeaseExpired(machine, now))
-      this.cluster.removePlacementsOn(machine.id, 'lease surely over');
+      this.cluster.removePlacementsOn(machine.id, 'lease expired');
     this.checkHeartbeat(machine, now);
     this.checkPreemption(machine, now);
   }
@@ -133,12 +133,13 @@
     const { settings, log } = this.term.context;
     const { electedAt } = this.term;
     const silenceMs = now - Math.max(machine.lastHeartbeatAt ?? electedAt, electedAt);
-    const wasHeard = machine.state === 'ready' || machine.state === 'draining';
-    const isExpected = wasHeard || (machine.state === 'booting' && this.cluster.isKnownToHaveRun(machine));
-    const isLate = isExpected && silenceMs > lateHeartbeatMs(settings);
+    const isUp = machine.state === 'ready' || machine.state === 'draining';
+    const isHeartbeatExpected =
+      isUp || (machine.state === 'booting' && this.cluster.isKnownToHaveRun(machine));
+    const isLate = isHeartbeatExpected && silenceMs > lateHeartbeatMs(settings);
     if (!isLate && machine.isConfirmed) return;
     this.prober.probe(machine);
-    if (!wasHeard || !isUnreachable(machine) || silenceMs <= heartbeatTimeoutMs(settings)) return;
+    if (!isUp || !isUnreachable(machine) || silenceMs <= heartbeatTimeoutMs(settings)) return;
     log.info({ machine: machine.id, silence: Math.round(silenceMs) }, 'machine is silent');
     machine.transitionTo('silent');
     this.cluster.emit('replanNeeded');
@@ -149,7 +150,7 @@
     const deadline = machine.preemptionDeadline;
     if (deadline === null) return;
     if (now > addMs(deadline, PREEMPTION_MARGIN_MS))
-      this.dependencies.fleet.releaseMachine(machine, 'taken back');
+      this.dependencies.fleet.releaseMachine(machine, 'preemption deadline passed');
     if (machine.state !== 'draining') return;
     for (const { job, task } of this.cluster.tasksOn(machine.id)) {
       const placement = job.placements.get(task);
@@ -208,7 +209,7 @@
     if (!this.cluster.isKnownToHaveRun(machine)) {
       const bootS = this.cluster.machineType(machine.type)?.bootS ?? DEFAULT_BOOT_S;
       if (ageMs > bootS * 1000 * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN_MS)
-        this.dependencies.fleet.releaseMachine(machine, 'never came up');
+        this.dependencies.fleet.releaseMachine(machine, 'boot timeout exceeded');
       return;
     }
     if (this.isSilenceExplained(machine, now)) return;
@@ -224,10 +225,10 @@
     // placements: failed machines that were still listed as running once kept a whole fleet from starting any task for
     // twelve seconds.
     const unconfirmed = this.dependencies.unconfirmedCount();
-    const areLast =
+    const areLastUnconfirmed =
       unconfirmed > 0 && unconfirmed <= Math.max(LAST_UNCONFIRMED_COUNT, readyCount * LAST_UNCONFIRMED_SHARE);
-    for (const machine of areLast ? [...silent, ...undiscovered] : silent) {
-      const isOverdue = areLast || this.isReleaseDue(machine, now);
+    for (const machine of areLastUnconfirmed ? [...silent, ...undiscovered] : silent) {
+      const isOverdue = areLastUnconfirmed || this.isReleaseDue(machine, now);
       if ((isOverdue && isUnreachable(machine)) || machine.preemptionDeadline !== null)
         this.dependencies.fleet.releaseMachine(machine, 'silent');
     }
@@ -244,8 +245,8 @@
 
   /**
    * Whether a silent machine is not released for now, because its zone is unreachable: its tasks continue while its
-   * lease may last. A node in the zone may renew the lease under a delegation. Without one, the lease expires sooner,
-   * and releasing the machine proves its tasks gone sooner than waiting.
+   * lease may be valid. A node in the zone may renew the lease under a delegation. Without one, the lease expires
+   * sooner, and releasing the machine then proves its tasks gone earlier than waiting for the zone to return.
    */
   private isSilenceExplained(machine: Machine, now: MonotonicMs): boolean {
     if (machine.preemptionDeadline !== null || !this.zones.explainsSilenceOf(machine, now)) return false;
--- a/packages/controller/src/machines/fleet-controller.ts
+++ b/packages/controller/src/machines/fleet-controller.ts
@@ -1,5 +1,5 @@
 /**
- * Sizes the fleet: scales it out for demand that no machine can take, and in when machines are not needed.
+ * Sizes the fleet: scales it out for demand that no machine can accept, and in when machines are not needed.
  *
  * @module
  */
@@ -25,12 +25,12 @@
 const PLAN_PAUSE_MS = 250;
 /** Minimum interval between two searches for a machine to consolidate. */
 const CONSOLIDATION_INTERVAL_MS = 1000;
-/** One machine per this many in the fleet may be emptied concurrently, and at least one. */
+/** One machine per this many in the fleet may be drained for consolidation concurrently, and at least one. */
 const MACHINES_PER_CONSOLIDATION = 100;
-/** Drain reason of machines that are emptied in order to be released. */
+/** Drain reason of machines whose tasks are consolidated on other machines. */
 const CONSOLIDATION_REASON = 'consolidated';
 
-/** How long an idle machine is kept: if the service minimizes costs, and if it keeps an initial fleet. */
+/** How long an idle machine is kept, in seconds: if the service minimizes costs, and if it keeps an initial fleet. */
 const COST_AWARE_IDLE_S = 25;
 const INITIAL_FLEET_IDLE_S = 600;
 /**
@@ -97,7 +97,7 @@
     this.releaser.release(machine, reason, isUrgent);
   }
 
-  /** Moves replicas of services off draining machines, a few at a time. */
+  /** Evicts replicas of services from draining machines, a few at a time. */
   evictReplicas(draining: readonly Machine[], now: MonotonicMs): void {
     evictReplicas(this.cluster, draining, now);
   }
@@ -165,7 +165,7 @@
     for (const id of plan.scaleIn) {
       const machine = this.cluster.machines.get(id);
       if (machine !== undefined && this.cluster.taskCountOn(id) === 0)
-        this.releaseMachine(machine, 'not needed');
+        this.releaseMachine(machine, 'scaled in');
     }
   }
 
--- a/packages/controller/src/machines/fleet-view.ts
+++ b/packages/controller/src/machines/fleet-view.ts
@@ -1,5 +1,5 @@
 /**
- * The machines as the fleet planner sees them.
+ * The fleet planner's view of the machines.
  *
  * @module
  */
@@ -21,14 +21,14 @@
   nonPreemptibleMemoryGb: number;
   /** Jobs of the replicas on it, one entry per replica; empty unless the planner consolidates. */
   readonly services: Job[];
-  /** Whether the machine may be emptied: no gang and no replica that started only lately. */
+  /** Whether the machine may be emptied: it runs no gang and no replica that started recently. */
   isStable: boolean;
 }
 
 /**
  * Builds the fleet planner's view of all machines that are not being released.
  *
- * @param isConsolidating whether the planner looks for a machine that can be emptied: only then replicas are listed
+ * @param isConsolidating whether the planner looks for a machine to consolidate; replicas are listed only then
  * @param discoveredBy until when a machine that was up before this leader's term and has not sent a heartbeat to it
  * counts as booting. Without this limit, a zone that had become unreachable before the failover counted as booting, and
  * its machines were not replaced
@@ -54,7 +54,7 @@
     if (type === undefined || machine.state === 'gone' || machine.state === 'releasing') continue;
     const load = measureLoad(cluster.tasksOn(machine.id), now, isConsolidating);
     const { id, zone, spot, idleSince, isSchedulable, images } = machine;
-    // Each member by itself: with several spread objects in the literal this function took ten times as long.
+    // Lists each property by itself: with several spread objects in the literal, this function took ten times as long.
     machines.push({
       id,
       type,
--- a/packages/controller/src/machines/heartbeat-lateness.ts
+++ b/packages/controller/src/machines/heartbeat-lateness.ts
@@ -1,5 +1,5 @@
 /**
- * When a heartbeat counts as missing.
+ * The time after which a heartbeat counts as missing.
  *
  * @module
  */
@@ -7,9 +7,9 @@
 import { maxHeartbeatIntervalMs } from '../settings.js';
 
 /** Added to the longest interval between two heartbeats, for their transmission to the leader. */
-const MARGIN_MS = 1000;
+const TRANSMISSION_MARGIN_MS = 1000;
 
 /** Time without a heartbeat after which a machine counts as late, in milliseconds. */
 export function lateHeartbeatMs(settings: Settings): number {
-  return maxHeartbeatIntervalMs(settings) + MARGIN_MS;
+  return maxHeartbeatIntervalMs(settings) + TRANSMISSION_MARGIN_MS;
 }
--- a/packages/controller/src/machines/leader-isolation.ts
+++ b/packages/controller/src/machines/leader-isolation.ts
@@ -47,7 +47,7 @@
   /** Evaluates the numbers of silent and of ready machines; to be called at regular intervals. */
   evaluate(silentCount: number, readyCount: number, now: MonotonicMs): IsolationVerdict {
     if (this.receivesNoHeartbeats(now))
-      return { kind: 'isolated', reason: 'no worker is heard: the fault is here' };
+      return { kind: 'isolated', reason: 'no heartbeats reach this node and direct calls to workers fail' };
     const isMassSilence =
       silentCount >= MIN_SILENT_MACHINES && silentCount >= (silentCount + readyCount) * MASS_SILENCE_SHARE;
     if (!isMassSilence) {
@@ -57,7 +57,10 @@
     this.massSilenceSince ??= now;
     if (now - this.massSilenceSince < MASS_SILENCE_MS) return { kind: 'undecided' };
     if (this.term.context.leadership.canResign())
-      return { kind: 'isolated', reason: 'most machines are silent: the fault may be here' };
+      return {
+        kind: 'isolated',
+        reason: 'most machines are silent, possibly because of a fault of this node',
+      };
     return { kind: 'connected' };
   }
 
@@ -71,15 +74,17 @@
     const { settings, leadership, directWorkers } = this.term.context;
     const { size, lastAt } = directWorkers();
     const intervalMs = maxHeartbeatIntervalMs(settings);
-    const quietMs = now - Math.max(lastAt ?? now, this.term.electedAt);
-    const isQuiet =
+    const silenceMs = now - Math.max(lastAt ?? now, this.term.electedAt);
+    const areDirectWorkersSilent =
       size >= MIN_DIRECT_WORKERS &&
-      quietMs > Math.max(NO_HEARTBEAT_MS, (intervalMs / Math.max(1, size)) * NO_HEARTBEAT_INTERVALS);
+      silenceMs > Math.max(NO_HEARTBEAT_MS, (intervalMs / Math.max(1, size)) * NO_HEARTBEAT_INTERVALS);
     // Workers that used this node before its election may have switched to other nodes since.
     const isNewLeader = now - this.term.electedAt < intervalMs + NO_HEARTBEAT_MS;
     const { workerReachability } = this.term;
     const isWithoutHeartbeats =
-      !isNewLeader && isQuiet && workerReachability.isUnreachable(MIN_FAILED_CALLS, NO_HEARTBEAT_MS);
+      !isNewLeader &&
+      areDirectWorkersSilent &&
+      workerReachability.isUnreachable(MIN_FAILED_CALLS, NO_HEARTBEAT_MS);
     // Required twice in a row, because heartbeats that arrived while this process was stalled are read between two
     // evaluations.
     const isConfirmed = isWithoutHeartbeats && this.wasWithoutHeartbeats;
--- a/packages/controller/src/machines/machine-lister.ts
+++ b/packages/controller/src/machines/machine-lister.ts
@@ -11,14 +11,14 @@
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { MachineReleaser } from './machine-releaser.js';
 
-/** Key of the record that says which machines are part of the initial fleet. */
+/** Key of the record that identifies the machines of the initial fleet. */
 export const FLEET_KEY = 'fleet';
 const FLEET_RECORD_PRIORITY: RequestPriority = 1;
 
 const LIST_INTERVAL_MS = 3000;
-const LIST_RETRY_MS = 1000;
+const LIST_RETRY_DELAY_MS = 1000;
 
-/** Reads the cloud's list at regular intervals and enters its machines into the cluster state. */
+/** Reads the cloud's list at regular intervals and registers its machines in the cluster state. */
 export class MachineLister {
   private requestedAt: MonotonicMs | null = null;
 
@@ -41,11 +41,11 @@
       const listed = await cloud.listMachines();
       if (!this.term.isActive) return;
       if (listed === null) {
-        await clock.sleep(LIST_RETRY_MS);
+        await clock.sleep(LIST_RETRY_DELAY_MS);
         continue;
       }
       if (this.cluster.initialFleetUpTo === null) await this.determineInitialFleet(listed);
-      for (const machine of listed) this.enter(machine);
+      for (const machine of listed) this.register(machine);
       this.requestedAt = requestedAt;
       await clock.sleep(LIST_INTERVAL_MS);
     }
@@ -73,7 +73,7 @@
     }
   }
 
-  private enter(listed: ListedMachine): void {
+  private register(listed: ListedMachine): void {
     const machine = this.cluster.registerMachine(listed.id, listed.type, listed.zone, listed.spot);
     machine.isProvisioned = this.cluster.isScaledOut(listed.id);
     machine.isListedRunning = listed.phase === 'running';
--- a/packages/controller/src/machines/machine-prober.ts
+++ b/packages/controller/src/machines/machine-prober.ts
@@ -16,7 +16,7 @@
 
 /** Requests heartbeats from silent machines. */
 export class MachineProber {
-  private probesUnderWay = 0;
+  private probesInFlight = 0;
 
   constructor(
     private readonly term: LeaderTerm,
@@ -24,11 +24,11 @@
     private readonly onHeartbeat: (heartbeat: Heartbeat) => void,
   ) {}
 
-  /** Probes the machine unless it has been probed often enough or too many probes are under way. */
+  /** Probes the machine unless it has been probed often enough or too many probes are in flight. */
   probe(machine: Machine): void {
     const { settings } = this.term.context;
     const maxConcurrent = Math.max(MIN_CONCURRENT_PROBES, settings.maxSockets * MAX_SOCKET_SHARE);
-    if (machine.probesSent >= MAX_PROBES_PER_MACHINE || this.probesUnderWay >= maxConcurrent) return;
+    if (machine.probesSent >= MAX_PROBES_PER_MACHINE || this.probesInFlight >= maxConcurrent) return;
     machine.probesSent += 1;
     if (machine.address === '') machine.probesUnanswered += 1;
     else this.sendProbe(machine);
@@ -36,11 +36,11 @@
 
   private sendProbe(machine: Machine): void {
     const { workerClient, log } = this.term.context;
-    this.probesUnderWay += 1;
+    this.probesInFlight += 1;
     workerClient
       .fetchHeartbeat(machine.address)
       .finally(() => {
-        this.probesUnderWay -= 1;
+        this.probesInFlight -= 1;
       })
       .then((result) => {
         this.onResult(machine, result);
--- a/packages/controller/src/machines/machine-provisioner.ts
+++ b/packages/controller/src/machines/machine-provisioner.ts
@@ -48,7 +48,7 @@
       if (!this.term.isActive) return;
       if (outcome.outcome === 'rented') {
         for (const id of outcome.machines) this.cluster.registerMachine(id, type, zone, spot);
-        log.info({ ...request, got: outcome.machines.length }, 'machines added');
+        log.info({ ...request, got: outcome.machines.length }, 'machines rented');
         if (outcome.machines.length < request.count) this.backOff(wanted);
         return;
       }
--- a/packages/controller/src/machines/machine-registry.ts
+++ b/packages/controller/src/machines/machine-registry.ts
@@ -25,7 +25,7 @@
 /** Creates machines as records, heartbeats and the cloud's list mention them, and marks them as draining. */
 export class MachineRegistry {
   readonly machines = new Map<MachineId, Machine>();
-  /** The last machine of the initial fleet, which the service found at its very first start; null until it is known. */
+  /** Id of the last machine of the initial fleet, which existed at the very first start; null until it is known. */
   private initialFleetEnd: string | null = null;
 
   constructor(private readonly options: MachineRegistryOptions) {}
@@ -35,8 +35,8 @@
     return this.initialFleetEnd;
   }
 
-  setInitialFleet(upTo: string): void {
-    this.initialFleetEnd = upTo;
+  setInitialFleet(lastId: string): void {
+    this.initialFleetEnd = lastId;
     for (const machine of this.machines.values()) machine.isProvisioned = this.isScaledOut(machine.id);
   }
 
@@ -56,10 +56,10 @@
   }
 
   /**
-   * Adds a machine, or fills in the facts of one that was known by its id alone.
+   * Adds a machine, or fills in the attributes of one of which only the id was known.
    *
-   * @param isConfirmed whether the facts come from a source that cannot be older than the machine's end; a heartbeat
-   * may have been delayed for long
+   * @param isConfirmed whether the source shows that the machine exists now. A heartbeat may not show it, because it
+   * may have been delayed until after the release of the machine
    */
   register(id: MachineId, type: string, zone: string, spot: boolean, isConfirmed: boolean): Machine {
     const known = this.machines.get(id);
@@ -68,7 +68,7 @@
       return known;
     }
     const machine = this.add(id, type, zone, spot, this.isScaledOut(id));
-    // A machine that was known by its id only is mentioned by a record that places a task there.
+    // If only the id of the machine was known, a record places a task there, which confirms the machine.
     machine.isConfirmed = isConfirmed || known !== undefined;
     return machine;
   }
@@ -97,7 +97,7 @@
     this.options.log.info({ machine: machine.id, reason }, 'machine draining');
   }
 
-  /** Puts a draining machine back into use, unless the cloud is about to take it back. */
+  /** Puts a draining machine back into use, unless the cloud is about to reclaim it. */
   cancelDrain(machine: Machine): void {
     if (machine.state !== 'draining' || machine.preemptionDeadline !== null) return;
     machine.drainReason = '';
--- a/packages/controller/src/machines/machine-releaser.ts
+++ b/packages/controller/src/machines/machine-releaser.ts
@@ -31,7 +31,7 @@
       return;
     }
     if (state === 'gone') return;
-    this.term.context.log.info({ machine: id, type, spot, reason }, 'machine released');
+    this.term.context.log.info({ machine: id, type, spot, reason }, 'machine release queued');
     machine.transitionTo('releasing');
     if (isUrgent) this.pending.unshift(id);
     else this.pending.push(id);
--- a/packages/controller/src/machines/overdue-cancellations.ts
+++ b/packages/controller/src/machines/overdue-cancellations.ts
@@ -52,7 +52,7 @@
     const machine = this.cluster.machines.get(placement.machine);
     if (machine === undefined || machine.state === 'gone') return;
     if (!this.isLeftToLeaseExpiry(machine, job, placement, now))
-      this.fleet.releaseMachine(machine, 'a cancelled task does not end', true);
+      this.fleet.releaseMachine(machine, 'cancelled task not confirmed as ended in time', true);
   }
 
   /**
--- a/packages/controller/src/machines/replica-eviction.ts
+++ b/packages/controller/src/machines/replica-eviction.ts
@@ -1,5 +1,5 @@
 /**
- * Moves replicas of services off draining machines.
+ * Evicts replicas of services from draining machines, so that they are placed elsewhere.
  *
  * @module
  */
--- a/packages/controller/src/machines/zone-reachability.ts
+++ b/packages/controller/src/machines/zone-reachability.ts
@@ -65,7 +65,7 @@
 
 /**
  * Tracks the reachability of each zone. The tasks of an unreachable zone continue while their machines' leases may
- * last.
+ * be valid.
  */
 export class ZoneReachability {
   private readonly zones = new Map<string, Zone>();
@@ -99,10 +99,10 @@
     }
     const samples = new Map([...heartbeats].map(([name, times]) => [name, this.sample(times, now)]));
     for (const [name, sample] of samples) {
-      const isAnotherHeard = [...samples].some(
+      const isAnotherZoneReachable = [...samples].some(
         ([other, { reachableShare }]) => other !== name && reachableShare >= MIN_REACHABLE_SHARE,
       );
-      this.updateZone(this.zoneNamed(name, now), sample, isAnotherHeard, now);
+      this.updateZone(this.zoneNamed(name, now), sample, isAnotherZoneReachable, now);
     }
   }
 
@@ -122,9 +122,15 @@
     return zone;
   }
 
-  private updateZone(zone: Zone, sample: ZoneSample, isAnotherHeard: boolean, now: MonotonicMs): void {
+  private updateZone(
+    zone: Zone,
+    sample: ZoneSample,
+    isAnotherZoneReachable: boolean,
+    now: MonotonicMs,
+  ): void {
     const { machineCount, reachableShare } = sample;
-    const isCutOff = machineCount >= MIN_MACHINES && reachableShare <= MAX_CUT_OFF_SHARE && isAnotherHeard;
+    const isCutOff =
+      machineCount >= MIN_MACHINES && reachableShare <= MAX_CUT_OFF_SHARE && isAnotherZoneReachable;
     if (zone.state !== 'away' && isCutOff) this.transitionTo(zone, 'away', now);
     else if (zone.state === 'away' && reachableShare >= MIN_REACHABLE_SHARE)
       this.transitionTo(zone, 'returning', now);
--- a/packages/controller/src/placement/job-objectives.ts
+++ b/packages/controller/src/placement/job-objectives.ts
@@ -18,7 +18,7 @@
 /** Time reserved for the start itself, in seconds. */
 const START_MARGIN_S = 1;
 
-/** How long a job may still wait for its start without missing an objective, in seconds. Late jobs are treated alike. */
+/** How long a job may still wait for its start without missing an objective, in seconds; a fixed time if it is late. */
 export function toleratedWaitS(objectives: readonly Objective[], { spec }: Job, ageS: number): number {
   const objective =
     objectives.find(({ kind, class: jobClass }) => kind === START_KIND && jobClass === spec.class) ??
--- a/packages/controller/src/placement/machine-queues.ts
+++ b/packages/controller/src/placement/machine-queues.ts
@@ -117,9 +117,9 @@
     { stopRequest, stateSince }: Placement,
     isMachineSchedulable: boolean,
   ): string | null {
-    if (stopRequest !== null) return 'gave way';
-    if (!isMachineSchedulable) return 'its machine takes no tasks';
-    if (this.now() - stateSince > MAX_QUEUE_WAIT_MS) return 'its place did not come free';
+    if (stopRequest !== null) return 'stopped while queued';
+    if (!isMachineSchedulable) return 'machine does not accept tasks';
+    if (this.now() - stateSince > MAX_QUEUE_WAIT_MS) return 'queue wait timed out';
     return null;
   }
 }
--- a/packages/controller/src/placement/resource-usage.ts
+++ b/packages/controller/src/placement/resource-usage.ts
@@ -11,7 +11,7 @@
   gpus: number;
 }
 
-/** Nothing in use. */
+/** A usage of zero. */
 export function noUsage(): ResourceUsage {
   return { cpus: 0, gpus: 0 };
 }
@@ -22,7 +22,7 @@
   usage.gpus += spec.gpus * taskCount;
 }
 
-/** The usage kept under a key, added as zero if there is none. */
+/** Returns the usage stored under the key, after adding a usage of zero if there is none. */
 export function usageOf<K>(usages: Map<K, ResourceUsage>, key: K): ResourceUsage {
   let usage = usages.get(key);
   if (usage === undefined) {
--- a/packages/controller/src/placement/scheduling-loop.ts
+++ b/packages/controller/src/placement/scheduling-loop.ts
@@ -22,7 +22,7 @@
 /** Limits of the pause after a pass. */
 const MIN_PAUSE_MS = 40;
 const MAX_PAUSE_MS = 1000;
-/** Ratio of the pause to the duration of the pass, which leaves processor time to everything else. */
+/** Ratio of the pause to the duration of the pass, which leaves processor time to other work. */
 const PAUSE_FACTOR = 4;
 /**
  * The same while the workers of the previous leader reconnect, and the minimum pause per machine. Their heartbeats take
@@ -152,7 +152,7 @@
   }
 }
 
-/** A quota's limit less the usage; an infinite limit stays infinite. */
+/** The limit minus the usage, at least 0; an infinite limit stays infinite. */
 function remainingLimit(limit: number, usage: number): number {
   return limit === Infinity ? limit : Math.max(0, limit - usage);
 }
--- a/packages/controller/src/placement/scheduling-snapshot.ts
+++ b/packages/controller/src/placement/scheduling-snapshot.ts
@@ -1,5 +1,5 @@
 /**
- * The cluster as a scheduling pass sees it.
+ * The snapshot of the cluster that a scheduling pass plans with.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 import { completionMilestonesS, startMilestonesS, toleratedWaitS } from './job-objectives.js';
 import type { RuntimeEstimator } from './runtime-estimator.js';
 
-/** Total waiting time of a job's tasks after which it takes precedence, in seconds; the initial value of the design. */
+/** Total waiting time of a job's tasks after which the job takes precedence, in seconds. */
 const STARVATION_THRESHOLD_S = 30;
 /**
  * Resources that are expected to become free within this time, in seconds, are assigned to a task now: its placement is
@@ -28,7 +28,7 @@
 
 /** Minimum expected remaining run time of a task, also used for tasks that are being stopped, in seconds. */
 const MIN_REMAINING_S = 0.5;
-/** A task that exceeds its estimate is expected to run for this share of its run time more. */
+/** A task that exceeds its estimate is expected to run on for this share of its run time so far. */
 const OVERRUN_SHARE = 0.25;
 /** A task with checkpoints loses at most this much when it is stopped, in seconds. */
 const MAX_LOSS_WITH_CHECKPOINTS_S = 1;
@@ -164,7 +164,7 @@
     const placedZones = pendingCount > 0 ? this.zonesOf(job) : [];
     // After a failover a machine may be known by its id alone. A job that is bound to zones cannot be placed before the
     // zones of all its tasks are known.
-    const lacksZone = (spec.spread || spec.oneZone) && placedZones.includes('');
+    const hasUnknownZone = (spec.spread || spec.oneZone) && placedZones.includes('');
     return {
       spec,
       pendingTasks: placeableTasks(job),
@@ -179,7 +179,7 @@
       toleratedWaitS: toleratedWaitS(objectives, job, ageS),
       excludedMachines: job.failedMachines,
       submissionOrder,
-      isStartable: this.now >= job.backoffUntil && !lacksZone,
+      isStartable: this.now >= job.backoffUntil && !hasUnknownZone,
     };
   }
 
--- a/packages/controller/src/reconciliation/correct-records.ts
+++ b/packages/controller/src/reconciliation/correct-records.ts
@@ -51,7 +51,7 @@
     if (placement === undefined || placement.agentEpoch !== heartbeat.agentEpoch) continue;
     if (placement.placedAt > restoredUntil) continue;
     if (attempts.get(formatTaskName(job.spec.id, task)) === placement.attempt) continue;
-    cluster.removePlacement(job, placement, false, 'not on its machine');
+    cluster.removePlacement(job, placement, false, 'not reported by its machine');
     counts.gone += 1;
   }
 }
@@ -81,12 +81,12 @@
 
 /**
  * Removes a placement of the task under an earlier attempt, which was proven gone before the reported attempt was
- * issued. Returns false if the placement is not earlier; the reported attempt must not be adopted then.
+ * issued. Returns false if the placed attempt is not earlier than the reported one, which must not be adopted then.
  */
 function removeEarlierAttempt(cluster: ClusterState, job: Job, status: TaskStatus): boolean {
   const placement = job.placements.get(status.task);
   if (placement === undefined) return true;
   if (placement.attempt >= status.attempt) return false;
-  cluster.removePlacement(job, placement, false, 'a later attempt is there');
+  cluster.removePlacement(job, placement, false, 'replaced by a later attempt');
   return true;
 }
--- a/packages/controller/src/reconciliation/reconciliation.ts
+++ b/packages/controller/src/reconciliation/reconciliation.ts
@@ -36,7 +36,7 @@
 
 const CHECK_INTERVAL_MS = 100;
 /** The set of unconfirmed machines is updated incrementally, and rebuilt at this interval. */
-const RECOLLECT_INTERVAL_MS = 1000;
+const REBUILD_INTERVAL_MS = 1000;
 /** Maximum relative drift between the clocks of two machines. */
 const MAX_CLOCK_DRIFT = 0.001;
 /** Added to the time after which every lease of an earlier leader has expired. */
@@ -54,11 +54,11 @@
   private readonly seenMachines = new Set<MachineId>();
   private readonly unconfirmed: UnconfirmedMachines;
   /** When the set of unconfirmed machines was last rebuilt, and from which of the cloud's lists. */
-  private collectedAt: MonotonicMs | null = null;
-  private gatheredFromList: MonotonicMs | null = null;
+  private rebuiltAt: MonotonicMs | null = null;
+  private rebuiltFromListAt: MonotonicMs | null = null;
   /** Number of unconfirmed machines at the last check. */
   private previousUnconfirmedCount = 0;
-  /** Number of tasks in heartbeats that should have a record, but do not. */
+  /** Number of tasks in heartbeats that an intact store would have a record of, but that have none. */
   private unexplainedTasks = 0;
   /** Machines that run tasks which are not placed there. */
   private readonly machinesWithOrphans = new Set<MachineId>();
@@ -146,11 +146,12 @@
     const count = tasks.filter((status) => this.isUnexplained(status)).length;
     this.unexplainedTasks += count;
     if (count > 0 && this.state === 'verifying')
-      this.transitionTo('collecting', `${machine} runs what no record explains`);
+      this.transitionTo('collecting', `${machine} reports tasks that no record explains`);
   }
 
   /**
-   * Whether the task proves a loss: an intact store would hold a record of its job, or of an attempt at least as high.
+   * Whether the task proves a loss of records: an intact store would hold a record of its job, or of an attempt at
+   * least as high.
    */
   private isUnexplained({ job: id, task, attempt }: TaskStatus): boolean {
     const job = this.cluster.jobs.get(id);
@@ -179,12 +180,12 @@
     const listedAt = this.machinesListedAt();
     const now = this.term.context.clock.now();
     const isCurrent =
-      this.collectedAt !== null &&
-      this.gatheredFromList === listedAt &&
-      now - this.collectedAt <= RECOLLECT_INTERVAL_MS;
+      this.rebuiltAt !== null &&
+      this.rebuiltFromListAt === listedAt &&
+      now - this.rebuiltAt <= REBUILD_INTERVAL_MS;
     if (isCurrent) return this.unconfirmed;
-    this.collectedAt = now;
-    this.gatheredFromList = listedAt;
+    this.rebuiltAt = now;
+    this.rebuiltFromListAt = listedAt;
     this.unconfirmed.clear();
     for (const machine of this.cluster.machines.values())
       if (this.isUnconfirmed(machine)) this.unconfirmed.add(machine);
@@ -200,7 +201,7 @@
     while (this.term.isActive && this.state !== 'reconciled') {
       // A peer that has followed the store without a gap reports that the records are complete.
       if (storeIntegrity.continuous && this.state === 'collecting' && this.unexplainedTasks === 0)
-        this.transitionTo('reconciled', 'a peer knows');
+        this.transitionTo('reconciled', 'a peer reports that the records are complete');
       else this.check(clock.now());
       await clock.sleep(CHECK_INTERVAL_MS);
     }
@@ -213,9 +214,12 @@
   private transitionTo(next: ReconciliationState, reason: string): void {
     transitions.assertAllowed(this.state, next);
     const counts = { heard: this.confirmed.size, unexplained: this.unexplainedTasks };
-    this.term.context.log.info({ from: this.state, to: next, why: reason, ...counts }, 'reconciliation');
+    this.term.context.log.info(
+      { from: this.state, to: next, why: reason, ...counts },
+      'reconciliation state changed',
+    );
     this.state = next;
-    this.collectedAt = null;
+    this.rebuiltAt = null;
     if (this.allowsPlacement) this.cluster.emit('replanNeeded');
   }
 
@@ -235,7 +239,10 @@
       !storeIntegrity.hasLostData &&
       listedAt !== null
     )
-      this.transitionTo('verifying', `nothing speaks against the records; ${missing} machines are awaited`);
+      this.transitionTo(
+        'verifying',
+        `no heartbeat contradicts the records; ${missing} machines are unconfirmed`,
+      );
   }
 
   /** Counts the unconfirmed machines; if there are fewer than at the last check, more jobs may be placed. */
@@ -258,7 +265,8 @@
 
   /** Ends the reconciliation, because no machine is left that could contradict the records. */
   private conclude(missing: number, now: MonotonicMs): void {
-    const reason = missing === 0 ? 'every machine was heard' : 'every earlier lease is over';
+    const reason =
+      missing === 0 ? 'all machines are confirmed or gone' : 'all leases of earlier leaders have expired';
     if (this.state === 'collecting') this.correctRecords(now);
     if (this.machinesWithOrphans.size > 0) this.transitionTo('stopping-orphans', reason);
     else this.finish(reason);
@@ -267,7 +275,7 @@
   private correctRecords(now: MonotonicMs): void {
     const counts = correctRecords(this.cluster, this.confirmed.values(), this.startedAt);
     const ms = Math.round(now - this.term.electedAt);
-    this.term.context.log.info({ ...counts, ms }, 'records corrected by heartbeats');
+    this.term.context.log.info({ ...counts, ms }, 'records corrected from heartbeats');
     for (const heartbeat of this.confirmed.values())
       if (this.hasOrphans(heartbeat)) this.machinesWithOrphans.add(heartbeat.machine);
   }
@@ -277,7 +285,7 @@
       const state = this.cluster.machines.get(id)?.state;
       if (state === undefined || state === 'gone') this.machinesWithOrphans.delete(id);
     }
-    if (this.machinesWithOrphans.size === 0) this.finish('nothing unknown runs any more');
+    if (this.machinesWithOrphans.size === 0) this.finish('all orphaned tasks have ended');
   }
 
   private finish(reason: string): void {
--- a/packages/controller/src/reconciliation/unconfirmed-machines.ts
+++ b/packages/controller/src/reconciliation/unconfirmed-machines.ts
@@ -9,7 +9,7 @@
 import type { ResourceUsage } from '../placement/resource-usage.js';
 import { addTaskUsage, noUsage, usageOf } from '../placement/resource-usage.js';
 
-/** The facts that decide whether a job's task may run on a machine. */
+/** The attributes that decide whether a job's task may run on a machine. */
 export interface MachineShape {
   /** Empty if only the machine's id is known. */
   readonly type: string;
@@ -21,7 +21,7 @@
   readonly shape: MachineShape;
   readonly shapeKey: string;
   readonly capacity: ResourceUsage;
-  /** What the records place on the machine, by team. */
+  /** Usage of the recorded placements on the machine, by team. */
   readonly recordedByTeam: ReadonlyMap<string, ResourceUsage>;
 }
 
@@ -32,8 +32,8 @@
 
 /**
  * A set of machines with the sums over them that decisions depend on. Each of a thousand heartbeats removes one
- * machine. Recomputing the sums each time used up the processor time that a new leader needed for the heartbeats it was
- * waiting for.
+ * machine. Recomputing the sums each time used up the processor time that a new leader needed to process these
+ * heartbeats.
  */
 export class UnconfirmedMachines {
   private readonly machines = new Map<MachineId, UnconfirmedMachine>();
@@ -41,7 +41,7 @@
   private readonly knownCapacity = noUsage();
   private readonly recordedByTeam = new Map<string, ResourceUsage>();
   /** Machines of an unknown type, which may be as large as any. */
-  private unsizedCount = 0;
+  private unknownTypeCount = 0;
 
   constructor(private readonly cluster: ClusterState) {}
 
@@ -55,7 +55,7 @@
 
   /** Total resources of the machines; infinite while one of them is of an unknown type. */
   get capacity(): Readonly<ResourceUsage> {
-    return this.unsizedCount > 0 ? { cpus: Infinity, gpus: Infinity } : this.knownCapacity;
+    return this.unknownTypeCount > 0 ? { cpus: Infinity, gpus: Infinity } : this.knownCapacity;
   }
 
   /** A team's usage by the recorded placements on the machines. */
@@ -110,7 +110,7 @@
   }
 
   private updateSums({ capacity, recordedByTeam }: UnconfirmedMachine, sign: 1 | -1): void {
-    if (capacity.cpus === Infinity) this.unsizedCount += sign;
+    if (capacity.cpus === Infinity) this.unknownTypeCount += sign;
     else addUsage(this.knownCapacity, capacity, sign);
     for (const [team, usage] of recordedByTeam) addUsage(usageOf(this.recordedByTeam, team), usage, sign);
   }
--- a/packages/controller/src/shards/heartbeat-forwarder.ts
+++ b/packages/controller/src/shards/heartbeat-forwarder.ts
@@ -32,7 +32,7 @@
   /** Adds the heartbeat to the next batch for the leader. */
   forward(leader: NodeId, heartbeat: Heartbeat): RegisteredRequest<ForwardedHeartbeatResponse> {
     const request = this.requests.register(leader, requestKeyOf(heartbeat));
-    this.batch.push({ id: request.id, ageMs: 0, heartbeat: heartbeat });
+    this.batch.push({ id: request.id, ageMs: 0, heartbeat });
     if (this.batch.length === 1)
       void this.clock.sleep(BATCH_DELAY_MS).then(() => {
         this.sendBatch(leader);
@@ -43,7 +43,7 @@
   /** Completes the requests that these responses of the leader belong to. */
   receiveResponses(from: NodeId, responses: readonly ForwardedHeartbeatResponse[]): void {
     for (const response of responses) {
-      const { id, machine, agentEpoch: agentEpoch, sequence: sequence } = response;
+      const { id, machine, agentEpoch, sequence } = response;
       this.requests.complete(id, from, requestKeyOf({ machine, agentEpoch, sequence }), response);
     }
   }
@@ -73,7 +73,7 @@
   }
 }
 
-/** Identifies a heartbeat: its sequence number grows with each one, and its agent epoch with each restart of the sequence. */
+/** Identifies a heartbeat: sequence numbers grow within an agent epoch, and the epoch grows when they restart. */
 function requestKeyOf(heartbeat: Pick<Heartbeat, 'machine' | 'agentEpoch' | 'sequence'>): string {
   return `${heartbeat.machine} ${heartbeat.agentEpoch} ${heartbeat.sequence}`;
 }
--- a/packages/controller/src/shards/shard-announcer.ts
+++ b/packages/controller/src/shards/shard-announcer.ts
@@ -31,13 +31,13 @@
   async announceTo(leader: NodeId, fencingToken: FencingToken): Promise<void> {
     this.announcedTo = fencingToken;
     const latest = this.shard.latestHeartbeats();
-    const beganAt = this.clock.now();
+    const startedAt = this.clock.now();
     for (
       let first = 0;
       first < latest.length && this.announcedTo === fencingToken;
       first += MAX_HEARTBEATS_PER_FRAME
     ) {
-      const elapsedMs = this.clock.now() - beganAt;
+      const elapsedMs = this.clock.now() - startedAt;
       const forwardedHeartbeats = latest
         .slice(first, first + MAX_HEARTBEATS_PER_FRAME)
         .map(({ heartbeat, ageMs }) => ({ id: NO_RESPONSE_ID, ageMs: ageMs + elapsedMs, heartbeat }));
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -36,12 +36,12 @@
  * should receive the heartbeats.
  */
 const MAX_DISCONNECTED_MS = 4000;
-/** A worker whose heartbeat is later than its longest interval by more than this uses another controller, or none. */
+/** A worker whose heartbeat is overdue by more than this has left: it uses another controller, or none. */
 const DEPARTURE_MARGIN_MS = 4000;
 /** Workers are only redirected to a controller that has been able to serve them for this long. */
 const STABLE_SERVICE_MS = 5000;
 
-/** Source of stop commands for tasks whose jobs are known to be cancelled, which require no leader. */
+/** Source of stop commands for tasks whose jobs are known to be cancelled. These commands require no leader. */
 export interface CancelledTaskStopper {
   /** The stop commands for those tasks of the heartbeat that are known to be cancelled. */
   stopsFor(heartbeat: Heartbeat): readonly WorkerCommand[];
@@ -93,7 +93,11 @@
     this.announcer = new ShardAnnouncer(node, clock, peers, this.shard);
   }
 
-  /** The part of this controller's status that describes its shard; `isReady` if its leader has read the records. */
+  /**
+   * The part of this controller's status that describes its shard.
+   *
+   * @param isReady whether the leader of this controller has read the records
+   */
   status(isReady: boolean): ShardStatus {
     const { isLeading } = this.options.localLeader;
     return {
