--- a/packages/model/test/model.test.ts
+++ b/packages/model/test/model.test.ts
@@ -31,8 +31,8 @@
     { maxLength: 120 },
   );
 
-function play(job: Job, list: readonly Step[]): void {
-  for (const { op, task } of list) {
+function applySteps(job: Job, sequence: readonly Step[]): void {
+  for (const { op, task } of sequence) {
     const placement = job.placements.get(task);
     if (op === 'intend' && placement === undefined && !job.isDone(task))
       job.recordIntent(task, machine(task), 1 as AgentEpoch, at, null);
@@ -45,16 +45,16 @@
   }
 }
 
-test('a task is pending, placed or done, never two of them, and attempts are never given twice', () => {
+test('a task is in exactly one of the states pending, placed and done, and no attempt exceeds the issued count', () => {
   fc.assert(
-    fc.property(steps(12), (list) => {
+    fc.property(steps(12), (sequence) => {
       const job = new Job(jobSpec({ id, tasks: 12 }), 5, KEY_ABSENT, at);
-      const given = new Set<string>();
-      for (const step of list) {
-        play(job, [step]);
+      const issued = new Set<string>();
+      for (const step of sequence) {
+        applySteps(job, [step]);
         const placement = job.placements.get(step.task);
         if (step.op === 'intend' && placement?.state === 'intended')
-          given.add(`${step.task}#${placement.attempt}`);
+          issued.add(`${step.task}#${placement.attempt}`);
         const pending = new Set(job.pendingTasks(100));
         for (let task = 0; task < 12; task += 1) {
           const states =
@@ -63,37 +63,38 @@
         }
         assert.equal(job.pendingCount, pending.size);
       }
-      const most = Math.max(0, ...job.chunks.map((chunk) => chunk.attemptsIssued));
-      for (const name of given) assert.ok(Number(name.split('#')[1]) <= most);
+      const maxIssued = Math.max(0, ...job.chunks.map((chunk) => chunk.attemptsIssued));
+      for (const name of issued) assert.ok(Number(name.split('#')[1]) <= maxIssued);
     }),
     { seed: 11, numRuns: 150 },
   );
 });
 
-// A gang's state decides whether a lost task is replaced under the same attempt or the rest is stopped.
-test('whatever its tasks report, a gang makes only allowed transitions and never goes back once started', () => {
+// The gang's state decides whether a lost task is replaced under the same attempt or all other tasks are stopped.
+// If a started gang returned to an earlier state, the replacement task would wait forever.
+test('a gang makes only allowed transitions and never returns to a state before its start', () => {
   const op = fc.constantFrom('place', 'fetching', 'waiting', 'running', 'saving', 'done', 'lost', 'stop');
-  const moves = fc.array(fc.record({ op, task: fc.nat(2) }), { maxLength: 60 });
+  const events = fc.array(fc.record({ op, task: fc.nat(2) }), { maxLength: 60 });
   fc.assert(
-    fc.property(moves, (list) => {
+    fc.property(events, (sequence) => {
       const job = new Job(jobSpec({ id, kind: 'gang', tasks: 3, checkpointS: 5 }), 8, KEY_ABSENT, at);
       const { gang } = job;
       assert.ok(gang !== null);
       let started = false;
-      for (const { op: what, task } of list) {
+      for (const { op: event, task } of sequence) {
         const placement = job.placements.get(task);
-        const ready = job.placements.size === 0 || job.awaitsReplacementTask;
-        if (what === 'place') {
-          if (placement !== undefined || job.isDone(task) || !ready) continue;
+        const canPlace = job.placements.size === 0 || job.awaitsReplacementTask;
+        if (event === 'place') {
+          if (placement !== undefined || job.isDone(task) || !canPlace) continue;
           const attempt = job.gangAttempt();
           job.recordIntent(task, machine(task), 1 as AgentEpoch, at, attempt);
           job.markDurable(task, attempt, at);
         } else if (placement === undefined) continue;
-        else if (what === 'done' || what === 'lost') job.removePlacement(task, what === 'done', at);
-        else if (what === 'stop') job.requestStop(task, task, 'drained', at);
-        else job.applyReportedPhase(task, what, at);
+        else if (event === 'done' || event === 'lost') job.removePlacement(task, event === 'done', at);
+        else if (event === 'stop') job.requestStop(task, task, 'drained', at);
+        else job.applyReportedPhase(task, event, at);
         if (job.placements.size === 0) started = false;
-        else started ||= what === 'running' || what === 'saving';
+        else started ||= event === 'running' || event === 'saving';
         if (started) {
           assert.ok(['running', 'saving', 'breaking', 'done'].includes(gang.state), gang.state);
           assert.ok(!job.awaitsReplacementTask);
@@ -107,7 +108,7 @@
   );
 });
 
-test('a gang restored from its record alone is not taken for one that has not started', () => {
+test('a gang restored from a record awaits a replacement only after a task was reported as waiting', () => {
   const job = new Job(jobSpec({ id, kind: 'gang', tasks: 2 }), 8, KEY_ABSENT, at);
   job.restorePlacement(0, machine(0), 1 as AgentEpoch, 4 as Attempt, at);
   assert.equal(job.gangAttempt(), 4);
@@ -116,7 +117,7 @@
   assert.ok(job.awaitsReplacementTask);
 });
 
-test('a job rebuilt from its records has the same tasks done and placed', () => {
+test('a job restored from its task records has the same done tasks, placements and issued attempts', () => {
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 600 }),
@@ -126,23 +127,23 @@
         const spec = jobSpec({ id, tasks });
         const job = new Job(spec, size, KEY_ABSENT, at);
         for (let task = 0; task < tasks; task += 1) {
-          const what = (task * 7919 + salt) % 5;
-          if (what === 0)
-            play(job, [
+          const draw = (task * 7919 + salt) % 5;
+          if (draw === 0)
+            applySteps(job, [
               { op: 'intend', task },
               { op: 'done', task },
             ]);
-          else if (what === 1) play(job, [{ op: 'intend', task }]);
+          else if (draw === 1) applySteps(job, [{ op: 'intend', task }]);
         }
-        const again = new Job(spec, size, KEY_ABSENT, at);
+        const restored = new Job(spec, size, KEY_ABSENT, at);
         for (const chunk of job.chunks) {
           const value: unknown = JSON.parse(JSON.stringify(encodeChunk(job, chunk)));
-          restoreChunk(again, chunk.index, value, 9 as Version, at);
+          restoreChunk(restored, chunk.index, value, 9 as Version, at);
         }
-        assert.equal(again.doneCount, job.doneCount);
-        assert.deepEqual([...again.placements.keys()].sort(), [...job.placements.keys()].sort());
+        assert.equal(restored.doneCount, job.doneCount);
+        assert.deepEqual([...restored.placements.keys()].sort(), [...job.placements.keys()].sort());
         assert.deepEqual(
-          again.chunks.map((chunk) => chunk.attemptsIssued),
+          restored.chunks.map((chunk) => chunk.attemptsIssued),
           job.chunks.map((chunk) => chunk.attemptsIssued),
         );
       },
@@ -151,7 +152,7 @@
   );
 });
 
-test('a record with every task placed fits one value, also for the largest job', () => {
+test('a task record with every task placed fits the value size limit, even for a job of 100000 tasks', () => {
   for (const kb of [1, 4, 16]) {
     const size = tasksPerChunk(kb);
     const job = new Job(
@@ -160,14 +161,14 @@
       KEY_ABSENT,
       at,
     );
-    for (let task = 100_000 - size; task < 100_000; task += 1) play(job, [{ op: 'intend', task }]);
+    for (let task = 100_000 - size; task < 100_000; task += 1) applySteps(job, [{ op: 'intend', task }]);
     const last = job.chunks.at(-1);
     assert.ok(last !== undefined);
     assert.ok(JSON.stringify(encodeChunk(job, last)).length <= kb * 1024);
   }
 });
 
-test('placing a task of an ended job, or twice, is refused', () => {
+test('a placed task and a task of a cancelled job cannot be placed, and a cancelled job cannot become done', () => {
   const job = new Job(jobSpec({ id }), 8, KEY_ABSENT, at);
   job.recordIntent(0, machine(1), 1 as AgentEpoch, at, null);
   assert.throws(() => job.recordIntent(0, machine(2), 1 as AgentEpoch, at, null));
@@ -179,7 +180,7 @@
   assert.deepEqual(job.pendingTasks(10), []);
 });
 
-test('a cancellation overrides a stop with grace', () => {
+test('a cancellation replaces a graceful stop request and is not replaced by later requests', () => {
   const job = new Job(jobSpec({ id }), 8, KEY_ABSENT, at);
   job.recordIntent(0, machine(1), 1 as AgentEpoch, at, null);
   job.requestStop(0, 10, 'drained', at);
@@ -189,76 +190,76 @@
   assert.equal(job.placements.get(0)?.stopRequest?.reason, 'cancelled');
 });
 
-test("a job's record survives being written and read", () => {
+test('a job record is unchanged after being encoded and decoded', () => {
   const record = {
     spec: jobSpec({ id }),
     phase: 'active' as const,
     submittedAt: 5 as WallClockMs,
     chunkSize: 256,
   };
-  for (const over of [{}, { phase: 'cancelled' as const, cancelledAt: 7 as WallClockMs }]) {
-    const written = { ...record, ...over };
-    assert.deepEqual(decodeJob(JSON.parse(JSON.stringify(encodeJob(written)))), written);
+  for (const overrides of [{}, { phase: 'cancelled' as const, cancelledAt: 7 as WallClockMs }]) {
+    const original = { ...record, ...overrides };
+    assert.deepEqual(decodeJob(JSON.parse(JSON.stringify(encodeJob(original)))), original);
   }
 });
 
 test('jobs that can never run are rejected with a reason', () => {
-  const of = (over: Parameters<typeof jobSpec>[0]): string | null =>
-    rejectionReason(jobSpec(over), TEAMS, TYPES);
-  assert.equal(of({ id }), null);
-  assert.match(of({ id, team: 'nobody' }) ?? '', /team/);
-  assert.match(of({ id, cpus: 17 }) ?? '', /type/);
-  assert.match(of({ id, types: ['none'] }) ?? '', /type/);
-  assert.match(of({ id, zone: 'mars' }) ?? '', /type/);
-  assert.match(of({ id, gpus: 1, team: 'blue', types: ['g8'] }) ?? '', /limit/);
-  // An array needs room for one task, a gang and a service for all.
-  assert.equal(of({ id, cpus: 16, tasks: 50 }), null);
-  assert.match(of({ id, cpus: 16, tasks: 3, kind: 'gang' }) ?? '', /limit/);
-  assert.match(of({ id, cpus: 16, tasks: 3, kind: 'service' }) ?? '', /limit/);
-  // Sums of decimals are as long as the limit, and not longer by the last bit.
+  const reasonFor = (overrides: Parameters<typeof jobSpec>[0]): string | null =>
+    rejectionReason(jobSpec(overrides), TEAMS, TYPES);
+  assert.equal(reasonFor({ id }), null);
+  assert.match(reasonFor({ id, team: 'nobody' }) ?? '', /team/);
+  assert.match(reasonFor({ id, cpus: 17 }) ?? '', /type/);
+  assert.match(reasonFor({ id, types: ['none'] }) ?? '', /type/);
+  assert.match(reasonFor({ id, zone: 'mars' }) ?? '', /type/);
+  assert.match(reasonFor({ id, gpus: 1, team: 'blue', types: ['g8'] }) ?? '', /limit/);
+  // One task of an array must fit the team's limit; of a gang or a service, all tasks must fit together.
+  assert.equal(reasonFor({ id, cpus: 16, tasks: 50 }), null);
+  assert.match(reasonFor({ id, cpus: 16, tasks: 3, kind: 'gang' }) ?? '', /limit/);
+  assert.match(reasonFor({ id, cpus: 16, tasks: 3, kind: 'service' }) ?? '', /limit/);
+  // Floating-point rounding must not make a sum exceed a limit that it equals.
   const limit = [{ name: 'red', cpus: 0, cpusMax: 0.3, gpus: 0, gpusMax: 0 }];
   assert.equal(rejectionReason(jobSpec({ id, kind: 'gang', tasks: 3, cpus: 0.1 }), limit, TYPES), null);
 });
 
-test('a gang that has to be in one zone, and in no zone with more than half of it, can never run', () => {
+test('a spread gang is rejected when its tasks can run in only one zone', () => {
   const gang = { id, kind: 'gang' as const, tasks: 2, spread: true };
-  const of = (over: Parameters<typeof jobSpec>[0], types = TYPES): string | null =>
-    rejectionReason(jobSpec(over), TEAMS, types);
-  assert.equal(of(gang), null);
-  assert.match(of({ ...gang, oneZone: true }) ?? '', /scatter/);
-  assert.match(of({ ...gang, zone: 'b' }) ?? '', /scatter/);
+  const reasonFor = (overrides: Parameters<typeof jobSpec>[0], types = TYPES): string | null =>
+    rejectionReason(jobSpec(overrides), TEAMS, types);
+  assert.equal(reasonFor(gang), null);
+  assert.match(reasonFor({ ...gang, oneZone: true }) ?? '', /scatter/);
+  assert.match(reasonFor({ ...gang, zone: 'b' }) ?? '', /scatter/);
   const [small] = TYPES;
   assert.ok(small !== undefined);
-  assert.match(of(gang, [{ ...small, zones: ['a'] }]) ?? '', /scatter/);
-  assert.equal(of(gang, [{ ...small, zones: [] }]), null);
-  // One task is no more than half, rounded up; of arrays and services half can run.
-  assert.equal(of({ ...gang, tasks: 1, oneZone: true }), null);
-  assert.equal(of({ ...gang, kind: 'array', oneZone: true }), null);
-  assert.equal(of({ ...gang, kind: 'service', oneZone: true }), null);
+  assert.match(reasonFor(gang, [{ ...small, zones: ['a'] }]) ?? '', /scatter/);
+  assert.equal(reasonFor(gang, [{ ...small, zones: [] }]), null);
+  // Half of one task, rounded up, is one task. Arrays and services can run with half of their tasks.
+  assert.equal(reasonFor({ ...gang, tasks: 1, oneZone: true }), null);
+  assert.equal(reasonFor({ ...gang, kind: 'array', oneZone: true }), null);
+  assert.equal(reasonFor({ ...gang, kind: 'service', oneZone: true }), null);
 });
 
-test('a machine caches the images used last, within its cache', () => {
-  const tested = new Machine(machine(1), 's4', 'a', false, true, at);
+test('a machine keeps the most recently used images in its cache, and a booting one cannot become silent', () => {
+  const testedMachine = new Machine(machine(1), 's4', 'a', false, true, at);
   for (const [image, gb] of [
     ['a', 20],
     ['b', 15],
     ['a', 20],
     ['c', 10],
   ] as const)
-    tested.cacheImage(image, gb, 40);
-  assert.deepEqual([...tested.images.keys()], ['a', 'c']);
+    testedMachine.cacheImage(image, gb, 40);
+  assert.deepEqual([...testedMachine.images.keys()], ['a', 'c']);
   assert.throws(() => {
-    tested.transitionTo('silent');
+    testedMachine.transitionTo('silent');
   });
 });
 
-// Two sound machines were drained because many tasks of one job had been estimated too short.
-test('a machine counts as slow by different jobs, not by many tasks of one', () => {
-  const tested = new Machine(machine(1), 's4', 'a', false, true, at);
-  for (let task = 0; task < 30; task += 1) tested.recordRunTime('wk-000001', 4);
-  assert.equal(tested.isSlow(1.7), false);
-  for (let job = 2; job < 12; job += 1) tested.recordRunTime(`wk-00000${job}`, 3);
-  assert.equal(tested.isSlow(1.7), true);
-  for (let job = 12; job < 40; job += 1) tested.recordRunTime(`wk-0000${job}`, 0.9);
-  assert.equal(tested.slowness, 1);
+// Two machines of normal speed were drained because one job with many tasks had too short an estimate.
+test('a machine is considered slow only when tasks of several jobs are slow', () => {
+  const testedMachine = new Machine(machine(1), 's4', 'a', false, true, at);
+  for (let task = 0; task < 30; task += 1) testedMachine.recordRunTime('wk-000001', 4);
+  assert.equal(testedMachine.isSlow(1.7), false);
+  for (let job = 2; job < 12; job += 1) testedMachine.recordRunTime(`wk-00000${job}`, 3);
+  assert.equal(testedMachine.isSlow(1.7), true);
+  for (let job = 12; job < 40; job += 1) testedMachine.recordRunTime(`wk-0000${job}`, 0.9);
+  assert.equal(testedMachine.slowness, 1);
 });
--- a/packages/model/test/service-levels.test.ts
+++ b/packages/model/test/service-levels.test.ts
@@ -14,17 +14,17 @@
 } from '../src/index.js';
 
 const spec = jobSpec({ id: 'wk-000001' as JobId, estimateS: 10, deadlineS: 60 });
-const life = { spec, ageS: 200, startedS: 5, isEnded: true, isCancelled: false };
+const outcome = { spec, ageS: 200, startedS: 5, isEnded: true, isCancelled: false };
 
-test('a job that ended or could have counts, a young or cancelled one counts neither way', () => {
+test('service levels count jobs that reached an outcome or could have, but no young or cancelled ones', () => {
   const counts = emptyServiceLevelCounts();
-  countJob(counts, { ...life, ageS: 50 });
-  countJob(counts, life);
-  countJob(counts, { ...life, isEnded: false });
-  countJob(counts, { ...life, isEnded: false, ageS: 80 });
-  countJob(counts, { ...life, isEnded: false, isCancelled: true });
-  countJob(counts, { ...life, isEnded: false, startedS: null, ageS: 30 });
-  countJob(counts, { ...life, isEnded: false, startedS: null, ageS: 70 });
+  countJob(counts, { ...outcome, ageS: 50 });
+  countJob(counts, outcome);
+  countJob(counts, { ...outcome, isEnded: false });
+  countJob(counts, { ...outcome, isEnded: false, ageS: 80 });
+  countJob(counts, { ...outcome, isEnded: false, isCancelled: true });
+  countJob(counts, { ...outcome, isEnded: false, startedS: null, ageS: 30 });
+  countJob(counts, { ...outcome, isEnded: false, startedS: null, ageS: 70 });
   assert.deepEqual(counts, {
     ...emptyServiceLevelCounts(),
     couldEnd: 3,
@@ -36,7 +36,7 @@
   });
 });
 
-test('under half of any indicator is a missed service level, but for warnings', () => {
+test('a service level below one half is missed unless it is only a warning', () => {
   const counts = {
     ...emptyServiceLevelCounts(),
     couldEnd: 10,
@@ -57,23 +57,23 @@
   assert.deepEqual(missedServiceLevels({ ...counts, ended: 5 }), []);
 });
 
-test('replicas bound to one zone and spread over zones can run only by half', () => {
+test('a spread service bound to one zone can run only half of its replicas, rounded up', () => {
   assert.equal(maxRunnableReplicas(jobSpec({ id: spec.id, tasks: 5, zone: 'a', spread: true })), 3);
   assert.equal(maxRunnableReplicas(jobSpec({ id: spec.id, tasks: 5, spread: true })), 5);
 });
 
-test('the largest quarter of a class has to start within four minutes; among few jobs none is the largest', () => {
+test('the largest quarter of a class must start within 240 s, and a class of few jobs has no largest jobs', () => {
   assert.equal(largestJobThreshold([1, 2, 3, 4, 5, 6, 7]), Infinity);
   assert.equal(largestJobThreshold([8, 1, 7, 2, 6, 3, 5, 4]), 7);
   assert.equal(jobSize(jobSpec({ id: spec.id, tasks: 3, cpus: 4 })), 12);
   assert.equal(jobSize(jobSpec({ id: spec.id, tasks: 3, cpus: 4, gpus: 2 })), 6);
   const counts = emptyServiceLevelCounts();
-  const open = { ...life, isEnded: false, ageS: 239 };
-  countLargestJob(counts, { ...open, startedS: null });
+  const unfinished = { ...outcome, isEnded: false, ageS: 239 };
+  countLargestJob(counts, { ...unfinished, startedS: null });
   assert.equal(counts.couldStart, 0);
-  countLargestJob(counts, { ...open, startedS: null, ageS: 240 });
-  countLargestJob(counts, { ...open, startedS: 241, ageS: 250 });
-  countLargestJob(counts, { ...open, startedS: 240, ageS: 250 });
+  countLargestJob(counts, { ...unfinished, startedS: null, ageS: 240 });
+  countLargestJob(counts, { ...unfinished, startedS: 241, ageS: 250 });
+  countLargestJob(counts, { ...unfinished, startedS: 240, ageS: 250 });
   assert.deepEqual([counts.couldStart, counts.started], [3, 1]);
   assert.deepEqual(
     missedServiceLevels(counts).map((level) => level.indicator),
--- a/packages/planner/test/fleet.test.ts
+++ b/packages/planner/test/fleet.test.ts
@@ -17,7 +17,7 @@
   zoneSpread: null,
 };
 
-function machine(index: number, type: MachineType, over: Partial<FleetMachine> = {}): FleetMachine {
+function machine(index: number, type: MachineType, overrides: Partial<FleetMachine> = {}): FleetMachine {
   return {
     id: `n-${index}` as MachineId,
     type,
@@ -35,15 +35,15 @@
     images: new Map([['img', 1]]),
     replicas: [],
     isStable: true,
-    ...over,
+    ...overrides,
   };
 }
 
-function unmet(
-  over: Partial<Parameters<typeof jobSpec>[0]>,
-  more: Partial<UnplacedDemand> = {},
+function demandOf(
+  jobOverrides: Partial<Parameters<typeof jobSpec>[0]>,
+  overrides: Partial<UnplacedDemand> = {},
 ): UnplacedDemand {
-  const spec = jobSpec({ id: 'wk-000001' as JobId, ...over });
+  const spec = jobSpec({ id: 'wk-000001' as JobId, ...jobOverrides });
   const job = {
     spec,
     pendingTasks: [],
@@ -67,11 +67,11 @@
     isWithinLimit: true,
     isGuaranteed: true,
     zone: null,
-    ...more,
+    ...overrides,
   };
 }
 
-function input(over: Partial<FleetInput>): FleetInput {
+function input(overrides: Partial<FleetInput>): FleetInput {
   return {
     types: TYPES,
     machines: [],
@@ -88,43 +88,48 @@
       minQueueBootShare: 0.5,
     },
     hasCapacity: () => true,
-    ...over,
+    ...overrides,
   };
 }
 
-const rented = (over: Partial<FleetInput>): number =>
-  planFleet(input(over)).scaleOut.reduce(
+const requestedCpus = (overrides: Partial<FleetInput>): number =>
+  planFleet(input(overrides)).scaleOut.reduce(
     (sum, request) => sum + request.count * (TYPES.find((type) => type.name === request.type)?.cpus ?? 0),
     0,
   );
 
-// A burst had its machines half a minute after its end: each job was rented for once it was predicted to be late.
-test('a burst is scaled out for by its arrival rate, before its jobs are late', () => {
+// Machines were requested only for jobs that were predicted to be late, so the machines for a burst came up half
+// a minute after its end.
+test('a burst scales out for its arrival rate before its jobs are late', () => {
   const policy = { ...input({}).policy, burstCpus: 160 };
   const machines = [machine(1, m16, { usedCpus: 16 })];
-  const early = unmet(
+  const early = demandOf(
     { cpus: 4, tasks: 2, spot: true, deadlineS: 600 },
     { startsInS: 2, isGuaranteed: false },
   );
-  const cpus = (over: Partial<FleetInput>): number =>
-    planFleet(input({ machines, policy, unplacedDemand: [early], ...over })).scaleOut.reduce(
+  const requestedCpusWith = (overrides: Partial<FleetInput>): number =>
+    planFleet(input({ machines, policy, unplacedDemand: [early], ...overrides })).scaleOut.reduce(
       (sum, request) => sum + request.count * (TYPES.find((type) => type.name === request.type)?.cpus ?? 0),
       0,
     );
-  assert.ok(cpus({}) >= 144 && cpus({}) < 176, `${cpus({})} CPUs`);
-  assert.equal(cpus({ policy: { ...policy, burstCpus: 18 } }), 0, 'uneven arrivals are no burst');
-  assert.equal(cpus({ unplacedDemand: [] }), 0, 'nothing waits');
-  const refused = planFleet(
+  assert.ok(requestedCpusWith({}) >= 144 && requestedCpusWith({}) < 176, `${requestedCpusWith({})} CPUs`);
+  assert.equal(
+    requestedCpusWith({ policy: { ...policy, burstCpus: 18 } }),
+    0,
+    'a rate slightly above the capacity is not a burst',
+  );
+  assert.equal(requestedCpusWith({ unplacedDemand: [] }), 0, 'no scale-out while no job waits');
+  const withoutSpot = planFleet(
     input({ machines, policy, unplacedDemand: [early], hasCapacity: (_t, _z, spot) => !spot }),
   ).scaleOut;
   assert.ok(
-    refused.length > 0 && refused.every((request) => !request.spot),
-    'ordinary ones where spot ones are refused',
+    withoutSpot.length > 0 && withoutSpot.every((request) => !request.spot),
+    'on-demand machines while spot capacity is refused',
   );
 });
 
-// All of the reserve lay in one zone: half of every new service waited for a machine to boot in another.
-test('spare capacity for services that spread over zones is kept in more than one zone, and only where it helps', () => {
+// With all spare capacity in one zone, half of every new service waited for a machine to boot in another zone.
+test('spare capacity for spread services is kept in more than one zone, and only where they can use it', () => {
   const policy = { ...input({}).policy, targetOnDemandCpus: 64, spreadsServices: true };
   const full = { usedCpus: 16, nonPreemptibleCpus: 16 };
   const machines = [
@@ -133,80 +138,80 @@
     machine(3, m16, { zone: 'b', ...full }),
     machine(4, m16, { zone: 'c', ...full }),
   ];
-  const rent = (over: Partial<FleetInput>): (string | undefined)[] =>
-    planFleet(input({ machines, policy, ...over })).scaleOut.map((request) => request.zone);
-  assert.deepEqual(rent({}), ['b']);
+  const requestedZones = (overrides: Partial<FleetInput>): (string | undefined)[] =>
+    planFleet(input({ machines, policy, ...overrides })).scaleOut.map((request) => request.zone);
+  assert.deepEqual(requestedZones({}), ['b']);
   assert.deepEqual(
-    rent({ hasCapacity: (_t, zone) => zone === 'a' }),
+    requestedZones({ hasCapacity: (_t, zone) => zone === 'a' }),
     [],
-    'more in the roomiest zone helps nobody',
+    'spread services cannot use more capacity in the zone that has most',
   );
   assert.deepEqual(
-    rent({ policy: { ...policy, spreadsServices: false } }),
+    requestedZones({ policy: { ...policy, spreadsServices: false } }),
     [],
-    'enough, were zones no matter',
+    'the capacity suffices if services do not spread over zones',
   );
-  const even = [...machines, machine(5, m16, { zone: 'b' })];
-  assert.deepEqual(rent({ machines: even }), []);
-  // What is spare in the roomiest zone alone may go back, what the others need may not.
-  assert.deepEqual(planFleet(input({ machines: even, policy })).scaleIn, ['n-2']);
-  const idle = even.map((fleetMachine) =>
+  const balanced = [...machines, machine(5, m16, { zone: 'b' })];
+  assert.deepEqual(requestedZones({ machines: balanced }), []);
+  // The surplus of the zone with most spare capacity is scaled in, but not what the other zones need.
+  assert.deepEqual(planFleet(input({ machines: balanced, policy })).scaleIn, ['n-2']);
+  const idle = balanced.map((fleetMachine) =>
     fleetMachine.id === 'n-5' ? { ...fleetMachine, idleS: 100 } : { ...fleetMachine, idleS: 0 },
   );
   assert.deepEqual(planFleet(input({ machines: idle, policy })).scaleIn, []);
 });
 
-test('unplaced demand scales out to spot machines where it may use them', () => {
-  const result = planFleet(input({ unplacedDemand: [unmet({ tasks: 4, cpus: 2 })] }));
+test('unplaced demand scales out to spot machines if its job allows them, otherwise to on-demand machines', () => {
+  const result = planFleet(input({ unplacedDemand: [demandOf({ tasks: 4, cpus: 2 })] }));
   assert.ok(result.scaleOut.length > 0 && result.scaleOut.every((request) => request.spot));
-  const service = planFleet(input({ unplacedDemand: [unmet({ kind: 'service', spot: false })] }));
+  const service = planFleet(input({ unplacedDemand: [demandOf({ kind: 'service', spot: false })] }));
   assert.ok(service.scaleOut.length > 0 && service.scaleOut.every((request) => !request.spot));
 });
 
-test('booting machines count, and demand beyond the limit scales out to nothing', () => {
-  const coming = [machine(1, m16, { isBooting: true, spot: true, isSchedulable: false })];
-  assert.equal(rented({ unplacedDemand: [unmet({ tasks: 8, cpus: 2 })], machines: coming }), 0);
-  assert.ok(rented({ unplacedDemand: [unmet({ tasks: 9, cpus: 2 })], machines: coming }) > 0);
-  assert.equal(rented({ unplacedDemand: [unmet({}, { isWithinLimit: false })] }), 0);
-  // Not heard since a takeover, and full of what the records say.
+test('scale-out counts the free resources of booting machines and ignores demand beyond the team limit', () => {
+  const booting = [machine(1, m16, { isBooting: true, spot: true, isSchedulable: false })];
+  assert.equal(requestedCpus({ unplacedDemand: [demandOf({ tasks: 8, cpus: 2 })], machines: booting }), 0);
+  assert.ok(requestedCpus({ unplacedDemand: [demandOf({ tasks: 9, cpus: 2 })], machines: booting }) > 0);
+  assert.equal(requestedCpus({ unplacedDemand: [demandOf({}, { isWithinLimit: false })] }), 0);
+  // No heartbeat has arrived since the failover, and the records place tasks on the whole machine.
   const full = [machine(1, m16, { isBooting: true, spot: true, isSchedulable: false, usedCpus: 16 })];
-  assert.ok(rented({ unplacedDemand: [unmet({ tasks: 8, cpus: 2 })], machines: full }) > 0);
+  assert.ok(requestedCpus({ unplacedDemand: [demandOf({ tasks: 8, cpus: 2 })], machines: full }) > 0);
 });
 
-// With 800 small machines, a leader on a sixth of a core was behind for half a minute in a takeover.
-test('in a large fleet, larger machines are preferred at a slightly higher price', () => {
+// With 800 small machines, a leader on a sixth of a CPU core fell behind for half a minute in a failover.
+test('a large fleet prefers larger machines at a slightly higher price', () => {
   const types = TYPES.map((type) =>
     type.name === 's4' ? { ...type, spotPrice: type.spotPrice * 0.9 } : type,
   );
-  const rent = (easyMachines: number): string[] => {
-    const policy = { ...input({}).policy, manageableMachines: easyMachines };
-    const job = unmet({ tasks: 64, cpus: 4, gpus: 0, memoryGb: 8 });
+  const requestedTypes = (manageableMachines: number): string[] => {
+    const policy = { ...input({}).policy, manageableMachines };
+    const job = demandOf({ tasks: 64, cpus: 4, gpus: 0, memoryGb: 8 });
     return planFleet(input({ types, unplacedDemand: [job], policy })).scaleOut.map((request) => request.type);
   };
-  assert.deepEqual(new Set(rent(1000)), new Set(['s4']));
-  assert.ok(rent(20).includes('m16'));
+  assert.deepEqual(new Set(requestedTypes(1000)), new Set(['s4']));
+  assert.ok(requestedTypes(20).includes('m16'));
 });
 
-// A start with no machines rented a place for each of thousands of waiting tasks.
-test('tasks that can run one after another before their deadline do not scale out to a slot each', () => {
-  const rentedFor = (deadlineS: number | null, guaranteed: boolean): number =>
-    rented({
-      unplacedDemand: [unmet({ tasks: 64, cpus: 2, estimateS: 10, deadlineS }, { isGuaranteed: guaranteed })],
+// In an empty fleet, one slot was requested for each of thousands of waiting tasks.
+test('tasks that can run in sequence before their deadline share the requested slots', () => {
+  const requestedCpusFor = (deadlineS: number | null, isGuaranteed: boolean): number =>
+    requestedCpus({
+      unplacedDemand: [demandOf({ tasks: 64, cpus: 2, estimateS: 10, deadlineS }, { isGuaranteed })],
     });
-  assert.equal(rentedFor(null, false), 128);
-  assert.equal(rentedFor(20, false), 128);
-  assert.equal(rentedFor(60, true), 128);
-  const inTurn = rentedFor(60, false);
-  assert.ok(inTurn <= 64 && inTurn >= 24, `${inTurn}`);
+  assert.equal(requestedCpusFor(null, false), 128);
+  assert.equal(requestedCpusFor(20, false), 128);
+  assert.equal(requestedCpusFor(60, true), 128);
+  const inSequence = requestedCpusFor(60, false);
+  assert.ok(inSequence <= 64 && inSequence >= 24, `${inSequence}`);
 });
 
-test('without spot capacity, arrays scale out to on-demand machines only under a deadline', () => {
+test('without spot capacity, an array scales out to on-demand machines only if its deadline is at risk', () => {
   const noSpot = { hasCapacity: (_t: string, _z: string, spot: boolean) => !spot };
-  assert.equal(rented({ ...noSpot, unplacedDemand: [unmet({ deadlineS: 500, estimateS: 5 })] }), 0);
-  assert.ok(rented({ ...noSpot, unplacedDemand: [unmet({ deadlineS: 12, estimateS: 5 })] }) > 0);
+  assert.equal(requestedCpus({ ...noSpot, unplacedDemand: [demandOf({ deadlineS: 500, estimateS: 5 })] }), 0);
+  assert.ok(requestedCpus({ ...noSpot, unplacedDemand: [demandOf({ deadlineS: 12, estimateS: 5 })] }) > 0);
 });
 
-test('idle machines are scaled in down to the recent demand, the most expensive first', () => {
+test('idle machines are scaled in to the CPU target, most expensive first, unless unplaced demand can use them', () => {
   const machines = [
     machine(1, s4, { idleS: 60, spot: true }),
     machine(2, s4, { idleS: 30 }),
@@ -215,112 +220,111 @@
   assert.deepEqual(planFleet(input({ machines })).scaleIn, ['n-2', 'n-1']);
   const policy = { ...input({}).policy, targetCpus: 20 };
   assert.deepEqual(planFleet(input({ machines, policy })).scaleIn, ['n-2']);
-  assert.deepEqual(planFleet(input({ machines, unplacedDemand: [unmet({})] })).scaleIn, []);
+  assert.deepEqual(planFleet(input({ machines, unplacedDemand: [demandOf({})] })).scaleIn, []);
 });
 
-// Half the ordinary CPUs stood empty beside replicas that would have fitted on fewer machines.
-test('a machine whose replicas fit elsewhere is drained, one that no other can replace is not', () => {
-  const loose = machine(1, m16, { usedCpus: 2, usedMemoryGb: 2, replicas: [replica] });
+// Half of the on-demand CPUs were unused although the replicas would have fitted on fewer machines.
+test('a stable machine is drained if all its replicas fit on other machines, and only then', () => {
+  const from = machine(1, m16, { usedCpus: 2, usedMemoryGb: 2, replicas: [replica] });
   const other = machine(2, m16, { usedCpus: 12, usedMemoryGb: 2, replicas: [replica] });
-  assert.equal(planFleet(input({ machines: [loose, other] })).drain, 'n-1');
-  assert.equal(planFleet(input({ machines: [loose] })).drain, null);
+  assert.equal(planFleet(input({ machines: [from, other] })).drain, 'n-1');
+  assert.equal(planFleet(input({ machines: [from] })).drain, null);
   assert.equal(
     planFleet(
       input({
         machines: [
-          { ...loose, isStable: false },
+          { ...from, isStable: false },
           { ...other, isStable: false },
         ],
       }),
     ).drain,
     null,
   );
-  // Moved to a machine without its image, a replica was away for the seconds of the fetch.
-  const bare = { ...other, images: new Map<string, number>(), isStable: false };
-  assert.equal(planFleet(input({ machines: [loose, bare] })).drain, null);
-  // At most one in a zone: there is another one in the zone of the other machine.
-  const held = new Map([
+  // A replica that moved to a machine without its image was down while the image was fetched.
+  const withoutImage = { ...other, images: new Map<string, number>(), isStable: false };
+  assert.equal(planFleet(input({ machines: [from, withoutImage] })).drain, null);
+  // Only one replica is allowed per zone, and the zone of the other machine already has one.
+  const replicasByZone = new Map([
     ['a', 1],
     ['b', 1],
   ]);
-  const away = { ...other, zone: 'b', isStable: false };
-  const pinned = {
-    ...loose,
-    replicas: [{ ...replica, zoneSpread: { replicasByZone: held, maxPerZone: 1, oneZone: false } }],
+  const inOtherZone = { ...other, zone: 'b', isStable: false };
+  const maxOnePerZone = {
+    ...from,
+    replicas: [{ ...replica, zoneSpread: { replicasByZone, maxPerZone: 1, oneZone: false } }],
   };
-  assert.equal(planFleet(input({ machines: [pinned, away] })).drain, null);
-  const free = {
-    ...loose,
-    replicas: [{ ...replica, zoneSpread: { replicasByZone: held, maxPerZone: 2, oneZone: false } }],
+  assert.equal(planFleet(input({ machines: [maxOnePerZone, inOtherZone] })).drain, null);
+  const maxTwoPerZone = {
+    ...from,
+    replicas: [{ ...replica, zoneSpread: { replicasByZone, maxPerZone: 2, oneZone: false } }],
   };
-  assert.equal(planFleet(input({ machines: [free, away] })).drain, 'n-1');
+  assert.equal(planFleet(input({ machines: [maxTwoPerZone, inOtherZone] })).drain, 'n-1');
 });
 
-// Replicas of a lost machine waited 40 s for a new one to boot.
-test('on-demand capacity for the loss of one machine is scaled out to ahead', () => {
+// Replicas of a lost machine waited 40 s for a new machine to boot.
+test('spare on-demand capacity for the loss of one machine is requested in advance', () => {
   const policy = { ...input({}).policy, targetOnDemandCpus: 24 };
   const machines = [machine(1, m16, { usedCpus: 12, replicas: [replica] })];
   const result = planFleet(input({ machines, policy }));
   assert.ok(result.scaleOut.length > 0 && result.scaleOut.every((request) => !request.spot));
-  const coming = [...machines, machine(2, m16, { isBooting: true, isSchedulable: false })];
-  assert.deepEqual(planFleet(input({ machines: coming, policy })).scaleOut, []);
+  const withBooting = [...machines, machine(2, m16, { isBooting: true, isSchedulable: false })];
+  assert.deepEqual(planFleet(input({ machines: withBooting, policy })).scaleOut, []);
 });
 
-test('spot machines are scaled in while only on-demand ones are wanted', () => {
+test('idle spot machines are scaled in while unplaced demand can use only on-demand machines', () => {
   const idle = { idleS: 100 };
   const machines = [machine(1, s4, { spot: true, ...idle }), machine(2, s4, idle)];
-  const waiting = unmet({ kind: 'gang', spot: false, cpus: 2, tasks: 1 }, { startsInS: 5 });
+  const waiting = demandOf({ kind: 'gang', spot: false, cpus: 2, tasks: 1 }, { startsInS: 5 });
   assert.deepEqual(planFleet(input({ machines, unplacedDemand: [waiting] })).scaleIn, ['n-1']);
 });
 
-test('a gang bound to one zone does not count on booting machines in two', () => {
-  const half = (index: number, zone: string): FleetMachine => machine(index, s4, { zone, isBooting: true });
-  const gang = unmet({ kind: 'gang', spot: false, oneZone: true, cpus: 4, memoryGb: 2, tasks: 2 });
-  const { scaleOut: rent } = planFleet(
-    input({ machines: [half(1, 'a'), half(2, 'b')], unplacedDemand: [gang] }),
+test('scale-out for a zone-bound gang does not add up booting machines of two zones', () => {
+  const booting = (index: number, zone: string): FleetMachine =>
+    machine(index, s4, { zone, isBooting: true });
+  const gang = demandOf({ kind: 'gang', spot: false, oneZone: true, cpus: 4, memoryGb: 2, tasks: 2 });
+  const { scaleOut } = planFleet(
+    input({ machines: [booting(1, 'a'), booting(2, 'b')], unplacedDemand: [gang] }),
   );
   assert.deepEqual(
-    rent.map((request) => [request.zone, request.count]),
+    scaleOut.map((request) => [request.zone, request.count]),
     [['a', 1]],
   );
 });
 
-test('replicas with accelerators are moved only where accelerators are free', () => {
+test('replicas with accelerators are moved only to machines with enough free accelerators', () => {
   const g8 = TYPES[2] as MachineType;
-  const fits = { ...replica, gpus: 2 };
-  const from = machine(1, g8, { replicas: [fits], usedCpus: 2, usedGpus: 2, usedMemoryGb: 2 });
+  const gpuReplica = { ...replica, gpus: 2 };
+  const from = machine(1, g8, { replicas: [gpuReplica], usedCpus: 2, usedGpus: 2, usedMemoryGb: 2 });
   const to = (usedGpus: number): FleetMachine => machine(2, g8, { usedCpus: 2, usedGpus, isStable: false });
   const drained = (usedGpus: number): unknown => planFleet(input({ machines: [from, to(usedGpus)] })).drain;
   assert.equal(drained(3), null);
   assert.equal(drained(2), from.id);
 });
 
-test('without spot capacity, a burst scales out to on-demand machines while they let it be in time', () => {
-  const rented = (ageS: number, startsInS: number): number => {
-    const demand = unmet({ tasks: 4, estimateS: 20 }, { startsInS });
+test('without spot capacity, a job scales out to on-demand machines if only they meet its milestone', () => {
+  const requestedMachines = (ageS: number, startsInS: number): number => {
+    const demand = demandOf({ tasks: 4, estimateS: 20 }, { startsInS });
     const job = { ...demand.job, ageS, completionMilestonesS: [60] };
     const noSpot = (_type: string, _zone: string, spot: boolean): boolean => !spot;
     const plan = planFleet(input({ unplacedDemand: [{ ...demand, job }], hasCapacity: noSpot }));
     return plan.scaleOut.reduce((sum, request) => sum + request.count, 0);
   };
-  assert.ok(rented(10, 60) > 0);
-  assert.equal(rented(10, 5), 0);
+  assert.ok(requestedMachines(10, 60) > 0);
+  assert.equal(requestedMachines(10, 5), 0);
 });
 
-test('a gang whose zone has no capacity left is scaled out for as a whole in another zone', () => {
-  const gang = unmet(
+test('scale-out requests machines for a whole gang in another zone if its zone has no capacity left', () => {
+  const gang = demandOf(
     { kind: 'gang', spot: false, oneZone: true, cpus: 4, memoryGb: 2, tasks: 3 },
     { taskCount: 1, zone: 'a' },
   );
   const whole = { ...gang, job: { ...gang.job, pendingTasks: [0, 1, 2] } };
-  const rented = (available: FleetInput['hasCapacity']): Set<string> =>
+  const requestedZones = (hasCapacity: FleetInput['hasCapacity']): Set<string> =>
     new Set(
-      planFleet(input({ unplacedDemand: [whole], hasCapacity: available })).scaleOut.map(
-        (request) => request.zone,
-      ),
+      planFleet(input({ unplacedDemand: [whole], hasCapacity })).scaleOut.map((request) => request.zone),
     );
-  assert.deepEqual([...rented(() => true)], ['a']);
-  const elsewhere = rented((_type, zone) => zone !== 'a');
+  assert.deepEqual([...requestedZones(() => true)], ['a']);
+  const elsewhere = requestedZones((_type, zone) => zone !== 'a');
   assert.equal(elsewhere.size, 1);
   assert.ok(!elsewhere.has('a'));
 });
--- a/packages/planner/test/scheduling.test.ts
+++ b/packages/planner/test/scheduling.test.ts
@@ -3,81 +3,82 @@
 import { jobSpec } from '@spurbridge/testkit';
 import type { JobView, MachineView, Occupant } from '../src/index.js';
 import { planTasks } from '../src/index.js';
-import { id, machine, occupant, snapshot, view } from './snapshot-fixtures.js';
+import { jobId, jobView, machine, occupant, snapshot } from './snapshot-fixtures.js';
 
-test('the smallest estimated completion goes first, the starved before it, services before both', () => {
-  const one = [machine(0)];
-  const long = view(jobSpec({ id: id(1), cpus: 4, tasks: 1, estimateS: 10 }));
-  const short = view(jobSpec({ id: id(2), cpus: 4, tasks: 1, estimateS: 4 }));
-  assert.equal(planTasks(snapshot([long, short], one)).starts[0]?.job, id(2));
+test('services are placed first, then starved jobs, then the job with the earliest estimated completion', () => {
+  const machines = [machine(0)];
+  const long = jobView(jobSpec({ id: jobId(1), cpus: 4, tasks: 1, estimateS: 10 }));
+  const short = jobView(jobSpec({ id: jobId(2), cpus: 4, tasks: 1, estimateS: 4 }));
+  assert.equal(planTasks(snapshot([long, short], machines)).starts[0]?.job, jobId(2));
   const starved = { ...long, totalWaitS: 31 };
-  assert.equal(planTasks(snapshot([starved, short], one)).starts[0]?.job, id(1));
-  const service = view(jobSpec({ id: id(3), kind: 'service', cpus: 4, tasks: 1, estimateS: 0 }));
-  assert.equal(planTasks(snapshot([starved, short, service], one)).starts[0]?.job, id(3));
+  assert.equal(planTasks(snapshot([starved, short], machines)).starts[0]?.job, jobId(1));
+  const service = jobView(jobSpec({ id: jobId(3), kind: 'service', cpus: 4, tasks: 1, estimateS: 0 }));
+  assert.equal(planTasks(snapshot([starved, short, service], machines)).starts[0]?.job, jobId(3));
 });
 
-// A burst was served in the order of its arrival, each job at the last moment, and none of some two hundred in time.
-test('in a long queue a job that waits as long as all others is not starved', () => {
+// With a fixed starvation threshold, every job of a burst became starved. The burst was then served in the order
+// of arrival, and none of about 200 jobs was in time.
+test('a job is starved only if it waits longer than twice the time needed for all waiting work', () => {
   const jobs = Array.from({ length: 12 }, (_, index) =>
-    view(jobSpec({ id: id(index), cpus: 4, tasks: 1, estimateS: index === 0 ? 20 : 10 }), {
+    jobView(jobSpec({ id: jobId(index), cpus: 4, tasks: 1, estimateS: index === 0 ? 20 : 10 }), {
       totalWaitS: index === 0 ? 40 : 1,
     }),
   );
   assert.equal(
     planTasks(snapshot(jobs, [machine(0)])).starts[0]?.job,
-    id(1),
-    '130 s of work for one machine',
+    jobId(1),
+    'a wait of 40 s, with 130 s of work on one machine',
   );
   assert.equal(
     planTasks(snapshot(jobs.slice(0, 2), [machine(0), machine(3)])).starts[0]?.job,
-    id(0),
-    '15 s each',
+    jobId(0),
+    'a wait of 40 s, with 15 s of work on each machine',
   );
-  const older = [view((jobs[0] as JobView).spec, { totalWaitS: 300 }), ...jobs.slice(1)];
+  const longerWait = [jobView((jobs[0] as JobView).spec, { totalWaitS: 300 }), ...jobs.slice(1)];
   assert.equal(
-    planTasks(snapshot(older, [machine(0)])).starts[0]?.job,
-    id(0),
-    'twice the time for all of it',
+    planTasks(snapshot(longerWait, [machine(0)])).starts[0]?.job,
+    jobId(0),
+    'a wait of 300 s, with 130 s of work on one machine',
   );
 });
 
-// It took the room that was made for the array, was stopped for it and took it again, every second.
-test('a service of low priority is not placed before work that it would be preempted for', () => {
-  const service = view(
-    jobSpec({ id: id(1), kind: 'service', cpus: 4, tasks: 1, estimateS: 0, priority: 'low' }),
+// The service took the resources freed for the array, was preempted for it and took them again, every second.
+test('a low-priority service is not placed before an array that may preempt it', () => {
+  const service = jobView(
+    jobSpec({ id: jobId(1), kind: 'service', cpus: 4, tasks: 1, estimateS: 0, priority: 'low' }),
   );
-  const array = view(
-    jobSpec({ id: id(2), cpus: 4, tasks: 1, estimateS: 20, priority: 'normal', team: 'blue' }),
+  const array = jobView(
+    jobSpec({ id: jobId(2), cpus: 4, tasks: 1, estimateS: 20, priority: 'normal', team: 'blue' }),
   );
-  assert.equal(planTasks(snapshot([service, array], [machine(0)])).starts[0]?.job, id(2));
-  const alike = { ...service, spec: { ...service.spec, priority: 'normal' as const } };
-  assert.equal(planTasks(snapshot([alike, array], [machine(0)])).starts[0]?.job, id(1));
+  assert.equal(planTasks(snapshot([service, array], [machine(0)])).starts[0]?.job, jobId(2));
+  const samePriority = { ...service, spec: { ...service.spec, priority: 'normal' as const } };
+  assert.equal(planTasks(snapshot([samePriority, array], [machine(0)])).starts[0]?.job, jobId(1));
 });
 
-// Summed over its tasks, a huge array passed the starvation threshold within seconds.
-test('a huge array is not starved sooner than a small job', () => {
-  const huge = view(jobSpec({ id: id(1), cpus: 4, tasks: 30, estimateS: 20 }), { totalWaitS: 120 });
-  const small = view(jobSpec({ id: id(2), cpus: 4, tasks: 1, estimateS: 5 }), { totalWaitS: 4 });
-  assert.equal(planTasks(snapshot([huge, small], [machine(0)])).starts[0]?.job, id(2));
+// With the waits of all tasks added up, a large array exceeded the starvation threshold within seconds.
+test('a large array with a short mean wait is not starved', () => {
+  const large = jobView(jobSpec({ id: jobId(1), cpus: 4, tasks: 30, estimateS: 20 }), { totalWaitS: 120 });
+  const small = jobView(jobSpec({ id: jobId(2), cpus: 4, tasks: 1, estimateS: 5 }), { totalWaitS: 4 });
+  assert.equal(planTasks(snapshot([large, small], [machine(0)])).starts[0]?.job, jobId(2));
 });
 
-// In a burst every job was served late in turn instead of some of them in time.
-test('a job that will miss its milestone goes behind one that can still meet its own, but not for ever', () => {
-  const lost = view(jobSpec({ id: id(1), cpus: 4, tasks: 1, estimateS: 5 }), {
+// Without this order, every job of a burst completed late instead of some of them in time.
+test('a job that will miss its milestone is placed after one that can meet its own, until it is long overdue', () => {
+  const late = jobView(jobSpec({ id: jobId(1), cpus: 4, tasks: 1, estimateS: 5 }), {
     ageS: 90,
     completionMilestonesS: [60],
   });
-  const fine = view(jobSpec({ id: id(2), cpus: 4, tasks: 1, estimateS: 20 }), {
+  const onTime = jobView(jobSpec({ id: jobId(2), cpus: 4, tasks: 1, estimateS: 20 }), {
     completionMilestonesS: [60],
   });
-  assert.equal(planTasks(snapshot([lost, fine], [machine(0)])).starts[0]?.job, id(2));
-  const old = { ...lost, ageS: 400, totalWaitS: 400 };
-  assert.equal(planTasks(snapshot([old, fine], [machine(0)])).starts[0]?.job, id(1));
+  assert.equal(planTasks(snapshot([late, onTime], [machine(0)])).starts[0]?.job, jobId(2));
+  const longOverdue = { ...late, ageS: 400, totalWaitS: 400 };
+  assert.equal(planTasks(snapshot([longOverdue, onTime], [machine(0)])).starts[0]?.job, jobId(1));
 });
 
-test('a service preempts the task of lower priority that loses least work', () => {
-  const service = view(
-    jobSpec({ id: id(1), kind: 'service', cpus: 4, tasks: 1, priority: 'production', spot: false }),
+test('a service preempts the lower-priority task that would lose the least work', () => {
+  const service = jobView(
+    jobSpec({ id: jobId(1), kind: 'service', cpus: 4, tasks: 1, priority: 'production', spot: false }),
   );
   const machines = [
     machine(0, 0, { occupants: [occupant({ lostWorkS: 30, task: 0 })] }),
@@ -87,26 +88,30 @@
     planTasks(snapshot([service], machines)).preemptions.map((preemption) => preemption.task),
     [1],
   );
-  const low = { ...service, spec: { ...service.spec, priority: 'normal' as const, team: 'blue' } };
-  assert.deepEqual(planTasks(snapshot([low], machines)).preemptions, [], 'the same priority is not stopped');
+  const samePriority = { ...service, spec: { ...service.spec, priority: 'normal' as const, team: 'blue' } };
+  assert.deepEqual(
+    planTasks(snapshot([samePriority], machines)).preemptions,
+    [],
+    'a task of the same priority is not preempted',
+  );
 });
 
-// Tasks were stopped 0.3 s after being placed, over and over, where the favoured job never went.
-test('nothing is preempted when the favoured task would end no sooner by it', () => {
-  const job = view(
-    jobSpec({ id: id(1), kind: 'service', cpus: 4, tasks: 1, priority: 'production', imageGb: 8 }),
+// Tasks were preempted 0.3 s after being placed, over and over, on a machine that the preempting job never used.
+test('nothing is preempted when preemption would not let the waiting task end earlier', () => {
+  const job = jobView(
+    jobSpec({ id: jobId(1), kind: 'service', cpus: 4, tasks: 1, priority: 'production', imageGb: 8 }),
   );
-  const cachedSoon = machine(0, 0, {
+  const cachedAndFreeSoon = machine(0, 0, {
     images: new Map([['img', 8]]),
     occupants: [occupant({ remainingS: 1.2, priority: 'production' })],
   });
   const uncached = machine(1, 0, { occupants: [occupant({ lostWorkS: 0.1, task: 1 })] });
-  const result = planTasks(snapshot([job], [cachedSoon, uncached]));
+  const result = planTasks(snapshot([job], [cachedAndFreeSoon, uncached]));
   assert.deepEqual(result.preemptions, []);
 });
 
-test('a task for which another one is stopping preempts no second one', () => {
-  const job = view(jobSpec({ id: id(1), kind: 'service', cpus: 4, tasks: 1, priority: 'production' }));
+test('a task preempts nothing while a stopping task is about to free resources for it', () => {
+  const job = jobView(jobSpec({ id: jobId(1), kind: 'service', cpus: 4, tasks: 1, priority: 'production' }));
   const machines = [
     machine(0, 0, { occupants: [occupant({ isStopping: true, remainingS: 2 })] }),
     machine(1, 0, { occupants: [occupant({ task: 1 })] }),
@@ -114,22 +119,22 @@
   assert.deepEqual(planTasks(snapshot([job], machines)).preemptions, []);
 });
 
-test("a team's guarantee stops what another team runs beyond its own", () => {
-  const job = view(jobSpec({ id: id(1), cpus: 4, tasks: 1, team: 'red', estimateS: 5 }), {
+test("a job within its team's guarantee preempts a task that another team runs beyond its guarantee", () => {
+  const job = jobView(jobSpec({ id: jobId(1), cpus: 4, tasks: 1, team: 'red', estimateS: 5 }), {
     toleratedWaitS: 2,
   });
-  const beyond = view(jobSpec({ id: id(900), cpus: 4, tasks: 9, team: 'blue' }), {
+  const beyondGuarantee = jobView(jobSpec({ id: jobId(900), cpus: 4, tasks: 9, team: 'blue' }), {
     pendingTasks: [],
     pendingCount: 0,
   });
   const busy = [machine(0, 0, { occupants: [occupant()] })];
-  assert.equal(planTasks(snapshot([job, beyond], busy)).preemptions.length, 1);
-  const inside = { ...beyond, unfinishedCount: 1 };
-  assert.deepEqual(planTasks(snapshot([job, inside], busy)).preemptions, []);
+  assert.equal(planTasks(snapshot([job, beyondGuarantee], busy)).preemptions.length, 1);
+  const withinGuarantee = { ...beyondGuarantee, unfinishedCount: 1 };
+  assert.deepEqual(planTasks(snapshot([job, withinGuarantee], busy)).preemptions, []);
 });
 
-test('replicas avoid machines that a whole task would fit on', () => {
-  const service = view(jobSpec({ id: id(1), kind: 'service', cpus: 1, tasks: 1, spot: false }));
+test('a replica avoids a machine that has room for a task of the typical size', () => {
+  const service = jobView(jobSpec({ id: jobId(1), kind: 'service', cpus: 1, tasks: 1, spot: false }));
   const withTypicalTask = {
     ...snapshot([service], [machine(0, 1), machine(1, 0)]),
     typicalTask: { cpus: 8, gpus: 0, memoryGb: 8 },
@@ -137,11 +142,11 @@
   assert.equal(planTasks(withTypicalTask).starts[0]?.machine, machine(1, 0).id);
 });
 
-test('a waiting gang keeps its places in the queues, so that the next one is known to start later', () => {
+test('a waiting gang reserves its queue places, so the next gang is estimated to start after it', () => {
   const gang = (index: number): JobView =>
-    view(
+    jobView(
       jobSpec({
-        id: id(index),
+        id: jobId(index),
         kind: 'gang',
         gpus: 4,
         cpus: 2,
@@ -154,30 +159,30 @@
   const full = machine(0, 2, {
     occupants: [occupant({ cpus: 2, gpus: 4, remainingS: 10, isPreemptible: false })],
   });
-  const { starts, unplacedDemand: unmet } = planTasks(snapshot([gang(1), gang(2)], [full]));
+  const { starts, unplacedDemand } = planTasks(snapshot([gang(1), gang(2)], [full]));
   assert.deepEqual(starts, []);
   assert.deepEqual(
-    unmet.map((demand) => Math.round(demand.startsInS)),
+    unplacedDemand.map((demand) => Math.round(demand.startsInS)),
     [10, 31],
   );
 });
 
-test('a gang too long for its completion milestone still starts by its start milestone', () => {
-  const aims = { milestonesS: [40], startMilestonesS: [30], pending: [0] };
+test('a gang that is too long for its completion milestone still starts by its start milestone', () => {
+  const milestones = { milestonesS: [40], startMilestonesS: [30], pending: [0] };
   const gang = { kind: 'gang', gpus: 4, cpus: 2, tasks: 1, spot: false, estimateS: 60 } as const;
-  const long = view(jobSpec({ id: id(1), ...gang }), { ...aims, totalWaitS: 50 });
-  const short = view(jobSpec({ id: id(2), ...gang, estimateS: 5 }), aims);
+  const long = jobView(jobSpec({ id: jobId(1), ...gang }), { ...milestones, totalWaitS: 50 });
+  const short = jobView(jobSpec({ id: jobId(2), ...gang, estimateS: 5 }), milestones);
   const withThreshold = { ...snapshot([long, short], [machine(0, 2)]), starvationThresholdS: 30 };
   assert.deepEqual(
     planTasks(withThreshold).starts.map((start) => start.job),
-    [id(1)],
+    [jobId(1)],
   );
 });
 
-test('a gang makes room for all its tasks or for none', () => {
-  const gang = view(
+test('a gang preempts for all of its tasks or for none', () => {
+  const gang = jobView(
     jobSpec({
-      id: id(1),
+      id: jobId(1),
       kind: 'gang',
       priority: 'high',
       gpus: 4,
@@ -187,52 +192,73 @@
       estimateS: 5,
     }),
   );
-  const clips = Array.from({ length: 4 }, (_, task) => occupant({ task, cpus: 1, gpus: 1 }));
-  const high = occupant({ job: id(901), cpus: 1, gpus: 4, priority: 'high' });
+  const smallTasks = Array.from({ length: 4 }, (_, task) => occupant({ task, cpus: 1, gpus: 1 }));
+  const highPriorityTask = occupant({ job: jobId(901), cpus: 1, gpus: 4, priority: 'high' });
   const busy = (index: number, occupants: Occupant[]): MachineView => machine(index, 2, { occupants });
-  const half = planTasks(snapshot([gang], [busy(0, clips), busy(3, [high])]));
-  assert.deepEqual(half.preemptions, []);
-  const others = clips.map((occupant) => ({ ...occupant, job: id(902) }));
-  assert.equal(planTasks(snapshot([gang], [busy(0, clips), busy(3, others)])).preemptions.length, 8);
+  const onePreemptible = planTasks(snapshot([gang], [busy(0, smallTasks), busy(3, [highPriorityTask])]));
+  assert.deepEqual(onePreemptible.preemptions, []);
+  const moreSmallTasks = smallTasks.map((occupant) => ({ ...occupant, job: jobId(902) }));
+  assert.equal(
+    planTasks(snapshot([gang], [busy(0, smallTasks), busy(3, moreSmallTasks)])).preemptions.length,
+    8,
+  );
 });
 
-test('a gang takes free machines rather than wait for machines that have its image', () => {
-  const gang = view(
-    jobSpec({ id: id(1), kind: 'gang', gpus: 4, cpus: 2, tasks: 1, imageGb: 12, spot: false, estimateS: 5 }),
+test('a gang starts on a free machine instead of waiting for a busy one that has its image', () => {
+  const gang = jobView(
+    jobSpec({
+      id: jobId(1),
+      kind: 'gang',
+      gpus: 4,
+      cpus: 2,
+      tasks: 1,
+      imageGb: 12,
+      spot: false,
+      estimateS: 5,
+    }),
     { toleratedWaitS: 50 },
   );
-  const held = machine(0, 2, {
+  const busyWithImage = machine(0, 2, {
     images: new Map([['img', 12]]),
     occupants: [occupant({ cpus: 2, gpus: 4, remainingS: 8, priority: 'high' })],
   });
-  assert.equal(planTasks(snapshot([gang], [held, machine(3, 2)])).starts[0]?.machine, machine(3, 2).id);
+  assert.equal(
+    planTasks(snapshot([gang], [busyWithImage, machine(3, 2)])).starts[0]?.machine,
+    machine(3, 2).id,
+  );
 });
 
-// A burst's tasks were taken to start before anything was free for them: machines came a minute late.
-test('waiting tasks are estimated to start no sooner than room for all of them comes free', () => {
+// Waiting tasks were estimated to start before any resources were free for them, so machines for a burst were
+// requested a minute late.
+test('the estimated start of waiting tasks is the time when resources for all of them are free', () => {
   const busy = Array.from({ length: 10 }, (_, index) =>
     machine(index, 2, {
       occupants: [occupant({ cpus: 8, gpus: 4, remainingS: (index + 1) * 5, priority: 'high' })],
     }),
   );
-  const waiting = view(jobSpec({ id: id(1), cpus: 8, gpus: 4, tasks: 6, estimateS: 50, team: 'red' }));
+  const waiting = jobView(jobSpec({ id: jobId(1), cpus: 8, gpus: 4, tasks: 6, estimateS: 50, team: 'red' }));
   const teams = [{ name: 'red', cpus: 1e6, cpusMax: 1e6, gpus: 1e6, gpusMax: 1e6 }];
-  const { unplacedDemand: unmet } = planTasks({ ...snapshot([waiting], busy), teams });
-  assert.equal(unmet.length, 1);
-  assert.ok(Math.abs((unmet[0]?.startsInS ?? 0) - 30) < 1, `${unmet[0]?.startsInS}`);
+  const { unplacedDemand } = planTasks({ ...snapshot([waiting], busy), teams });
+  assert.equal(unplacedDemand.length, 1);
+  const startsInS = unplacedDemand[0]?.startsInS;
+  assert.ok(Math.abs((startsInS ?? 0) - 30) < 1, `${startsInS}`);
 });
 
-test('a large job that has not started after two and a half minutes starts with one task, ahead of smaller jobs', () => {
-  const large = (ageS: number, over: Partial<JobView> = {}): JobView =>
-    view(jobSpec({ id: id(1), tasks: 4, cpus: 2, estimateS: 30 }), { ageS, totalWaitS: 0, ...over });
+test('a large job that has not started after 150 s starts one task before smaller jobs', () => {
+  const large = (ageS: number, overrides: Partial<JobView> = {}): JobView =>
+    jobView(jobSpec({ id: jobId(1), tasks: 4, cpus: 2, estimateS: 30 }), {
+      ageS,
+      totalWaitS: 0,
+      ...overrides,
+    });
   const small = [2, 3, 4].map((index) =>
-    view(jobSpec({ id: id(index), tasks: 1, cpus: 2, estimateS: 2 }), { ageS: 1 }),
+    jobView(jobSpec({ id: jobId(index), tasks: 1, cpus: 2, estimateS: 2 }), { ageS: 1 }),
   );
-  const started = (job: JobView): string[] =>
+  const startedTasks = (job: JobView): string[] =>
     planTasks(snapshot([job, ...small], [machine(1)])).starts.map((start) => `${start.job}/${start.task}`);
-  assert.deepEqual(started(large(100)), [`${id(2)}/0`, `${id(3)}/0`]);
-  assert.deepEqual(started(large(150)), [`${id(1)}/0`, `${id(2)}/0`]);
-  // Of one that has begun the order alone decides.
-  const begun = { pendingCount: 3, pending: [1, 2, 3], unfinished: 4, zones: ['a'] };
-  assert.deepEqual(started(large(150, begun)), [`${id(2)}/0`, `${id(3)}/0`]);
+  assert.deepEqual(startedTasks(large(100)), [`${jobId(2)}/0`, `${jobId(3)}/0`]);
+  assert.deepEqual(startedTasks(large(150)), [`${jobId(1)}/0`, `${jobId(2)}/0`]);
+  // A job that has started already has no precedence.
+  const partlyStarted = { pendingCount: 3, pending: [1, 2, 3], unfinished: 4, zones: ['a'] };
+  assert.deepEqual(startedTasks(large(150, partlyStarted)), [`${jobId(2)}/0`, `${jobId(3)}/0`]);
 });
--- a/packages/planner/test/snapshot-fixtures.ts
+++ b/packages/planner/test/snapshot-fixtures.ts
@@ -8,11 +8,11 @@
 import { TEAMS, TYPES, ZONES } from '@spurbridge/testkit';
 import type { ClusterSnapshot, JobView, MachineView, Occupant } from '../src/index.js';
 
-/** A job id by its number. */
-export const id = (index: number): JobId => `wk-${String(index).padStart(6, '0')}` as JobId;
+/** The job id with this number. */
+export const jobId = (index: number): JobId => `wk-${String(index).padStart(6, '0')}` as JobId;
 
-/** A job, all of it waiting. */
-export function view(spec: JobSpec, over: Partial<JobView> = {}): JobView {
+/** A job all of whose tasks are pending. */
+export function jobView(spec: JobSpec, overrides: Partial<JobView> = {}): JobView {
   return {
     spec,
     pendingTasks: Array.from({ length: spec.tasks }, (_, task) => task),
@@ -28,12 +28,12 @@
     excludedMachines: new Set(),
     submissionOrder: Number(spec.id.slice(3)),
     isStartable: true,
-    ...over,
+    ...overrides,
   };
 }
 
 /** An empty machine. */
-export function machine(index: number, type = 0, over: Partial<MachineView> = {}): MachineView {
+export function machine(index: number, type = 0, overrides: Partial<MachineView> = {}): MachineView {
   return {
     id: `n-${String(index).padStart(6, '0')}` as MachineId,
     type: TYPES[type] as MachineView['type'],
@@ -43,14 +43,14 @@
     images: new Map(),
     slowness: 1,
     occupants: [],
-    ...over,
+    ...overrides,
   };
 }
 
-/** A running task of the other team. */
-export function occupant(over: Partial<Occupant> = {}): Occupant {
+/** A running task of team blue. */
+export function occupant(overrides: Partial<Occupant> = {}): Occupant {
   return {
-    job: id(900),
+    job: jobId(900),
     task: 0,
     cpus: 4,
     gpus: 0,
@@ -61,7 +61,7 @@
     team: 'blue',
     isStopping: false,
     isPreemptible: true,
-    ...over,
+    ...overrides,
   };
 }
 
