--- a/packages/model/src/admission.ts
+++ b/packages/model/src/admission.ts
@@ -19,7 +19,7 @@
   readonly gpusMax: number;
 }
 
-/** Amounts are sums of decimals; they count as equal within this tolerance. */
+/** The tolerance for comparing amounts of resources; sums of decimals have rounding errors. */
 export const EPSILON = 1e-6;
 
 /** The minimum number of zones in which the tasks of a spread gang must be able to run. */
@@ -37,8 +37,8 @@
 }
 
 /**
- * The number of zones in which tasks of the job may be at the same time. A type that lists no zones may be in
- * any.
+ * The number of zones in which tasks of the job may run at the same time. A machine type that lists no zones may
+ * be in any zone.
  */
 function countAllowedZones(spec: JobSpec, fittingTypes: readonly MachineType[]): number {
   if (spec.oneZone || spec.zone !== null) return 1;
@@ -58,11 +58,11 @@
   const team = teams.find(({ name }) => name === spec.team);
   if (team === undefined) return 'unknown team';
   const fittingTypes = types.filter((type) => fitsMachineType(spec, type));
-  if (fittingTypes.length === 0) return 'a task fits no allowed machine type';
-  if (exceedsLimit(spec, team)) return "the job needs more than the team's limit";
+  if (fittingTypes.length === 0) return "no machine type satisfies the task's resources, types and zone";
+  if (exceedsLimit(spec, team)) return "the job requests more than its team's limit";
   const isSpreadGang = spec.kind === 'gang' && spec.spread && spec.tasks > 1;
   if (isSpreadGang && countAllowedZones(spec, fittingTypes) < MIN_SPREAD_ZONES)
-    return 'scatter: a gang that may be in one zone alone has all its tasks there';
+    return 'scatter: at most half of the tasks may be in one zone, but the gang can run in only one zone';
   return null;
 }
 
--- a/packages/model/src/gang.ts
+++ b/packages/model/src/gang.ts
@@ -11,12 +11,12 @@
 /**
  * The state of a gang's attempt, derived from its placements.
  *
- * - `gone`: none of its tasks may be on a machine.
+ * - `gone`: no task is placed.
  * - `intended`: the intent of some task is not durable yet.
  * - `fetching`: starts were sent; some task does not have its image yet.
  * - `waiting`: every placed task waits for the others.
  * - `running`, `saving`: at least one task was reported to be in this state.
- * - `breaking`: a task was lost or is being stopped; the others must be gone before the gang starts again.
+ * - `breaking`: a task was lost or is being stopped; the other tasks must be gone before the gang starts again.
  * - `done`: all tasks are done.
  */
 export type GangState =
@@ -47,7 +47,7 @@
     return this.currentState;
   }
 
-  /** The attempt that the placed tasks share; null while none of them may be on a machine. */
+  /** The attempt that the placed tasks share; null while no task is placed. */
   get attempt(): Attempt | null {
     return this.sharedAttempt;
   }
@@ -69,15 +69,15 @@
     if (doneCount === this.taskCount) next = 'done';
     else if (placements.size === 0) next = 'gone';
     else if (this.currentState === 'breaking' || (this.hasStarted && hasLostTask)) next = 'breaking';
-    // A heartbeat may arrive late, so a gang that has started never returns to a state before the start.
+    // Heartbeats may be delayed, so a gang that has started never returns to a state before its start.
     else if (this.hasStarted) next = moreSignificantState(this.currentState, next);
     this.transitionTo(next);
   }
 
   /**
-   * Whether a lost task may be replaced under the same attempt. Every other task must have been reported to
-   * fetch or to wait: if the gang was only restored from a record, it may have been running already, and the
-   * replacement would wait forever.
+   * Whether a lost task may be replaced under the same attempt. All other tasks must have been reported as
+   * `fetching` or `waiting`: a gang restored from a record may already be running, and then the replacement
+   * would wait forever.
    */
   awaitsReplacement(placements: ReadonlyMap<number, Placement>, doneCount: number): boolean {
     if (this.currentState !== 'fetching' && this.currentState !== 'waiting') return false;
@@ -99,9 +99,7 @@
   }
 }
 
-/**
- * States of single tasks, ordered by how strongly they determine the state of the whole gang, weakest first.
- */
+/** The states that follow from single tasks; a later one takes precedence over the earlier ones. */
 const STATES_BY_SIGNIFICANCE: readonly GangState[] = [
   'waiting',
   'fetching',
--- a/packages/model/src/index.ts
+++ b/packages/model/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The domain model: jobs, gangs, placements and machines as state machines, the stored records of jobs and tasks, admission
- * and service levels.
+ * The domain model: state machines of jobs, gangs, placements and machines, the stored records of jobs and
+ * tasks, admission, and service levels.
  *
  * @module
  */
--- a/packages/model/src/job.ts
+++ b/packages/model/src/job.ts
@@ -54,13 +54,13 @@
   consecutiveFailures = 0;
   /** Backoff after failures: no task is placed before this time. */
   backoffUntil = 0 as MonotonicMs;
-  /** When a task was first reported to run; null before that. */
+  /** When a task was first reported as running; null before that. */
   firstStartedAt: MonotonicMs | null = null;
-  /** Its cancellation was confirmed no earlier than this; null: not cancelled, or the time is unknown. */
+  /** Lower bound of the time at which its cancellation was confirmed; null if not cancelled or if unknown. */
   cancelledAt: MonotonicMs | null = null;
-  /** Its cancellation, if any, was confirmed to the user after this time; null: at any time. */
+  /** Its cancellation, if any, was confirmed to the user after this time; null if no lower bound is known. */
   cancelledAfter: MonotonicMs | null = null;
-  /** No task below this index is pending. Avoids walking over all tasks of a large job for every plan. */
+  /** No task below this index is pending. Avoids iterating over all tasks of a large job for every plan. */
   private firstPendingHint = 0;
   /** The time since which the job's pending tasks have been waiting. */
   waitingSince: MonotonicMs;
@@ -71,7 +71,7 @@
     /** The last known version of the job's record in the store. */
     public version: Version,
     readonly submittedAt: MonotonicMs,
-    /** The id of the task graph that it belongs to; null for a job submitted by a user. */
+    /** The id of the task graph that it belongs to; null for a job submitted directly by a user. */
     readonly graph: string | null = null,
   ) {
     this.doneTasks = new Uint8Array(spec.tasks);
@@ -107,7 +107,7 @@
     return this.doneTaskCount;
   }
 
-  /** All placements that may be on a machine, by task. */
+  /** The placements not proven to be gone, by task. */
   get placements(): ReadonlyMap<number, Placement> {
     return this.placementsByTask;
   }
@@ -157,7 +157,7 @@
     return chunk.revision === chunk.durableRevision;
   }
 
-  /** The number of tasks that are neither done nor possibly on a machine. */
+  /** The number of tasks that are neither done nor placed. */
   get pendingCount(): number {
     return this.spec.tasks - this.doneTaskCount - this.placementsByTask.size;
   }
@@ -221,7 +221,7 @@
     this.gang?.update(this.placementsByTask, this.doneTaskCount);
   }
 
-  /** Whether pending tasks of a gang replace lost ones while the others are still placed. */
+  /** Whether a lost task of a gang may be replaced while the other tasks stay placed. */
   get awaitsReplacementTask(): boolean {
     return this.gang?.awaitsReplacement(this.placementsByTask, this.doneTaskCount) === true;
   }
@@ -252,7 +252,7 @@
     }
   }
 
-  /** Restores from a record that a task may be on a machine; an earlier leader may have sent its start. */
+  /** Restores a placement from a record; an earlier leader may have sent its start. */
   restorePlacement(
     task: number,
     machine: MachineId,
@@ -300,14 +300,14 @@
     if (next !== 'gone') this.updateGang();
   }
 
-  /** The intent is durable: the task waits in its machine's queue; a task of a gang may start at once. */
+  /** Marks an intent as durable: the task is now queued on its machine; a task of a gang may start at once. */
   markDurable(task: number, attempt: Attempt, now: MonotonicMs): void {
     const placement = this.placementsByTask.get(task);
     if (placement !== undefined && placement.attempt === attempt && placement.state === 'intended')
       this.transitionPlacement(placement, this.gang === null ? 'queued' : 'starting', now);
   }
 
-  /** Its machine has free resources: starts may be sent from now on. */
+  /** Marks a queued task as starting: its machine has free resources, and starts may be sent from now on. */
   markStarting(task: number, now: MonotonicMs): void {
     const placement = this.placementsByTask.get(task);
     if (placement?.state === 'queued') this.transitionPlacement(placement, 'starting', now);
@@ -322,8 +322,8 @@
   }
 
   /**
-   * Removes the placement of a task proven not to be on the machine: by the machine, by its agent's epoch or
-   * by the cloud.
+   * Removes the placement of a task that is proven not to be on the machine. The proof comes from the machine,
+   * from its agent's epoch or from the cloud.
    */
   removePlacement(task: number, isDone: boolean, now: MonotonicMs): void {
     const placement = this.placementsByTask.get(task);
--- a/packages/model/src/machine.ts
+++ b/packages/model/src/machine.ts
@@ -12,7 +12,7 @@
  * The state of a machine: booting -> ready -> silent -> ready | gone; ready -> draining -> releasing -> gone.
  * A machine drained only for scaling in may become ready again.
  *
- * - `silent`: heartbeats are missing; its tasks still count as being there.
+ * - `silent`: heartbeats are missing; its tasks still count as placed there.
  * - `draining`: accepts no new tasks.
  * - `releasing`: a release was sent to the cloud; only the cloud's confirmation proves that the machine is
  *   gone.
@@ -61,22 +61,22 @@
   leaseDelegatedUntil = 0 as MonotonicMs;
   /** When the cloud's preemption notice arrived; null without one. */
   preemptionNoticeAt: MonotonicMs | null = null;
-  /** When the cloud takes the machine back according to that notice. */
+  /** When the cloud will reclaim the machine according to that notice. */
   preemptionDeadline: MonotonicMs | null = null;
   /** The images in its cache with their sizes in GB, least recently used first. */
   readonly images = new Map<string, number>();
-  /** Starts sent directly in this agent epoch and not confirmed: they may arrive at any time. */
+  /** Starts sent directly in this agent epoch that are not confirmed; each may still arrive at any time. */
   readonly unconfirmedStarts = new Set<string>();
   /** Jobs whose tasks failed here consecutively, without a success in between. */
   readonly failedJobs = new Set<string>();
-  /** Probes sent since the last heartbeat, and how many of them got no response. */
+  /** The number of probes sent since the last heartbeat, and how many of them got no response. */
   probesSent = 0;
   probesUnanswered = 0;
   /** The time since which no task has been placed here; null while one is placed. */
   idleSince: MonotonicMs | null;
   /** No task is started here before this time, after a refused start or a failed task. */
   backoffUntil = 0 as MonotonicMs;
-  /** Whether a direct call with commands is in progress; at most one is. */
+  /** Whether a direct call with commands is in progress; at most one is at a time. */
   isSendingCommands = false;
   /**
    * Whether the machine is known to exist now: by a record that places a task on it, by the cloud, or by a
@@ -97,7 +97,7 @@
     readonly type: string,
     readonly zone: string,
     readonly spot: boolean,
-    /** Whether this service scaled out to it; false for a machine that existed already. */
+    /** Whether this service requested it from the cloud; false for a machine that existed already. */
     public isProvisioned: boolean,
     readonly firstSeenAt: MonotonicMs,
   ) {
@@ -145,7 +145,7 @@
     this.estimatedSlowness = Math.max(1, Math.exp(sumOfMeans / sampleSize));
   }
 
-  /** Actual over expected run time, shrunk towards 1 while there are few samples; at least 1. */
+  /** Actual over expected run time, at least 1; biased towards 1 while there are few samples. */
   get slowness(): number {
     return this.estimatedSlowness;
   }
--- a/packages/model/src/placement.ts
+++ b/packages/model/src/placement.ts
@@ -58,7 +58,7 @@
   /** When the present state was entered. */
   readonly stateSince: MonotonicMs;
   readonly placedAt: MonotonicMs;
-  /** When the task was first reported to run on this machine; null before that. */
+  /** When the task was first reported as running on this machine; null before that. */
   readonly runningSince: MonotonicMs | null;
   /** The decision to stop it; null while there is none. */
   readonly stopRequest: StopRequest | null;
--- a/packages/model/src/service-levels.ts
+++ b/packages/model/src/service-levels.ts
@@ -7,22 +7,22 @@
 
 import type { JobSpec } from '@spurbridge/wire';
 
-/** A class or team whose share of what was requested and possible is below this counts as not served. */
+/** A class or team is not served if it received less than this share of what was requested and possible. */
 export const MIN_SERVED_SHARE = 0.5;
-/** The replicas of a service count as requested from this many seconds after its submission on. */
+/** The replicas of a service count as requested once this many seconds have passed since its submission. */
 export const REPLICA_GRACE_S = 20;
 /** A job that has waited this many seconds for its first task counts as not started. */
 export const START_GRACE_S = 60;
 
-/** The largest jobs of a class have to start within this many seconds. */
+/** The largest jobs of a class must start within this many seconds. */
 export const LARGEST_JOB_START_S = 240;
 /** The share of a class's jobs that counts as the largest ones. */
 const LARGEST_JOB_SHARE = 0.25;
 /** In a class with fewer jobs than this, none counts as one of the largest. */
 const LARGEST_JOB_MIN_COUNT = 8;
-/** A job without a deadline could have ended after this multiple of its estimate, plus the time to start. */
+/** A job without a deadline could have ended after `START_GRACE_S` plus this multiple of its estimate. */
 const EXPECTED_END_ESTIMATES = 4;
-/** A job with a deadline could have ended after this multiple of it. */
+/** A job with a deadline could have ended after this multiple of the deadline. */
 const EXPECTED_END_DEADLINES = 1.5;
 
 /** The size that ranks the jobs of a class: all its accelerators, or its CPUs if it needs no accelerators. */
@@ -37,7 +37,7 @@
   return sorted[Math.floor(sorted.length * LARGEST_JOB_SHARE) - 1] ?? Infinity;
 }
 
-/** The age in seconds at which a finite job could have ended; younger jobs are not counted. */
+/** The age in seconds at which a job could have ended; younger unfinished jobs are not counted. */
 export function expectedEndAgeS(spec: JobSpec): number {
   return spec.deadlineS === null
     ? START_GRACE_S + EXPECTED_END_ESTIMATES * spec.estimateS
@@ -54,15 +54,15 @@
 
 /** What a class or a team requested, and what it received. */
 export interface ServiceLevelCounts {
-  /** Finite jobs that have ended or could have. */
+  /** Jobs, apart from services, that have ended or could have ended. */
   couldEnd: number;
   /** How many of these have ended. */
   ended: number;
   /** How many of these have a deadline. */
   timed: number;
-  /** How many of those have met it. */
+  /** How many of those have met their deadline. */
   inTime: number;
-  /** Jobs that have started or could have. */
+  /** Jobs that have started or could have started. */
   couldStart: number;
   /** How many of these have started. */
   started: number;
@@ -94,12 +94,12 @@
   readonly isWarning: boolean;
 }
 
-function serviceLevel(indicator: ServiceLevelIndicator, given: number, requested: number): ServiceLevel {
-  const share = given / requested;
+function serviceLevel(indicator: ServiceLevelIndicator, received: number, requested: number): ServiceLevel {
+  const share = received / requested;
   return { indicator, share, margin: share - MIN_SERVED_SHARE, isWarning: indicator === 'in time' };
 }
 
-/** The service levels of one class or team, for everything of which anything was requested. */
+/** The service levels of one class or team; indicators for which nothing was requested are left out. */
 export function serviceLevels(counts: ServiceLevelCounts): ServiceLevel[] {
   const levels: ServiceLevel[] = [];
   if (counts.couldEnd > 0) levels.push(serviceLevel('ended', counts.ended, counts.couldEnd));
@@ -122,7 +122,7 @@
   /** Its age in seconds at its first start, if known; null if it has not started. */
   readonly startedS: number | null;
   readonly isEnded: boolean;
-  /** Whether its user cancelled it: outcomes that it had not reached by then are not counted. */
+  /** Whether its user cancelled it; outcomes that it had not reached by then are not counted. */
   readonly isCancelled: boolean;
 }
 
--- a/packages/model/src/transition-table.ts
+++ b/packages/model/src/transition-table.ts
@@ -9,7 +9,7 @@
 /** The allowed transitions between the named states of one kind of subject. */
 export class TransitionTable<State extends string> {
   constructor(
-    /** What the states belong to; named in errors. */
+    /** The kind of object that the states belong to; named in errors. */
     private readonly subject: string,
     private readonly allowed: Readonly<Record<State, readonly State[]>>,
   ) {}
--- a/packages/planner/src/cluster-snapshot.ts
+++ b/packages/planner/src/cluster-snapshot.ts
@@ -7,7 +7,7 @@
 import type { Team } from '@spurbridge/model';
 import type { JobId, JobPriority, JobSpec, MachineId, MachineType } from '@spurbridge/wire';
 
-/** A task that may be on a machine. */
+/** A task that is placed on a machine and may be running there. */
 export interface Occupant {
   readonly job: JobId;
   readonly task: number;
@@ -21,7 +21,7 @@
   readonly priority: JobPriority;
   readonly team: string;
   readonly isStopping: boolean;
-  /** Whether it may be preempted by itself; a task of a gang may not. */
+  /** Whether it may be preempted individually; a task of a gang may not. */
   readonly isPreemptible: boolean;
 }
 
@@ -36,11 +36,11 @@
   readonly images: ReadonlyMap<string, number>;
   /** Observed run time over expected run time, at least 1. */
   readonly slowness: number;
-  /** Everything that may be on it. */
+  /** The tasks placed on it. */
   readonly occupants: readonly Occupant[];
 }
 
-/** A job with pending tasks or tasks on machines. */
+/** A job with pending or placed tasks. */
 export interface JobView {
   readonly spec: JobSpec;
   /** The pending tasks that this plan may place, up to the limit per plan. */
@@ -53,7 +53,7 @@
   readonly isOverdueFirstTask?: boolean;
   /** The number of tasks that are not done. */
   readonly unfinishedCount: number;
-  /** The zone of each task that may be on a machine. */
+  /** The zone of each placed task. */
   readonly placedZones: readonly string[];
   /** The waits of the pending tasks in seconds, added up. */
   readonly totalWaitS: number;
@@ -90,7 +90,7 @@
    * seconds; 0 disables placing ahead.
    */
   readonly placeAheadS: number;
-  /** Whether cost is weighed against speed. */
+  /** Whether cost is weighed against completion times. */
   readonly isCostAware: boolean;
   /** The largest task size for which machines should keep capacity free; null while unknown. */
   readonly typicalTask: { readonly cpus: number; readonly gpus: number; readonly memoryGb: number } | null;
--- a/packages/planner/src/fleet/burst-rate.ts
+++ b/packages/planner/src/fleet/burst-rate.ts
@@ -1,5 +1,5 @@
 /**
- * Scales out for the rate at which work arrives during a burst.
+ * Scales out for the arrival rate of work during a burst.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import type { ScaleOutRequests } from './scale-out-requests.js';
 import type { FleetInput } from './types.js';
 
-/** Normal arrivals are uneven; only a rate that needs this many times the present fleet counts as a burst. */
+/** Arrivals normally fluctuate, so only a rate that needs this multiple of the capacity counts as a burst. */
 const BURST_FACTOR = 1.2;
 /** Used in place of the CPUs of a task that requests none, to avoid division by zero. */
 const MIN_TASK_CPUS = 0.01;
@@ -25,11 +25,11 @@
 }
 
 /**
- * Scales out for the work that will arrive while machines boot. Waiting until each job is predicted to be
- * late is too slow: for a burst of one minute, the machines came up half a minute after its end and only
- * worked off jobs that were late already.
+ * Scales out for the work that will arrive while machines boot. Requesting machines only for jobs that are
+ * predicted to be late is too slow: for a burst of one minute, the machines came up half a minute after its
+ * end, and all jobs left to run on them were already late.
  *
- * @param managementSurcharge - added to the price of each further machine for the cost of managing it.
+ * @param managementSurcharge - added to the price of each additional machine for the cost of managing it.
  */
 export function scaleOutForBurst(
   input: FleetInput,
@@ -65,7 +65,7 @@
   return cpus;
 }
 
-/** The kinds of machines that suit the job: spot machines before on-demand ones, then by price per slot. */
+/** The kinds of machines that can run the job: spot machines before on-demand ones, then by price per slot. */
 function listCandidates(input: FleetInput, spec: JobSpec, surcharge: number): Candidate[] {
   const candidates: Candidate[] = [];
   for (const type of input.types)
--- a/packages/planner/src/fleet/consolidation.ts
+++ b/packages/planner/src/fleet/consolidation.ts
@@ -10,7 +10,7 @@
 import type { SpareCapacity } from './spare-capacity.js';
 import type { FleetInput, FleetMachine, Replica, ScaleOutRequest, ZoneSpread } from './types.js';
 
-/** Queued work that starts within this many seconds does not justify keeping a machine. */
+/** Queued work that starts within this many seconds does not prevent consolidation. */
 const MAX_QUEUED_S = 10;
 /** The maximum number of machines per plan for which it is checked whether their replicas fit elsewhere. */
 const MAX_CANDIDATES = 8;
@@ -19,26 +19,26 @@
 /** A replacement has at least this many CPUs, unless fewer are missing. */
 const MIN_REPLACEMENT_CPUS = 8;
 
-/** A machine that can be emptied. */
+/** A machine whose replicas fit on other machines. */
 export interface Consolidation {
   readonly machine: MachineId;
   /**
-   * Spot CPUs to scale out to before draining, so that other work on the machine keeps its capacity; 0 for
-   * none.
+   * The spot CPUs to request before draining, so that other work on the machine keeps its capacity; 0 if none
+   * are needed.
    */
   readonly missingCpus: number;
 }
 
 interface Candidate {
   readonly machine: FleetMachine;
-  /** The price saved per replica that has to move. */
+  /** The saved price per replica that has to move. */
   readonly saving: number;
   readonly missingCpus: number;
 }
 
 /**
- * The machine that saves most per replica to be moved, among those whose replicas all fit elsewhere; null if
- * there is none.
+ * The machine that saves most per moved replica, among those whose replicas all fit on other machines; null
+ * if there is none.
  */
 export function findConsolidation(input: FleetInput, spareCapacity: SpareCapacity): Consolidation | null {
   if (!input.policy.isCostAware || input.unplacedDemand.some(needsCapacity)) return null;
--- a/packages/planner/src/fleet/incoming-machine.ts
+++ b/packages/planner/src/fleet/incoming-machine.ts
@@ -10,7 +10,7 @@
 import { countFittingTasks } from './machine-fit.js';
 import type { FleetMachine } from './types.js';
 
-/** A machine that is expected to be up soon, with the resources not yet assigned to any demand. */
+/** A machine that is expected to be up soon, with its resources that are not assigned to any demand. */
 export interface IncomingMachine {
   readonly type: MachineType;
   readonly zone: string;
@@ -22,7 +22,7 @@
   memoryGb: number;
 }
 
-/** A machine whose boot time has elapsed is expected to be up within this share of the boot time. */
+/** Lower bound of the time until a booting machine is expected to be up, as a share of its boot time. */
 const MIN_BOOT_SHARE = 0.1;
 
 /** The machines of the fleet that are booting. */
@@ -50,11 +50,11 @@
 }
 
 /**
- * The zone in which most tasks of a zone-bound job fit the incoming machines; null if none fits. The zones
- * are counted separately: counted together, half a gang fitted each of two zones and nothing was scaled out
- * to.
+ * The zone in which most tasks of a zone-bound job fit on the incoming machines; null if no task fits. The
+ * zones are counted separately. When they were counted together, half of a gang fitted in each of two zones,
+ * and no machine was requested.
  */
-export function zoneWithMostRoom(
+export function zoneWithMostCapacity(
   demand: UnplacedDemand,
   incoming: readonly IncomingMachine[],
 ): string | null {
--- a/packages/planner/src/fleet/machine-fit.ts
+++ b/packages/planner/src/fleet/machine-fit.ts
@@ -17,7 +17,7 @@
 /** Used in place of a request of zero, and as tolerance for rounding errors in sums of decimals. */
 const TINY_AMOUNT = 1e-9;
 
-/** How many tasks of this size fit into free resources. */
+/** How many of the job's tasks fit into free resources. */
 export function countFittingTasks(spec: JobSpec, free: Resources): number {
   return Math.min(
     Math.floor(free.cpus / Math.max(spec.cpus, TINY_AMOUNT) + TINY_AMOUNT),
@@ -27,8 +27,9 @@
 }
 
 /**
- * What a task takes of the machines that it fits, converted to CPUs. Its CPUs alone would be too low where
- * accelerators or memory run out first.
+ * The CPU equivalent of a task: its dominant share of a machine multiplied by the machine's CPUs, the least
+ * over all types that it fits. Its requested CPUs alone would be too low where accelerators or memory run out
+ * first.
  */
 export function effectiveCpus(spec: JobSpec, types: readonly MachineType[]): number {
   let least = Infinity;
--- a/packages/planner/src/fleet/management-cost.ts
+++ b/packages/planner/src/fleet/management-cost.ts
@@ -7,12 +7,12 @@
 import type { MachineType } from '@spurbridge/wire';
 
 /**
- * The cost of managing one more machine in a large fleet, as the price of this many CPUs: every machine sends
- * heartbeats, is planned for and has to be reconciled after a failover, whatever its size.
+ * The cost of managing one more machine in a large fleet, as the price of this many CPUs. Every machine sends
+ * heartbeats, is part of every plan and has to be reconciled after a failover, whatever its size.
  */
 const MANAGEMENT_CPUS = 6;
-/** Managing machines costs nothing up to this share of the number that the controller can manage easily. */
-const FREE_SHARE = 0.5;
+/** Up to this share of `manageableMachines`, there is no surcharge. */
+const FREE_MANAGEMENT_SHARE = 0.5;
 
 /** The median spot price of a CPU over the machine types; 0 if there are no types. */
 function medianCpuPrice(types: readonly MachineType[]): number {
@@ -21,7 +21,7 @@
   return prices[Math.floor(prices.length / 2)] ?? 0;
 }
 
-/** The surcharge per further machine in a fleet of the given size. */
+/** Computes the surcharge per additional machine from the size of the fleet. */
 export class ManagementCost {
   private readonly fullSurcharge: number;
 
@@ -34,6 +34,6 @@
 
   /** The surcharge on the price of one more machine in a fleet of `machineCount` machines. */
   perMachine(machineCount: number): number {
-    return Math.max(0, machineCount / this.manageableMachines - FREE_SHARE) * this.fullSurcharge;
+    return Math.max(0, machineCount / this.manageableMachines - FREE_MANAGEMENT_SHARE) * this.fullSurcharge;
   }
 }
--- a/packages/planner/src/fleet/plan-fleet.ts
+++ b/packages/planner/src/fleet/plan-fleet.ts
@@ -16,8 +16,8 @@
 /** Decides how to change the fleet; has no side effects. */
 export function planFleet(input: FleetInput): FleetPlan {
   const requests = scaleOutForDemand(input);
-  // Preemptible work may use the spare capacity until services need it. It has to exist beforehand: the
-  // replicas of a lost machine must be placed at once, and a machine that boots only then is too late.
+  // Preemptible work may use the spare capacity until services need it. The capacity must exist in advance,
+  // because the replicas of a lost machine must be placed at once, without waiting for a machine to boot.
   const spareCapacity = new SpareCapacity(input);
   const scaleIn = findScaleIn(input, spareCapacity);
   const consolidation =
--- a/packages/planner/src/fleet/scale-in.ts
+++ b/packages/planner/src/fleet/scale-in.ts
@@ -20,7 +20,9 @@
   let totalCpus = 0;
   for (const machine of machines)
     if (machine.isSchedulable || machine.isBooting) totalCpus += machine.type.cpus;
-  const idleMachines = machines.filter((machine) => isIdle(machine, input) && !isWanted(machine, input));
+  const idleMachines = machines.filter(
+    (machine) => isIdle(machine, input) && !isUsableByDemand(machine, input),
+  );
   idleMachines.sort((first, second) => pricePerCpu(second) - pricePerCpu(first));
   const scaledIn: MachineId[] = [];
   for (const machine of idleMachines) {
@@ -43,10 +45,10 @@
 }
 
 /**
- * Whether unplaced work may use the machine; work that needs other kinds of machines does not justify keeping
- * it.
+ * Whether unplaced demand can use the machine. Demand that needs other kinds of machines does not justify
+ * keeping it.
  */
-function isWanted(machine: FleetMachine, { unplacedDemand }: FleetInput): boolean {
+function isUsableByDemand(machine: FleetMachine, { unplacedDemand }: FleetInput): boolean {
   return unplacedDemand.some(
     ({ isWithinLimit, job: { spec } }) =>
       isWithinLimit && (!machine.spot || spec.spot) && fitsMachineType(spec, machine.type),
--- a/packages/planner/src/fleet/scale-out.ts
+++ b/packages/planner/src/fleet/scale-out.ts
@@ -7,23 +7,23 @@
 import { fitsMachineType } from '@spurbridge/model';
 import type { JobSpec, MachineType } from '@spurbridge/wire';
 import type { UnplacedDemand } from '../scheduling/index.js';
-import { deadlineSlackS, needsOnDemand, tasksInSuccession } from './demand-outlook.js';
+import { countSequentialTasks, deadlineSlackS, needsOnDemand } from './demand-outlook.js';
 import type { IncomingMachine } from './incoming-machine.js';
-import { bootingMachines, requestedMachine, zoneWithMostRoom } from './incoming-machine.js';
+import { bootingMachines, requestedMachine, zoneWithMostCapacity } from './incoming-machine.js';
 import { countFittingTasks } from './machine-fit.js';
 import type { ManagementCost } from './management-cost.js';
 import type { ScaleOutRequests } from './scale-out-requests.js';
 import type { FleetInput } from './types.js';
 
-/** The surcharge on a machine's score per CPU that its zone has already; it balances the zones. */
+/** The surcharge on a machine's score for each CPU already in its zone; it balances the zones. */
 const ZONE_CROWDING_PER_CPU = 1e-5;
-/** A machine's score doubles for every such number of seconds of boot time. */
+/** A boot time of this many seconds doubles a machine's score. */
 const BOOT_TIME_SCALE_S = 400;
 
 const SPOT_AND_ON_DEMAND: readonly boolean[] = [true, false];
 const ON_DEMAND_ONLY: readonly boolean[] = [false];
 
-/** Which of spot and on-demand machines may be used for the job, in order of preference. */
+/** The values of `spot` allowed for the job's machines, in order of preference. */
 export function purchaseOptions(spec: JobSpec): readonly boolean[] {
   return spec.spot ? SPOT_AND_ON_DEMAND : ON_DEMAND_ONLY;
 }
@@ -36,8 +36,8 @@
   readonly score: number;
 }
 
-/** The demand of one job during scale-out. */
-interface OpenDemand {
+/** The part of one job's demand that scale-out has not assigned to machines yet. */
+interface RemainingDemand {
   readonly demand: UnplacedDemand;
   /** Tasks not yet assigned to an incoming machine. */
   tasksLeft: number;
@@ -62,35 +62,35 @@
   }
 
   /**
-   * Assigns the demand to incoming machines, and requests further machines for the rest while they are worth
-   * their price.
+   * Assigns the demand to incoming machines, and requests additional machines for the rest while they are
+   * worth their price.
    */
   scaleOutFor(demand: UnplacedDemand): void {
-    const open = this.openDemand(demand);
+    const remaining = this.remainingDemandOf(demand);
     for (const machine of this.incoming) {
-      if (open.tasksLeft === 0) return;
-      if (isAllowed(open, machine.type, machine.zone, machine.spot)) assignTasks(open, machine);
+      if (remaining.tasksLeft === 0) return;
+      if (isAllowed(remaining, machine.type, machine.zone, machine.spot)) assignTasks(remaining, machine);
     }
     const slackS = deadlineSlackS(demand);
-    while (open.tasksLeft > 0) {
-      const candidate = this.cheapestCandidate(open, slackS);
+    while (remaining.tasksLeft > 0) {
+      const candidate = this.cheapestCandidate(remaining, slackS);
       if (candidate === null) return;
-      const tasksBefore = open.tasksLeft;
-      this.request(open, candidate);
-      if (open.tasksLeft === tasksBefore) return;
+      const tasksBefore = remaining.tasksLeft;
+      this.request(remaining, candidate);
+      if (remaining.tasksLeft === tasksBefore) return;
     }
   }
 
-  private openDemand(demand: UnplacedDemand): OpenDemand {
+  private remainingDemandOf(demand: UnplacedDemand): RemainingDemand {
     const { spec, placedZones, pendingTasks } = demand.job;
     let zone = spec.zone;
     if (zone === null && spec.oneZone)
-      zone = placedZones[0] ?? demand.zone ?? zoneWithMostRoom(demand, this.incoming);
+      zone = placedZones[0] ?? demand.zone ?? zoneWithMostCapacity(demand, this.incoming);
     let tasksLeft = demand.taskCount;
-    const isZoneOpen = spec.zone === null && zone !== null && placedZones.length === 0;
-    if (isZoneOpen && zone !== null && !this.canScaleOut(spec, zone)) {
-      // The job is bound to one zone and this one has no capacity for the rest: move the whole job to another
-      // zone.
+    const canChangeZone = spec.zone === null && zone !== null && placedZones.length === 0;
+    if (canChangeZone && zone !== null && !this.canScaleOut(spec, zone)) {
+      // The job is bound to one zone, and this zone has no capacity for the remaining tasks. All of its tasks
+      // are planned again in another zone.
       zone = null;
       tasksLeft = Math.max(tasksLeft, pendingTasks.length);
     }
@@ -111,17 +111,17 @@
     );
   }
 
-  private cheapestCandidate(open: OpenDemand, slackS: number): Candidate | null {
-    const { spec } = open.demand.job;
+  private cheapestCandidate(remaining: RemainingDemand, slackS: number): Candidate | null {
+    const { spec } = remaining.demand.job;
     const surcharge = this.managementCost.perMachine(this.input.machines.length + this.requests.machineCount);
     let best: Candidate | null = null;
     for (const type of this.input.types) {
-      if (!this.isWorthBooting(open.demand, type, slackS)) continue;
+      if (!this.isWorthBooting(remaining.demand, type, slackS)) continue;
       const zones = type.zones.length > 0 ? type.zones : [...this.cpusByZone.keys()];
       for (const zone of zones)
         for (const spot of purchaseOptions(spec)) {
-          if (!this.isCandidate(open, type, zone, spot)) continue;
-          const score = this.score(open, type, zone, spot, surcharge);
+          if (!this.isCandidate(remaining, type, zone, spot)) continue;
+          const score = this.score(remaining, type, zone, spot, surcharge);
           if (score !== null && (best === null || score < best.score)) best = { type, zone, spot, score };
         }
     }
@@ -129,46 +129,46 @@
   }
 
   /**
-   * Whether a machine is worth its price: not if the queues get to the work as soon as it boots, or if the
-   * job can wait for them.
+   * Whether a machine is worth its price. It is not if the work starts in the queues within
+   * `minQueueBootShare` of the boot time, or if the job's slack exceeds the boot time.
    */
   private isWorthBooting(demand: UnplacedDemand, type: MachineType, slackS: number): boolean {
     if (demand.startsInS < type.bootS * this.input.policy.minQueueBootShare) return false;
     return slackS <= type.bootS;
   }
 
-  private isCandidate(open: OpenDemand, type: MachineType, zone: string, spot: boolean): boolean {
+  private isCandidate(remaining: RemainingDemand, type: MachineType, zone: string, spot: boolean): boolean {
     const { policy, hasCapacity } = this.input;
-    if (!isAllowed(open, type, zone, spot) || !hasCapacity(type.name, zone, spot)) return false;
-    const isLastChoice = policy.isCostAware && open.demand.job.spec.spot && !spot;
-    return !isLastChoice || needsOnDemand(open.demand, type, policy.burstCpus > 0);
+    if (!isAllowed(remaining, type, zone, spot) || !hasCapacity(type.name, zone, spot)) return false;
+    const isFallback = policy.isCostAware && remaining.demand.job.spec.spot && !spot;
+    return !isFallback || needsOnDemand(remaining.demand, type, policy.burstCpus > 0);
   }
 
   /**
    * The price per task that the machine can run, adjusted for boot time and zone; null if it can run none.
    */
   private score(
-    open: OpenDemand,
+    remaining: RemainingDemand,
     type: MachineType,
     zone: string,
     spot: boolean,
     surcharge: number,
   ): number | null {
-    const slots = countFittingTasks(open.demand.job.spec, type);
-    const tasks = Math.min(open.tasksLeft, slots * tasksInSuccession(open.demand, type.bootS));
+    const slots = countFittingTasks(remaining.demand.job.spec, type);
+    const tasks = Math.min(remaining.tasksLeft, slots * countSequentialTasks(remaining.demand, type.bootS));
     if (tasks < 1) return null;
     const price = spot ? type.spotPrice : type.price;
     const crowding = (this.cpusByZone.get(zone) ?? 0) * ZONE_CROWDING_PER_CPU;
     return ((price + surcharge) / tasks) * (1 + type.bootS / BOOT_TIME_SCALE_S) + crowding;
   }
 
-  private request(open: OpenDemand, { type, zone, spot }: Candidate): void {
-    if (open.demand.job.spec.oneZone) open.zone = zone;
+  private request(remaining: RemainingDemand, { type, zone, spot }: Candidate): void {
+    if (remaining.demand.job.spec.oneZone) remaining.zone = zone;
     this.requests.add(type, zone, spot, 1);
     this.addCpus(zone, type.cpus);
     const machine = requestedMachine(type, zone, spot);
     this.incoming.push(machine);
-    assignTasks(open, machine);
+    assignTasks(remaining, machine);
   }
 
   private addCpus(zone: string, cpus: number): void {
@@ -177,36 +177,36 @@
 }
 
 /** Whether the job's placement constraints allow one more task on a machine of this kind. */
-function isAllowed(open: OpenDemand, type: MachineType, zone: string, spot: boolean): boolean {
-  const { spec } = open.demand.job;
+function isAllowed(remaining: RemainingDemand, type: MachineType, zone: string, spot: boolean): boolean {
+  const { spec } = remaining.demand.job;
   return (
     fitsMachineType(spec, type) &&
-    (open.zone === null || zone === open.zone) &&
+    (remaining.zone === null || zone === remaining.zone) &&
     (!spot || spec.spot) &&
-    !isZoneFull(open, zone)
+    !isZoneFull(remaining, zone)
   );
 }
 
-function isZoneFull(open: OpenDemand, zone: string): boolean {
-  return (open.tasksByZone.get(zone) ?? 0) >= open.maxPerZone;
+function isZoneFull(remaining: RemainingDemand, zone: string): boolean {
+  return (remaining.tasksByZone.get(zone) ?? 0) >= remaining.maxPerZone;
 }
 
 /** Assigns to an incoming machine as many of the tasks as it can run in time. */
-function assignTasks(open: OpenDemand, machine: IncomingMachine): void {
-  const { cpus, gpus, memoryGb } = open.demand.job.spec;
+function assignTasks(remaining: RemainingDemand, machine: IncomingMachine): void {
+  const { cpus, gpus, memoryGb } = remaining.demand.job.spec;
   const { zone } = machine;
-  const share = 1 / tasksInSuccession(open.demand, machine.readyInS);
+  const share = 1 / countSequentialTasks(remaining.demand, machine.readyInS);
   while (
-    open.tasksLeft > 0 &&
+    remaining.tasksLeft > 0 &&
     machine.cpus >= cpus &&
     machine.gpus >= gpus &&
     machine.memoryGb >= memoryGb &&
-    !isZoneFull(open, zone)
+    !isZoneFull(remaining, zone)
   ) {
     machine.cpus -= cpus * share;
     machine.gpus -= gpus * share;
     machine.memoryGb -= memoryGb * share;
-    open.tasksByZone.set(zone, (open.tasksByZone.get(zone) ?? 0) + 1);
-    open.tasksLeft -= 1;
+    remaining.tasksByZone.set(zone, (remaining.tasksByZone.get(zone) ?? 0) + 1);
+    remaining.tasksLeft -= 1;
   }
 }
--- a/packages/planner/src/fleet/spare-capacity.ts
+++ b/packages/planner/src/fleet/spare-capacity.ts
@@ -1,5 +1,5 @@
 /**
- * Spare on-demand capacity, which services can use at once.
+ * Keeps spare on-demand capacity that services can use at once.
  *
  * @module
  */
@@ -22,14 +22,14 @@
 
 /**
  * On-demand CPUs that services can use at once because they are free or used by preemptible work. If services
- * spread over zones, the spare CPUs of a zone count only up to what the other zones have: with all of them in
- * one zone, half of every new service waited for a machine to boot in another.
+ * spread over zones, the spare CPUs of a zone count only up to the sum of the other zones. With all spare CPUs
+ * in one zone, half of every new service waited for a machine to boot in another zone.
  */
 export class SpareCapacity {
   private readonly spareCpusByZone = new Map<string, number>();
   /** All on-demand CPUs. */
   private onDemandCpus = 0;
-  /** The part of them whose work cannot be preempted for services. */
+  /** The part of them used by work that cannot be preempted for services. */
   private nonPreemptibleCpus = 0;
 
   constructor(private readonly input: FleetInput) {
@@ -42,7 +42,7 @@
     }
   }
 
-  /** Whether an on-demand machine can be removed without falling short of the target. */
+  /** Whether the target is still met without this on-demand machine. */
   canRemove({ zone, type }: FleetMachine): boolean {
     return this.missingCpus(zone, type.cpus) <= 0;
   }
@@ -110,7 +110,7 @@
     let best: Candidate | null = null;
     for (const type of types)
       for (const zone of type.zones) {
-        // More capacity in the zone that has most already cannot be used by spread services.
+        // Spread services cannot use more capacity in the zone that already has most.
         if (!hasCapacity(type.name, zone, false) || this.missingCpus(zone, -type.cpus) >= missing) continue;
         const score = type.price / Math.min(type.cpus, missing);
         const spareCpus = areZonesUneven ? (this.spareCpusByZone.get(zone) ?? 0) : 0;
--- a/packages/planner/src/fleet/types.ts
+++ b/packages/planner/src/fleet/types.ts
@@ -36,7 +36,7 @@
   readonly isStable: boolean;
 }
 
-/** A task of a service, with what matters for moving it. */
+/** A task of a service, with the constraints on moving it. */
 export interface Replica {
   readonly cpus: number;
   readonly memoryGb: number;
@@ -83,7 +83,7 @@
    * preferred.
    */
   readonly manageableMachines: number;
-  /** Work that would start within this share of a machine's boot time is left to the queues. */
+  /** No machine is requested for work that would start in the queues within this share of its boot time. */
   readonly minQueueBootShare: number;
 }
 
@@ -110,6 +110,6 @@
   readonly scaleOut: readonly ScaleOutRequest[];
   /** Empty machines to release. */
   readonly scaleIn: readonly MachineId[];
-  /** A machine whose replicas fit elsewhere; it is drained so that it can be scaled in. */
+  /** A machine to drain because its replicas fit on other machines; it is scaled in once it is empty. */
   readonly drain: MachineId | null;
 }
--- a/packages/planner/src/heap.ts
+++ b/packages/planner/src/heap.ts
@@ -39,12 +39,12 @@
     const { elements } = this;
     const top = elements[0];
     const last = elements.pop();
-    if (last !== undefined && elements.length > 0) this.sink(last);
+    if (last !== undefined && elements.length > 0) this.siftDown(last);
     return top;
   }
 
-  /** Replaces the least element. */
-  private sink(element: Element): void {
+  /** Replaces the least element and restores the heap order. */
+  private siftDown(element: Element): void {
     const { elements } = this;
     let index = 0;
     for (;;) {
@@ -87,7 +87,7 @@
     values[index] = value;
   }
 
-  /** Replaces the least number. */
+  /** Replaces the least number and restores the heap order. */
   replaceTop(value: number): void {
     const { values } = this;
     const size = values.length;
--- a/packages/planner/src/scheduling/assign-gang.ts
+++ b/packages/planner/src/scheduling/assign-gang.ts
@@ -9,7 +9,7 @@
 import type { SchedulingPass } from './scheduling-pass.js';
 import type { JobEvaluation } from './types.js';
 
-/** Starts the whole gang, or reserves its places in the queues and preempts for all of it. */
+/** Starts the whole gang, or reserves its places in the queues and preempts other tasks for all of it. */
 export function assignGang(pass: SchedulingPass, evaluation: JobEvaluation): void {
   const { job, assignments, unplacedCount } = evaluation;
   const { pendingTasks, pendingCount } = job;
@@ -31,8 +31,8 @@
   const zone = spec.oneZone && first !== undefined ? pass.queueOrder.zoneOf(first.queueIndex) : null;
   const delayed = assignments.filter(({ startS }) => startS > 0);
   if (isAssignable) {
-    // Waiting gangs hold places in the queues like any other cotask. When only starved gangs did, all waiting
-    // gangs counted on the same machines, and nothing was scaled out for them until they were late.
+    // Waiting gangs reserve places in the queues like any other cotask. When only starved gangs did, all waiting
+    // gangs were planned on the same machines, and no machines were requested for them until they were late.
     pass.applyEvaluation(evaluation);
     const late = delayed.filter(({ endS }) => endS - estimateS > toleratedWaitS);
     if (late.length > 0)
--- a/packages/planner/src/scheduling/assign-job.ts
+++ b/packages/planner/src/scheduling/assign-job.ts
@@ -17,7 +17,7 @@
 interface AssignmentOutcome {
   /** Assignments that start later. */
   readonly delayed: readonly TaskAssignment[];
-  /** The number of last assignments that exceed the team's limit. */
+  /** The number of assignments, the last ones, that exceed the team's limit. */
   readonly limitedCount: number;
 }
 
@@ -29,7 +29,7 @@
   }
   const deferred = deferSlowStarts(pass, evaluation);
   const outcome = startWithinLimit(pass, evaluation, deferred);
-  // Tasks held back by the team's limit must not occupy places in the queues.
+  // Tasks beyond the team's limit must not reserve places in the queues.
   if (outcome.limitedCount === 0) pass.applyEvaluation(evaluation);
   else pass.applyAllButLast(evaluation, outcome.limitedCount);
   recordUnplacedTasks(pass, evaluation, outcome);
@@ -88,7 +88,7 @@
   { job, unplacedCount }: JobEvaluation,
   { delayed, limitedCount }: AssignmentOutcome,
 ): void {
-  // Pending tasks beyond those that were evaluated.
+  // Pending tasks that were not evaluated because of the limit per plan.
   const furtherCount = limitedCount === 0 ? job.pendingCount - job.pendingTasks.length : 0;
   const waitingCount = delayed.length + Math.max(0, unplacedCount + furtherCount);
   let startsInS = unplacedCount > 0 ? Infinity : 0;
@@ -97,7 +97,7 @@
   pass.recordUnplaced(job, limitedCount, Infinity, false);
 }
 
-/** Preempts others for tasks that would start later than tolerated, or never. */
+/** Preempts other tasks for those that would start later than tolerated, or never. */
 function preemptForLateTasks(
   pass: SchedulingPass,
   { job, unplacedCount }: JobEvaluation,
--- a/packages/planner/src/scheduling/completion-bounds.ts
+++ b/packages/planner/src/scheduling/completion-bounds.ts
@@ -26,7 +26,7 @@
 }
 
 /**
- * Seconds in which all waiting work could be done if it were spread evenly over the CPUs that become free.
+ * The time in seconds to complete all waiting work if it were spread evenly over the CPUs that become free.
  */
 export function estimateDrainS(pass: SchedulingPass, jobs: readonly JobView[]): number {
   let work = 0;
--- a/packages/planner/src/scheduling/cotask-scheduler.ts
+++ b/packages/planner/src/scheduling/cotask-scheduler.ts
@@ -1,6 +1,6 @@
 /**
- * The paper's cotask scheduling: starved cotasks first, otherwise the one with the smallest minimum completion time. Here the
- * pending tasks of a job are a cotask. docs/design.md says what is changed and added.
+ * The paper's cotask scheduling: starved cotasks first, otherwise the one with the smallest minimum completion
+ * time. Here the pending tasks of a job are a cotask. docs/design.md lists the differences from the paper.
  *
  * @module
  */
@@ -24,8 +24,8 @@
 
 /**
  * A job is starved only if it waits this many times longer than all waiting work would take. With a fixed
- * threshold alone, every job in a burst became starved, so the burst was served in the order of arrival and
- * no job was in time.
+ * threshold, every job in a burst became starved, so the burst was served in the order of arrival and no job
+ * was in time.
  */
 const STARVATION_DRAIN_FACTOR = 2;
 
@@ -58,10 +58,10 @@
 }
 
 /**
- * Plans one tier by levels of milestones. Under overload, the paper's order alone makes every job late in
- * turn. So a job that would miss its next milestone is placed after those that can still meet theirs, and
- * likewise for each further milestone. A job that has waited several times as long returns to the front, so
- * that none waits forever.
+ * Plans one tier by levels of milestones. Under overload, the paper's order makes every job late, one after
+ * another. So a job that would miss its first milestone is placed after those that can still meet theirs, and
+ * likewise for each later milestone. A job that is long overdue is no longer placed after the others, so that
+ * no job waits forever.
  */
 function planTier(pass: SchedulingPass, jobs: readonly JobView[]): void {
   let group = jobs;
@@ -78,7 +78,7 @@
   const starved: JobView[] = [];
   const others: JobView[] = [];
   for (const job of group) {
-    if (isHopeless(pass, job, level)) postponed.push(job);
+    if (isCertainToMiss(pass, job, level)) postponed.push(job);
     else if (isStarved(pass, job)) starved.push(job);
     else others.push(job);
   }
@@ -95,10 +95,10 @@
 }
 
 /**
- * Whether even the lower bound of the job's completion misses its milestone, so that it need not be evaluated
- * on this level.
+ * Whether even the lower bound of the job's completion misses its milestone of this level. Such a job is not
+ * evaluated on this level.
  */
-function isHopeless(pass: SchedulingPass, job: JobView, level: number): boolean {
+function isCertainToMiss(pass: SchedulingPass, job: JobView, level: number): boolean {
   return pass.options.exhaustive !== true && missesMilestone(job, completionLowerBound(pass, job), level);
 }
 
@@ -111,7 +111,7 @@
   removeFromShape(pass, evaluation.job);
 }
 
-/** Places starved jobs in their order; returns the remaining jobs once no task can start any more. */
+/** Places starved jobs in their order; returns the remaining jobs once no further task can start. */
 function placeStarved(pass: SchedulingPass, jobs: JobView[], place: Place): readonly JobView[] {
   jobs.sort(compareStarved);
   for (const [index, job] of jobs.entries()) {
@@ -122,7 +122,7 @@
 }
 
 /**
- * Places jobs by completion time, smallest first; returns the remaining jobs once no task can start any more.
+ * Places jobs by completion time, smallest first; returns the remaining jobs once no further task can start.
  */
 function placeByCompletion(pass: SchedulingPass, jobs: readonly JobView[], place: Place): readonly JobView[] {
   if (pass.options.exhaustive !== true) return placeByBounds(pass, jobs, place);
@@ -130,12 +130,12 @@
   return [];
 }
 
-/** A job with the lower bound of its completion time. */
+/** A job with a lower bound of its completion time. */
 interface RankedJob {
   /** Lower bound of the completion, in seconds from now. */
   readonly completionBoundS: number;
   readonly job: JobView;
-  /** The evaluation that the bound comes from; null if the bound comes from the pool of all machines. */
+  /** The evaluation that yields the bound; null if the pool of all machines yields it. */
   readonly evaluation: JobEvaluation | null;
 }
 
@@ -147,8 +147,9 @@
 
 /**
  * Placing a job can only delay the others, so an earlier evaluation, or the bound from the pool of all
- * machines, is a lower bound of a job's completion. The job with the smallest bound is evaluated until it
- * stays the smallest. This selects the same job as evaluating all of them.
+ * machines, is a lower bound of a job's completion. The job with the smallest bound is evaluated. It is placed
+ * if its completion is still the smallest; otherwise it returns to the heap with its new bound. This selects
+ * the same job as evaluating all of them.
  */
 function placeByBounds(pass: SchedulingPass, jobs: readonly JobView[], place: Place): readonly JobView[] {
   const ranked = new BinaryHeap<RankedJob>(compareRanked);
@@ -176,7 +177,7 @@
   return jobs;
 }
 
-/** The paper's loop as published: evaluates every waiting cotask again after each placement. */
+/** The loop as published in the paper: evaluates every waiting cotask again after each placement. */
 function placeExhaustively(pass: SchedulingPass, jobs: readonly JobView[], place: Place): void {
   const waiting = new Set(jobs);
   while (waiting.size > 0) {
--- a/packages/planner/src/scheduling/earliest-start-index.ts
+++ b/packages/planner/src/scheduling/earliest-start-index.ts
@@ -11,9 +11,8 @@
 
 /** The smallest request in CPUs of each size class. */
 const CPU_CLASS_BOUNDS = [0, 0.5, 1, 1.5, 2, 3, 4, 5, 6, 8, 12, 16, 24, 32, 48, 64, 96, 128, 192, 256];
-/** An index is rebuilt after this many stale visits, ... */
+/** An index is rebuilt after this many stale visits plus `STALE_VISITS_PER_QUEUE` for each queue in it. */
 const MIN_STALE_VISITS = 64;
-/** ... plus this many for each queue in it. */
 const STALE_VISITS_PER_QUEUE = 4;
 
 /** A class of tasks of similar size; `request` is the lower bound of their sizes. */
@@ -32,8 +31,8 @@
 
 /**
  * The queues, ordered by the earliest start of the smallest task of a size class. During a pass, placing
- * tasks only takes resources away, so a start found once is a lower bound for all later ones. A search for
- * the best queue can stop as soon as this bound is worse than the best queue found.
+ * tasks can only delay later starts, so a start stays a lower bound for the rest of the pass. A search for the
+ * best queue can stop as soon as this bound is worse than the best queue found.
  */
 export class EarliestStartIndex {
   /** The indexes of the queues in the pass, in this order. */
@@ -50,30 +49,30 @@
   private readonly indexedQueues: readonly MachineQueue[];
 
   /**
-   * @param request - of the smallest task of the class.
+   * @param request - the request of the smallest task of the class.
    * @param queuesByPreference - the indexes of the queues to include; queues with equal starts keep this
    * order.
-   * @param grainS - starts within the same multiple of this count as equal.
+   * @param bucketS - the bucket length in seconds; starts in the same bucket count as equal.
    */
   constructor(
     queues: readonly MachineQueue[],
     request: ResourceRequest,
     queuesByPreference: readonly number[],
-    grainS: number,
+    bucketS: number,
   ) {
     const startsS = new Float64Array(queues.length);
-    const indexesByGrain = new Map<number, number[]>();
+    const indexesByBucket = new Map<number, number[]>();
     for (const index of queuesByPreference) {
       const startS = (queues[index] as MachineQueue).earliestStart(request);
       if (startS === Infinity) continue;
-      const grain = Math.floor(startS / grainS);
-      startsS[index] = grain * grainS;
-      const sameStart = indexesByGrain.get(grain);
-      if (sameStart === undefined) indexesByGrain.set(grain, [index]);
-      else sameStart.push(index);
+      const bucket = Math.floor(startS / bucketS);
+      startsS[index] = bucket * bucketS;
+      const sameBucket = indexesByBucket.get(bucket);
+      if (sameBucket === undefined) indexesByBucket.set(bucket, [index]);
+      else sameBucket.push(index);
     }
-    const grains = [...indexesByGrain.keys()].sort((first, second) => first - second);
-    const indexes = grains.flatMap((grain) => indexesByGrain.get(grain) ?? []);
+    const buckets = [...indexesByBucket.keys()].sort((first, second) => first - second);
+    const indexes = buckets.flatMap((bucket) => indexesByBucket.get(bucket) ?? []);
     this.size = indexes.length;
     this.queueIndexes = Int32Array.from(indexes);
     this.earliestStartsS = Float64Array.from(indexes, (index) => startsS[index] as number);
--- a/packages/planner/src/scheduling/estimate-unplaced.ts
+++ b/packages/planner/src/scheduling/estimate-unplaced.ts
@@ -1,6 +1,6 @@
 /**
  * Estimates the starts of jobs of which no task can start now. Fleet planning uses these estimates; the order
- * of the jobs no longer matters.
+ * of the jobs no longer affects the plan.
  *
  * @module
  */
@@ -21,14 +21,14 @@
   const estimate = new PooledEstimate(pass);
   for (const job of jobs) {
     removeFromShape(pass, job);
-    // For these jobs it matters which machines become free, so an estimate from the pools would be too
-    // optimistic.
+    // These jobs can use only some of the machines that become free, so an estimate from the pools would be too
+    // early.
     if (isMachineBound(job.spec)) assignJob(pass, evaluate(pass, job));
     else recordPooled(pass, job, estimate);
   }
 }
 
-/** Whether a job depends on which machines become free, and not only on the amount of free resources. */
+/** Whether the job's start depends on which machines become free, and not only on how many resources do. */
 function isMachineBound(spec: JobSpec): boolean {
   return (
     spec.kind !== 'array' ||
@@ -57,10 +57,10 @@
   return Math.max(0, count);
 }
 
-/** Estimates starts as if all waiting work used the pools in turn. */
+/** Estimates starts as if the jobs used the pools of all machines one after another. */
 class PooledEstimate {
   private readonly pools: { readonly cpus: ResourcePool; readonly gpus: ResourcePool };
-  /** The resources of all jobs added so far, and their total work. */
+  /** The resources requested by all jobs added so far, and their total work. */
   private readonly taken = { cpus: 0, gpus: 0 };
   private readonly work = { cpus: 0, gpus: 0 };
   private readonly hasQueues: boolean;
--- a/packages/planner/src/scheduling/evaluate.ts
+++ b/packages/planner/src/scheduling/evaluate.ts
@@ -12,13 +12,13 @@
 import { estimateTask } from './queue-estimate.js';
 import { MIN_RUN_S } from './resources.js';
 import type { QueueEstimates, SchedulingPass } from './scheduling-pass.js';
-import { COST_GRAIN_S } from './scheduling-pass.js';
+import { COST_BUCKET_S } from './scheduling-pass.js';
 import type { JobEvaluation, QueueChange, TaskAssignment } from './types.js';
 import { isMachineAllowed } from './types.js';
 
 /** Exceeds the number of tasks of one job that a plan puts on one machine. */
 const MAX_TASKS_PER_QUEUE = 1024;
-/** Marks the absence of a queue. */
+/** Stands for no queue. */
 const NO_QUEUE = -1;
 
 /** Evaluates a job; modifies only the pass's estimates. */
@@ -203,7 +203,7 @@
     const endS = (startIndex.earliestStartsS[position] as number) + this.minRunS;
     const queueIndex = startIndex.queueIndexes[position] as number;
     return (
-      Math.floor(endS / COST_GRAIN_S) * MAX_TASKS_PER_QUEUE * this.queueCount +
+      Math.floor(endS / COST_BUCKET_S) * MAX_TASKS_PER_QUEUE * this.queueCount +
       (this.preferenceRanks[queueIndex] as number)
     );
   }
--- a/packages/planner/src/scheduling/job-order.ts
+++ b/packages/planner/src/scheduling/job-order.ts
@@ -20,8 +20,8 @@
 
 /**
  * The tier of a job; lower tiers are planned first: by priority, then guaranteed before borrowed quota, then
- * services before other jobs. No job is placed before work that may preempt it: otherwise a service of low
- * priority took the resources freed for an array of higher priority, was preempted for it and took them
+ * services before other jobs. No job is placed before work that may preempt it. With another order, a service
+ * of low priority took the resources freed for an array of higher priority, was preempted for it and took them
  * again, every second.
  */
 export function priorityTier({ spec }: JobView, isGuaranteed: boolean): number {
@@ -34,8 +34,8 @@
 
 /**
  * The mean wait of a job's pending tasks in seconds. The paper sums the waits of a cotask's tasks, so a very
- * large array passes the starvation threshold within seconds and precedes every small job. The mean does not
- * depend on the job's size.
+ * large array exceeds the starvation threshold within seconds and is placed before every small job. The mean
+ * does not depend on the job's size.
  */
 export function meanWaitS(job: JobView): number {
   return job.totalWaitS / Math.max(1, job.pendingCount);
@@ -88,8 +88,8 @@
   const milestoneS = job.completionMilestonesS[level];
   if (milestoneS === undefined || isLongOverdue(job)) return false;
   if (job.ageS + completionS <= milestoneS) return false;
-  // A job that is too long to complete in time may still start in time. Placed behind all others, long gangs
-  // missed both.
+  // A job that is too long to complete in time may still start in time. When long gangs were placed after all
+  // other jobs, they missed both milestones.
   const startMilestoneS = job.startMilestonesS[level];
   return startMilestoneS === undefined || job.ageS + completionS - job.estimateS > startMilestoneS;
 }
@@ -103,7 +103,7 @@
   const isSecondOverdue = second.isOverdueFirstTask === true;
   return (
     Number(isSecondOverdue) - Number(isFirstOverdue) ||
-    // Smaller jobs are reached sooner by the order of completion.
+    // The largest job first, because the order of completion places smaller jobs sooner.
     (isFirstOverdue ? totalCpuSeconds(second) - totalCpuSeconds(first) : 0) ||
     meanWaitS(second) - meanWaitS(first) ||
     first.submissionOrder - second.submissionOrder
--- a/packages/planner/src/scheduling/job-shapes.ts
+++ b/packages/planner/src/scheduling/job-shapes.ts
@@ -1,5 +1,5 @@
 /**
- * Detects by the shapes of the waiting jobs that nothing more can be placed in a pass, without visiting each
+ * Detects that nothing more can be placed in a pass. It checks the shapes of the waiting jobs instead of each
  * job.
  *
  * @module
@@ -43,8 +43,8 @@
 }
 
 /**
- * Whether no waiting task can start now or be preempted for. Free resources and limits only shrink during a
- * pass, so the remaining order cannot change the plan any more.
+ * Whether no waiting task can start now or preempt others. Free resources and limits only shrink during a pass,
+ * so the order of the remaining jobs no longer affects the plan.
  */
 export function isExhausted(pass: SchedulingPass): boolean {
   if (pass.options.exhaustive === true) return false;
--- a/packages/planner/src/scheduling/machine-queue.ts
+++ b/packages/planner/src/scheduling/machine-queue.ts
@@ -1,5 +1,5 @@
 /**
- * The queue of one machine, as filled by the scheduling pass.
+ * The queue of one machine, to which the scheduling pass adds tasks.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 import type { ResourceDimension, ResourceRequest } from './resources.js';
 
 /**
- * The least remaining time of a task in seconds, however overdue: it occupies its machine until proven gone.
+ * Lower bound of a task's remaining time in seconds. An overdue task occupies its machine until proven gone.
  */
 const MIN_REMAINING_S = 0.2;
 
 /** Resources in use until a certain time. */
-interface ResourceHold {
+interface ResourceAllocation {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
@@ -23,8 +23,8 @@
 
 /**
  * The queue of one machine: what uses its resources, and until when. Tasks start in queue order, so no task
- * is placed to start before `lastStartS`. Uses that end before that are dropped, and only the sum of the free
- * resources is kept.
+ * is placed to start before `lastStartS`. Allocations that end by then are dropped, and only the sum of the
+ * free resources is kept.
  */
 export class MachineQueue {
   /** The start of the last task of the queue, in seconds from now. */
@@ -40,8 +40,8 @@
 
   private constructor(
     readonly machine: MachineView,
-    /** The uses, ordered by their ends. */
-    private readonly holds: ResourceHold[],
+    /** The allocations, ordered by their ends. */
+    private readonly allocations: ResourceAllocation[],
   ) {
     this.cpus = machine.type.cpus;
     this.gpus = machine.type.gpus;
@@ -50,21 +50,21 @@
 
   /** The queue of a machine with its present occupants. */
   static of(machine: MachineView): MachineQueue {
-    const holds = machine.occupants.map((occupant) => ({
+    const allocations = machine.occupants.map((occupant) => ({
       cpus: occupant.cpus,
       gpus: occupant.gpus,
       memoryGb: occupant.memoryGb,
       endS: Math.max(occupant.remainingS, MIN_REMAINING_S),
     }));
-    holds.sort((first, second) => first.endS - second.endS);
-    const queue = new MachineQueue(machine, holds);
-    for (const hold of holds) queue.occupy(hold, hold.endS);
+    allocations.sort((first, second) => first.endS - second.endS);
+    const queue = new MachineQueue(machine, allocations);
+    for (const allocation of allocations) queue.occupy(allocation, allocation.endS);
     return queue;
   }
 
   /** An independent copy. */
   copy(): MachineQueue {
-    const copy = new MachineQueue(this.machine, [...this.holds]);
+    const copy = new MachineQueue(this.machine, [...this.allocations]);
     copy.lastStartS = this.lastStartS;
     copy.cpus = this.cpus;
     copy.gpus = this.gpus;
@@ -88,11 +88,11 @@
     let gpus = this.gpus - request.gpus;
     let memoryGb = this.memoryGb - request.memoryGb;
     if (cpus >= -EPSILON && gpus >= -EPSILON && memoryGb >= -EPSILON) return this.lastStartS;
-    for (const hold of this.holds) {
-      cpus += hold.cpus;
-      gpus += hold.gpus;
-      memoryGb += hold.memoryGb;
-      if (cpus >= -EPSILON && gpus >= -EPSILON && memoryGb >= -EPSILON) return hold.endS;
+    for (const allocation of this.allocations) {
+      cpus += allocation.cpus;
+      gpus += allocation.gpus;
+      memoryGb += allocation.memoryGb;
+      if (cpus >= -EPSILON && gpus >= -EPSILON && memoryGb >= -EPSILON) return allocation.endS;
     }
     return Infinity;
   }
@@ -104,28 +104,28 @@
       this.dropEnded(startS);
     }
     this.occupy(request, endS);
-    let position = this.holds.length;
-    while (position > 0 && (this.holds[position - 1] as ResourceHold).endS > endS) position -= 1;
+    let position = this.allocations.length;
+    while (position > 0 && (this.allocations[position - 1] as ResourceAllocation).endS > endS) position -= 1;
     const { cpus, gpus, memoryGb } = request;
-    this.holds.splice(position, 0, { cpus, gpus, memoryGb, endS });
+    this.allocations.splice(position, 0, { cpus, gpus, memoryGb, endS });
   }
 
   /**
-   * Adds the amounts of a resource that become free to buckets of time, each `grainS` seconds long. What is
+   * Adds the amounts of a resource that become free to buckets of time, each `bucketS` seconds long. What is
    * free at the end of the queue counts from that time; what becomes free after the last bucket is counted in
    * the last one.
    */
-  addReleasesTo(buckets: Float64Array, dimension: ResourceDimension, grainS: number): void {
+  addReleasesTo(buckets: Float64Array, dimension: ResourceDimension, bucketS: number): void {
     const free = this[dimension];
-    if (free > 0) addToBucket(buckets, this.lastStartS / grainS, free);
-    for (const hold of this.holds)
-      if (hold.endS < Infinity && hold[dimension] > 0)
-        addToBucket(buckets, hold.endS / grainS, hold[dimension]);
+    if (free > 0) addToBucket(buckets, this.lastStartS / bucketS, free);
+    for (const allocation of this.allocations)
+      if (allocation.endS < Infinity && allocation[dimension] > 0)
+        addToBucket(buckets, allocation.endS / bucketS, allocation[dimension]);
   }
 
   /**
-   * By how many the number of fitting tasks of this size drops, counting services only, if one more service
-   * is added.
+   * The number of slots for tasks of this size that one more service would take away. Only the resources used
+   * by services count as used.
    */
   slotsLost(service: ResourceRequest, task: ResourceRequest): number {
     const { type } = this.machine;
@@ -149,17 +149,17 @@
     this.serviceMemoryGb += request.memoryGb;
   }
 
-  /** Drops the uses that end by this time and counts their resources as free. */
+  /** Drops the allocations that end by this time and counts their resources as free. */
   private dropEnded(atS: number): void {
     let ended = 0;
-    for (const hold of this.holds) {
-      if (hold.endS > atS) break;
+    for (const allocation of this.allocations) {
+      if (allocation.endS > atS) break;
       ended += 1;
-      this.cpus += hold.cpus;
-      this.gpus += hold.gpus;
-      this.memoryGb += hold.memoryGb;
+      this.cpus += allocation.cpus;
+      this.gpus += allocation.gpus;
+      this.memoryGb += allocation.memoryGb;
     }
-    if (ended > 0) this.holds.splice(0, ended);
+    if (ended > 0) this.allocations.splice(0, ended);
   }
 }
 
--- a/packages/planner/src/scheduling/preemption-index.ts
+++ b/packages/planner/src/scheduling/preemption-index.ts
@@ -1,5 +1,6 @@
 /**
- * What may be preempted, and for whom. Computed once for all jobs of a pass with the same requirements.
+ * Which tasks may be preempted, and for which jobs. Computed once per pass for all jobs with the same priority
+ * and the same guarantee.
  *
  * @module
  */
@@ -8,17 +9,17 @@
 import type { JobView, MachineView, Occupant } from '../cluster-snapshot.js';
 import { PRIORITY_RANK } from '../cluster-snapshot.js';
 
-/** Lower than the rank of any priority. */
+/** Less than the rank of any priority. */
 const NO_RANK = -1;
 
-/** A machine on which something may be preempted, or is being stopped already. */
+/** A machine on which some task may be preempted, or is being stopped already. */
 export interface PreemptionCandidate {
   readonly machine: MachineView;
   /** Tasks that may be preempted, ordered by the work that would be lost, least first. */
   readonly victims: readonly Occupant[];
   /** Whether some task is being stopped there. */
   readonly isStopping: boolean;
-  /** The resources that are free once those tasks have stopped. */
+  /** The resources that are free once the tasks being stopped have stopped. */
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
@@ -39,7 +40,7 @@
     private readonly jobsBeyondGuarantee: ReadonlySet<JobId>,
   ) {}
 
-  /** Includes an occupant of a machine in the result of `canPreempt`. */
+  /** Adds an occupant of a machine to those considered by `canPreempt`. */
   addOccupant(occupant: Occupant): void {
     if (!occupant.isPreemptible || occupant.isStopping) return;
     const rank = PRIORITY_RANK[occupant.priority];
@@ -106,8 +107,8 @@
   }
 
   /**
-   * Lower priorities may be preempted. Jobs within their guarantee may also preempt the same priority of
-   * other teams that are beyond theirs.
+   * Whether the occupant may be preempted. Lower priorities may be. A job within its team's guarantee may also
+   * preempt tasks of the same priority that other teams run beyond their guarantees.
    */
   private isVictim(occupant: Occupant, rank: number, guaranteedTeam: string | null): boolean {
     if (!occupant.isPreemptible) return false;
--- a/packages/planner/src/scheduling/preemption.ts
+++ b/packages/planner/src/scheduling/preemption.ts
@@ -12,10 +12,10 @@
 
 /** Typical time to stop a task and start another one in its place, in seconds. */
 const TASK_SWITCH_S = 0.3;
-/** Preempting a task has to make the other end earlier by at least this, in seconds. */
+/** Preemption must let the waiting task end at least this many seconds earlier. */
 const MIN_GAIN_S = 0.7;
-/** The weight of each second of fetching an image against lost work, in CPU seconds. */
-const FETCH_COST = 4;
+/** The cost of each second of fetching an image, in CPU seconds of lost work. */
+const FETCH_COST_PER_S = 4;
 /** Used in place of the CPUs of a task that requests none. */
 const MIN_TASK_CPUS = 0.01;
 
@@ -32,14 +32,15 @@
 /** The options of a job for preemption. */
 interface PreemptionOptions {
   readonly options: PreemptionOption[];
-  /** The number of tasks that fit once the tasks being stopped have stopped. */
-  roomBeingMade: number;
+  /** The number of the job's tasks that fit once the tasks being stopped have stopped. */
+  slotsBeingFreed: number;
 }
 
 /**
- * Preempts running tasks for tasks of a job where the rules allow it, least lost work first, and only where a
- * task ends earlier than by waiting: otherwise other jobs would take the freed resources and the preemption
- * would be repeated over and over. For a gang, resources are freed for all of its tasks or for none.
+ * Preempts running tasks for tasks of a job where the rules allow it, least lost work first. It does so only
+ * where a task ends earlier than by waiting. Otherwise the task would not use the freed resources, other jobs
+ * would take them, and the preemption would be repeated over and over. For a gang, resources are freed for all
+ * of its tasks or for none.
  *
  * @param endsS - when the waiting tasks would end without preemption, in seconds from now.
  * @param zone - the only zone to preempt in; null for all.
@@ -52,17 +53,17 @@
   zone: string | null = null,
 ): number {
   const latestFirst = [...endsS].sort((first, second) => second - first);
-  const { options, roomBeingMade } = collectOptions(pass, job, zone);
+  const { options, slotsBeingFreed } = collectOptions(pass, job, zone);
   options.sort((first, second) => first.cost - second.cost);
-  const chosen = chooseOptions(job, options, latestFirst, roomBeingMade);
-  const taskCount = roomBeingMade + chosen.length;
+  const chosen = chooseOptions(job, options, latestFirst, slotsBeingFreed);
+  const taskCount = slotsBeingFreed + chosen.length;
   if (job.spec.kind === 'gang' && taskCount < latestFirst.length) return 0;
   for (const option of chosen) for (const victim of option.victims) pass.preempt(victim, job.spec.id);
   return Math.min(taskCount, latestFirst.length);
 }
 
 function collectOptions(pass: SchedulingPass, job: JobView, zone: string | null): PreemptionOptions {
-  const collected: PreemptionOptions = { options: [], roomBeingMade: 0 };
+  const collected: PreemptionOptions = { options: [], slotsBeingFreed: 0 };
   const isGuaranteed = pass.guaranteedJobs.has(job);
   for (const candidate of pass.preemptionIndex.candidatesFor(job, isGuaranteed)) {
     const { machine } = candidate;
@@ -70,7 +71,7 @@
     if (!isMachineAllowed(job, machine) || job.excludedMachines.has(machine.id)) continue;
     if (zone !== null && machine.zone !== zone) continue;
     if (candidate.isStopping && fitsOnceStopped(job, candidate))
-      collected.roomBeingMade += countRoomBeingMade(job, candidate);
+      collected.slotsBeingFreed += countSlotsBeingFreed(job, candidate);
     else addOptions(pass, job, candidate, collected.options);
   }
   return collected;
@@ -81,7 +82,7 @@
   return cpus >= spec.cpus && gpus >= spec.gpus && memoryGb >= spec.memoryGb;
 }
 
-function countRoomBeingMade({ spec }: JobView, { cpus, gpus }: PreemptionCandidate): number {
+function countSlotsBeingFreed({ spec }: JobView, { cpus, gpus }: PreemptionCandidate): number {
   const tasksByGpus = spec.gpus > 0 ? Math.floor(gpus / spec.gpus) : Infinity;
   const tasksByCpus = Math.floor(cpus / Math.max(spec.cpus, MIN_TASK_CPUS));
   return Math.max(1, Math.min(tasksByGpus, tasksByCpus));
@@ -116,7 +117,7 @@
     if (!fits) continue;
     options.push({
       victims: victims.slice(firstVictim, index + 1).filter((other) => !pass.preempted.has(other)),
-      cost: lostWork + fetchS * FETCH_COST,
+      cost: lostWork + fetchS * FETCH_COST_PER_S,
       endS,
       zone: machine.zone,
     });
@@ -128,7 +129,7 @@
   }
 }
 
-/** Selects options by cost for the tasks that would end last; the first `skippedTasks` of these need none. */
+/** Selects the cheapest options for the tasks that would end last; the first `skippedTasks` of them need none. */
 function chooseOptions(
   job: JobView,
   options: readonly PreemptionOption[],
--- a/packages/planner/src/scheduling/queue-estimate.ts
+++ b/packages/planner/src/scheduling/queue-estimate.ts
@@ -8,22 +8,25 @@
 import type { MachineQueue } from './machine-queue.js';
 import { MIN_RUN_S } from './resources.js';
 import type { SchedulingPass } from './scheduling-pass.js';
-import { COST_GRAIN_S } from './scheduling-pass.js';
+import { COST_BUCKET_S } from './scheduling-pass.js';
 import { imageFetchS } from './types.js';
 
-/** To avoid taking a whole task's slot on a machine, a replica may wait this many seconds longer. */
+/** The cost, in seconds, of each slot for a typical task that a replica takes away from a machine. */
 const FRAGMENTATION_COST_S = 2;
-/** If it would serve later than its objective, a replica takes a whole task's slot rather than wait. */
+/**
+ * The cost, in seconds, of a replica that serves later than its objective. It exceeds `FRAGMENTATION_COST_S`, so
+ * a replica takes a slot for a typical task rather than be late.
+ */
 const LATE_SERVICE_COST_S = 3;
-/** If cost counts, work allowed on spot machines prefers them even if it ends this many seconds later. */
+/** With `isCostAware`, work allowed on spot machines prefers them even if it ends this many seconds later. */
 const ON_DEMAND_COST_S = 4;
 /**
- * Fixed surcharge, in seconds, on a gang's start that is not immediate. The estimated wait is weighed in
- * addition, more as the gang grows older: gangs waited 50 to 100 s for machines that had their image and were
- * always estimated to be free soon, while other machines were empty.
+ * Fixed surcharge, in seconds, on a gang's start that is not immediate. The estimated wait is added with a weight
+ * that grows with the gang's age. Without this, gangs waited 50 to 100 s for machines that had their image and
+ * were always estimated to be free soon, while other machines were empty.
  */
 const GANG_DELAY_COST_S = 5;
-/** The age in seconds at which the surcharge for the estimated wait has doubled. */
+/** The age in seconds at which the weight of a gang's estimated wait has doubled. */
 const GANG_DELAY_AGE_S = 15;
 
 /**
@@ -49,7 +52,7 @@
   const { estimates } = pass;
   estimates.startsS[queueIndex] = startS;
   estimates.endsS[queueIndex] = endS;
-  estimates.costBuckets[queueIndex] = Math.floor(costS(pass, job, queue, startS, endS) / COST_GRAIN_S);
+  estimates.costBuckets[queueIndex] = Math.floor(costS(pass, job, queue, startS, endS) / COST_BUCKET_S);
   return true;
 }
 
--- a/packages/planner/src/scheduling/queue-order.ts
+++ b/packages/planner/src/scheduling/queue-order.ts
@@ -8,8 +8,9 @@
 import type { MachineView } from '../cluster-snapshot.js';
 import type { MachineQueue } from './machine-queue.js';
 
-/** The weight of a CPU's price in the preference, relative to the used share of the machine. */
+/** The weight of a CPU's price in the preference score. */
 const PRICE_WEIGHT = 10;
+/** The used share of a machine is divided by this in the preference score. */
 const USED_SHARE_DIVISOR = 10;
 
 /** The order of the queues, which are identified by their index in the pass. */
--- a/packages/planner/src/scheduling/quota-guarantee.ts
+++ b/packages/planner/src/scheduling/quota-guarantee.ts
@@ -10,9 +10,9 @@
 import type { Quota } from './resources.js';
 
 /**
- * The jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. Jobs of a
- * team that can still be in time use the guarantee first: given to the oldest jobs first, in a burst it went
- * to jobs that were all late already, ahead of every job that could still be in time.
+ * The jobs that fit into their team's guarantee together with the team's unfinished jobs ranked before them.
+ * Jobs that can still be in time use the guarantee first. When the oldest jobs used it first, in a burst it went
+ * to jobs that were already late, before every job that could still be in time.
  */
 export function jobsWithinGuarantee({ jobs, teams }: ClusterSnapshot): Set<JobView> {
   const usedByTeam = new Map<string, Quota>();
--- a/packages/planner/src/scheduling/resource-pool.ts
+++ b/packages/planner/src/scheduling/resource-pool.ts
@@ -1,6 +1,6 @@
 /**
- * Treats all machines as one pool of a resource, for bounds and estimates of when work can be done without
- * visiting single machines.
+ * Treats all machines as one pool of a resource. The pool yields bounds and estimates of when work can be done,
+ * without visiting single machines.
  *
  * @module
  */
@@ -10,37 +10,37 @@
 import type { ResourceDimension } from './resources.js';
 import { MIN_RUN_S } from './resources.js';
 
-/** A start later than this, in seconds from now, counts as never. */
+/** The search for a start stops at this many seconds from now; a later start counts as never. */
 const HORIZON_S = 4096;
 /**
- * Bucket length in seconds. Amounts are counted at the start of the bucket in which they become free, never
- * later, so that the pool yields lower bounds.
+ * Bucket length in seconds. Amounts are counted at the start of the bucket in which they become free, so that
+ * the pool yields lower bounds.
  */
-const GRAIN_S = 0.25;
-/** The number of buckets; what becomes free later is counted in the last one. */
-const GRAIN_COUNT = 4096;
+const BUCKET_S = 0.25;
+/** The index of the last bucket; what becomes free later is counted in it. */
+const LAST_BUCKET = 4096;
 /** The number of bisection steps in the search for a start. */
 const BISECTION_STEPS = 8;
 
 /**
- * The amount of a resource that becomes free over time, summed over all queues: a bound that no single queue
- * can beat.
+ * The amount of a resource that becomes free over time, summed over all queues. No single queue can have more
+ * free resources than the pool.
  */
 export class ResourcePool {
   /** The times at which amounts become free, in seconds from now, ascending. */
   private readonly timesS: number[] = [0];
-  /** The amount that is free from each of these times on if nothing takes any. */
+  /** The amount that is free from each of these times on if no task takes any. */
   private readonly freeAmounts: number[] = [0];
-  /** How much work (amount times seconds) the pool can have done by each of these times. */
+  /** The work (amount times seconds) that the pool can have done by each of these times. */
   private readonly suppliedWork: number[] = [0];
 
   constructor(queues: readonly MachineQueue[], dimension: ResourceDimension) {
-    const releases = new Float64Array(GRAIN_COUNT + 1);
-    for (const queue of queues) queue.addReleasesTo(releases, dimension, GRAIN_S);
+    const releases = new Float64Array(LAST_BUCKET + 1);
+    for (const queue of queues) queue.addReleasesTo(releases, dimension, BUCKET_S);
     this.freeAmounts[0] = releases[0] as number;
-    for (let grain = 1; grain <= GRAIN_COUNT; grain += 1) {
-      const amount = releases[grain] as number;
-      if (amount !== 0) this.addRelease(grain * GRAIN_S, amount);
+    for (let bucket = 1; bucket <= LAST_BUCKET; bucket += 1) {
+      const amount = releases[bucket] as number;
+      if (amount !== 0) this.addRelease(bucket * BUCKET_S, amount);
     }
   }
 
@@ -53,7 +53,7 @@
     this.timesS.push(timeS);
   }
 
-  /** The earliest time at which this amount is free together if nothing takes any; Infinity for never. */
+  /** The earliest time at which this amount is free at once if no task takes any; Infinity for never. */
   earliestFreeS(amount: number): number {
     return this.timesS[indexOfAtLeast(this.freeAmounts, amount - EPSILON)] ?? Infinity;
   }
@@ -68,25 +68,25 @@
   }
 
   /**
-   * The earliest time by which this amount can have been started if each part of it is used for `runS`
-   * seconds and is free again afterwards. The bound by work alone assumes starts before anything is free, and
-   * machines for a burst were requested a minute late.
+   * The earliest time by which tasks of this total amount can have started if each uses its resources for
+   * `runS` seconds and then frees them. A bound from the total work alone assumes starts before any resources
+   * are free; with it, machines for a burst were requested a minute late.
    */
   earliestStartedS(amount: number, runS: number): number {
     const wanted = amount - EPSILON;
     if (this.startedBy(0, amount, runS) >= wanted) return 0;
-    let lateS = 1;
-    while (this.startedBy(lateS, amount, runS) < wanted) {
-      lateS *= 2;
-      if (lateS > HORIZON_S) return Infinity;
+    let upperS = 1;
+    while (this.startedBy(upperS, amount, runS) < wanted) {
+      upperS *= 2;
+      if (upperS > HORIZON_S) return Infinity;
     }
-    let earlyS = lateS / 2;
+    let lowerS = upperS / 2;
     for (let step = 0; step < BISECTION_STEPS; step += 1) {
-      const middleS = (earlyS + lateS) / 2;
-      if (this.startedBy(middleS, amount, runS) < wanted) earlyS = middleS;
-      else lateS = middleS;
+      const middleS = (lowerS + upperS) / 2;
+      if (this.startedBy(middleS, amount, runS) < wanted) lowerS = middleS;
+      else upperS = middleS;
     }
-    return lateS;
+    return upperS;
   }
 
   /** The amount that can have been started by a time; the sum stops once it reaches `enough`. */
--- a/packages/planner/src/scheduling/scheduling-pass.ts
+++ b/packages/planner/src/scheduling/scheduling-pass.ts
@@ -27,7 +27,7 @@
 } from './types.js';
 
 /** Costs that differ by less than this, in seconds, count as equal when machines are compared. */
-export const COST_GRAIN_S = 0.5;
+export const COST_BUCKET_S = 0.5;
 
 /**
  * Estimates for the next task of the job being evaluated, by queue; reused by all evaluations to avoid
@@ -36,7 +36,7 @@
 export class QueueEstimates {
   readonly startsS: Float64Array;
   readonly endsS: Float64Array;
-  /** The cost of each queue as a multiple of `COST_GRAIN_S`. */
+  /** The cost of each queue as a multiple of `COST_BUCKET_S`. */
   readonly costBuckets: Float64Array;
   /** The number of the job's tasks that the evaluation assigned to each queue. */
   readonly taskCounts: Int32Array;
@@ -55,13 +55,13 @@
   readonly queues: MachineQueue[];
   readonly queueOrder: QueueOrder;
   readonly estimates: QueueEstimates;
-  /** The smallest slowness of all machines. */
+  /** The lowest slowness of the schedulable machines, at most 1. */
   readonly leastSlowness: number;
   readonly guaranteedJobs: ReadonlySet<JobView>;
   readonly preemptionIndex: PreemptionIndex;
   /** The tasks that this pass preempts. */
   readonly preempted = new Set<Occupant>();
-  /** The shapes of the jobs that still wait, by the key of the shape. */
+  /** The shapes of the waiting jobs, by their keys. */
   readonly jobShapes = new Map<string, JobShape>();
   readonly shapeOf = new Map<JobView, JobShape>();
   /** A job whose tasks' mean wait exceeds this, in seconds, is starved and planned first. */
@@ -145,17 +145,17 @@
     const key = zone === null ? sizeKey : `${sizeKey}/${zone}`;
     let index = this.startIndexes.get(key);
     if (index === undefined || index.isStale) {
-      index = new EarliestStartIndex(this.queues, request, this.queueOrder.inZone(zone), COST_GRAIN_S);
+      index = new EarliestStartIndex(this.queues, request, this.queueOrder.inZone(zone), COST_BUCKET_S);
       this.startIndexes.set(key, index);
     }
     return index;
   }
 
   /**
-   * The seconds by which a task of the job may be placed ahead of free resources; greater than 0 only for
-   * replicas. Tasks of a gang all start together. Tasks of arrays placed ahead took the resources being freed
-   * for a service, were preempted for it and took them again; or they waited behind tasks that ran longer
-   * than estimated while other machines became free (docs/results.md).
+   * How many seconds before its resources become free a task of the job may be placed. It is greater than 0
+   * only for replicas. Tasks of a gang start together, so they are never placed ahead. Array tasks placed ahead
+   * took the resources being freed for a service, were preempted for it and took them again. Others waited
+   * behind tasks that ran longer than estimated while other machines became free (docs/results.md).
    */
   placeAheadS(job: JobView): number {
     return job.spec.kind === 'service' ? this.snapshot.placeAheadS : 0;
--- a/packages/planner/src/scheduling/types.ts
+++ b/packages/planner/src/scheduling/types.ts
@@ -20,11 +20,11 @@
 export interface TaskPreemption {
   readonly job: JobId;
   readonly task: number;
-  /** The job in whose favour it is preempted. */
+  /** The job for which it is preempted. */
   readonly preemptor: JobId;
 }
 
-/** Work that no machine can take at once; input of fleet planning. */
+/** Tasks of a job that no machine can start now; input of fleet planning. */
 export interface UnplacedDemand {
   readonly job: JobView;
   readonly taskCount: number;
@@ -33,7 +33,7 @@
   /** Whether the team's limit allows the tasks to start now. */
   readonly isWithinLimit: boolean;
   readonly isGuaranteed: boolean;
-  /** The zone in which the rest of a zone-bound job is placed, or null. */
+  /** The zone in which the other tasks of a zone-bound job are placed; null if there is none. */
   readonly zone: string | null;
 }
 
@@ -48,15 +48,15 @@
   readonly queuedStarts: readonly TaskStart[];
   readonly preemptions: readonly TaskPreemption[];
   readonly unplacedDemand: readonly UnplacedDemand[];
-  /** The number of queue visits: the cost of the plan, independent of the computer. */
+  /** The number of queue visits, a measure of the planning cost that does not depend on the hardware. */
   readonly queueVisits: number;
 }
 
 /** Options for computing a plan. */
 export interface PlanOptions {
   /**
-   * Evaluates every job again after every placement, as the paper does, instead of only those that can have
-   * changed. The plan is the same; tests compare the two.
+   * Evaluates every job again after every placement, as the paper does, instead of only those whose evaluation
+   * may have changed. The plan is the same; tests compare the two.
    */
   readonly exhaustive?: boolean;
 }
@@ -90,7 +90,7 @@
   readonly passRevision: number;
 }
 
-/** Waiting jobs that agree in everything that determines whether any of their tasks could start now. */
+/** Waiting jobs that are equal in everything that determines whether any of their tasks can start now. */
 export interface JobShape {
   /** A representative of these jobs. */
   readonly exampleJob: JobView;
