--- a/packages/testkit/test/architecture.test.ts
+++ b/packages/testkit/test/architecture.test.ts
@@ -1,4 +1,4 @@
-/** Holds the architecture page against the sources: packages, what they import, file names; and finds import cycles. */
+/** Compares the architecture page with the sources (packages, their imports, file names), and detects import cycles. */
 import assert from 'node:assert/strict';
 import { existsSync, readFileSync, readdirSync } from 'node:fs';
 import { dirname, join } from 'node:path';
@@ -7,7 +7,7 @@
 const PAGE = 'docs/architecture.md';
 const page = readFileSync(PAGE, 'utf8');
 
-/** Modules of all packages, each with the modules that it imports; imports of types count. */
+/** The modules of all packages, each with the modules that it imports, including type imports. */
 function importGraph(): Map<string, string[]> {
   const modules = readdirSync('packages', { recursive: true, encoding: 'utf8' })
     .filter((name) => /^[^/]+\/src\/.*\.ts$/.test(name))
@@ -19,24 +19,24 @@
   const imports = readFileSync(module, 'utf8').matchAll(/from '([^']+)'/g);
   return [...imports].flatMap(([, specifier = '']) => {
     if (specifier.startsWith('.')) return [join(dirname(module), specifier).replace(/\.js$/, '.ts')];
-    const ours = /^@spurbridge\/(.+)$/.exec(specifier)?.[1];
-    return ours === undefined ? [] : [`packages/${ours}/src/index.ts`];
+    const packageName = /^@spurbridge\/(.+)$/.exec(specifier)?.[1];
+    return packageName === undefined ? [] : [`packages/${packageName}/src/index.ts`];
   });
 }
 
 const graph = importGraph();
 const packageOf = (module: string): string => module.split('/')[1] ?? '';
 
-/** A cycle through the module, or null. */
+/** Returns an import cycle through the module, or null if there is none. */
 function findCycle(start: string): string[] | null {
   const cameFrom = new Map<string, string>();
-  const open = [start];
-  for (let module = open.pop(); module !== undefined; module = open.pop())
+  const stack = [start];
+  for (let module = stack.pop(); module !== undefined; module = stack.pop())
     for (const next of graph.get(module) ?? []) {
       if (next === start) return pathTo(module, cameFrom, start);
       if (cameFrom.has(next)) continue;
       cameFrom.set(next, module);
-      open.push(next);
+      stack.push(next);
     }
   return null;
 }
@@ -50,12 +50,12 @@
   return path;
 }
 
-test('no module imports itself by way of others, imports of types included', () => {
+test('modules have no import cycles, including cycles of type imports', () => {
   const cycles = [...graph.keys()].map(findCycle).filter((cycle) => cycle !== null);
   assert.deepEqual(cycles, []);
 });
 
-test('the architecture page lists every package, with the packages that it imports, only downward', () => {
+test('the architecture page lists every package with its imports, and each import is listed above it', () => {
   const rows = [...page.matchAll(/^\| `([a-z-]+)`\s+\| ([^|]*)\|$/gm)].map(
     ([, name = '', imports = '']) =>
       [name, [...imports.matchAll(/`([a-z-]+)`/g)].map((m) => m[1] ?? '')] as const,
@@ -69,11 +69,11 @@
         for (const i of imported) if (packageOf(i) !== name) found.add(packageOf(i));
     assert.deepEqual([...imports].sort(), [...found].sort(), name);
     for (const i of found)
-      assert.ok(listed.indexOf(i) < index, `${name} imports ${i}, which is not above it`);
+      assert.ok(listed.indexOf(i) < index, `${name} imports ${i}, which is not listed above it`);
   }
 });
 
-test('files and folders that the architecture page and the glossary name exist', () => {
+test('files and folders named in the architecture page and the glossary exist', () => {
   const glossary = readFileSync('docs/glossary.md', 'utf8');
   const named = [
     ...[...page.matchAll(/`(packages\/[^`]+|docs\/[^`]+)`/g)].map((m) => m[1] ?? ''),
--- a/packages/testkit/test/gang.test.ts
+++ b/packages/testkit/test/gang.test.ts
@@ -19,26 +19,27 @@
   });
 }
 
-function gang(n: number, over: Partial<JobSpec> = {}): JobSpec {
+function gang(n: number, overrides: Partial<JobSpec> = {}): JobSpec {
   const id = `wk-${String(n).padStart(6, '0')}` as JobId;
-  return jobSpec({ id, kind: 'gang', gpus: 4, spot: false, oneZone: true, estimateS: 10, ...over });
+  return jobSpec({ id, kind: 'gang', gpus: 4, spot: false, oneZone: true, estimateS: 10, ...overrides });
 }
 
+/** Id of the running machine that has the task; empty if there is none. */
 function machineOf(world: World, job: JobId, task: number): string {
   for (const worker of world.workers.values()) {
-    const t = worker.attemptOf(job, task);
-    if (t !== null && t.phase !== 'exited' && worker.alive) return worker.id;
+    const attempt = worker.attemptOf(job, task);
+    if (attempt !== null && attempt.phase !== 'exited' && worker.alive) return worker.id;
   }
   return '';
 }
 
-async function untilDone(world: World, spec: JobSpec, untilMs: number): Promise<void> {
+async function runUntilDone(world: World, spec: JobSpec, untilMs: number): Promise<void> {
   await world.runUntil(untilMs);
   assert.deepEqual(world.checker.violations, []);
   assert.equal(world.recordedPhaseOf(spec.id), 'done');
 }
 
-test('a gang that loses a machine before it has started is completed under the same attempt', async () => {
+test('a gang that loses a machine before it starts replaces the lost task under the same attempt', async () => {
   const world = gangWorld(3, 60);
   const spec = gang(1, { tasks: 3, imageGb: 25 });
   world.startUser(spec, null);
@@ -47,7 +48,7 @@
   assert.ok(lost !== undefined);
   const kept = machineOf(world, spec.id, 0);
   lost.die();
-  await untilDone(world, spec, 120_000);
+  await runUntilDone(world, spec, 120_000);
   assert.equal(world.gangAttempts.get(spec.id), 1);
   assert.notEqual(kept, lost.id);
 });
@@ -60,12 +61,12 @@
   const lost = [...world.workers.values()].find((worker) => worker.id === machineOf(world, spec.id, 2));
   assert.ok(lost !== undefined);
   lost.die();
-  await untilDone(world, spec, 150_000);
+  await runUntilDone(world, spec, 150_000);
   assert.equal(world.gangAttempts.get(spec.id), 2);
 });
 
-// A task whose machine has the image waits for one that fetches it for longer than `gang_wait_s`: it
-// exited as incomplete, the fetch was given up, and so on for ever.
+// A task whose machine has the image waits while another machine fetches it for longer than `gang_wait_s`. The waiting
+// task exited because the gang was incomplete, the fetch was aborted, and the same happened in every further attempt.
 test('a gang starts although one machine has its image and another fetches it for longer than gang_wait_s', async () => {
   const world = gangWorld(5, 20);
   const first = gang(1, { tasks: 1, imageGb: 30 });
@@ -74,21 +75,21 @@
   assert.equal(world.recordedPhaseOf(first.id), 'done');
   const spec = gang(2, { tasks: 3, imageGb: 30 });
   world.startUser(spec, null);
-  await untilDone(world, spec, 260_000);
+  await runUntilDone(world, spec, 260_000);
   assert.equal(world.gangAttempts.get(spec.id), 1);
 });
 
-test('a graceful stop of a gang saves on every machine before the preemption notice ends', async () => {
+test('a graceful stop of a gang saves a checkpoint on every machine before the preemption notice expires', async () => {
   const world = gangWorld(6);
   const spec = gang(1, { tasks: 2, spot: true, checkpointS: 5, saveS: 1, estimateS: 40, oneZone: false });
   world.startUser(spec, null);
   await world.runUntil(20_000);
-  const taken = [...world.workers.values()].find((worker) => worker.id === machineOf(world, spec.id, 0));
-  assert.ok(taken !== undefined);
-  taken.preemptionAtMs = world.time.now + 12_000;
+  const preempted = [...world.workers.values()].find((worker) => worker.id === machineOf(world, spec.id, 0));
+  assert.ok(preempted !== undefined);
+  preempted.preemptionAtMs = world.time.now + 12_000;
   world.time.after(12_000, () => {
-    world.reclaimMachine(taken.id);
+    world.reclaimMachine(preempted.id);
   });
-  await untilDone(world, spec, 150_000);
+  await runUntilDone(world, spec, 150_000);
   assert.deepEqual(world.checkpointedGangs, [`${spec.id}#1`]);
 });
--- a/packages/testkit/test/rule-checker.test.ts
+++ b/packages/testkit/test/rule-checker.test.ts
@@ -6,18 +6,19 @@
 import { RuleChecker, TEAMS, TYPES, jobSpec, smallWorld, watchForStarvation } from '../src/index.js';
 
 const id = 'wk-000001' as JobId;
-const one = 1 as Attempt;
-const on = (machine: string, zone = 'a', spot = false) => ({
+const FIRST_ATTEMPT = 1 as Attempt;
+const placementOn = (machine: string, zone = 'a', spot = false) => ({
   machine: machine as MachineId,
   zone,
   spot,
   type: 's4',
 });
 
-function judged(act: (checker: RuleChecker, later: (ms: number) => void) => void): string[] {
+/** Names of the rules that the events of the scenario break; `later` lets time pass. */
+function brokenRules(scenario: (checker: RuleChecker, later: (ms: number) => void) => void): string[] {
   let now = 0;
   const checker = new RuleChecker(() => now, TEAMS, 10_000);
-  act(checker, (ms) => {
+  scenario(checker, (ms) => {
     now += ms;
     checker.sweep();
   });
@@ -27,38 +28,44 @@
 test('each rule is reported when it is broken', () => {
   const spec = jobSpec({ id });
   assert.deepEqual(
-    judged((checker) => {
-      checker.taskStarted(spec, 0, one, on('n-1'));
-      checker.taskStarted(spec, 0, 2 as Attempt, on('n-2'));
+    brokenRules((checker) => {
+      checker.taskStarted(spec, 0, FIRST_ATTEMPT, placementOn('n-1'));
+      checker.taskStarted(spec, 0, 2 as Attempt, placementOn('n-2'));
     }),
     ['ran_twice'],
   );
   assert.deepEqual(
-    judged((checker) => {
-      for (let t = 0; t < 21; t += 1) checker.taskStarted({ ...spec, tasks: 30 }, t, one, on('n-1'));
+    brokenRules((checker) => {
+      for (let t = 0; t < 21; t += 1)
+        checker.taskStarted({ ...spec, tasks: 30 }, t, FIRST_ATTEMPT, placementOn('n-1'));
     }),
     ['quota'],
   );
   const places = [{ spot: false }, { zone: 'b' }, { types: ['m16'] }];
-  for (const over of places)
+  for (const overrides of places)
     assert.deepEqual(
-      judged((checker) => {
-        checker.taskStarted({ ...spec, ...over }, 0, one, on('n-1', 'a', true));
+      brokenRules((checker) => {
+        checker.taskStarted({ ...spec, ...overrides }, 0, FIRST_ATTEMPT, placementOn('n-1', 'a', true));
       }),
       ['wrong_place'],
     );
-  for (const over of [{ spread: true, tasks: 2 }, { oneZone: true }])
+  for (const overrides of [{ spread: true, tasks: 2 }, { oneZone: true }])
     assert.deepEqual(
-      judged((checker) => {
-        checker.taskStarted({ ...spec, ...over }, 0, one, on('n-1', 'a'));
-        checker.taskStarted({ ...spec, ...over }, 1, one, on('n-2', over.oneZone === true ? 'b' : 'a'));
+      brokenRules((checker) => {
+        checker.taskStarted({ ...spec, ...overrides }, 0, FIRST_ATTEMPT, placementOn('n-1', 'a'));
+        checker.taskStarted(
+          { ...spec, ...overrides },
+          1,
+          FIRST_ATTEMPT,
+          placementOn('n-2', overrides.oneZone === true ? 'b' : 'a'),
+        );
       }),
       ['wrong_place'],
     );
   assert.deepEqual(
-    judged((checker, later) => {
+    brokenRules((checker, later) => {
       checker.jobSubmitted(spec);
-      checker.taskStarted(spec, 0, one, on('n-1'));
+      checker.taskStarted(spec, 0, FIRST_ATTEMPT, placementOn('n-1'));
       checker.cancellationRequested(id);
       checker.responseReceived(id, 'cancel', 200, 'cancelled');
       later(9_900);
@@ -68,7 +75,7 @@
     ['ran_cancelled'],
   );
   assert.deepEqual(
-    judged((checker) => {
+    brokenRules((checker) => {
       checker.jobSubmitted(spec);
       checker.responseReceived(id, 'submit', 201, 'queued');
       checker.responseReceived(id, 'poll', 404, null);
@@ -77,13 +84,13 @@
     ['forgotten', 'forgotten'],
   );
   assert.deepEqual(
-    judged((checker) => {
+    brokenRules((checker) => {
       checker.responseReceived(id, 'poll', 200, 'queued');
     }),
     ['invented'],
   );
   assert.deepEqual(
-    judged((checker) => {
+    brokenRules((checker) => {
       checker.jobSubmitted(spec);
       checker.responseReceived(id, 'poll', 200, 'done');
       checker.responseReceived(id, 'poll', 200, 'running');
@@ -91,7 +98,7 @@
     ['not_done', 'went_back'],
   );
   assert.deepEqual(
-    judged((checker) => {
+    brokenRules((checker) => {
       checker.jobSubmitted(spec);
       checker.responseReceived(id, 'poll', 200, 'cancelled');
     }),
@@ -99,38 +106,38 @@
   );
 });
 
-test('a gang of which only some tasks complete is reported as split, a whole one is not', () => {
+test('a gang that completes with only some of its tasks is reported as split, a complete one is not', () => {
   const gang = jobSpec({ id, kind: 'gang', tasks: 2 });
   assert.deepEqual(
-    judged((checker) => {
-      checker.taskStarted(gang, 0, one, on('n-1'));
-      checker.gangCompleted(gang, one);
+    brokenRules((checker) => {
+      checker.taskStarted(gang, 0, FIRST_ATTEMPT, placementOn('n-1'));
+      checker.gangCompleted(gang, FIRST_ATTEMPT);
     }),
     ['gang_split'],
   );
-  // A task of another attempt is none of its mates.
+  // A task of another attempt does not count as part of the gang.
   assert.deepEqual(
-    judged((checker) => {
-      checker.taskStarted(gang, 0, one, on('n-1'));
-      checker.taskStarted(gang, 1, 2 as Attempt, on('n-2'));
-      checker.gangCompleted(gang, one);
+    brokenRules((checker) => {
+      checker.taskStarted(gang, 0, FIRST_ATTEMPT, placementOn('n-1'));
+      checker.taskStarted(gang, 1, 2 as Attempt, placementOn('n-2'));
+      checker.gangCompleted(gang, FIRST_ATTEMPT);
     }),
     ['gang_split'],
   );
   assert.deepEqual(
-    judged((checker) => {
-      checker.taskStarted(gang, 0, one, on('n-1'));
-      checker.taskStarted(gang, 1, one, on('n-2'));
-      checker.gangCompleted(gang, one);
+    brokenRules((checker) => {
+      checker.taskStarted(gang, 0, FIRST_ATTEMPT, placementOn('n-1'));
+      checker.taskStarted(gang, 1, FIRST_ATTEMPT, placementOn('n-2'));
+      checker.gangCompleted(gang, FIRST_ATTEMPT);
     }),
     [],
   );
 });
 
-test('a job whose polls all fail for 90 s is reported as forgotten while most others are answered', () => {
+test('a job whose polls all fail for 90 s is reported as forgotten if most polls of other jobs succeed', () => {
   const other = 'wk-000002' as JobId;
-  const polls = (othersAnswered: boolean) =>
-    judged((checker, later) => {
+  const brokenWhen = (othersSucceed: boolean) =>
+    brokenRules((checker, later) => {
       for (const job of [id, other]) {
         checker.jobSubmitted(jobSpec({ id: job }));
         checker.responseReceived(job, 'submit', 201, 'queued');
@@ -139,17 +146,17 @@
         later(5000);
         checker.responseReceived(id, 'poll', 503, null);
         for (let i = 0; i < 3; i += 1)
-          checker.responseReceived(other, 'poll', othersAnswered ? 200 : 503, 'queued');
+          checker.responseReceived(other, 'poll', othersSucceed ? 200 : 503, 'queued');
       }
     });
-  assert.deepEqual(new Set(polls(true)), new Set(['forgotten']));
-  assert.deepEqual(polls(false), []);
+  assert.deepEqual(new Set(brokenWhen(true)), new Set(['forgotten']));
+  assert.deepEqual(brokenWhen(false), []);
 });
 
-test('after all faults a job without a response for 75 s is reported as forgotten, however others fare', () => {
-  const polls = (calmFromMs: number) =>
-    judged((checker, later) => {
-      checker.faultsEndMs = calmFromMs;
+test('after all faults a job without a response for 75 s is reported as forgotten regardless of other jobs', () => {
+  const brokenWith = (faultsEndMs: number) =>
+    brokenRules((checker, later) => {
+      checker.faultsEndMs = faultsEndMs;
       checker.jobSubmitted(jobSpec({ id }));
       checker.responseReceived(id, 'submit', 201, 'queued');
       for (let n = 0; n < 17; n += 1) {
@@ -157,12 +164,12 @@
         checker.responseReceived(id, 'poll', 503, null);
       }
     });
-  assert.deepEqual(new Set(polls(0)), new Set(['forgotten']));
-  // What it missed before they were over does not count.
-  assert.deepEqual(polls(20_000), []);
+  assert.deepEqual(new Set(brokenWith(0)), new Set(['forgotten']));
+  // Time without a response before the end of the faults does not count.
+  assert.deepEqual(brokenWith(20_000), []);
 });
 
-test('a class whose largest jobs do not start is reported although more than half of it is served', () => {
+test('a class whose largest jobs do not start is reported although more than half of its jobs are served', () => {
   let now = 0;
   const checker = new RuleChecker(
     () => now,
@@ -173,7 +180,7 @@
     const spec = jobSpec({ id: `wk-00010${i}` as JobId, tasks: i < 6 ? 1 : 10, cpus: 1 });
     checker.jobSubmitted(spec);
     if (i >= 6) continue;
-    checker.taskStarted(spec, 0, one, on(`n-${i}`));
+    checker.taskStarted(spec, 0, FIRST_ATTEMPT, placementOn(`n-${i}`));
     checker.taskStopped(spec.id, 0, `n-${i}` as MachineId, true);
   }
   now = 250_000;
@@ -185,7 +192,7 @@
 
 test('an invalid submission that is accepted is reported', () => {
   assert.deepEqual(
-    judged((checker) => {
+    brokenRules((checker) => {
       checker.invalidSubmissionAnswered(id, 'no memGb', 400);
       checker.invalidSubmissionAnswered(id, 'no memGb', 503);
       checker.invalidSubmissionAnswered(id, 'no memGb', 201);
@@ -195,45 +202,45 @@
   );
 });
 
-test('starts after a confirmed cancellation are counted, also where they end in time', () => {
+test('starts after a confirmed cancellation are counted even if the tasks end in time', () => {
   let now = 0;
   const checker = new RuleChecker(() => now, TEAMS, 10_000);
   const spec = jobSpec({ id });
   checker.jobSubmitted(spec);
-  checker.taskStarted(spec, 0, one, on('n-1'));
+  checker.taskStarted(spec, 0, FIRST_ATTEMPT, placementOn('n-1'));
   checker.cancellationRequested(id);
   checker.responseReceived(id, 'cancel', 200, 'cancelled');
   now = 100;
-  checker.taskStarted(spec, 1, one, on('n-1'));
+  checker.taskStarted(spec, 1, FIRST_ATTEMPT, placementOn('n-1'));
   for (const task of [0, 1]) checker.taskStopped(id, task, 'n-1' as MachineId, false);
   now = 20_000;
   checker.sweep();
   assert.deepEqual([checker.startsOfCancelledJobs, checker.violations], [1, []]);
 });
 
-test('concurrent responses are judged by when they were asked for; done and cancelled always contradict', () => {
-  const began = (checker: RuleChecker): void => {
+test('concurrent responses are checked by the time of their requests, but done and cancelled always contradict each other', () => {
+  const startJobAndCancel = (checker: RuleChecker): void => {
     const spec = jobSpec({ id, tasks: 1 });
     checker.jobSubmitted(spec);
-    checker.taskStarted(spec, 0, one, on('n-1'));
+    checker.taskStarted(spec, 0, FIRST_ATTEMPT, placementOn('n-1'));
     checker.responseReceived(id, 'submit', 201, 'queued');
     checker.cancellationRequested(id);
   };
-  const answers = (phase: 'queued' | 'done', askedMs: number) =>
-    judged((checker, later) => {
-      began(checker);
+  const brokenByPoll = (phase: 'queued' | 'done', askedMs: number) =>
+    brokenRules((checker, later) => {
+      startJobAndCancel(checker);
       later(1000);
       checker.responseReceived(id, 'cancel', 200, 'cancelled');
       checker.taskStopped(id, 0, 'n-1' as MachineId, true);
       later(100);
       checker.responseReceived(id, 'poll', 200, phase, askedMs);
     });
-  assert.deepEqual(answers('queued', 999), []);
-  assert.deepEqual(answers('queued', 1000), ['went_back']);
-  assert.deepEqual(answers('done', 0), ['went_back']);
+  assert.deepEqual(brokenByPoll('queued', 999), []);
+  assert.deepEqual(brokenByPoll('queued', 1000), ['went_back']);
+  assert.deepEqual(brokenByPoll('done', 0), ['went_back']);
   assert.deepEqual(
-    judged((checker, later) => {
-      began(checker);
+    brokenRules((checker, later) => {
+      startJobAndCancel(checker);
       later(1000);
       checker.taskStopped(id, 0, 'n-1' as MachineId, true);
       checker.responseReceived(id, 'poll', 200, 'done');
@@ -242,9 +249,9 @@
     ['went_back'],
   );
   assert.deepEqual(
-    judged((checker, later) => {
+    brokenRules((checker, later) => {
       later(500);
-      began(checker);
+      startJobAndCancel(checker);
       checker.responseReceived(id, 'poll', 404, null, 499);
       checker.responseReceived(id, 'poll', 404, null, 500);
     }),
@@ -252,22 +259,22 @@
   );
 });
 
-test('a job that waits for 90 s is reported if a machine has room for it, and not otherwise', async () => {
-  const waited = async (cpus: number) => {
+test('a job that waits for 90 s is reported only if a machine has room for it', async () => {
+  const reportedJobs = async (cpus: number) => {
     const world = smallWorld(3);
     await world.runUntil(10_000);
     for (const node of world.nodes) node.store.isRefused = true;
-    const kept = { id: 'wk-000002' as JobId, tasks: 1, cpus, estimateS: 5 };
+    const waiting = { id: 'wk-000002' as JobId, tasks: 1, cpus, estimateS: 5 };
     const record = encodeJob({
-      spec: jobSpec(kept),
+      spec: jobSpec(waiting),
       phase: 'active',
       submittedAt: world.wallClockStartMs as WallClockMs,
       chunkSize: 8,
     });
-    // Accepted, as its user was told, by nodes that then never learn of it again.
-    world.store.commit([], [{ put: `j/${kept.id}`, value: record }]);
-    world.checker.jobSubmitted(jobSpec(kept));
-    world.checker.responseReceived(kept.id, 'submit', 201, 'queued');
+    // The job was reported as accepted, but the nodes cannot read its record because the store refuses them.
+    world.store.commit([], [{ put: `j/${waiting.id}`, value: record }]);
+    world.checker.jobSubmitted(jobSpec(waiting));
+    world.checker.responseReceived(waiting.id, 'submit', 201, 'queued');
     const type = TYPES[0];
     assert.ok(type !== undefined && cpus !== type.cpus);
     world.addWorker('n-900000' as MachineId, type, 'a', true);
@@ -278,6 +285,6 @@
       .filter((violation) => violation.rule === 'left_waiting')
       .map((violation) => violation.what.split(' ')[0]);
   };
-  assert.deepEqual(new Set(await waited(2)), new Set(['wk-000002']));
-  assert.deepEqual(await waited(16), []);
+  assert.deepEqual(new Set(await reportedJobs(2)), new Set(['wk-000002']));
+  assert.deepEqual(await reportedJobs(16), []);
 });
--- a/packages/testkit/test/stored-records.test.ts
+++ b/packages/testkit/test/stored-records.test.ts
@@ -1,6 +1,6 @@
 /**
- * Stored records as the version before the renaming of December 2026 wrote them: read and written again they must come out
- * as they were, so that either version takes over the records of the other.
+ * Compares the format of stored records with records that the version before the renaming of December 2026 wrote.
+ * Decoding and encoding must reproduce their text, so that either version can take over the records of the other.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -44,15 +44,15 @@
 import { decodeSnapshot, encodeSnapshot } from '@spurbridge/snapshot';
 import { LEADER_KEY } from '@spurbridge/store';
 
-/** Reads the text, and writes what was read: the same bytes. */
-function assertSame(text: string, writeAgain: (value: unknown) => unknown): void {
-  assert.equal(JSON.stringify(writeAgain(JSON.parse(text))), text);
+/** Asserts that decoding and encoding the record reproduces its text. */
+function assertRoundTrip(text: string, decodeAndEncode: (value: unknown) => unknown): void {
+  assert.equal(JSON.stringify(decodeAndEncode(JSON.parse(text))), text);
 }
 
 const SPEC =
   '{"nameId":"wk-000412","lot":"train","crew":"vision","shape":"batch","rank":"high","pieces":9,"cpus":8,"accelerators":1,"memGb":64,"kit":"img-07","pullGb":6.2,"builds":["g8"],"yard":null,"oneZone":true,"scatter":false,"loaners":true,"guessS":240,"bookmarkS":30,"stowS":4,"dueS":900}';
 
-test('keys of stored records are as they were', () => {
+test('keys of stored records are unchanged', () => {
   assert.deepEqual(
     [
       LEADER_KEY,
@@ -83,19 +83,19 @@
   );
 });
 
-test('job records are read and written as they were', () => {
+test('job records are unchanged when decoded and encoded', () => {
   for (const text of [
     `{"spec":${SPEC},"phase":"active","at":1700000000000,"chunk":256}`,
     `{"spec":${SPEC},"phase":"done","at":1700000000000.5,"chunk":4}`,
     `{"spec":${SPEC},"phase":"cancelled","at":1700000000000,"chunk":4,"graph":"g-1","cancelledAt":1700000005000}`,
   ])
-    assertSame(text, (value) => encodeJob(decodeJob(value)));
-  const folded = encodeCompactedJob('wk-000412', 9, 'done');
-  assert.equal(JSON.stringify(folded), '{"over":["wk-000412",9],"phase":"done","at":0,"chunk":1}');
-  assert.equal(decodeJob(folded).phase, 'done');
+    assertRoundTrip(text, (value) => encodeJob(decodeJob(value)));
+  const compacted = encodeCompactedJob('wk-000412', 9, 'done');
+  assert.equal(JSON.stringify(compacted), '{"over":["wk-000412",9],"phase":"done","at":0,"chunk":1}');
+  assert.equal(decodeJob(compacted).phase, 'done');
 });
 
-test('task records are read and written as they were', () => {
+test('task records are unchanged when decoded and encoded', () => {
   const job = new Job(
     decodeJob({ spec: JSON.parse(SPEC), phase: 'active', at: 0, chunk: 8 }).spec,
     8,
@@ -106,9 +106,9 @@
   const second = '{"tries":1,"done":"","placed":[[8,"n-000231",2,1]],"abandoned":[]}';
   for (const [index, text] of [first, second].entries())
     restoreChunk(job, index, JSON.parse(text), 6 as never, 0 as never);
-  const written = job.chunks.map((chunk) => JSON.stringify(encodeChunk(job, chunk)));
+  const encoded = job.chunks.map((chunk) => JSON.stringify(encodeChunk(job, chunk)));
   assert.deepEqual(
-    written,
+    encoded,
     [first, second].map((text) => text.replace(',"abandoned":[]', '')),
   );
   job.abandon(6);
@@ -119,8 +119,8 @@
   );
 });
 
-test('records of epochs, contributions and their pages are read and written as they were', () => {
-  assertSame(
+test('records of epochs, contributions and their pages are unchanged when decoded and encoded', () => {
+  assertRoundTrip(
     '{"number":3,"id":"abc","deployment":"def","floor":1048576,"phase":"gathering","after":2,"by":"spur-1","first":false,"continuous":true}',
     (value) => {
       const epoch = decodeEpoch(value);
@@ -143,31 +143,31 @@
   assert.deepEqual([pages, digest], [[page], (JSON.parse(marker) as { digest: string }).digest]);
 });
 
-test('records of the configuration are read and written as they were', () => {
-  assertSame('{"version":4,"pages":[1,4],"objectives":2,"changeId":"c-9","segment":3}', (value) =>
+test('records of the configuration are unchanged when decoded and encoded', () => {
+  assertRoundTrip('{"version":4,"pages":[1,4],"objectives":2,"changeId":"c-9","segment":3}', (value) =>
     encodeConfigurationHead(decodeConfigurationHead(value)),
   );
-  assertSame('{"version":4,"teams":[["red",16,40,4,null,0],["blue",0,null,0,0,1]]}', (value) =>
+  assertRoundTrip('{"version":4,"teams":[["red",16,40,4,null,0],["blue",0,null,0,0,1]]}', (value) =>
     encodePage(decodePage(value)),
   );
-  assertSame(
+  assertRoundTrip(
     '{"version":2,"objectives":[{"kind":"wait","class":"web","withinS":2,"share":0.94,"times":null},{"kind":"guarantee","class":null,"withinS":10,"share":0.95,"times":null}]}',
     (value) => encodeObjectives(decodeObjectives(value)),
   );
-  assertSame(
+  assertRoundTrip(
     '{"entries":[{"version":4,"changeId":"c-9","author":"me","at":1700000000000,"differences":[{"path":"teams.red.cpus","from":"16","to":"18"}],"more":0}]}',
     (value) => encodeHistory(decodeHistory(value)),
   );
 });
 
-test('records of task graphs are read and written as they were', () => {
-  assertSame(
+test('records of task graphs are unchanged when decoded and encoded', () => {
+  assertRoundTrip(
     '{"head":{"graph":"gr-1","class":"build","team":"red","priority":"normal"},"phase":"sealed","tasks":3,"batches":2,"cancelled":[["b.1",true]],"tally":{"done":1,"failed":1,"cancelled":1,"failures":["b.0"]}}',
     (value) => encodeGraphHead(decodeGraphHead(value)),
   );
 });
 
-test('snapshots are read and written as they were', () => {
+test('snapshots are unchanged when decoded and encoded', () => {
   const bytes = Buffer.from(
     '7b22666f726d6174223a22737075726272696467652d736e617073686f74222c2276657273696f6e223a312c226465706c6f796d656e74223a226f757273222c2265706f6368223a322c227265766973696f6e223a392c2274616b656e4174223a313730303030303030303030302c227265636f726473223a322c22706c61696e4279746573223a37302c22646967657374223a2263346333666332643035663337373330383836383265303930303130636434356134393265333036396537663266383334343434396261353362356231333965227d0a1b45000004a2cd4dfbcd2f26d4e2b4feff2021642d91524398ab0834521dd6a8ca19bf2b2464157ee33e4aaf4636ca3eda5b8d898b32a6b8209b1e4fabddc869e20e',
     'hex',
@@ -175,6 +175,6 @@
   const snapshot = decodeSnapshot(bytes);
   const entries = [...snapshot.keys()].map((key) => [key, snapshot.get(key)] as const);
   const { deployment, epoch, revision, takenAt } = snapshot;
-  const again = encodeSnapshot({ deployment, epoch, revision, takenAt }, entries as never);
-  assert.equal(again.toString('hex'), bytes.toString('hex'));
+  const encoded = encodeSnapshot({ deployment, epoch, revision, takenAt }, entries as never);
+  assert.equal(encoded.toString('hex'), bytes.toString('hex'));
 });
