--- a/packages/testkit/test/fault-search-machines.test.ts
+++ b/packages/testkit/test/fault-search-machines.test.ts
@@ -1,5 +1,5 @@
 /**
- * Cases that the randomised fault search found or covers: machines that hang, boot, or are cut off.
+ * Cases that the randomised fault search found or covers: machines that hang, boot or are partitioned.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import { aliveWorkers } from './support/fleets.js';
 
 import {
-  BEGIN_MS,
+  FAULTS_BEGIN_MS,
   CANCEL_MS,
   LEASE_MS,
   after,
@@ -19,9 +19,9 @@
   startLongJobs,
 } from './support/regression-cases.js';
 
-for (const how of ['hang', 'partition'] as const)
+for (const fault of ['hang', 'partition'] as const)
   for (const forMs of [6000, LEASE_MS + 4000, 2 * CANCEL_MS])
-    test(`with all teams at their limits jobs cancelled during a ${how} of their machines for ${forMs / 1000} s stop in time across a failover`, async () => {
+    test(`with all teams at their limits jobs cancelled during a ${fault} of their machines for ${forMs / 1000} s stop within cancel_s despite a failover`, async () => {
       for (const seed of [41, 42, 43]) {
         const world = leaderCheckedWorld(seed);
         const jobs = [
@@ -31,17 +31,17 @@
           ),
         ];
         for (const spec of jobs.slice(8)) world.startUser(spec, null);
-        await world.runUntil(BEGIN_MS);
-        const called = new Set(world.users.cancelRunningJobs(5).map((spec) => spec.id));
+        await world.runUntil(FAULTS_BEGIN_MS);
+        const cancelledIds = new Set(world.users.cancelRunningJobs(5).map((spec) => spec.id));
         const machines = aliveWorkers(world).filter((worker) =>
-          worker.occupyingTasks().some((task) => called.has(task.job.id)),
+          worker.occupyingTasks().some((task) => cancelledIds.has(task.job.id)),
         );
         assert.ok(machines.length > 0);
         for (const worker of machines) {
-          if (how === 'hang') worker.hang();
+          if (fault === 'hang') worker.hang();
           else for (const node of world.nodes) world.network.partition(node.name, worker.id, 'hold');
           after(world, forMs, () => {
-            if (how === 'hang') worker.resume();
+            if (fault === 'hang') worker.resume();
             else for (const node of world.nodes) world.network.heal(node.name, worker.id);
           });
         }
@@ -53,15 +53,15 @@
       }
     });
 
-// A lease that ends proves nothing of a machine that hangs; only its release does.
-test('a cancelled task on a machine that hangs past its lease and answers status requests is gone within cancel_s', async () => {
+// An expired lease does not prove that the tasks of a hanging machine have ended; only releasing the machine does.
+test('a cancelled task on a machine that hangs past its lease and responds to status requests ends within cancel_s', async () => {
   for (const seed of [44, 45, 46, 47]) {
     const world = leaderCheckedWorld(seed);
     startLongJobs(world, 4);
-    await world.runUntil(BEGIN_MS);
+    await world.runUntil(FAULTS_BEGIN_MS);
     const machines = aliveWorkers(world).filter((worker) => worker.occupyingTasks().length > 0);
     for (const worker of machines) worker.hang();
-    // Confirmed by nodes in turn; half of the time the leader ends before it can do anything about it.
+    // Random nodes confirm the cancellations. With every second seed the leader crashes before it can react.
     world.users.cancelRunningJobs(4);
     if (seed % 2 === 0)
       after(world, 4000, () => {
@@ -73,7 +73,7 @@
   }
 });
 
-test('machines that boot within two seconds get work although the store is slow and leaders end', async () => {
+test('machines that boot within two seconds get work despite a slow store and failovers', async () => {
   for (const seed of [61, 62, 63, 64]) {
     const world = leaderCheckedWorld(seed, { capacity: 6 });
     await world.runUntil(20_000);
@@ -103,21 +103,21 @@
   }
 });
 
-test('jobs bound to one zone, arrays included, recover from lost machines', async () => {
+test('jobs restricted to one zone, including arrays, recover from lost machines', async () => {
   for (const seed of [91, 92]) {
     const world = leaderCheckedWorld(seed, { capacity: 5 });
-    const bound = { zone: 'b', oneZone: true };
-    world.startUser(jobSpec({ id: jobId(1), tasks: 4, estimateS: 15, ...bound }), null);
+    const inZoneB = { zone: 'b', oneZone: true };
+    world.startUser(jobSpec({ id: jobId(1), tasks: 4, estimateS: 15, ...inZoneB }), null);
     world.startUser(jobSpec({ id: jobId(2), tasks: 6, estimateS: 15, oneZone: true }), null);
     world.startUser(jobSpec({ id: jobId(3), kind: 'gang', tasks: 3, estimateS: 20, oneZone: true }), null);
     world.startUser(
-      jobSpec({ id: jobId(4), kind: 'service', tasks: 2, estimateS: 0, team: 'blue', ...bound }),
+      jobSpec({ id: jobId(4), kind: 'service', tasks: 2, estimateS: 0, team: 'blue', ...inZoneB }),
       null,
     );
     for (const ms of [16_000, 22_000, 28_000, 40_000])
       after(world, ms, () => {
-        const b = aliveWorkers(world).filter((worker) => worker.occupyingTasks().length > 0);
-        const lost = b[world.random(b.length)];
+        const busyWorkers = aliveWorkers(world).filter((worker) => worker.occupyingTasks().length > 0);
+        const lost = busyWorkers[world.random(busyWorkers.length)];
         if (lost !== undefined) world.reclaimMachine(lost.id);
       });
     after(world, 30_000, () => {
@@ -131,11 +131,11 @@
   }
 });
 
-test('outbound-partitioned workers that direct commands still reach break no rule across a failover', async () => {
+test('outbound-partitioned workers that still receive direct commands break no rule across a failover', async () => {
   for (const forMs of [8000, LEASE_MS + 6000]) {
     const world = leaderCheckedWorld(99);
     const jobs = startLongJobs(world, 6);
-    await world.runUntil(BEGIN_MS);
+    await world.runUntil(FAULTS_BEGIN_MS);
     const machines = aliveWorkers(world).map((worker) => worker.id);
     for (const machine of machines.slice(0, Math.ceil(machines.length / 2)))
       world.faults.outboundPartitioned.add(machine);
@@ -147,15 +147,15 @@
     world.faults.outboundPartitioned.clear();
     await passTime(world, 60_000);
     assertNoViolations(world, `${forMs} ms`);
-    assert.equal(world.checker.runningTasksOfKind('array'), 6, 'what was not cancelled runs');
+    assert.equal(world.checker.runningTasksOfKind('array'), 6, 'not every task that was not cancelled runs');
   }
 });
 
-test('jobs cancelled in a zone that is partitioned for longer than a lease stop in time', async () => {
+test('jobs cancelled while a zone is partitioned for longer than a lease stop within cancel_s', async () => {
   for (const seed of [105, 106, 107]) {
     const world = leaderCheckedWorld(seed, { capacity: 5 });
     startLongJobs(world, 8);
-    await world.runUntil(BEGIN_MS);
+    await world.runUntil(FAULTS_BEGIN_MS);
     partitionZone(world, 'b', world.time.now + 100, world.time.now + LEASE_MS + 12_000);
     await passTime(world, 500);
     world.users.cancelRunningJobs(4);
--- a/packages/testkit/test/fault-search-users.test.ts
+++ b/packages/testkit/test/fault-search-users.test.ts
@@ -1,5 +1,5 @@
 /**
- * Cases that the randomised fault search found or covers: users, their requests and their many small jobs.
+ * Cases that the randomised fault search found or covers: requests of users, and many small jobs.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 } from '../src/index.js';
 
 import {
-  BEGIN_MS,
+  FAULTS_BEGIN_MS,
   CANCEL_MS,
   after,
   assertNoViolations,
@@ -27,8 +27,8 @@
   startOutage,
 } from './support/regression-cases.js';
 
-const CIRCUMSTANCES: Readonly<Record<string, (world: World) => void>> = {
-  'nothing else': () => undefined,
+const CONDITIONS: Readonly<Record<string, (world: World) => void>> = {
+  'no other fault': () => undefined,
   'a slow store': (world) => {
     world.faults.storeLatencyMs = 600;
   },
@@ -41,13 +41,13 @@
         world.crash(world.random(3), 100);
       });
   },
-  'nodes refused by the store in turns': (world) => {
+  'random nodes refused by the store': (world) => {
     for (let ms = 0; ms < 30_000; ms += 5000)
       after(world, ms, () => {
         refuseNode(world, world.random(3), 4000);
       });
   },
-  'a store that lost its data': (world) => {
+  'data losses': (world) => {
     for (const ms of [6000, 18_000])
       after(world, ms, () => {
         world.store.clear();
@@ -55,13 +55,13 @@
   },
 };
 
-for (const [name, begin] of Object.entries(CIRCUMSTANCES))
-  test(`bursts of polls to all nodes, with ${name}, never get a stale response`, async () => {
+for (const [name, beginFault] of Object.entries(CONDITIONS))
+  test(`bursts of polls to all nodes with ${name} get no stale response`, async () => {
     const world = leaderCheckedWorld(21);
     await world.runUntil(20_000);
     world.faults.pollBursts = 1;
     world.faults.cancellationsAtCompletion = 0.3;
-    begin(world);
+    beginFault(world);
     for (let i = 0; i < 24; i += 1)
       after(world, i * 1200, () => {
         const cancelMs = i % 3 === 0 ? world.time.now + world.random(6000) : null;
@@ -78,16 +78,16 @@
   });
 
 for (const seed of [31, 32, 33, 34])
-  test(`lost transaction responses during placements, ends and an election break no rule, seed ${seed}`, async () => {
+  test(`lost transaction responses during placements, completions and an election break no rule, seed ${seed}`, async () => {
     const world = leaderCheckedWorld(seed);
     world.faults.pollBursts = 1;
     await world.runUntil(20_000);
-    const spells: [number, number][] = [
+    const lossPeriods: [number, number][] = [
       [0, 2500],
       [6000, 1500],
       [12_000, 3000],
     ];
-    for (const [ms, forMs] of spells) {
+    for (const [ms, forMs] of lossPeriods) {
       after(world, ms, () => {
         world.faults.lostResponses = 1;
       });
@@ -95,7 +95,7 @@
         world.faults.lostResponses = 0;
       });
     }
-    // The second spell meets an election, the third one cancellations.
+    // The second period overlaps with an election, the third one with cancellations.
     after(world, 6100, () => {
       crashLeader(world);
     });
@@ -116,10 +116,10 @@
   });
 
 for (const seed of [35, 36])
-  test(`lost responses while a new epoch is opened after a loss of data restart nothing, seed ${seed}`, async () => {
+  test(`lost responses while a new epoch is opened after a data loss restart no task, seed ${seed}`, async () => {
     const world = leaderCheckedWorld(seed);
     const jobs = startLongJobs(world, 4);
-    await world.runUntil(BEGIN_MS);
+    await world.runUntil(FAULTS_BEGIN_MS);
     const { starts } = world.checker;
     world.faults.lostResponses = 0.5;
     world.store.clear();
@@ -129,11 +129,11 @@
     assert.ok(world.faults.counts.lostResponses > 0);
     assert.ok(leaderIndex(world) >= 0);
     for (const spec of jobs) assert.equal(world.recordedPhaseOf(spec.id), 'active');
-    assert.equal(world.checker.starts, starts, 'something was started anew');
+    assert.equal(world.checker.starts, starts, 'a task was restarted');
     assertNoViolations(world);
   });
 
-test('single-task jobs at four a second, a quarter of them cancelled, are served at 25 mutations a second', async () => {
+test('four single-task jobs per second, a quarter of them cancelled, are served with a store limit of 25 mutations per second', async () => {
   const world = leaderCheckedWorld(81, {
     storeLimits: { rps: 100, writeRps: 25, valueKb: 16, txnOps: 12 },
     capacity: 6,
@@ -149,19 +149,19 @@
   await world.runUntil(180_000);
   assertNoViolations(world);
   assert.deepEqual(world.checker.underservedGroups(), []);
-  const open = [...world.checker.submitted.keys()].filter(
-    (x) => !['done', 'cancelled'].includes(String(world.recordedPhaseOf(x))),
+  const unfinished = [...world.checker.submitted.keys()].filter(
+    (id) => !['done', 'cancelled'].includes(String(world.recordedPhaseOf(id))),
   );
-  assert.deepEqual(open, []);
-  // Cancellations and ends are confirmed in time: nobody is refused for want of writes for long.
+  assert.deepEqual(unfinished, []);
+  // Cancellations and completions are confirmed in time, so the write limit delays no user for long.
   assert.ok(world.checker.longestUnansweredMs < 10_000, String(world.checker.longestUnansweredMs));
 });
 
-test('a store that is slow, refuses the leader and then everybody breaks no rule while users cancel and poll', async () => {
+test('a store that is slow, then refuses the leader and then fails breaks no rule while users cancel and poll', async () => {
   for (const seed of [94, 95]) {
     const world = leaderCheckedWorld(seed);
     startLongJobs(world, 8);
-    await world.runUntil(BEGIN_MS);
+    await world.runUntil(FAULTS_BEGIN_MS);
     world.faults.pollBursts = 1;
     world.faults.storeLatencyMs = 500;
     world.users.cancelRunningJobs(5);
@@ -178,7 +178,7 @@
   }
 });
 
-test('with more work than capacity over slow links no job starves, whatever its priority', async () => {
+test('no job of any priority starves when the work exceeds the capacity and links are slow', async () => {
   const world = leaderCheckedWorld(96);
   await world.runUntil(20_000);
   world.network.extraLatencyMs = 400;
@@ -197,9 +197,10 @@
   for (let i = 0; i < 16; i += 1) assert.equal(world.recordedPhaseOf(jobId(i)), 'done', jobId(i));
 });
 
-// The slow store lets the end come between the reading of a cancellation and its writing: on the same version one of them holds.
+// With a slow store a job can complete between the read and the write of its cancellation. Both writes require the same
+// version of the record, so only one of them succeeds.
 for (const slowMs of [0, 500, 1000])
-  test(`a cancellation, a poll and a resubmission at the end of the last task agree, with a store latency of up to ${slowMs} ms`, async () => {
+  test(`a cancellation, a poll and a resubmission at completion of the last task get consistent responses with a store latency of up to ${slowMs} ms`, async () => {
     for (const seed of [103, 104, 110]) {
       const world = leaderCheckedWorld(seed);
       world.faults.cancellationsAtCompletion = 0.7;
@@ -220,11 +221,11 @@
     }
   });
 
-test('malformed requests are rejected, and known jobs keep their answers', async () => {
+test('malformed requests are rejected and do not change the responses about known jobs', async () => {
   const world = leaderCheckedWorld(111);
   startLongJobs(world, 2);
   for (let i = 10; i < 16; i += 1) world.startUser(jobSpec({ id: jobId(i), tasks: 1, estimateS: 2 }), null);
-  await world.runUntil(BEGIN_MS);
+  await world.runUntil(FAULTS_BEGIN_MS);
   for (let n = 0; n < 300; n += 1)
     after(world, n * 60, () => {
       world.users.sendMalformedRequest();
--- a/packages/testkit/test/support/regression-cases.ts
+++ b/packages/testkit/test/support/regression-cases.ts
@@ -1,5 +1,5 @@
 /**
- * Long jobs in a small world, and faults that begin now, for the cases of the randomised fault search.
+ * Helpers for the cases of the randomised fault search: long-running jobs, and faults that begin immediately.
  *
  * @module
  */
@@ -8,12 +8,12 @@
 import type { World } from '../../src/index.js';
 import { jobId, jobSpec, leaderIndex } from '../../src/index.js';
 
-/** Within this a cancelled job's tasks have to be gone in a `smallWorld`. */
+/** Time within which the tasks of a cancelled job must have ended in a `smallWorld`. */
 export const CANCEL_MS = 26_000;
-/** Lease of a worker in a `smallWorld`. */
+/** Lease duration of a worker in a `smallWorld`. */
 export const LEASE_MS = 12_000;
-/** By then tasks run, and workers send their heartbeats to the nodes that will serve them. */
-export const BEGIN_MS = 40_000;
+/** Start of the faults: tasks run, and the workers are distributed over the nodes. */
+export const FAULTS_BEGIN_MS = 40_000;
 
 /** Starts jobs whose tasks outlast every fault; `overrides` replaces single fields. */
 export function startLongJobs(world: World, count: number, overrides: Partial<JobSpec> = {}): JobSpec[] {
@@ -24,12 +24,12 @@
   return specs;
 }
 
-/** Runs something this much later. */
+/** Runs the function after this delay. */
 export function after(world: World, ms: number, run: () => void): void {
   world.time.after(ms, run);
 }
 
-/** The store refuses this node alone, from now on for this long. */
+/** The store refuses all requests of this node, and only of this node, for this long, beginning now. */
 export function refuseNode(world: World, index: number, forMs: number): void {
   const node = world.nodes[index];
   if (node === undefined) return;
@@ -39,7 +39,7 @@
   });
 }
 
-/** The store is down from now on for this long. */
+/** The store is down for this long, beginning now. */
 export function startOutage(world: World, forMs: number): void {
   world.store.setOutage(true);
   after(world, forMs, () => {
@@ -47,18 +47,18 @@
   });
 }
 
-/** Ends the leader's process, where a node leads. */
-export function crashLeader(world: World, backMs = 200): void {
+/** Crashes the leader, if there is one; its process restarts after `restartMs`. */
+export function crashLeader(world: World, restartMs = 200): void {
   const leader = leaderIndex(world);
-  if (leader >= 0) world.crash(leader, backMs);
+  if (leader >= 0) world.crash(leader, restartMs);
 }
 
-/** Lets this much time pass. */
+/** Lets this much simulated time pass. */
 export async function passTime(world: World, ms: number): Promise<void> {
   await world.runUntil(world.time.now + ms);
 }
 
-/** No rule was broken until now. */
+/** Asserts that no rule has been broken so far. */
 export function assertNoViolations(world: World, message = ''): void {
   assert.deepEqual(world.checker.violations, [], message);
 }
