--- a/packages/testkit/test/data-loss-recovery-cases.test.ts
+++ b/packages/testkit/test/data-loss-recovery-cases.test.ts
@@ -1,5 +1,5 @@
 /**
- * How controllers rebuild the store's records: first starts, snapshots, the steps of recovery.
+ * How controllers recover the store's records: first start, snapshots, and restarts of an interrupted recovery.
  *
  * @module
  */
@@ -27,9 +27,9 @@
   leaderIndex,
 } from '../src/index.js';
 
-import { allTrusted, placedOn, responseOf, service, watchedWorld } from './support/data-loss.js';
+import { allNodesTrustStore, machinesOfJob, responseOf, service, watchedWorld } from './support/data-loss.js';
 
-test('snapshots of another deployment and damaged ones are rejected, and an older valid one is used', async () => {
+test('snapshots of another deployment and corrupted ones are rejected, and an older valid one is used', async () => {
   const folder = new InMemorySnapshotDirectory();
   const refused: unknown[] = [];
   const log = {
@@ -43,11 +43,12 @@
   const spec = service(1);
   world.startUser(spec, null);
   await world.runUntil(45_000);
-  const theirs = { deployment: 'theirs', epoch: 9, revision: 9000 as Revision, takenAt: 1 };
-  const foreign = [[`j/${jobId(9)}`, { version: 3 as Version, text: '{"phase":"active"}' }]] as const;
-  await folder.write(snapshotName(theirs, 'x'), encodeSnapshot(theirs, foreign));
+  const foreignHeader = { deployment: 'theirs', epoch: 9, revision: 9000 as Revision, takenAt: 1 };
+  const foreignRecords = [[`j/${jobId(9)}`, { version: 3 as Version, text: '{"phase":"active"}' }]] as const;
+  await folder.write(snapshotName(foreignHeader, 'x'), encodeSnapshot(foreignHeader, foreignRecords));
   await folder.write(snapshotName({ epoch: 1, revision: 99_999 as Revision }, 'y'), Buffer.from('{"cut'));
-  // The epoch's record stays, so that whose store it is is known; everything else is lost, and every node.
+  // The epoch's record remains, so the deployment of the store is known. All records of jobs and tasks are lost, and no
+  // node has a replica of them, because all nodes restart.
   world.store.dropKeys((k) => k.startsWith('j/') || k.startsWith('t/'));
   world.store.rollBackRevision(2);
   for (let i = 0; i < 3; i += 1) world.crash(i);
@@ -60,15 +61,15 @@
   assert.deepEqual(world.checker.violations, []);
 });
 
-test('with an empty store and all nodes restarted unknown tasks are stopped, and job ids can be used again', async () => {
+test('after the store is emptied and all nodes restart, unknown tasks are stopped and a new job is placed', async () => {
   const world = watchedWorld(11);
   for (const n of [1, 2, 3]) world.startUser(service(n), null);
   await world.runUntil(40_000);
   world.store.clear();
   for (let i = 0; i < 3; i += 1) world.crash(i);
   await world.runUntil(130_000);
-  // No copy is left anywhere: the jobs are lost. What must still hold does.
-  assert.equal([1, 2, 3].flatMap((n) => placedOn(world, jobId(n))).length, 0);
+  // No copy of the records is left, so the jobs are lost. No other rule may be broken.
+  assert.equal([1, 2, 3].flatMap((n) => machinesOfJob(world, jobId(n))).length, 0);
   assert.deepEqual(
     new Set(world.checker.violations.map((violation) => violation.rule)),
     new Set(['forgotten']),
@@ -76,23 +77,23 @@
   assert.deepEqual(world.reusedRentalNames, []);
   world.startUser(service(4), null);
   await world.runUntil(170_000);
-  assert.ok(placedOn(world, jobId(4)).length > 0);
+  assert.ok(machinesOfJob(world, jobId(4)).length > 0);
 });
 
-test('a first start waits no longer than it must, and a lone node begins after two seconds', async () => {
+test('on a first start connected nodes trust the store after 1.1 s, and nodes without peers after two seconds', async () => {
   const world = watchedWorld(12);
   await world.runUntil(1100);
-  assert.ok(allTrusted(world));
-  const lonely = watchedWorld(13);
+  assert.ok(allNodesTrustStore(world));
+  const isolated = watchedWorld(13);
   for (const a of [0, 1, 2])
-    for (const b of [0, 1, 2]) if (a < b) lonely.network.partition(`spur-${a}`, `spur-${b}`, 'drop');
-  await lonely.runUntil(1500);
-  assert.ok(!lonely.nodes.some((node) => node.recoverableStore.isTrusted));
-  await lonely.runUntil(2600);
-  assert.ok(allTrusted(lonely));
+    for (const b of [0, 1, 2]) if (a < b) isolated.network.partition(`spur-${a}`, `spur-${b}`, 'drop');
+  await isolated.runUntil(1500);
+  assert.ok(!isolated.nodes.some((node) => node.recoverableStore.isTrusted));
+  await isolated.runUntil(2600);
+  assert.ok(allNodesTrustStore(isolated));
 });
 
-test('a job id that nobody submitted is unknown before, during and after a loss', async () => {
+test('a job id that nobody submitted is unknown before, during and after a data loss', async () => {
   const world = watchedWorld(14);
   world.startUser(service(1), null);
   const ask = (): void => {
@@ -113,8 +114,8 @@
   assert.deepEqual(world.checker.violations, []);
 });
 
-/** An operator's command, run beside the controllers. */
-function operator(world: World): SnapshotToolOptions {
+/** Options of the snapshot tool, which an operator runs beside the controllers. */
+function toolOptions(world: World): SnapshotToolOptions {
   const clock = new ProcessClock(world.time, 1, 0);
   return {
     underlyingStore: new SimStoreClient(world.store, world.network, 'operator', clock),
@@ -126,88 +127,92 @@
   };
 }
 
-test('a snapshot restored by an operator brings back lost records while controllers run', async () => {
+test('an operator can restore lost records from a snapshot while the controllers run', async () => {
   const world = watchedWorld(15);
   for (const n of [1, 2]) world.startUser(service(n), null);
   await world.runUntil(30_000);
-  const taken = await responseOf(world, takeSnapshot(operator(world)));
+  const taken = await responseOf(world, takeSnapshot(toolOptions(world)));
   const snapshot = decodeSnapshot(taken.bytes);
   world.store.clear();
   for (let i = 0; i < 3; i += 1) world.crash(i);
   await world.runUntil(70_000);
   world.startUser(service(3), null);
   await world.runUntil(90_000);
-  assert.equal(placedOn(world, jobId(1)).length + placedOn(world, jobId(2)).length, 0);
-  // Another life of the store is another deployment: only its own records may be mixed with it.
-  const foreign = await responseOf(
+  assert.equal(machinesOfJob(world, jobId(1)).length + machinesOfJob(world, jobId(2)).length, 0);
+  // The emptied store was started as a new deployment. Records of another deployment are only added with consent.
+  const refusal = await responseOf(
     world,
-    previewRestore(operator(world), snapshot).catch((e: unknown) => e),
+    previewRestore(toolOptions(world), snapshot).catch((e: unknown) => e),
   );
-  assert.ok(foreign instanceof SnapshotToolError && foreign.message.includes('deployment'));
-  const ours = snapshot.deployment;
-  const before = await responseOf(world, previewRestore(operator(world), snapshot, ours));
+  assert.ok(refusal instanceof SnapshotToolError && refusal.message.includes('deployment'));
+  const acceptedDeployment = snapshot.deployment;
+  const before = await responseOf(world, previewRestore(toolOptions(world), snapshot, acceptedDeployment));
   assert.ok(before.addedKeys.includes(`j/${jobId(1)}`) && !before.addedKeys.includes(`j/${jobId(3)}`));
-  assert.equal(world.store.peek(`j/${jobId(1)}`), undefined, 'a dry run writes nothing');
-  const broken = world.checker.violations.length;
-  const done = await responseOf(world, restoreSnapshot(operator(world), snapshot, 30_000, ours));
+  assert.equal(world.store.peek(`j/${jobId(1)}`), undefined, 'the dry run wrote a record');
+  const violationsBefore = world.checker.violations.length;
+  const done = await responseOf(
+    world,
+    restoreSnapshot(toolOptions(world), snapshot, 30_000, acceptedDeployment),
+  );
   assert.deepEqual(done.addedKeys, before.addedKeys);
   await world.runUntil(world.time.now + 60_000);
   assert.deepEqual([world.recordedPhaseOf(jobId(1)), world.recordedPhaseOf(jobId(3))], ['active', 'active']);
-  for (const n of [1, 2, 3]) assert.ok(placedOn(world, jobId(n)).length > 0, `service ${n} runs`);
-  assert.deepEqual(world.checker.violations.slice(broken), []);
+  for (const n of [1, 2, 3])
+    assert.ok(machinesOfJob(world, jobId(n)).length > 0, `service ${n} does not run`);
+  assert.deepEqual(world.checker.violations.slice(violationsBefore), []);
 });
 
-test('a controller that missed more changes than the store keeps reads all records again and suspects no loss', async () => {
+test('a controller that missed more changes than the store retains reads all records again and detects no data loss', async () => {
   const world = watchedWorld(16);
   world.startUser(service(1), null);
   await world.runUntil(20_000);
   const node = world.nodes[(leaderIndex(world) + 1) % 3];
   assert.ok(node !== undefined);
   const watch = node.store.watch.bind(node.store);
-  let left = 3;
+  let compactedResponsesLeft = 3;
   node.store.watch = (...args) => {
-    left -= 1;
-    return left < 0 ? watch(...args) : Promise.resolve({ outcome: 'compacted' });
+    compactedResponsesLeft -= 1;
+    return compactedResponsesLeft < 0 ? watch(...args) : Promise.resolve({ outcome: 'compacted' });
   };
   world.startUser(jobSpec({ id: jobId(2), tasks: 4, estimateS: 5 }), null);
   await world.runUntil(60_000);
-  assert.ok(allTrusted(world));
+  assert.ok(allNodesTrustStore(world));
   assert.equal((world.store.peek('epoch') as { number: number }).number, 1);
   assert.equal(node.recoverableStore.jobPhaseOf(jobId(2)), 'done');
 });
 
 for (const step of ['fence moved', 'pages written', 'epoch opened'] as const)
-  test(`recovery starts again and ends the same when the recovering node is killed right after: ${step}`, async () => {
+  test(`a recovery is restarted and completes when the recovering node crashes right after this step: ${step}`, async () => {
     const world = watchedWorld(18);
     for (const n of [1, 2, 3]) world.startUser(service(n), null);
     world.startUser(jobSpec({ id: jobId(4), tasks: 6, estimateS: 9 }), null);
     await world.runUntil(40_000);
     const before = world.checker.starts;
     world.store.clear();
-    let killed = '';
-    for (let n = 0; n < 400 && killed === ''; n += 1) {
+    let crashed = '';
+    for (let n = 0; n < 400 && crashed === ''; n += 1) {
       await world.runUntil(world.time.now + 5);
       const epoch = world.store.peek('epoch') as { by: string; phase: string; number: number } | undefined;
       if (epoch === undefined || epoch.number < 2) continue;
-      const isThere =
+      const isStepDone =
         step === 'fence moved'
           ? epoch.phase === 'gathering'
           : step === 'pages written'
             ? world.store.keys().some((k) => k.startsWith('m/') && k.endsWith(`${epoch.by}/done`))
             : epoch.phase === 'open';
-      if (!isThere) continue;
-      killed = epoch.by;
-      world.crash(world.nodes.findIndex((node) => node.name === killed));
+      if (!isStepDone) continue;
+      crashed = epoch.by;
+      world.crash(world.nodes.findIndex((node) => node.name === crashed));
     }
-    assert.notEqual(killed, '');
+    assert.notEqual(crashed, '');
     await world.runUntil(55_000);
     assert.ok(world.nodes.some((node) => node.clock.alive && node.controller.leadership.holdsValidLease()));
     await world.runUntil(150_000);
-    assert.ok(allTrusted(world));
+    assert.ok(allNodesTrustStore(world));
     assert.equal(world.recordedPhaseOf(jobId(4)), 'done');
     assert.ok(world.checker.starts - before <= 6, `${world.checker.starts - before} starts`);
     assert.deepEqual(world.checker.violations, []);
-    // Pages and markers of every try are gone in the end.
+    // The pages and markers of all attempts are deleted in the end.
     assert.deepEqual(
       world.store.keys().filter((k) => k.startsWith('m/')),
       [],
--- a/packages/testkit/test/generated-days.test.ts
+++ b/packages/testkit/test/generated-days.test.ts
@@ -12,7 +12,7 @@
 import { failOnTwoLeaders } from './support/assertions.js';
 import { seedsFrom } from './support/seeds.js';
 
-async function day(seed: number, faults: number): Promise<World> {
+async function runDay(seed: number, faults: number): Promise<World> {
   const world = smallWorld(seed);
   startGeneratedJobs(world);
   for (let i = 0; i < faults; i += 1) injectRandomFault(world);
@@ -22,15 +22,15 @@
   return world;
 }
 
-function assertKept(world: World, seed: number): void {
+function assertRulesKept(world: World, seed: number): void {
   assert.deepEqual(world.checker.violations, [], `seed ${seed}`);
-  assert.ok(world.checker.starts > 0, `seed ${seed} started nothing`);
+  assert.ok(world.checker.starts > 0, `seed ${seed} started no task`);
   assert.deepEqual(world.checker.underservedGroups(), [], `seed ${seed}`);
 }
 
-test('a day without faults keeps every rule and ends every job', async () => {
-  const world = await day(7, 0);
-  assertKept(world, 7);
+test('a day without faults breaks no rule, and every job ends', async () => {
+  const world = await runDay(7, 0);
+  assertRulesKept(world, 7);
   for (const spec of world.checker.submitted.values())
     assert.ok(
       ['done', 'cancelled'].includes(String(world.recordedPhaseOf(spec.id))),
@@ -39,8 +39,8 @@
 });
 
 for (const seed of seedsFrom('SPURBRIDGE_SEEDS', 14))
-  test(`generated faults of seed ${seed} break no rule, and arrays end once they are over`, async () => {
-    const world = await day(seed, 2 + (seed % 5));
-    assertKept(world, seed);
+  test(`generated faults break no rule, and all arrays end after them, seed ${seed}`, async () => {
+    const world = await runDay(seed, 2 + (seed % 5));
+    assertRulesKept(world, seed);
     assert.deepEqual(unfinishedArrays(world), [], `seed ${seed}`);
   });
--- a/packages/testkit/test/support/assertions.ts
+++ b/packages/testkit/test/support/assertions.ts
@@ -1,5 +1,5 @@
 /**
- * What must hold in every simulated world.
+ * Assertions about simulated worlds, and the run of a generated day.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { World } from '../../src/index.js';
 import { DAY_LENGTH_MS, startGeneratedJobs, watchForTwoLeaders } from '../../src/index.js';
 
-/** Rules that must hold even where no copy of the records is left anywhere. */
+/** Rules that must hold even if no copy of the records is left. */
 export const RULES_WITHOUT_RECORDS = [
   'ran_twice',
   'quota',
@@ -17,7 +17,7 @@
   'gang_split',
 ];
 
-/** Fails as soon as two nodes lead at the same moment. */
+/** Fails the test as soon as two nodes lead at the same time. */
 export function failOnTwoLeaders(world: World, context = ''): void {
   const prefix = context === '' ? '' : `${context}: `;
   watchForTwoLeaders(world, (at) => {
@@ -25,17 +25,23 @@
   });
 }
 
-/** No rule was broken, every class and team was served, and no more tasks were killed by leases than this. */
-export function assertServed(world: World, killed = 0): void {
+/**
+ * Asserts that no rule was broken, that every class and team was served, and that at most `maxKilled` tasks were killed
+ * by expired leases.
+ */
+export function assertServed(world: World, maxKilled = 0): void {
   assert.deepEqual(world.checker.violations, []);
   assert.deepEqual(world.checker.underservedGroups(), []);
-  assert.ok(world.checker.killedByLease <= killed, `${world.checker.killedByLease} tasks killed by leases`);
+  assert.ok(
+    world.checker.killedByLease <= maxKilled,
+    `${world.checker.killedByLease} tasks killed by expired leases`,
+  );
 }
 
-/** Plays a day of generated jobs to its end. */
-export async function playGeneratedDay(world: World): Promise<void> {
+/** Runs a generated day with its jobs to the end. */
+export async function runGeneratedDay(world: World): Promise<void> {
   startGeneratedJobs(world);
   failOnTwoLeaders(world);
   await world.runUntil(DAY_LENGTH_MS);
-  assert.ok(world.checker.starts > 0, 'nothing was started');
+  assert.ok(world.checker.starts > 0, 'no task was started');
 }
--- a/packages/testkit/test/support/data-loss.ts
+++ b/packages/testkit/test/support/data-loss.ts
@@ -1,5 +1,5 @@
 /**
- * Services, placements and trust in a small world whose store loses data.
+ * Helpers for tests in which the store of a small world loses data.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 const MAX_CHECKS = 400;
 const CHECK_INTERVAL_MS = 10;
 
-/** A service of four replicas on machines that are not spot; `overrides` replaces single fields. */
+/** A service of four replicas that must not run on spot machines; `overrides` replaces single fields. */
 export function service(number: number, overrides: Partial<JobSpec> = {}): JobSpec {
   return jobSpec({
     id: jobId(number),
@@ -28,7 +28,7 @@
   });
 }
 
-/** A small world in which two leaders at the same moment fail the test. */
+/** A small world in which two simultaneous leaders fail the test. */
 export function watchedWorld(seed: number, overrides: Partial<WorldOptions> = {}): World {
   const world = smallWorld(seed, overrides);
   failOnTwoLeaders(world);
@@ -36,12 +36,12 @@
 }
 
 /** Whether every node trusts the store. */
-export function allTrusted(world: World): boolean {
+export function allNodesTrustStore(world: World): boolean {
   return world.nodes.every((node) => node.recoverableStore.isTrusted);
 }
 
-/** Machines on which a task of the job is. */
-export function placedOn(world: World, job: JobId): string[] {
+/** Ids of the machines on which a task of the job runs or fetches its image. */
+export function machinesOfJob(world: World, job: JobId): string[] {
   return aliveWorkers(world)
     .filter((worker) =>
       TASK_INDICES.some((task) => PLACED_PHASES.includes(worker.attemptOf(job, task)?.phase ?? '')),
@@ -49,14 +49,14 @@
     .map((worker) => worker.id);
 }
 
-/** Lets time pass until a controller has answered. */
+/** Lets simulated time pass until the call has got its response. */
 export async function responseOf<T>(world: World, call: Promise<T>): Promise<T> {
-  let found: T | null = null;
+  let received: T | null = null;
   void call.then((response) => {
-    found = response;
+    received = response;
   });
-  for (let checks = 0; checks < MAX_CHECKS && found === null; checks += 1)
+  for (let checks = 0; checks < MAX_CHECKS && received === null; checks += 1)
     await world.runUntil(world.time.now + CHECK_INTERVAL_MS);
-  assert.ok(found !== null, 'no answer');
-  return found;
+  assert.ok(received !== null, 'no response');
+  return received;
 }
--- a/packages/testkit/test/support/fleets.ts
+++ b/packages/testkit/test/support/fleets.ts
@@ -11,11 +11,11 @@
 const LEASE_S = 22;
 const CANCEL_S = 42;
 
-/** What a fleet must say of itself. */
+/** Options of a fleet: some are required, all others have defaults. */
 export type FleetOptions = Pick<WorldOptions, 'seed' | 'teams' | 'types' | 'capacity' | 'storeLimits'> &
   Partial<WorldOptions>;
 
-/** A world in three zones with the leases and limits of a real site. */
+/** A world in three zones with worker leases and cancellation times as in production. */
 export function fleetWorld(options: FleetOptions): World {
   return new World({ zones: ZONES, leaseS: LEASE_S, cancelS: CANCEL_S, ...options });
 }
@@ -30,7 +30,7 @@
   };
 }
 
-/** Workers whose machines are up. */
+/** Workers whose machines are running. */
 export function aliveWorkers(world: World): SimulatedWorker[] {
   return [...world.workers.values()].filter((worker) => worker.alive);
 }
--- a/packages/testkit/test/support/seeds.ts
+++ b/packages/testkit/test/support/seeds.ts
@@ -1,15 +1,15 @@
 /**
- * Seeds of generated tests.
+ * Seeds of randomised tests.
  *
  * @module
  */
 
 /**
- * The seeds from `first` to `last` of an environment variable in the form `first-last`, so that others can be played by
- * hand; without it those from 1 to `standard`.
+ * Returns the seeds of an environment variable in the form `first-last`, which allows manual runs with other seeds. If
+ * the variable is not set or malformed, returns the seeds from 1 to `defaultLast`.
  */
-export function seedsFrom(variable: string, standard: number): number[] {
-  const range = /^(\d+)-(\d+)$/.exec(process.env[variable] ?? `1-${standard}`);
-  const [first, last] = [Number(range?.[1] ?? 1), Number(range?.[2] ?? standard)];
+export function seedsFrom(variable: string, defaultLast: number): number[] {
+  const range = /^(\d+)-(\d+)$/.exec(process.env[variable] ?? `1-${defaultLast}`);
+  const [first, last] = [Number(range?.[1] ?? 1), Number(range?.[2] ?? defaultLast)];
   return Array.from({ length: last - first + 1 }, (_, index) => first + index);
 }
