--- a/packages/testkit/test/large-fleet.test.ts
+++ b/packages/testkit/test/large-fleet.test.ts
@@ -11,11 +11,11 @@
   { name: 'red', cpus: 1500, cpusMax: 3000, gpus: 0, gpusMax: 0 },
   { name: 'blue', cpus: 800, cpusMax: 1600, gpus: 0, gpusMax: 0 },
 ];
-const ARRIVE_MS = 70_000;
-const DAY_MS = 200_000;
+const ARRIVALS_END_MS = 70_000;
+const END_MS = 200_000;
 
-/** Hundreds of machines and thousands of tasks, with a store that takes few mutations. */
-function largeDay(seed: number): World {
+/** Hundreds of machines and thousands of tasks, with a store that allows few mutations per second. */
+function startLargeFleet(seed: number): World {
   const world = fleetWorld({
     seed,
     teams: TEAMS,
@@ -24,7 +24,7 @@
     storeLimits: { rps: 150, writeRps: 25, valueKb: 16, txnOps: 12 },
   });
   const id = jobIdSequence();
-  const array = (): void => {
+  const startArray = (): void => {
     world.startUser(
       jobSpec({
         id: id(),
@@ -36,10 +36,10 @@
         image: `img-${world.random(10)}`,
         deadlineS: 90,
       }),
-      world.random(20) === 0 ? 5000 + world.random(ARRIVE_MS) : null,
+      world.random(20) === 0 ? 5000 + world.random(ARRIVALS_END_MS) : null,
     );
   };
-  const service = (): void => {
+  const startService = (): void => {
     world.startUser(
       jobSpec({
         id: id(),
@@ -55,48 +55,53 @@
       null,
     );
   };
-  for (let i = 0; i < 12; i += 1) array();
-  for (let i = 0; i < 20; i += 1) service();
-  for (let at = 2000; at < ARRIVE_MS; at += 1500) world.time.after(at, at % 4500 === 2000 ? service : array);
+  for (let i = 0; i < 12; i += 1) startArray();
+  for (let i = 0; i < 20; i += 1) startService();
+  for (let at = 2000; at < ARRIVALS_END_MS; at += 1500)
+    world.time.after(at, at % 4500 === 2000 ? startService : startArray);
   return world;
 }
 
-// A leader that had lost only its workers took ten seconds to find out, machine by machine.
-test('a leader that receives no heartbeat of many workers lets another node lead within seconds', async () => {
-  const world = largeDay(5);
+// A leader that was partitioned only from its workers took ten seconds to detect it, one silent machine after another.
+test('a leader that receives no heartbeats from its many workers is replaced within seconds', async () => {
+  const world = startLargeFleet(5);
   await world.runUntil(40_000);
-  const cutOff = world.nodes.findIndex((node) => node.controller.leadership.holdsValidLease());
-  // Also from those that are still to come up.
+  const partitionedLeader = world.nodes.findIndex((node) => node.controller.leadership.holdsValidLease());
+  // Also partitions the machines that have not booted yet.
   for (let i = 0; i < 1000; i += 1)
-    world.network.partition(`spur-${cutOff}`, `n-${String(i).padStart(6, '0')}`, 'hold');
+    world.network.partition(`spur-${partitionedLeader}`, `n-${String(i).padStart(6, '0')}`, 'hold');
   await world.runUntil(45_000);
-  const now = world.nodes.findIndex((node) => node.controller.leadership.holdsValidLease());
-  assert.ok(cutOff >= 0 && now >= 0 && now !== cutOff, `${cutOff} to ${now}`);
+  const newLeader = world.nodes.findIndex((node) => node.controller.leadership.holdsValidLease());
+  assert.ok(
+    partitionedLeader >= 0 && newLeader >= 0 && newLeader !== partitionedLeader,
+    `${partitionedLeader} to ${newLeader}`,
+  );
   assert.deepEqual(world.checker.violations, []);
 });
 
-// A leader far over its processor share read a cancellation so late that a task outlived `cancel_s`.
-test("a leader that no longer reads cancellations renews no worker's lease", async () => {
-  const world = largeDay(6);
+// A leader that exceeded its processor share by far read a cancellation so late that a task ran for longer than
+// `cancel_s`.
+test('a leader that can no longer read cancellations renews no worker lease', async () => {
+  const world = startLargeFleet(6);
   await world.runUntil(20_000);
   const leading = world.nodes.find((node) => node.controller.leadership.holdsValidLease());
   const worker = [...world.workers.values()].find((worker) => worker.alive);
   assert.ok(leading !== undefined && worker !== undefined);
   const first = toHeartbeatResponse(await leading.controller.handleHeartbeat(worker.makeHeartbeat()));
   assert.equal(first.code, 200);
-  // Its lease is renewed as ever, but its watch never answers.
+  // The leader's own lease is still renewed, but its watch never gets a response.
   leading.store.watch = () => new Promise(() => undefined);
   const { fencingToken: token } = leading.controller.leadership;
   await world.runUntil(45_000);
-  const answer = Promise.resolve(leading.controller.handleHeartbeat(worker.makeHeartbeat()));
+  const pending = Promise.resolve(leading.controller.handleHeartbeat(worker.makeHeartbeat()));
   await world.runUntil(48_000);
-  const given = toHeartbeatResponse(await answer);
-  assert.ok(given.code !== 200 || given.fencingToken > token, JSON.stringify(given));
+  const second = toHeartbeatResponse(await pending);
+  assert.ok(second.code !== 200 || second.fencingToken > token, JSON.stringify(second));
 });
 
-test('a large fleet under crashes, partitions, lost machines and an outage keeps every rule and ends its arrays', async () => {
-  const world = largeDay(3);
-  const cut: string[] = [];
+test('a large fleet breaks no rule and leaves no array unfinished despite crashes, partitions, lost machines and a store outage', async () => {
+  const world = startLargeFleet(3);
+  const partitioned: string[] = [];
   world.time.after(30_000, () => {
     for (const worker of [...world.workers.values()].slice(0, 25)) worker.die();
   });
@@ -106,7 +111,7 @@
   });
   world.time.after(50_000, () => {
     for (const worker of aliveWorkers(world).slice(0, 30)) {
-      cut.push(worker.id);
+      partitioned.push(worker.id);
       for (const node of world.nodes) world.network.partition(node.name, worker.id, 'hold');
     }
   });
@@ -117,31 +122,31 @@
     });
   });
   world.time.after(75_000, () => {
-    for (const id of cut) for (const node of world.nodes) world.network.heal(node.name, id);
+    for (const id of partitioned) for (const node of world.nodes) world.network.heal(node.name, id);
     for (let i = 0; i < 3; i += 1) world.crash(i);
   });
-  let most = 0;
-  const watch = (): void => {
-    most = Math.max(most, aliveWorkers(world).length);
-    world.time.after(1000, watch);
+  let maxMachines = 0;
+  const countMachines = (): void => {
+    maxMachines = Math.max(maxMachines, aliveWorkers(world).length);
+    world.time.after(1000, countMachines);
   };
-  watch();
-  await world.runUntil(DAY_MS);
+  countMachines();
+  await world.runUntil(END_MS);
   assert.deepEqual(world.checker.violations, []);
   assert.equal(world.store.oversizedCommits, 0);
-  assert.ok(most >= 200, `only ${most} machines`);
+  assert.ok(maxMachines >= 200, `only ${maxMachines} machines`);
   assert.ok(world.checker.starts >= 1500, `only ${world.checker.starts} starts`);
-  const open = [...world.checker.submitted.values()].filter(
+  const unfinished = [...world.checker.submitted.values()].filter(
     (spec) =>
       spec.kind === 'array' && !['done', 'cancelled'].includes(String(world.recordedPhaseOf(spec.id))),
   );
   assert.deepEqual(
-    open.map((spec) => spec.id),
+    unfinished.map((spec) => spec.id),
     [],
   );
 });
 
-test('an array of 100,000 tasks exceeds no store limit, and small jobs beside it run', async () => {
+test('an array of 100,000 tasks exceeds no store limit, and small jobs beside it complete', async () => {
   const world = fleetWorld({
     seed: 9,
     teams: TEAMS,
--- a/packages/testkit/test/worker-shards.test.ts
+++ b/packages/testkit/test/worker-shards.test.ts
@@ -10,12 +10,12 @@
   { name: 'red', cpus: 600, cpusMax: 1200, gpus: 0, gpusMax: 0 },
   { name: 'blue', cpus: 600, cpusMax: 1200, gpus: 0, gpusMax: 0 },
 ];
-/** Faults begin when machines are up and shards are even. */
-const CALM_MS = 70_000;
+/** Faults begin when machines are up and shards are balanced. */
+const SETTLED_MS = 70_000;
 const END_MS = 160_000;
 
-/** Some seventy machines with services that stay and arrays that come and go. */
-function fleet(seed: number): World {
+/** About seventy machines with long-running services and short arrays. */
+function startFleet(seed: number): World {
   const world = fleetWorld({
     seed,
     teams: TEAMS,
@@ -52,72 +52,76 @@
   return world;
 }
 
-/** How many machines send their heartbeats to another node than before. */
-function movedSince(world: World, before: ReadonlyMap<string, number>): number {
+/** The number of machines whose workers send their heartbeats to another node than before. */
+function countMovedSince(world: World, before: ReadonlyMap<string, number>): number {
   return [...world.workers.values()].filter((worker) => {
-    const was = before.get(worker.id);
-    return worker.alive && was !== undefined && was !== worker.heartbeatNodeIndex;
+    const previousNode = before.get(worker.id);
+    return worker.alive && previousNode !== undefined && previousNode !== worker.heartbeatNodeIndex;
   }).length;
 }
 
-function placesOf(world: World): Map<string, number> {
+/** For each machine, the index of the node to which its worker sends its heartbeats. */
+function heartbeatNodes(world: World): Map<string, number> {
   return new Map(aliveWorkers(world).map((worker) => [worker.id, worker.heartbeatNodeIndex]));
 }
 
-test('workers that all begin at one node are spread over all nodes, with the fewest on the leader', async () => {
-  const world = fleet(1);
-  await world.runUntil(CALM_MS);
-  const held = world.machinesPerNode();
+test('workers that all start at one node are distributed over all nodes, with the fewest on the leader', async () => {
+  const world = startFleet(1);
+  await world.runUntil(SETTLED_MS);
+  const machineCounts = world.machinesPerNode();
   const leader = leaderIndex(world);
   assert.ok(
-    held.every((n) => n > 0),
-    held.join(' '),
+    machineCounts.every((n) => n > 0),
+    machineCounts.join(' '),
   );
-  for (const [i, n] of held.entries()) if (i !== leader) assert.ok(n >= (held[leader] ?? 0), held.join(' '));
+  for (const [i, n] of machineCounts.entries())
+    if (i !== leader) assert.ok(n >= (machineCounts[leader] ?? 0), machineCounts.join(' '));
   await world.runUntil(END_MS);
   assertServed(world);
 });
 
-for (const backMs of [100, 200, 8000])
-  test(`when the leader ends for ${backMs} ms no other node's workers move and no lease runs out`, async () => {
-    const world = fleet(2);
-    await world.runUntil(CALM_MS);
+for (const restartMs of [100, 200, 8000])
+  test(`when the leader crashes for ${restartMs} ms hardly any other node's workers move and no lease expires`, async () => {
+    const world = startFleet(2);
+    await world.runUntil(SETTLED_MS);
     const leader = leaderIndex(world);
-    const before = placesOf(world);
-    const its = world.machinesPerNode()[leader] ?? 0;
-    world.crash(leader, backMs);
-    await world.runUntil(CALM_MS + 6000);
+    const before = heartbeatNodes(world);
+    const leaderWorkers = world.machinesPerNode()[leader] ?? 0;
+    world.crash(leader, restartMs);
+    await world.runUntil(SETTLED_MS + 6000);
     assert.ok(
-      movedSince(world, before) <= its + 6,
-      `${movedSince(world, before)} moved of ${its} that were its own`,
+      countMovedSince(world, before) <= leaderWorkers + 6,
+      `${countMovedSince(world, before)} workers moved, the leader had ${leaderWorkers}`,
     );
     const next = world.nodes.find((node) => node.clock.alive && node.controller.leadership.holdsValidLease());
-    assert.ok(next !== undefined, 'nobody leads after six seconds');
+    assert.ok(next !== undefined, 'no node leads after six seconds');
     await world.runUntil(END_MS);
     assertServed(world);
   });
 
-test("when the leader's process is back at once the next leader does not wait for the lease", async () => {
-  const world = fleet(3);
-  await world.runUntil(CALM_MS);
+test("when the leader's process restarts at once the next leader is elected without waiting for the lease to expire", async () => {
+  const world = startFleet(3);
+  await world.runUntil(SETTLED_MS);
   const leader = leaderIndex(world);
   world.crash(leader, 100);
-  let led: number | null = null;
-  const look = (): void => {
-    const sure = world.nodes.some((node) => node.clock.alive && node.controller.leadership.holdsValidLease());
-    if (sure) led ??= world.time.now;
-    else world.time.after(50, look);
+  let electedMs: number | null = null;
+  const check = (): void => {
+    const hasLeader = world.nodes.some(
+      (node) => node.clock.alive && node.controller.leadership.holdsValidLease(),
+    );
+    if (hasLeader) electedMs ??= world.time.now;
+    else world.time.after(50, check);
   };
-  world.time.after(150, look);
-  await world.runUntil(CALM_MS + 10_000);
-  assert.ok(led !== null && led - CALM_MS < 1500, `led after ${String(led)}`);
+  world.time.after(150, check);
+  await world.runUntil(SETTLED_MS + 10_000);
+  assert.ok(electedMs !== null && electedMs - SETTLED_MS < 1500, `elected at ${String(electedMs)}`);
   await world.runUntil(END_MS);
   assertServed(world);
 });
 
-test('a node that restarts within 0.2 s again and again loses and regains its workers, and none is killed', async () => {
-  const world = fleet(4);
-  await world.runUntil(CALM_MS);
+test('a node that restarts repeatedly within 0.2 s regains its workers, and no task is killed', async () => {
+  const world = startFleet(4);
+  await world.runUntil(SETTLED_MS);
   const leader = leaderIndex(world);
   const follower = (leader + 1) % 3;
   for (let n = 0; n < 10; n += 1)
@@ -129,9 +133,9 @@
   assertServed(world);
 });
 
-test('all nodes that end at the same instant, and again before they have read the records, break no rule', async () => {
-  const world = fleet(5);
-  await world.runUntil(CALM_MS);
+test('simultaneous crashes of all nodes, repeated before they have read the records, break no rule', async () => {
+  const world = startFleet(5);
+  await world.runUntil(SETTLED_MS);
   for (const at of [0, 250, 500, 2000])
     world.time.after(at, () => {
       for (let i = 0; i < 3; i += 1) world.crash(i, 200);
@@ -140,26 +144,26 @@
   assertServed(world);
 });
 
-test('a leader frozen for 30 s comes back to workers that another node leads, and cancellations hold', async () => {
-  const world = fleet(6);
-  await world.runUntil(CALM_MS);
+test('a leader that is frozen for 30 s and resumes while another node leads breaks no rule, and cancellations remain final', async () => {
+  const world = startFleet(6);
+  await world.runUntil(SETTLED_MS);
   world.freeze(leaderIndex(world), 30_000);
   await world.runUntil(END_MS);
   assertServed(world);
 });
 
-test('the workers of a node frozen for 30 s move elsewhere when its lease delegation is over', async () => {
-  const world = fleet(7);
-  await world.runUntil(CALM_MS);
+test('the workers of a node that is frozen for 30 s switch to other nodes when its lease delegation expires', async () => {
+  const world = startFleet(7);
+  await world.runUntil(SETTLED_MS);
   const follower = (leaderIndex(world) + 1) % 3;
   const token = world.nodes[follower]?.controller.leadership.knownLeader()?.fencingToken;
-  const there = aliveWorkers(world).filter((worker) => worker.heartbeatNodeIndex === follower);
-  assert.ok(there.length > 0);
+  const itsWorkers = aliveWorkers(world).filter((worker) => worker.heartbeatNodeIndex === follower);
+  assert.ok(itsWorkers.length > 0);
   world.freeze(follower, 30_000);
-  await world.runUntil(CALM_MS + 25_000);
-  // Those that came up since try it once.
+  await world.runUntil(SETTLED_MS + 25_000);
+  // Workers that started since then are left out, because they may try the frozen node once.
   assert.deepEqual(
-    there.filter((worker) => worker.alive && worker.heartbeatNodeIndex === follower),
+    itsWorkers.filter((worker) => worker.alive && worker.heartbeatNodeIndex === follower),
     [],
   );
   await world.runUntil(END_MS);
@@ -167,29 +171,29 @@
   assertServed(world);
 });
 
-test('with links between controllers refused for 40 s workers find the leader itself and nothing stops', async () => {
-  const world = fleet(8);
-  await world.runUntil(CALM_MS);
+test('when links between controllers are refused for 40 s workers switch to the leader and no task stops', async () => {
+  const world = startFleet(8);
+  await world.runUntil(SETTLED_MS);
   const names = world.nodes.map((node) => node.name as string);
   const pairs = names.flatMap((a, i) => names.slice(i + 1).map((b) => [a, b] as const));
   for (const [a, b] of pairs) world.setLinkRefused(a, b, true);
-  await world.runUntil(CALM_MS + 20_000);
+  await world.runUntil(SETTLED_MS + 20_000);
   const leader = leaderIndex(world);
-  const held = world.machinesPerNode();
+  const machineCounts = world.machinesPerNode();
   assert.equal(
-    held.reduce((a, b) => a + b, 0),
-    held[leader],
+    machineCounts.reduce((a, b) => a + b, 0),
+    machineCounts[leader],
   );
-  await world.runUntil(CALM_MS + 40_000);
+  await world.runUntil(SETTLED_MS + 40_000);
   for (const [a, b] of pairs) world.setLinkRefused(a, b, false);
   await world.runUntil(END_MS);
   assert.ok(world.machinesPerNode().filter((n) => n > 0).length > 1, world.machinesPerNode().join(' '));
   assertServed(world);
 });
 
-test('messages between controllers held back for a minute change nothing when they arrive', async () => {
-  const world = fleet(9);
-  await world.runUntil(CALM_MS);
+test('messages between controllers that are delayed by a minute break no rule when they arrive', async () => {
+  const world = startFleet(9);
+  await world.runUntil(SETTLED_MS);
   const names = world.nodes.map((node) => node.name as string);
   const pairs = names.flatMap((a, i) => names.slice(i + 1).map((b) => [a, b] as const));
   for (const [a, b] of pairs) world.network.partition(a, b, 'hold');
@@ -200,32 +204,32 @@
   assertServed(world);
 });
 
-for (const earlier of ['leader', 'follower'] as const)
-  test(`with a ${earlier} of the previous version workers send their heartbeats to the leader as before`, async () => {
-    const world = fleet(10);
-    await world.runUntil(CALM_MS);
+for (const role of ['leader', 'follower'] as const)
+  test(`with a ${role} of the previous version workers send their heartbeats to the leader`, async () => {
+    const world = startFleet(10);
+    await world.runUntil(SETTLED_MS);
     const leader = leaderIndex(world);
-    world.previousVersionNodes.add(world.nodes[earlier === 'leader' ? leader : (leader + 1) % 3]?.name ?? '');
-    await world.runUntil(CALM_MS + 20_000);
-    if (earlier === 'leader') assert.equal(world.machinesPerNode()[leader], aliveWorkers(world).length);
+    world.previousVersionNodes.add(world.nodes[role === 'leader' ? leader : (leader + 1) % 3]?.name ?? '');
+    await world.runUntil(SETTLED_MS + 20_000);
+    if (role === 'leader') assert.equal(world.machinesPerNode()[leader], aliveWorkers(world).length);
     await world.runUntil(END_MS);
     assertServed(world);
   });
 
-test('a node cut off with its zone renews leases by its delegation, and no longer than that', async () => {
-  const world = fleet(11);
-  await world.runUntil(CALM_MS);
+test('a node that is partitioned with its zone renews leases only until its delegation expires', async () => {
+  const world = startFleet(11);
+  await world.runUntil(SETTLED_MS);
   const follower = (leaderIndex(world) + 1) % 3;
   const zone = world.nodes[follower]?.zone ?? '';
-  partitionZone(world, zone, CALM_MS, CALM_MS + 60_000);
+  partitionZone(world, zone, SETTLED_MS, SETTLED_MS + 60_000);
   await world.runUntil(END_MS);
   assert.deepEqual(world.checker.violations, []);
   assert.deepEqual(world.checker.underservedGroups(), []);
 });
 
-test('no lease runs out when the leader ends during a store outage of 20 s', async () => {
-  const world = fleet(12);
-  await world.runUntil(CALM_MS);
+test('no worker lease expires when the leader crashes during a store outage of 13 s', async () => {
+  const world = startFleet(12);
+  await world.runUntil(SETTLED_MS);
   world.store.setOutage(true);
   world.time.after(8000, () => {
     world.crash(leaderIndex(world), 200);
@@ -237,24 +241,25 @@
   assertServed(world);
 });
 
-test('the remaining node serves on while all others end again and again and machines are lost', async () => {
-  const world = fleet(13);
-  await world.runUntil(CALM_MS);
-  const stays = leaderIndex(world);
+test('the remaining node keeps serving while all other nodes crash repeatedly and machines are lost', async () => {
+  const world = startFleet(13);
+  await world.runUntil(SETTLED_MS);
+  const survivor = leaderIndex(world);
   for (let n = 0; n < 5; n += 1)
     world.time.after(n * 5000, () => {
-      for (let i = 0; i < 3; i += 1) if (i !== stays) world.crash(i, 50 + world.random(5000));
-      const up = aliveWorkers(world);
-      up[world.random(up.length)]?.die();
+      for (let i = 0; i < 3; i += 1) if (i !== survivor) world.crash(i, 50 + world.random(5000));
+      const workers = aliveWorkers(world);
+      workers[world.random(workers.length)]?.die();
     });
   await world.runUntil(END_MS);
   assertServed(world);
 });
 
-// The process before numbered its forwards from one as well; the leader, held up, answers both.
-test('responses to a process that has ended are not taken by its successor', async () => {
-  const world = fleet(14);
-  await world.runUntil(CALM_MS);
+// The previous process of a node also numbered its forwarded heartbeats from one. A leader that resumes after a freeze
+// responds to the heartbeats of both processes.
+test('a restarted process ignores responses to the requests of its previous process', async () => {
+  const world = startFleet(14);
+  await world.runUntil(SETTLED_MS);
   const leader = leaderIndex(world);
   for (let n = 0; n < 12; n += 1) {
     world.time.after(n * 4000, () => {
@@ -269,64 +274,66 @@
   assertServed(world);
 });
 
-// With endless lease delegations, tasks kept alive by a cut-off node would run beside their replacements and beyond their cancellation.
-test('lease delegations in a zone cut off for long end before anybody counts on it, though the cloud releases nothing', async () => {
-  const world = fleet(15);
-  await world.runUntil(CALM_MS);
+// If lease delegations did not expire, a partitioned node would keep tasks running beside their replacements and after
+// their cancellation.
+test('lease delegations in a zone that is partitioned for long expire before tasks are replaced, even if the cloud releases no machine', async () => {
+  const world = startFleet(15);
+  await world.runUntil(SETTLED_MS);
   const follower = (leaderIndex(world) + 1) % 3;
   const inside = world.nodes[follower];
   assert.ok(inside !== undefined);
-  partitionZone(world, inside.zone, CALM_MS, CALM_MS + 85_000);
+  partitionZone(world, inside.zone, SETTLED_MS, SETTLED_MS + 85_000);
   for (const node of world.nodes) world.network.partition(node.name, CLOUD_HOST, 'drop');
   for (const spec of world.checker.submitted.values())
     if (spec.kind === 'service' && world.random(2) === 0)
       world.scheduleCancellation(spec.id, 1000 + world.random(4000));
-  await world.runUntil(CALM_MS + 89_000);
+  await world.runUntil(SETTLED_MS + 89_000);
   assert.deepEqual(world.checker.violations, []);
 });
 
-// Given back after ten seconds, a third of all replicas was away until machines had booted elsewhere.
-test('a zone cut off for less than a lease is left to run: nothing in it ends or restarts, and it is not declared dead', async () => {
-  const world = fleet(16);
-  await world.runUntil(CALM_MS);
+// When the machines of a partitioned zone were released after ten seconds, a third of all replicas was missing until
+// machines elsewhere had booted.
+test('tasks in a zone that is partitioned for less than a lease keep running, and its machines are not released', async () => {
+  const world = startFleet(16);
+  await world.runUntil(SETTLED_MS);
   const inside = world.nodes[(leaderIndex(world) + 1) % 3];
   assert.ok(inside !== undefined);
-  const there = aliveWorkers(world).filter((worker) => worker.zone === inside.zone);
+  const itsWorkers = aliveWorkers(world).filter((worker) => worker.zone === inside.zone);
   const replicas = world.checker.runningTasksOfKind('service');
-  partitionZone(world, inside.zone, CALM_MS, CALM_MS + 17_000);
-  let least = replicas;
-  const look = (): void => {
-    least = Math.min(least, world.checker.runningTasksOfKind('service'));
-    if (world.time.now < CALM_MS + 35_000) world.time.after(500, look);
+  partitionZone(world, inside.zone, SETTLED_MS, SETTLED_MS + 17_000);
+  let minReplicas = replicas;
+  const check = (): void => {
+    minReplicas = Math.min(minReplicas, world.checker.runningTasksOfKind('service'));
+    if (world.time.now < SETTLED_MS + 35_000) world.time.after(500, check);
   };
-  look();
-  await world.runUntil(CALM_MS + 35_000);
-  assert.ok(there.length >= 10, `${there.length} machines`);
+  check();
+  await world.runUntil(SETTLED_MS + 35_000);
+  assert.ok(itsWorkers.length >= 10, `${itsWorkers.length} machines`);
   assert.ok(
-    there.filter((worker) => worker.alive).length >= there.length - 3,
-    `${there.filter((worker) => worker.alive).length} of ${there.length} left`,
+    itsWorkers.filter((worker) => worker.alive).length >= itsWorkers.length - 3,
+    `${itsWorkers.filter((worker) => worker.alive).length} of ${itsWorkers.length} left`,
   );
-  assert.ok(least >= replicas - 2, `${least} of ${replicas} replicas`);
+  assert.ok(minReplicas >= replicas - 2, `${minReplicas} of ${replicas} replicas`);
   await world.runUntil(END_MS);
   assertServed(world);
 });
 
-// Two dead machines, still listed as running, kept all the others from any start for some fourteen seconds.
-test('machines that died just before all nodes end delay no start for longer than their status requests take', async () => {
-  const world = fleet(17);
-  await world.runUntil(CALM_MS);
-  const up = aliveWorkers(world);
-  for (const spot of [true, false]) up.find((worker) => worker.spot === spot)?.die();
+// Two failed machines that were still listed as running prevented starts on all other machines for about 14 seconds.
+test('machines that fail just before all nodes crash delay starts only as long as their status requests take', async () => {
+  const world = startFleet(17);
+  await world.runUntil(SETTLED_MS);
+  const workers = aliveWorkers(world);
+  for (const spot of [true, false]) workers.find((worker) => worker.spot === spot)?.die();
   for (let i = 0; i < 3; i += 1) world.crash(i, 200);
-  // What was sent before the end still arrives.
-  await world.runUntil(CALM_MS + 1500);
+  // Messages that were sent before the crash still arrive.
+  await world.runUntil(SETTLED_MS + 1500);
   const before = world.checker.starts;
-  let first: number | null = null;
-  for (let ms = 1600; first === null && ms < 30_000; ms += 100) {
-    await world.runUntil(CALM_MS + ms);
-    if (world.checker.starts > before) first = ms;
+  let firstStartMs: number | null = null;
+  for (let ms = 1600; firstStartMs === null && ms < 30_000; ms += 100) {
+    await world.runUntil(SETTLED_MS + ms);
+    if (world.checker.starts > before) firstStartMs = ms;
   }
-  assert.ok(first !== null && first < 11_000, `first start after ${String(first)} ms`);
+  assert.ok(firstStartMs !== null && firstStartMs < 11_000, `first start after ${String(firstStartMs)} ms`);
   await world.runUntil(END_MS);
   assertServed(world);
 });
