--- a/packages/cloud/src/cloud-provider.ts
+++ b/packages/cloud/src/cloud-provider.ts
@@ -14,12 +14,12 @@
   | { readonly outcome: 'no_capacity' }
   /** Certainly not executed. */
   | { readonly outcome: 'refused' }
-  /** May have been executed, or may still be: repeating the same request is safe. */
+  /** May have been executed or may still be executed. Repeating the same request is safe. */
   | { readonly outcome: 'unknown' };
 
-/** Most machines in one rental request. */
+/** Maximum number of machines in one rental request. */
 export const MAX_MACHINES_PER_RENTAL = 50;
-/** Most machines in one release request. */
+/** Maximum number of machines in one release request. */
 export const MAX_MACHINES_PER_RELEASE = 100;
 
 /** The cloud as the controllers use it; the simulated one implements it too. */
@@ -28,7 +28,7 @@
   listMachineTypes(): Promise<readonly MachineType[] | null>;
   /** Rents machines. */
   rent(request: RentalRequest): Promise<RentalOutcome>;
-  /** Releases machines; true if they, and all tasks on them, are certainly gone. */
+  /** Releases machines. Returns true if the machines and all tasks on them have certainly ended. */
   release(machines: readonly MachineId[], priority: RequestPriority): Promise<boolean>;
   /** All rented machines. The cloud's list lags behind its state. Null if a request was not served. */
   listMachines(): Promise<readonly ListedMachine[] | null>;
--- a/packages/cloud/src/http-cloud-provider.ts
+++ b/packages/cloud/src/http-cloud-provider.ts
@@ -17,7 +17,7 @@
 import type { CloudProvider, RentalOutcome } from './cloud-provider.js';
 
 const RESPONSE_TIMEOUT_MS = 4000;
-/** Machines in one page of the list: the most that the cloud returns. */
+/** Machines per page of the list: the maximum that the cloud returns. */
 const LIST_PAGE_SIZE = 500;
 const MAX_SOCKETS = 8;
 
@@ -50,7 +50,7 @@
       const body = formatRentalRequest(request);
       const response = await this.client.call('POST', PATHS.rentals, body, RESPONSE_TIMEOUT_MS);
       if (response.status === HTTP_STATUS.tooManyRequests) this.requests.drain();
-      return rentalOutcomeOf(response);
+      return parseRentalOutcome(response);
     } catch {
       // A `NoResponseError`, or a `ValidationError` if the response cannot be understood.
       return { outcome: 'unknown' };
@@ -100,7 +100,7 @@
   return `${PATHS.rentals}?${from === '' ? '' : `from=${from}&`}most=${LIST_PAGE_SIZE}`;
 }
 
-function rentalOutcomeOf(response: HttpResponse): RentalOutcome {
+function parseRentalOutcome(response: HttpResponse): RentalOutcome {
   if (response.status === HTTP_STATUS.ok)
     return { outcome: 'rented', machines: parseRentalResponse(response.body) };
   const error = (response.body as { error?: unknown } | null)?.error;
--- a/packages/cloud/test/http-cloud-provider.test.ts
+++ b/packages/cloud/test/http-cloud-provider.test.ts
@@ -6,7 +6,7 @@
 import { withScriptedServer } from '../../net/test/scripted-server.js';
 import { HttpCloudProvider } from '../src/index.js';
 
-/** Runs `use` with a client of a cloud that responds to everything as it was last told. */
+/** Runs `use` with a client of a scripted cloud API. */
 async function withCloud(
   use: (cloud: HttpCloudProvider, server: ScriptedServer) => Promise<void>,
 ): Promise<void> {
@@ -17,7 +17,7 @@
 
 const RENTAL = { request: 'r-17', type: 'g8', zone: 'a', spot: true, count: 12 };
 
-test('a rental returns the machines, finds no capacity, or is refused', async () => {
+test('rent distinguishes rented machines, missing capacity and refusals', async () => {
   await withCloud(async (cloud, server) => {
     server.body = { rigs: ['n-1', 'n-2'] };
     assert.deepEqual(await cloud.rent(RENTAL), { outcome: 'rented', machines: ['n-1', 'n-2'] });
@@ -31,14 +31,14 @@
   });
 });
 
-test('a rental whose response cannot be understood may have been executed', async () => {
+test('rent returns an unknown outcome when the response is malformed', async () => {
   await withCloud(async (cloud, server) => {
     server.body = { rigs: [7] };
     assert.deepEqual(await cloud.rent(RENTAL), { outcome: 'unknown' });
   });
 });
 
-test('machines are released only by a response of 200', async () => {
+test('release returns true only after a response of 200', async () => {
   await withCloud(async (cloud, server) => {
     const machines = ['n-1' as MachineId];
     assert.equal(await cloud.release(machines, 1), true);
@@ -48,7 +48,7 @@
   });
 });
 
-test('the list of machines is read a page at a time, each from the last machine of the one before', async () => {
+test('listMachines requests each page from the last machine of the preceding page', async () => {
   await withCloud(async (cloud, server) => {
     const rig = (nameId: string): Record<string, unknown> => ({
       nameId,
@@ -75,7 +75,7 @@
   });
 });
 
-test('a list or types that are not served are null', async () => {
+test('listMachines and listMachineTypes return null when the cloud responds with 503', async () => {
   await withCloud(async (cloud, server) => {
     server.status = 503;
     assert.equal(await cloud.listMachines(), null);
--- a/packages/net/src/clock.ts
+++ b/packages/net/src/clock.ts
@@ -1,5 +1,5 @@
 /**
- * The clock that everything in one process uses for time and timers. Simulated processes have a simulated one.
+ * The clock that all code in one process uses for time and timers. Simulated processes use a simulated clock.
  *
  * @module
  */
--- a/packages/net/src/http-status.ts
+++ b/packages/net/src/http-status.ts
@@ -1,5 +1,5 @@
 /**
- * Status codes of HTTP responses that have a meaning in the protocols.
+ * HTTP status codes that the protocols use.
  *
  * @module
  */
--- a/packages/net/src/json-client.ts
+++ b/packages/net/src/json-client.ts
@@ -19,11 +19,11 @@
 export class NoResponseError extends SpurbridgeError {
   constructor(
     reason: string,
-    /** True when the request certainly never left this process. */
+    /** True if the request was certainly not sent. */
     readonly notSent: boolean,
     /**
-     * True if this process lacked a resource for sending it, such as a socket; that is no evidence of a failure of the
-     * other side.
+     * True if this process lacked a resource for sending the request, such as a socket. This is no evidence that the
+     * server has failed.
      */
     readonly isLocalFault = false,
   ) {
@@ -100,7 +100,7 @@
   try {
     return JSON.parse(text);
   } catch {
-    // A body that is not JSON is ignored: the status alone is sufficient.
+    // A body that is not JSON is ignored, because callers only need the status in that case.
     return null;
   }
 }
@@ -150,10 +150,10 @@
   }
 
   private onTimeout(): void {
-    // A process that is short of processor time runs overdue timers before it reads from its sockets, so the response
-    // may have arrived already.
+    // The event loop runs expired timers before it reads from sockets, so a busy process may not have read a response
+    // that has already arrived.
     setImmediate(() => {
-      this.fail(`no answer within ${this.timeoutMs} ms`);
+      this.fail(`no response within ${this.timeoutMs} ms`);
     });
   }
 
@@ -164,7 +164,7 @@
       this.fail(error.message);
     });
     response.on('aborted', () => {
-      this.fail('aborted');
+      this.fail('connection closed before the response was complete');
     });
     response.on('end', () => {
       const body = Buffer.concat(chunks).toString('utf8');
--- a/packages/net/src/rate-limiter.ts
+++ b/packages/net/src/rate-limiter.ts
@@ -1,5 +1,5 @@
 /**
- * A token bucket with priorities, which keeps a process within its share of a common request limit.
+ * A token bucket with priorities, which keeps a process within its share of a shared request limit.
  *
  * @module
  */
--- a/packages/net/src/socket-address.ts
+++ b/packages/net/src/socket-address.ts
@@ -6,10 +6,10 @@
 
 const SOCKET_ADDRESS = /^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/;
 
-/** What error messages call the expected form. */
+/** Description of the expected format, for error messages. */
 export const SOCKET_ADDRESS_FORM = 'IPv4:port';
 
-/** Host and port, as a server listens on them. */
+/** Host and port of a server. */
 export interface SocketAddress {
   readonly host: string;
   readonly port: number;
--- a/packages/net/test/json-client.test.ts
+++ b/packages/net/test/json-client.test.ts
@@ -7,7 +7,7 @@
 
 const TIMEOUT_MS = 2000;
 
-/** Runs `use` with a client of a server that handles requests by `listener`. */
+/** Runs `use` with a client that is connected to a server with the given request listener. */
 async function withServer(
   listener: RequestListener,
   use: (client: JsonClient) => Promise<void>,
@@ -24,7 +24,7 @@
   }
 }
 
-async function bodyOf(request: IncomingMessage): Promise<string> {
+async function readBody(request: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   for await (const chunk of request) chunks.push(chunk as Buffer);
   return Buffer.concat(chunks).toString('utf8');
@@ -35,7 +35,7 @@
   response.end(body);
 }
 
-async function noResponse(call: Promise<unknown>): Promise<NoResponseError> {
+async function noResponseErrorOf(call: Promise<unknown>): Promise<NoResponseError> {
   const error: unknown = await call.then(
     () => undefined,
     (reason: unknown) => reason,
@@ -44,9 +44,9 @@
   return error;
 }
 
-test('a request is sent as JSON and its response is parsed, whatever its status', async () => {
+test('call sends the body as JSON and parses the response of any status', async () => {
   const echo: RequestListener = (request, response) => {
-    void bodyOf(request).then((body) => {
+    void readBody(request).then((body) => {
       const { method, url, headers } = request;
       const type = headers['content-type'] ?? null;
       respond(response, 409, JSON.stringify({ method, url, type, length: headers['content-length'], body }));
@@ -67,7 +67,7 @@
   });
 });
 
-test('an empty body and one that is no JSON are null', async () => {
+test('a response body that is empty or not JSON is returned as null', async () => {
   const bodies: Record<string, string> = { '/empty': '', '/text': 'bad gateway' };
   await withServer(
     (request, response) => {
@@ -80,19 +80,19 @@
   );
 });
 
-test('a request without a response in time may have been executed', async () => {
+test('a request that times out is reported as possibly sent', async () => {
   await withServer(
     () => undefined,
     async (client) => {
-      const error = await noResponse(client.call('GET', '/', undefined, 50));
-      assert.equal(error.message, 'no answer within 50 ms');
+      const error = await noResponseErrorOf(client.call('GET', '/', undefined, 50));
+      assert.equal(error.message, 'no response within 50 ms');
       assert.equal(error.notSent, false);
       assert.equal(error.isLocalFault, false);
     },
   );
 });
 
-test('a connection that is closed in the middle of a response fails the request', async () => {
+test('a request fails as possibly sent when the connection closes in the middle of the response', async () => {
   await withServer(
     (_request, response) => {
       response.writeHead(200, { 'content-length': 100 });
@@ -100,32 +100,32 @@
       setTimeout(() => response.destroy(), 20);
     },
     async (client) => {
-      const error = await noResponse(client.call('GET', '/', undefined, TIMEOUT_MS));
+      const error = await noResponseErrorOf(client.call('GET', '/', undefined, TIMEOUT_MS));
       assert.equal(error.notSent, false);
     },
   );
 });
 
-test('a refused connection means that the request was not sent, and is no fault of this side', async () => {
+test('a refused connection is reported as not sent and not as a local fault', async () => {
   const server = http.createServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
   await new Promise((resolve) => server.close(resolve));
   const client = new JsonClient(address, 1);
-  const error = await noResponse(client.call('GET', '/', undefined, TIMEOUT_MS));
+  const error = await noResponseErrorOf(client.call('GET', '/', undefined, TIMEOUT_MS));
   assert.equal(error.notSent, true);
   assert.equal(error.isLocalFault, false);
   client.close();
 });
 
-test('a client is busy while a call is in flight, and no longer once it has failed', async () => {
+test('a client is busy while a call is in flight and idle after the call has failed', async () => {
   await withServer(
     () => undefined,
     async (client) => {
       assert.equal(client.isBusy, false);
       const call = client.call('GET', '/', undefined, 50);
       assert.equal(client.isBusy, true);
-      await noResponse(call);
+      await noResponseErrorOf(call);
       assert.equal(client.isBusy, false);
     },
   );
--- a/packages/net/test/rate-limiter.test.ts
+++ b/packages/net/test/rate-limiter.test.ts
@@ -4,7 +4,7 @@
 import type { MonotonicMs, RequestPriority } from '../src/index.js';
 import { RateLimiter } from '../src/index.js';
 
-test('a rate limiter never grants more than its rate and burst, and keeps a reserve for the urgent', () => {
+test('a rate limiter stays within its rate and burst and reserves tokens for urgent requests', () => {
   const step = fc.record({
     wait: fc.nat(300),
     amount: fc.integer({ min: 1, max: 4 }),
@@ -16,9 +16,9 @@
       const clock = { now: () => now as MonotonicMs, sleep: () => Promise.resolve() };
       const limiter = new RateLimiter(clock, 20, 20);
       let granted = 0;
-      for (const s of steps) {
-        now += s.wait;
-        if (limiter.tryAcquire(s.amount, s.priority as RequestPriority)) granted += s.amount;
+      for (const { wait, amount, priority } of steps) {
+        now += wait;
+        if (limiter.tryAcquire(amount, priority as RequestPriority)) granted += amount;
         assert.ok(granted <= 20 + (now / 1000) * 20 + 1 + 1e-6);
       }
     }),
@@ -26,5 +26,5 @@
   );
   const limiter = new RateLimiter({ now: () => 0 as MonotonicMs, sleep: () => Promise.resolve() }, 20, 20);
   while (limiter.tryAcquire(1, 3));
-  assert.ok(limiter.tryAcquire(1, 0), 'the least urgent cannot use everything up');
+  assert.ok(limiter.tryAcquire(1, 0), 'low-priority requests leave tokens for critical ones');
 });
--- a/packages/net/test/scripted-server.ts
+++ b/packages/net/test/scripted-server.ts
@@ -1,20 +1,23 @@
 /**
- * An HTTP server for tests of clients: it responds to everything as it was last told.
+ * An HTTP server for tests of clients. It gives every request the response that the test has set last.
  *
  * @module
  */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** What the server responds from now on, and what it was asked. */
+/** The response to all further requests, and the requests received so far. */
 export interface ScriptedServer {
   status: number;
   body: unknown;
-  /** Method, path and body of all requests so far. */
+  /** Method, path and body of all requests received so far. */
   readonly requests: readonly string[];
 }
 
-/** Runs `use` with a server at `address`, which responds 200 with an empty object at first, and closes it. */
+/**
+ * Runs `use` with a server that listens on `address`, and closes the server afterwards. The initial response is 200 with
+ * an empty object.
+ */
 export async function withScriptedServer(
   use: (server: ScriptedServer, address: string) => Promise<void>,
 ): Promise<void> {
