--- a/packages/configuration/src/api.ts
+++ b/packages/configuration/src/api.ts
@@ -13,7 +13,7 @@
   status: '/configuration/status',
 } as const;
 
-/** The newest configuration; a limit of null is none. */
+/** The newest configuration; a limit of null means no limit. */
 export interface ConfigurationResponse {
   readonly version: number;
   readonly teams: readonly Record<string, unknown>[];
--- a/packages/configuration/src/errors.ts
+++ b/packages/configuration/src/errors.ts
@@ -23,14 +23,14 @@
 export class InconsistentRecordsError extends SpurbridgeError {
   /** @param key - key of the record whose version is not the one that the head record names */
   constructor(readonly key: string) {
-    super('CONFIGURATION_RECORDS_INCONSISTENT', key);
+    super('CONFIGURATION_RECORDS_INCONSISTENT', `${key}: expected the version that the head record names`);
   }
 }
 
 /** No node responded, or none of them could reach the key-value store. */
 export class NoNodeAvailableError extends SpurbridgeError {
   constructor() {
-    super('CONFIGURATION_NO_NODE_AVAILABLE', 'no node answers, or none can ask the state service');
+    super('CONFIGURATION_NO_NODE_AVAILABLE', 'no node responded, or none could reach the state service');
   }
 }
 
@@ -38,7 +38,10 @@
 export class StaleVersionError extends SpurbridgeError {
   /** @param newestVersion - the version that a new attempt has to be based on */
   constructor(readonly newestVersion: number) {
-    super('CONFIGURATION_VERSION_STALE', `version ${newestVersion} is the newest: look at it, and ask again`);
+    super(
+      'CONFIGURATION_VERSION_STALE',
+      `version ${newestVersion} is the newest: review it and submit the changes again`,
+    );
   }
 }
 
--- a/packages/configuration/src/proposal.ts
+++ b/packages/configuration/src/proposal.ts
@@ -1,5 +1,5 @@
 /**
- * What an author proposes, and what came of it.
+ * Proposals of configuration changes, and their outcomes.
  *
  * @module
  */
--- a/packages/configuration/src/replica.ts
+++ b/packages/configuration/src/replica.ts
@@ -19,8 +19,8 @@
  * - `mixed`: the records that the node has seen belong to different versions.
  * - `unreadable`: a record is malformed or missing.
  *
- * Transitions lead from `file` to the others, and between the other three. In `mixed` and `unreadable` the previous
- * version still applies.
+ * A replica leaves `file` once and never returns to it; it may change between the other three states in any order. In
+ * `mixed` and `unreadable` the previous version still applies.
  */
 export type ConfigurationReplicaState = 'file' | 'following' | 'mixed' | 'unreadable';
 
@@ -72,7 +72,10 @@
     if (next === this.currentState) return;
     const previous = this.currentState;
     this.currentState = next;
-    this.options.log.info({ from: previous, to: next, why: reason, version: this.version }, 'configuration');
+    this.options.log.info(
+      { from: previous, to: next, why: reason, version: this.version },
+      'configuration replica changed state',
+    );
   }
 
   /**
@@ -95,18 +98,24 @@
     }
   }
 
-  /** The records are gone although a version was seen: that version applies until another one is committed. */
+  /** Handles missing records after a version was seen: that version applies until another one is committed. */
   private handleMissingRecords(): void {
     if (this.currentState === 'file') return;
-    this.options.log.error({ version: this.version }, 'configuration is gone from the state service');
-    this.transitionTo('unreadable', 'no record');
+    this.options.log.error(
+      { version: this.version },
+      'configuration records are missing from the state service',
+    );
+    this.transitionTo('unreadable', 'head record is missing');
   }
 
   private adopt(next: Configuration): void {
     const previousVersion = this.configuration.version;
     if (next.version < previousVersion)
       // After a data loss the store's contents are authoritative (docs/state-loss.md); operators must notice the loss.
-      this.options.log.error({ from: previousVersion, to: next.version }, 'configuration went back');
+      this.options.log.error(
+        { from: previousVersion, to: next.version },
+        'configuration reverted to an earlier version',
+      );
     this.configuration = next;
     this.transitionTo('following', `version ${next.version}`);
     if (next.version === previousVersion) return;
--- a/packages/configuration/src/requests.ts
+++ b/packages/configuration/src/requests.ts
@@ -18,7 +18,7 @@
 function rejectUnknownFields(fields: read.JsonObject, known: ReadonlySet<string>, path: string): void {
   for (const field of Object.keys(fields))
     if (!known.has(field))
-      throw new ValidationError(path === '' ? field : `${path}.${field}`, 'no such field');
+      throw new ValidationError(path === '' ? field : `${path}.${field}`, 'a known field');
 }
 
 /** Parses a limit: an amount, or null for none. */
@@ -86,7 +86,7 @@
   rejectUnknownFields(fields, PROPOSAL_FIELDS, '');
   const changes = read.asArray(fields['changes'], 'changes');
   if (changes.length === 0 || changes.length > MAX_CHANGES_PER_PROPOSAL)
-    throw new ValidationError('changes', `1 to ${MAX_CHANGES_PER_PROPOSAL} of them`);
+    throw new ValidationError('changes', `1 to ${MAX_CHANGES_PER_PROPOSAL} changes`);
   return {
     baseVersion: read.count(fields, 'base') as ConfigurationVersion,
     changeId: read.name(fields, 'changeId'),
--- a/packages/configuration/src/stored-configuration.ts
+++ b/packages/configuration/src/stored-configuration.ts
@@ -1,5 +1,5 @@
 /**
- * Assembles one whole version of the configuration from its records.
+ * Assembles one complete version of the configuration from its records.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 /** Looks up one record by its key; undefined where there is none. */
 export type RecordLookup = (key: string) => KeyValue | undefined;
 
-/** One whole version of the configuration, as it stands in the key-value store. */
+/** One complete version of the configuration, as stored in the key-value store. */
 export interface StoredConfiguration {
   readonly head: ConfigurationHead;
   readonly configuration: Configuration;
--- a/packages/configuration/src/transaction.ts
+++ b/packages/configuration/src/transaction.ts
@@ -24,9 +24,7 @@
 import type { Configuration } from './types.js';
 
 const BYTES_PER_KIB = 1024;
-/**
- * Maximum number of field changes per commit that the history lists; of the others it keeps only the number.
- */
+/** Maximum number of field changes that a history entry lists. Of further ones it records only the number. */
 const MAX_LISTED_FIELD_CHANGES = 40;
 const MAX_TRANSACTION_BYTES = 60 * BYTES_PER_KIB;
 /** Records that a change may write besides the pages: head, objectives and history. */
@@ -38,7 +36,7 @@
 export interface TransactionLimits {
   /** Size limit of a value, in KiB. */
   readonly valueKb: number;
-  /** Largest number of mutations in a transaction. */
+  /** Maximum number of mutations in a transaction. */
   readonly txnOps: number;
 }
 
@@ -142,7 +140,7 @@
       const pages = groupIntoPages(teams, pageCount).map((pageTeams) => ({ version, teams: pageTeams }));
       if (pages.every((page) => this.fits(page))) return pages;
     }
-    throw new InvalidChangeError('teams', `${teams.length} teams do not fit ${maxPages} records`);
+    throw new InvalidChangeError('teams', `${teams.length} teams do not fit into ${maxPages} records`);
   }
 
   private fits(page: TeamPage): boolean {
@@ -151,16 +149,22 @@
 
   private checkSizes(values: ReadonlyMap<string, unknown>): void {
     if (values.size > this.limits.txnOps - RESERVED_MUTATIONS)
-      throw new InvalidChangeError('changes', `${values.size} records are more than one commit takes`);
+      throw new InvalidChangeError(
+        'changes',
+        `expected at most ${this.limits.txnOps - RESERVED_MUTATIONS} records, got ${values.size}`,
+      );
     let totalBytes = 0;
     for (const [key, value] of values) {
       const bytes = Buffer.byteLength(JSON.stringify(value));
       if (bytes > this.maxValueBytes)
-        throw new InvalidChangeError(key, `${bytes} bytes are more than ${this.limits.valueKb} KiB`);
+        throw new InvalidChangeError(key, `expected at most ${this.limits.valueKb} KiB, got ${bytes} bytes`);
       totalBytes += bytes;
     }
     if (totalBytes > MAX_TRANSACTION_BYTES)
-      throw new InvalidChangeError('changes', `${totalBytes} bytes are more than one commit takes`);
+      throw new InvalidChangeError(
+        'changes',
+        `expected at most ${MAX_TRANSACTION_BYTES} bytes per commit, got ${totalBytes}`,
+      );
   }
 }
 
--- a/packages/configuration/test/apply-changes.test.ts
+++ b/packages/configuration/test/apply-changes.test.ts
@@ -15,14 +15,15 @@
   parseProposal,
 } from '../src/index.js';
 
-const FILE = configurationFromSettings(
+const SETTINGS = configurationFromSettings(
   [{ name: 'red', cpus: 10, cpusMax: 20, gpus: 0, gpusMax: Infinity }],
   [{ kind: 'wait', class: 'urgent', withinS: 3.7, share: 0.99, times: null }],
 );
 
-function refusedField(
+/** The field that `applyChanges` reports as invalid, or '' if it accepts the change. */
+function invalidFieldOf(
   change: ConfigurationChange,
-  before: Configuration = FILE,
+  before: Configuration = SETTINGS,
   bound = UNBOUNDED_GUARANTEES,
 ): string {
   try {
@@ -34,9 +35,9 @@
   return '';
 }
 
-test('a change adds one version, keeps what it leaves out, and says what differs', () => {
+test('applyChanges increments the version and keeps omitted fields, and diffConfigurations lists the changes', () => {
   const next = applyChanges(
-    FILE,
+    SETTINGS,
     [
       { team: 'red', cpusMax: 15 },
       { team: 'blue', cpus: 3 },
@@ -44,9 +45,9 @@
     UNBOUNDED_GUARANTEES,
   );
   assert.equal(next.version, 1);
-  assert.deepEqual(next.teams[0], { ...FILE.teams[0], cpusMax: 15 });
+  assert.deepEqual(next.teams[0], { ...SETTINGS.teams[0], cpusMax: 15 });
   assert.deepEqual(
-    diffConfigurations(FILE, next).map(({ path, from, to }) => `${path} ${from} ${to}`),
+    diffConfigurations(SETTINGS, next).map(({ path, from, to }) => `${path} ${from} ${to}`),
     [
       'teams.red.cpusMax 20 15',
       'teams.blue.cpus - 3',
@@ -57,16 +58,16 @@
   );
 });
 
-test('what can hold for nobody is refused, and the field is named', () => {
-  assert.equal(refusedField({ team: 'red', cpus: 21 }), 'teams.red.cpus');
-  assert.equal(refusedField({ team: 'red', cpus: -1 }), 'teams.red.cpus');
-  assert.equal(refusedField({ team: 'red', cpus: Infinity }), 'teams.red.cpus');
-  assert.equal(refusedField({ team: 'red', cpusMax: NaN }), 'teams.red.cpusMax');
-  assert.equal(refusedField({ team: 'blue', cpus: 5 }, FILE, { cpus: 14, gpus: 0 }), 'teams.cpus');
-  assert.equal(refusedField({ team: 'blue', cpus: 4 }, FILE, { cpus: 14, gpus: 0 }), '');
+test('applyChanges rejects invalid amounts and excessive guarantees with the name of the field', () => {
+  assert.equal(invalidFieldOf({ team: 'red', cpus: 21 }), 'teams.red.cpus');
+  assert.equal(invalidFieldOf({ team: 'red', cpus: -1 }), 'teams.red.cpus');
+  assert.equal(invalidFieldOf({ team: 'red', cpus: Infinity }), 'teams.red.cpus');
+  assert.equal(invalidFieldOf({ team: 'red', cpusMax: NaN }), 'teams.red.cpusMax');
+  assert.equal(invalidFieldOf({ team: 'blue', cpus: 5 }, SETTINGS, { cpus: 14, gpus: 0 }), 'teams.cpus');
+  assert.equal(invalidFieldOf({ team: 'blue', cpus: 4 }, SETTINGS, { cpus: 14, gpus: 0 }), '');
 });
 
-test('unknown fields, amounts that are none and empty requests are malformed, with the path', () => {
+test('parsing rejects unknown fields, invalid amounts and empty requests with the path of the field', () => {
   const proposal = { base: 0, changeId: 'x', author: 'me', changes: [{ team: 'red', cpu: 3 }] };
   assert.throws(() => parseProposal(proposal), /changes\[0\]\.cpu: /);
   assert.throws(
@@ -96,7 +97,7 @@
   { noNullPrototype: true },
 );
 
-test('pages and changes are found again as they were written, also where there is no limit', () => {
+test('pages and changes are decoded unchanged, including limits that are not set', () => {
   fc.assert(
     fc.property(fc.array(team, { maxLength: 20 }), (teams) => {
       const page = { version: 3 as never, teams };
--- a/packages/configuration/test/replica.test.ts
+++ b/packages/configuration/test/replica.test.ts
@@ -16,18 +16,18 @@
   readConfiguration,
 } from '../src/index.js';
 
-const PAGES = 3;
-const FILE = configurationFromSettings([], []);
-const SILENT = { info: () => undefined, error: () => undefined };
+const PAGE_COUNT = 3;
+const SETTINGS = configurationFromSettings([], []);
+const DISCARD_LOG = { info: () => undefined, error: () => undefined };
 
 function teamOf(page: number, version: number): ConfiguredTeam {
   return { name: `team-${page}`, cpus: version, cpusMax: version, gpus: 0, gpusMax: 0, isRetired: false };
 }
 
-/** The records after `version` changes, of which number n writes page n modulo the number of pages. */
+/** The records after `version` changes, where change n writes page n modulo the number of pages. */
 function recordsAt(version: number): Map<string, KeyValue> {
-  const written = Array.from({ length: PAGES }, (_, page) => {
-    const last = version - ((version - page + PAGES) % PAGES);
+  const written = Array.from({ length: PAGE_COUNT }, (_, page) => {
+    const last = version - ((version - page + PAGE_COUNT) % PAGE_COUNT);
     return Math.max(1, last) as ConfigurationVersion;
   });
   const item = (key: string, value: unknown, stamp: number): [string, KeyValue] => [
@@ -49,17 +49,20 @@
   ]);
 }
 
-test('records of two versions are never taken for a whole, whichever of them are older', () => {
+test('readConfiguration never combines records of two versions into one configuration', () => {
   fc.assert(
     fc.property(
       fc.integer({ min: 2, max: 30 }),
       fc.integer({ min: 2, max: 30 }),
-      fc.array(fc.boolean(), { minLength: PAGES + 2, maxLength: PAGES + 2 }),
-      (oneVersion, otherVersion, fromOther) => {
-        const [one, other] = [recordsAt(oneVersion), recordsAt(otherVersion)];
-        const keys = [...one.keys()];
+      fc.array(fc.boolean(), { minLength: PAGE_COUNT + 2, maxLength: PAGE_COUNT + 2 }),
+      (firstVersion, secondVersion, isFromSecond) => {
+        const [first, second] = [recordsAt(firstVersion), recordsAt(secondVersion)];
+        const keys = [...first.keys()];
         const mixed = new Map(
-          keys.map((key, index) => [key, (fromOther[index] === true ? other : one).get(key) as KeyValue]),
+          keys.map((key, index) => [
+            key,
+            (isFromSecond[index] === true ? second : first).get(key) as KeyValue,
+          ]),
         );
         let read: Configuration | null = null;
         try {
@@ -68,17 +71,17 @@
           assert.ok(error instanceof InconsistentRecordsError);
         }
         if (read === null) return;
-        const whole = readConfiguration((key) => recordsAt(read.version).get(key))?.configuration;
-        assert.deepEqual(read, whole);
+        const expected = readConfiguration((key) => recordsAt(read.version).get(key))?.configuration;
+        assert.deepEqual(read, expected);
       },
     ),
   );
 });
 
-test('a node holds the version before until it has seen the whole of the next one', () => {
+test('a replica keeps the previous version until all records of the next version are present', () => {
   const changed: number[] = [];
-  const replica = new ConfigurationReplica(FILE, {
-    log: SILENT,
+  const replica = new ConfigurationReplica(SETTINGS, {
+    log: DISCARD_LOG,
     onChange: (configuration) => changed.push(configuration.version),
   });
   assert.equal(replica.state, 'file');
@@ -91,23 +94,26 @@
   assert.deepEqual(changed, [4, 5]);
 });
 
-test('a version that goes back, a record that is gone or cannot be read: said, and never a mixture', () => {
+test('a replica reports reverted, missing and malformed records and never mixes versions', () => {
   const errors: string[] = [];
   const log = { info: () => undefined, error: (_fields: object, message: string) => errors.push(message) };
-  const replica = new ConfigurationReplica(FILE, { log, onChange: () => undefined });
+  const replica = new ConfigurationReplica(SETTINGS, { log, onChange: () => undefined });
   replica.refresh((key) => recordsAt(9).get(key));
   replica.refresh((key) => recordsAt(7).get(key));
   assert.equal(replica.version, 7);
   replica.refresh(() => undefined);
   assert.deepEqual([replica.state, replica.version], ['unreadable', 7]);
-  const broken = new Map([
+  const malformed = new Map([
     ...recordsAt(8),
     [pageKey(0), { key: pageKey(0), value: '?', version: 8 as never }],
   ]);
-  replica.refresh((key) => broken.get(key));
+  replica.refresh((key) => malformed.get(key));
   assert.deepEqual([replica.state, replica.version], ['unreadable', 7]);
-  // The page is put back, and the head is as it was.
+  // The page is valid again, and the head record is unchanged.
   replica.refresh((key) => recordsAt(8).get(key));
   assert.deepEqual([replica.state, replica.version], ['following', 8]);
-  assert.deepEqual(errors, ['configuration went back', 'configuration is gone from the state service']);
+  assert.deepEqual(errors, [
+    'configuration reverted to an earlier version',
+    'configuration records are missing from the state service',
+  ]);
 });
--- a/packages/net/test/scripted-server.ts
+++ b/packages/net/test/scripted-server.ts
@@ -15,8 +15,8 @@
 }
 
 /**
- * Runs `use` with a server that listens on `address`, and closes the server afterwards. The initial response is 200 with
- * an empty object.
+ * Runs `use` with a server that listens on `address`, and closes the server afterwards. The server responds 200 with an
+ * empty object until the test sets another response.
  */
 export async function withScriptedServer(
   use: (server: ScriptedServer, address: string) => Promise<void>,
--- a/packages/snapshot/src/format.ts
+++ b/packages/snapshot/src/format.ts
@@ -18,7 +18,7 @@
 
 /** The state of the key-value store that a snapshot holds. */
 export interface SnapshotOrigin {
-  /** Id of the deployment, which it got at its first start. */
+  /** Id of the deployment, assigned at its first start. */
   readonly deployment: string;
   /** Number of the epoch in which the snapshot was taken. */
   readonly epoch: number;
@@ -28,7 +28,7 @@
   readonly takenAt: number;
 }
 
-/** The header of a snapshot file, which is readable without unpacking the records. */
+/** The header of a snapshot file, which can be read without decompressing the records. */
 export interface SnapshotHeader extends SnapshotOrigin {
   /** Number of records. */
   readonly records: number;
@@ -102,7 +102,7 @@
  */
 export function decodeSnapshotHeader(bytes: Buffer): DecodedHeader {
   const headerEnd = bytes.subarray(0, MAX_HEADER_BYTES).indexOf(HEADER_END);
-  if (headerEnd < 0) throw new SnapshotFormatError('no header: this is no snapshot, or it was cut short');
+  if (headerEnd < 0) throw new SnapshotFormatError('no header: the file is not a snapshot or is truncated');
   const header = asFormatError(() => parseHeader(bytes.subarray(0, headerEnd).toString()));
   return { header, bodyOffset: headerEnd + HEADER_END.length };
 }
@@ -128,7 +128,7 @@
   const { header, bodyOffset } = decodeSnapshotHeader(bytes);
   const body = bytes.subarray(bodyOffset);
   if (sha256Hex(body) !== header.digest)
-    throw new SnapshotFormatError('the checksum does not match: it is damaged');
+    throw new SnapshotFormatError('the checksum of the records does not match: the file is damaged');
   const entries = asFormatError(() => decodeRecords(body));
   if (entries.size !== header.records)
     throw new SnapshotFormatError(`records: expected ${header.records}, found ${entries.size}`);
--- a/packages/snapshot/src/repository.ts
+++ b/packages/snapshot/src/repository.ts
@@ -9,10 +9,10 @@
 import type { Snapshot, SnapshotHeader } from './format.js';
 import { decodeSnapshot, decodeSnapshotHeader } from './format.js';
 
-/** What an inspection found about one file. */
+/** Result of the inspection of one file. */
 export type SnapshotInspection =
   | { readonly name: string; readonly header: SnapshotHeader; readonly bytes: number }
-  /** `wrong` says why the file is unusable. */
+  /** `wrong` is the reason why the file is unusable. */
   | { readonly name: string; readonly wrong: string };
 
 type OpenedSnapshot =
@@ -59,7 +59,7 @@
       if (deployment === null || snapshot.deployment === deployment) return { usable: true, snapshot };
       return {
         usable: false,
-        reason: `it is of deployment ${snapshot.deployment}, not ${deployment}`,
+        reason: `the snapshot belongs to deployment ${snapshot.deployment}, not ${deployment}`,
       };
     } catch (error) {
       return { usable: false, reason: describeFailure(error) };
--- a/packages/snapshot/src/restore.ts
+++ b/packages/snapshot/src/restore.ts
@@ -24,7 +24,7 @@
   readonly revision: Revision;
 }
 
-/** What restoring a snapshot changes. */
+/** The changes that restoring a snapshot makes. */
 export interface RestoreDifference {
   /** Keys that the key-value store lacks. */
   readonly addedKeys: readonly string[];
@@ -42,14 +42,15 @@
 export async function takeSnapshot(options: SnapshotToolOptions): Promise<TakenSnapshot> {
   const { replica, epoch, deployment } = await readStoreContents(options);
   if (deployment === null)
-    throw new SnapshotToolError('the state service has no epoch: no controller has run on it');
+    throw new SnapshotToolError('the state service has no epoch: no controller has used it yet');
   const origin = { deployment, epoch, revision: replica.revision, takenAt: options.wallNow() };
   return { bytes: encodeSnapshot(origin, replica.entries()), epoch, revision: replica.revision };
 }
 
 /**
- * A store that was emptied while no controller held a replica starts as a new deployment. Only an operator
- * can know that a snapshot belongs to the deployment before it.
+ * Rejects a snapshot of another deployment unless the operator has accepted that deployment. A store that was emptied
+ * while no controller held a replica starts as a new deployment, and only an operator can know that a snapshot belongs
+ * to the deployment before it.
  */
 function checkDeployment(
   contents: StoreContents,
@@ -60,8 +61,8 @@
   const isSame = contents.deployment === null || contents.deployment === deployment;
   if (isSame || acceptedDeployment === deployment) return;
   throw new SnapshotToolError(
-    `the snapshot is of deployment ${deployment}, the state service of ${contents.deployment}: refused ` +
-      `(--deployment ${deployment} if it is the same one before all was lost)`,
+    `the snapshot belongs to deployment ${deployment}, but the state service to ${contents.deployment}; ` +
+      `use --deployment ${deployment} if the state service held this deployment before a data loss`,
   );
 }
 
@@ -100,9 +101,8 @@
  *
  * @param timeoutMs - how long the new epoch may take to open
  * @param acceptedDeployment - id of another deployment whose snapshots are accepted, or null
- * @throws {@link SnapshotToolError} where the store does not respond, the snapshot is of another deployment,
- * or no epoch
- * opened in time
+ * @throws {@link SnapshotToolError} where the store does not respond, the snapshot is of another deployment, or no
+ * epoch opened in time
  */
 export async function restoreSnapshot(
   options: SnapshotToolOptions,
@@ -119,7 +119,7 @@
     const openEpoch = await recovery.attempt();
     if (openEpoch !== null) return difference;
   }
-  throw new SnapshotToolError('no epoch opened in time: look at the controllers, then try again');
+  throw new SnapshotToolError(`no epoch opened within ${timeoutMs} ms: check the controllers and try again`);
 }
 
 /** A recovery in which this command takes part with the snapshot as its replica. */
--- a/packages/snapshot/src/snapshotter.ts
+++ b/packages/snapshot/src/snapshotter.ts
@@ -41,8 +41,8 @@
     try {
       await saveSnapshot(options);
     } catch (error) {
-      // A full or missing disk must not end the node: the next attempt may succeed.
-      options.log.error({ error: String(error) }, 'snapshot could not be kept');
+      // A full or missing disk must not stop the process, because the next attempt may succeed.
+      options.log.error({ error: String(error) }, 'saving the snapshot failed');
     }
   }
 }
@@ -52,13 +52,13 @@
   const { clock, log, node, repository, store, wallNow } = options;
   const replicaSnapshot = store.replicaSnapshot();
   if (replicaSnapshot === null) return null;
-  const { epoch, revision, replica: replica } = replicaSnapshot;
+  const { epoch, revision, replica } = replicaSnapshot;
   const startedAt = clock.now();
   const origin = { deployment: epoch.deployment, epoch: epoch.number, revision, takenAt: wallNow() };
   const bytes = encodeSnapshot(origin, replica.entries());
   const name = snapshotName(origin, node);
   await repository.save(name, bytes, options.maxSnapshots);
   const durationMs = Math.round(clock.now() - startedAt);
-  log.info({ name, records: replica.size, bytes: bytes.length, ms: durationMs }, 'snapshot kept');
+  log.info({ name, records: replica.size, bytes: bytes.length, ms: durationMs }, 'snapshot saved');
   return name;
 }
--- a/packages/snapshot/src/store-reader.ts
+++ b/packages/snapshot/src/store-reader.ts
@@ -72,5 +72,6 @@
     if (watched.outcome === 'events') replica.applyWatchEvents(watched.events, watched.revision);
     else await options.clock.sleep(WATCH_TIMEOUT_MS);
   }
-  if (replica.revision < revision) throw new SnapshotToolError('the state service does not answer its watch');
+  if (replica.revision < revision)
+    throw new SnapshotToolError('the state service does not respond to watch requests');
 }
--- a/packages/snapshot/test/snapshot.test.ts
+++ b/packages/snapshot/test/snapshot.test.ts
@@ -22,19 +22,22 @@
 });
 const entries = [['j/wk-1', { version: 4 as Version, text: '{"phase":"active"}' }]] as const;
 
-test('a snapshot is read as it was taken, and no damaged byte goes unnoticed', () => {
+test('decodeSnapshot reads back an encoded snapshot and rejects every damaged or missing byte', () => {
   fc.assert(
     fc.property(
       fc.dictionary(fc.string({ minLength: 1 }), fc.record({ version: fc.nat(), text: fc.json() })),
       fc.nat(),
       fc.integer({ min: 1, max: 255 }),
       (records, position, mask) => {
-        const all = Object.entries(records).map(
+        const expected = Object.entries(records).map(
           ([key, { version, text }]) => [key, { version: version as Version, text }] as const,
         );
-        const bytes = encodeSnapshot(origin(9), all);
-        const found = decodeSnapshot(bytes);
-        assert.deepEqual(new Map([...found.keys()].map((key) => [key, found.get(key)])), new Map(all));
+        const bytes = encodeSnapshot(origin(9), expected);
+        const decoded = decodeSnapshot(bytes);
+        assert.deepEqual(
+          new Map([...decoded.keys()].map((key) => [key, decoded.get(key)])),
+          new Map(expected),
+        );
         const damaged = Buffer.from(bytes);
         const at = bytes.indexOf('\n') + 1 + (position % (bytes.length - bytes.indexOf('\n') - 1));
         damaged[at] = (damaged[at] ?? 0) ^ mask;
@@ -45,26 +48,26 @@
   );
 });
 
-test('another format, a later version or a missing field is refused by its name', () => {
-  const text = (over: Record<string, unknown>): Buffer => {
+test('decodeSnapshot rejects another format, a later version and missing fields with the name of the field', () => {
+  const withHeaderFields = (fields: Record<string, unknown>): Buffer => {
     const bytes = encodeSnapshot(origin(9), entries);
     const end = bytes.indexOf('\n');
-    const header = { ...(JSON.parse(bytes.subarray(0, end).toString()) as object), ...over };
+    const header = { ...(JSON.parse(bytes.subarray(0, end).toString()) as object), ...fields };
     return Buffer.concat([Buffer.from(JSON.stringify(header)), bytes.subarray(end)]);
   };
-  assert.throws(() => decodeSnapshot(Buffer.from('hello')), /no snapshot/);
-  assert.throws(() => decodeSnapshot(text({ format: 'other' })), /format/);
-  assert.throws(() => decodeSnapshot(text({ version: 2 })), /version/);
-  assert.throws(() => decodeSnapshot(text({ deployment: null })), /deployment/);
-  assert.throws(() => decodeSnapshot(text({ records: 7 })), /records: expected 7/);
+  assert.throws(() => decodeSnapshot(Buffer.from('hello')), /not a snapshot/);
+  assert.throws(() => decodeSnapshot(withHeaderFields({ format: 'other' })), /format/);
+  assert.throws(() => decodeSnapshot(withHeaderFields({ version: 2 })), /version/);
+  assert.throws(() => decodeSnapshot(withHeaderFields({ deployment: null })), /deployment/);
+  assert.throws(() => decodeSnapshot(withHeaderFields({ records: 7 })), /records: expected 7/);
 });
 
-test('of a directory the newest good one of this deployment is taken; old ones go', async () => {
+test('a repository returns the newest valid snapshot of the deployment and limits the number of snapshots', async () => {
   const path = await mkdtemp(join(tmpdir(), 'snapshots-'));
   try {
-    const refused: string[] = [];
+    const rejected: string[] = [];
     const repository = new SnapshotRepository(new FileSystemSnapshotDirectory(path), (name, reason) =>
-      refused.push(`${name}: ${reason}`),
+      rejected.push(`${name}: ${reason}`),
     );
     assert.equal(await repository.latest(null), null);
     for (const revision of [5, 40, 300])
@@ -80,7 +83,7 @@
     );
     await writeFile(join(path, snapshotName(origin(5000), 'y')), 'cut short');
     assert.equal((await repository.latest('ours'))?.revision, 300);
-    assert.match(refused.join('\n'), /no header[^]*deployment theirs, not ours/);
+    assert.match(rejected.join('\n'), /no header[^]*deployment theirs, not ours/);
     assert.equal((await repository.inspect(true)).filter((inspection) => 'wrong' in inspection).length, 1);
     await repository.save(snapshotName(origin(6000), 'z'), encodeSnapshot(origin(6000), entries), 2);
     assert.equal((await repository.inspect(false)).length, 2);
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -69,7 +69,7 @@
   return { builds: types.map(formatMachineType) };
 }
 
-/** State of a machine by the cloud's list; `failed`: it stopped on its own and costs nothing any more. */
+/** State of a machine in the cloud's list; `failed`: it stopped without a release and is no longer charged. */
 export type MachinePhase = 'booting' | 'running' | 'failed';
 
 const PHASES = new WireNames<MachinePhase>({ booting: 'starting', running: 'running', failed: 'failed' });
--- a/packages/wire/src/graphs/batch.ts
+++ b/packages/wire/src/graphs/batch.ts
@@ -1,6 +1,6 @@
 /**
- * Batches of tasks, by which a task graph grows. A batch is added whole or not at all, and a batch that is sent again
- * with the same content is the same batch.
+ * Batches of tasks, which extend a task graph. A batch is added atomically and idempotently: one that is sent again
+ * with the same content has no further effect.
  *
  * @module
  */
@@ -36,15 +36,15 @@
 /** Tasks that are added to a graph together. */
 export interface Batch {
   readonly id: BatchId;
-  /** The task that added it; null if the client did. */
+  /** The task that added the batch; null if the client added it. */
   readonly parent: GraphTaskId | null;
   readonly shapes: readonly TaskShape[];
   readonly tasks: readonly BatchTask[];
 }
 
-/** Most tasks in one batch. */
+/** Maximum number of tasks in one batch. */
 export const MAX_BATCH_TASKS = 400;
-/** Most tasks that one task depends on. */
+/** Maximum number of tasks that one task depends on. */
 const MAX_TASK_DEPENDENCIES = 64;
 const MAX_SHAPES = 32;
 const MAX_RETRIES = 100;
@@ -67,7 +67,7 @@
   });
 }
 
-/** The parts of a batch that are read before its tasks. */
+/** The properties of a batch that are needed to validate its tasks. */
 interface BatchOutline {
   readonly id: BatchId;
   readonly taskCount: number;
@@ -77,10 +77,10 @@
 /** Reads one dependency: a task id, or the number of a task of the same batch. */
 function parseDependency(value: unknown, field: string, batch: BatchOutline, dependent: number): GraphTaskId {
   const id = asGraphTaskId(typeof value === 'number' ? `${batch.id}:${value}` : value, field);
-  const on = parseGraphTaskId(id);
-  if (on.batch !== batch.id) return id;
-  if (on.task >= batch.taskCount) throw new read.ValidationError(field, 'a task of the batch');
-  if (on.task === dependent) throw new read.ValidationError(field, 'another task than itself');
+  const dependency = parseGraphTaskId(id);
+  if (dependency.batch !== batch.id) return id;
+  if (dependency.task >= batch.taskCount) throw new read.ValidationError(field, 'a task of the batch');
+  if (dependency.task === dependent) throw new read.ValidationError(field, 'another task than itself');
   return id;
 }
 
@@ -97,7 +97,7 @@
   listed.forEach((entry, index) => {
     const path = `${field}[${index}]`;
     const id = parseDependency(entry, path, batch, dependent);
-    if (dependencies.has(id)) throw new read.ValidationError(path, 'no task twice');
+    if (dependencies.has(id)) throw new read.ValidationError(path, 'each task at most once');
     dependencies.add(id);
   });
   return [...dependencies];
@@ -119,17 +119,17 @@
 function dependenciesWithin(batch: BatchId, task: BatchTask): number[] {
   return task.after
     .map(parseGraphTaskId)
-    .filter((on) => on.batch === batch)
-    .map((on) => on.task);
+    .filter((dependency) => dependency.batch === batch)
+    .map((dependency) => dependency.task);
 }
 
 /** Throws a `ValidationError` that names a task on a cycle of dependencies, if there is one. */
 function checkAcyclic(batch: BatchId, tasks: readonly BatchTask[]): void {
   const dependencies = tasks.map((task) => dependenciesWithin(batch, task));
-  const pendingCounts = dependencies.map((on) => on.length);
+  const pendingCounts = dependencies.map((numbers) => numbers.length);
   const dependents: number[][] = tasks.map(() => []);
-  dependencies.forEach((on, index) => {
-    for (const dependency of on) dependents[dependency]?.push(index);
+  dependencies.forEach((numbers, index) => {
+    for (const dependency of numbers) dependents[dependency]?.push(index);
   });
   const ready = [...tasks.keys()].filter((index) => pendingCounts[index] === 0);
   for (let next = ready.pop(); next !== undefined; next = ready.pop())
@@ -171,8 +171,8 @@
 
 /** A dependency as it is sent: a task of the same batch is represented by its number alone. */
 function formatDependency(id: GraphTaskId, batch: BatchId): GraphTaskId | number {
-  const on = parseGraphTaskId(id);
-  return on.batch === batch ? on.task : id;
+  const dependency = parseGraphTaskId(id);
+  return dependency.batch === batch ? dependency.task : id;
 }
 
 function formatTask(task: BatchTask, batch: BatchId): unknown[] {
--- a/packages/wire/src/graphs/graph-spec.ts
+++ b/packages/wire/src/graphs/graph-spec.ts
@@ -1,6 +1,5 @@
 /**
- * A task graph as its client creates it. Task graphs are an interface of spurbridge in addition to that of jobs
- * (docs/graphs.md).
+ * A task graph as its client creates it. Task graphs are a spurbridge API in addition to the job API (docs/graphs.md).
  *
  * @module
  */
@@ -9,7 +8,7 @@
 import type { GraphId } from './ids.js';
 import { isGraphId } from './ids.js';
 
-/** What all tasks of a graph have in common. */
+/** Properties that all tasks of a graph share. */
 export interface GraphSpec {
   readonly id: GraphId;
   /** The class of jobs that its tasks belong to. */
--- a/packages/wire/src/graphs/ids.ts
+++ b/packages/wire/src/graphs/ids.ts
@@ -8,9 +8,9 @@
 
 /** Id of a task graph, chosen by the client. */
 export type GraphId = Brand<string, 'GraphId'>;
-/** Unique within its graph, chosen by the client; a task that adds a batch derives it from its own name. */
+/** Id of a batch, unique within its graph. Chosen by the client; a task that adds a batch derives it from its id. */
 export type BatchId = Brand<string, 'BatchId'>;
-/** `BATCH:N`: task N, counted from 0, of a batch of the same graph. */
+/** Id of a task of a graph: `BATCH:N` is task N, counted from 0, of a batch of the same graph. */
 export type GraphTaskId = Brand<string, 'GraphTaskId'>;
 
 /** A task of a graph by its batch and its number within the batch. */
@@ -47,6 +47,6 @@
 /** The value itself, if it is a task id; throws a `ValidationError` that names `field` otherwise. */
 export function asGraphTaskId(value: unknown, field: string): GraphTaskId {
   if (typeof value !== 'string' || !TASK_ID.test(value))
-    throw new ValidationError(field, 'a task name such as b1:0');
+    throw new ValidationError(field, 'a task id such as b1:0');
   return value as GraphTaskId;
 }
--- a/packages/wire/src/graphs/result-update.ts
+++ b/packages/wire/src/graphs/result-update.ts
@@ -7,7 +7,7 @@
 import type { GraphTaskId } from './ids.js';
 import { asGraphTaskId, isBatchId } from './ids.js';
 
-/** Which results are lost, which ones the client starts to hold, and which ones it releases. */
+/** The results that are lost, those that the client starts to hold, and those that it releases. */
 export interface ResultUpdate {
   /** Unique within the graph: the same update sent again has no further effect. */
   readonly id: string;
@@ -16,7 +16,7 @@
   readonly release: readonly GraphTaskId[];
 }
 
-/** Most tasks in each list of an update. */
+/** Maximum number of tasks in each list of an update. */
 const MAX_LISTED_TASKS = 200;
 
 function parseTaskIds(fields: read.JsonObject, field: string): GraphTaskId[] {
@@ -31,7 +31,7 @@
   const fields = read.asObject(body, 'body');
   const id = read.string(fields, 'note');
   // An update's id has the form of a batch id.
-  if (!isBatchId(id)) throw new read.ValidationError('note', 'a note id');
+  if (!isBatchId(id)) throw new read.ValidationError('note', '1 to 60 letters, digits or any of _.~-');
   return {
     id,
     lost: parseTaskIds(fields, 'lost'),
--- a/packages/wire/src/heartbeats.ts
+++ b/packages/wire/src/heartbeats.ts
@@ -15,8 +15,8 @@
 export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 
 /**
- * Why a task exited. `stopped`: by command. `peers`: another task of its gang has ended. `alone`: its gang was not
- * complete in time. `no_room`, `busy`, `unknown`: the start was refused because resources are insufficient, because
+ * Why a task exited. `stopped`: by a stop command. `peers`: another task of its gang has ended. `alone`: its gang was
+ * not complete in time. `no_room`, `busy`, `unknown`: the start was refused because resources are insufficient, because
  * another attempt of the task runs here, or because there is no such job.
  */
 export type ExitCause = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
--- a/packages/wire/src/jobs.ts
+++ b/packages/wire/src/jobs.ts
@@ -18,9 +18,9 @@
 /** State of a job as its user sees it; `done` and `cancelled` are final. */
 export type JobPhase = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** Most tasks that one job may have. */
+/** Maximum number of tasks in one job. */
 export const MAX_TASKS_PER_JOB = 100_000;
-/** Longest body of a request, in bytes. */
+/** Maximum size of a request body, in bytes. */
 export const MAX_REQUEST_BODY_BYTES = 64 * 1024;
 
 const KINDS = new WireNames<JobKind>({ array: 'batch', gang: 'ensemble', service: 'daemon' });
@@ -82,7 +82,7 @@
  */
 export function parseSubmissionId(body: unknown): JobId {
   const id = read.string(read.asObject(body, 'body'), 'nameId');
-  if (!isJobId(id)) throw new read.ValidationError('nameId', 'a job id');
+  if (!isJobId(id)) throw new read.ValidationError('nameId', 'a job id such as wk-000412');
   return id;
 }
 
--- a/packages/wire/src/json-fields.ts
+++ b/packages/wire/src/json-fields.ts
@@ -6,7 +6,7 @@
  */
 import { SpurbridgeError } from './errors.js';
 
-/** Longest name that `name` accepts, in UTF-16 code units. */
+/** Maximum length of a name that `name` accepts, in UTF-16 code units. */
 const MAX_NAME_LENGTH = 200;
 
 /**
@@ -71,7 +71,8 @@
 /** A string of 1 to 200 characters. */
 export function name(object: JsonObject, field: string): string {
   const value = string(object, field);
-  if (value.length === 0 || value.length > MAX_NAME_LENGTH) throw new ValidationError(field, 'a name');
+  if (value.length === 0 || value.length > MAX_NAME_LENGTH)
+    throw new ValidationError(field, `a string of 1 to ${MAX_NAME_LENGTH} characters`);
   return value;
 }
 
@@ -121,7 +122,8 @@
 /** One of the allowed strings. */
 export function oneOf<T extends string>(object: JsonObject, field: string, allowed: readonly T[]): T {
   const value = string(object, field);
-  if (!(allowed as readonly string[]).includes(value)) throw new ValidationError(field, allowed.join(', '));
+  if (!(allowed as readonly string[]).includes(value))
+    throw new ValidationError(field, `one of ${allowed.join(', ')}`);
   return value as T;
 }
 
@@ -130,7 +132,7 @@
   const value = object[field];
   if (isAbsent(value)) return null;
   return asArray(value, field).map((entry) => {
-    if (typeof entry !== 'string') throw new ValidationError(field, 'strings');
+    if (typeof entry !== 'string') throw new ValidationError(field, 'an array of strings');
     return entry;
   });
 }
--- a/packages/wire/src/peers/forwarded-heartbeat.ts
+++ b/packages/wire/src/peers/forwarded-heartbeat.ts
@@ -35,9 +35,9 @@
   readonly commands: readonly WorkerCommand[];
 }
 
-/** Numbers of the phases are their positions: append only. */
+/** A phase is encoded as its index in this array, so values may only be appended. */
 const PHASES: readonly TaskPhase[] = ['fetching', 'waiting', 'running', 'saving', 'exited'];
-/** Numbers of the causes are their positions: append only. */
+/** A cause is encoded as its index in this array, so values may only be appended. */
 const EXIT_CAUSES: readonly (ExitCause | null)[] = [
   null,
   'done',
@@ -49,7 +49,7 @@
   'busy',
   'unknown',
 ];
-/** Numbers of the operations are their positions: append only. */
+/** An operation is encoded as its index in this array, so values may only be appended. */
 const OPERATIONS: readonly WorkerCommandOperation[] = ['start', 'stop', 'forget'];
 
 const { Type, Field } = protobuf;
@@ -134,14 +134,14 @@
   readonly graceS: number;
 }
 
-/** A forwarded heartbeat as its protobuf type names the fields; the heartbeat is null if none was sent. */
+/** A forwarded heartbeat with the field names of its protobuf type; the heartbeat is null if none was sent. */
 export interface ForwardedHeartbeatFields {
   readonly id: number;
   readonly ageMs: number;
   readonly report: HeartbeatFields | null;
 }
 
-/** The response to a forwarded heartbeat as its protobuf type names the fields. */
+/** The response to a forwarded heartbeat with the field names of its protobuf type. */
 export interface ForwardedHeartbeatResponseFields {
   readonly id: number;
   readonly machine: string;
--- a/packages/wire/src/peers/peer-message.ts
+++ b/packages/wire/src/peers/peer-message.ts
@@ -57,7 +57,7 @@
 const namespace = new Root().define('spurbridge').add(STATUS_TYPE).add(PROGRESS_TYPE).add(MESSAGE_TYPE);
 for (const type of FORWARDED_HEARTBEAT_TYPES) namespace.add(type);
 
-/** A message as its protobuf type names the fields, after decoding; fields that were not sent are null, '' or empty. */
+/** A decoded message with the field names of its protobuf type; fields that were not sent are null, '' or empty. */
 interface MessageFields {
   readonly status: StatusFields | null;
   readonly progress: readonly JobProgress[];
@@ -66,7 +66,7 @@
   readonly answers: readonly ForwardedHeartbeatResponseFields[];
 }
 
-/** Longest message, in bytes without its length prefix. */
+/** Maximum size of a message without its length prefix, in bytes. */
 const MAX_FRAME_BYTES = 1 << 20;
 
 function formatJobProgress(progress: JobProgress): JobProgress {
@@ -112,7 +112,7 @@
   return MESSAGE_TYPE.encodeDelimited(MESSAGE_TYPE.create(formatMessage(message))).finish();
 }
 
-/** The length prefix of a frame: the length that it states, and how many bytes it takes itself. */
+/** The length prefix of a frame: the length of the message, and the size of the prefix itself, in bytes. */
 interface LengthPrefix {
   readonly length: number;
   readonly size: number;
@@ -136,11 +136,11 @@
     length += (byte & VARINT_MASK) * 2 ** shift;
     if ((byte & VARINT_CONTINUES) === 0) return { length, size };
     if (shift > MAX_VARINT_SHIFT)
-      throw new PeerMessageError(`peer frame length is malformed: it goes on after ${size} bytes`);
+      throw new PeerMessageError(`peer frame length is malformed: the varint continues after ${size} bytes`);
   }
 }
 
-/** A message and how many bytes its frame took. */
+/** A message and the size of its frame, in bytes. */
 export interface DecodedPeerMessage {
   readonly message: PeerMessage;
   readonly size: number;
--- a/packages/wire/src/peers/peer-status.ts
+++ b/packages/wire/src/peers/peer-status.ts
@@ -84,7 +84,7 @@
   .add(new Field('configuration', 15, 'uint32'))
   .add(new Field('configurationAgeMs', 16, 'uint32'));
 
-/** A status as its protobuf type names the fields. */
+/** A status with the field names of its protobuf type. */
 export interface StatusFields {
   readonly node: string;
   readonly token: number;
--- a/packages/wire/src/tariff.ts
+++ b/packages/wire/src/tariff.ts
@@ -1,6 +1,7 @@
 /**
  * Electricity tariffs, as a file (TOML) states them and as a feed (JSON) publishes them; docs/tariff-operators.md
- * describes the format. A document is checked whole, once; a `ValidationError` names the first bad field by its full path.
+ * describes the format. A document is validated once as a whole; a `ValidationError` names the first invalid field by
+ * its full path.
  *
  * @module
  */
@@ -71,7 +72,7 @@
 
 /** Version of the format that this module reads and writes. */
 const TARIFF_FORMAT = 1;
-/** Longest document, in bytes. */
+/** Maximum size of a document, in bytes. */
 export const MAX_TARIFF_BYTES = 512 * 1024;
 
 const MAX_WINDOWS = 200;
@@ -82,14 +83,14 @@
 const MINUTES_PER_HOUR = 60;
 const MINUTES_PER_DAY = 1440;
 const END_OF_DAY = '24:00';
-/** Stands for the zone of slots without zones while their order is checked. */
+/** Map key for slots without zones while their order is checked. */
 const ALL_ZONES = '*';
 
 const INSTANT = /^\d{4}-\d\d-\d\dT\d\d:\d\d(:\d\d(\.\d{1,3})?)?(Z|[+-]\d\d:\d\d)$/;
 const DATE = /^\d{4}-(0[1-9]|1[0-2])-(0[1-9]|[12]\d|3[01])$/;
 const TIME_OF_DAY = /^(?:([01]\d|2[0-3]):([0-5]\d)|24:00)$/;
 
-/** Milliseconds since 1970 of a value that is a time; NaN if it is none. */
+/** Converts a time to milliseconds since 1970; NaN if the value is not a time. */
 function toInstant(value: unknown): number {
   // TOML has date-time values, which its parser returns as `Date`.
   if (value instanceof Date) return value.getTime();
@@ -111,7 +112,7 @@
   return value === undefined || value === null;
 }
 
-function parseFigure(fields: read.JsonObject, field: string, min: number): number {
+function parseBoundedNumber(fields: read.JsonObject, field: string, min: number): number {
   const value = fields[field];
   if (typeof value !== 'number' || !Number.isFinite(value) || value < min || value > MAX_RATE)
     throw new read.ValidationError(field, `a number from ${min} to ${MAX_RATE}`);
@@ -120,8 +121,8 @@
 
 function parseRate(fields: read.JsonObject): TariffRate {
   return {
-    price: parseFigure(fields, 'price', -MAX_RATE),
-    carbon: isAbsent(fields['carbon']) ? 0 : parseFigure(fields, 'carbon', 0),
+    price: parseBoundedNumber(fields, 'price', -MAX_RATE),
+    carbon: isAbsent(fields['carbon']) ? 0 : parseBoundedNumber(fields, 'carbon', 0),
   };
 }
 
@@ -137,7 +138,7 @@
   return `${hours}:${String(minutes % MINUTES_PER_HOUR).padStart(2, '0')}`;
 }
 
-/** Reads an array of objects, none if the field is null or missing. */
+/** Reads an array of objects; an empty array if the field is null or missing. */
 function parseEntries<T>(
   fields: read.JsonObject,
   field: string,
@@ -156,10 +157,12 @@
 function parseWindow(fields: read.JsonObject): RecurringWindow {
   const from = parseTimeOfDay(fields, 'from');
   const to = parseTimeOfDay(fields, 'to');
-  if (from === to || from === MINUTES_PER_DAY) throw new read.ValidationError('to', 'a window of some width');
+  if (from === to || from === MINUTES_PER_DAY)
+    throw new read.ValidationError('to', 'a time other than `from`, and `from` before 24:00');
   const days = read.optionalStrings(fields, 'days') ?? [...WEEKDAYS];
   for (const day of days)
-    if (!WEEKDAYS.includes(day as Weekday)) throw new read.ValidationError('days', WEEKDAYS.join(', '));
+    if (!WEEKDAYS.includes(day as Weekday))
+      throw new read.ValidationError('days', `each to be one of ${WEEKDAYS.join(', ')}`);
   return {
     name: read.name(fields, 'name'),
     days: days as Weekday[],
@@ -192,13 +195,13 @@
       if (previousEnd !== undefined && slot.from !== previousEnd)
         throw new read.ValidationError(
           `slots[${index}].from`,
-          `the end of the slot before it (no gap, no overlap)`,
+          'the end of the preceding slot, without a gap or an overlap',
         );
       endByZone.set(zone, slot.until);
     }
   });
   if (endByZone.has(ALL_ZONES) && endByZone.size > 1)
-    throw new read.ValidationError('slots', 'either all with zones or all without');
+    throw new read.ValidationError('slots', 'zones in all slots or in none');
 }
 
 function parseValidUntil(fields: read.JsonObject, issuedAt: number): number | null {
--- a/packages/wire/src/task-names.ts
+++ b/packages/wire/src/task-names.ts
@@ -40,6 +40,6 @@
   const job = text.slice(0, slash);
   const digits = text.slice(slash + 1);
   if (slash < 0 || !isJobId(job) || !TASK_NUMBER.test(digits))
-    throw new ValidationError('piece', 'a task name');
+    throw new ValidationError('piece', 'a task name such as wk-000412/3');
   return { job, task: Number(digits) };
 }
--- a/packages/wire/src/wire-names.ts
+++ b/packages/wire/src/wire-names.ts
@@ -5,7 +5,7 @@
  */
 import * as read from './json-fields.js';
 
-/** The values of an enumerated type with their names in messages, in the order in which errors list them. */
+/** The values of an enumerated type and their names in messages. Error messages list the names in the given order. */
 export class WireNames<Value extends string> {
   private readonly values: Readonly<Record<string, Value>>;
   private readonly names: readonly string[];
--- a/packages/wire/src/worker-commands.ts
+++ b/packages/wire/src/worker-commands.ts
@@ -38,7 +38,7 @@
 /** A command to a worker (Protocol, Workers -> controller nodes, POST /agent/beat, the response). */
 export type WorkerCommand = StartCommand | StopCommand | ForgetCommand;
 
-/** What a command does. */
+/** Name of a command's operation. */
 export type WorkerCommandOperation = WorkerCommand['op'];
 
 const OPERATIONS = new WireNames<WorkerCommandOperation>({ start: 'start', stop: 'halt', forget: 'forget' });
--- a/packages/wire/test/arbitraries.ts
+++ b/packages/wire/test/arbitraries.ts
@@ -1,13 +1,13 @@
 /**
- * Generators of messages and their parts for property tests.
+ * Generators of message fields for property tests.
  *
  * @module
  */
 import fc from 'fast-check';
 import type { Attempt, JobId, TaskStatus } from '../src/index.js';
 
-/** Seed and number of runs of all property tests of this package. */
-export const RUNS = { seed: 20261201, numRuns: 200 };
+/** Seed and number of runs of the property tests that import it. */
+export const PROPERTY_PARAMETERS = { seed: 20261201, numRuns: 200 };
 
 export const jobId = fc.stringMatching(/^wk-[0-9]{6}$/) as fc.Arbitrary<JobId>;
 export const amount = fc.double({ min: 0, max: 1e6, noNaN: true });
--- a/packages/wire/test/golden.test.ts
+++ b/packages/wire/test/golden.test.ts
@@ -1,6 +1,6 @@
 /**
- * Messages as bytes, as the version before the renaming of December 2026 read and wrote them. Whatever the sources call a
- * field, it is sent under these names: each message is read and written again, and must come out as it was.
+ * Wire compatibility: recorded messages of an earlier version must be parsed and formatted again to the same bytes.
+ * Renaming a field in the sources could otherwise rename it in the protocols, and break older nodes and workers.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -47,9 +47,9 @@
   parseHeartbeatResponse,
 } from '../src/index.js';
 
-/** Reads the text, and writes what was read: the same bytes. */
-function assertSame(text: string, writeAgain: (body: unknown) => unknown): void {
-  assert.equal(JSON.stringify(writeAgain(JSON.parse(text))), text);
+/** Asserts that a message has the same text after `reformat` has parsed and formatted it. */
+function assertRoundTrip(text: string, reformat: (body: unknown) => unknown): void {
+  assert.equal(JSON.stringify(reformat(JSON.parse(text))), text);
 }
 
 const SUBMISSIONS = [
@@ -64,10 +64,10 @@
   '{"rig":"n-000232","address":"10.1.0.233:9000","build":"m16","yard":"b","loaners":false,"shift":7,"tally":9007199254740000,"baton":0,"recallS":12.5,"pieces":[{"piece":"wk-1/0","try":1,"phase":"fetching"},{"piece":"wk-1/1","try":1,"phase":"waiting"},{"piece":"wk-1/2","try":1,"phase":"saving"},{"piece":"wk-1/3","try":1,"phase":"exited","cause":"halted","saved":true},{"piece":"wk-1/4","try":1,"phase":"exited","cause":"halted"},{"piece":"wk-1/5","try":1,"phase":"exited","cause":"peers"},{"piece":"wk-1/6","try":1,"phase":"exited","cause":"incomplete"},{"piece":"wk-1/7","try":1,"phase":"exited","cause":"error"},{"piece":"wk-1/8","try":1,"phase":"exited","cause":"no_room"},{"piece":"wk-1/9","try":1,"phase":"exited","cause":"busy"},{"piece":"wk-1/10","try":1,"phase":"exited","cause":"no_such"}]}',
 ];
 
-const ORDERS =
+const COMMANDS_FIELD =
   '"orders":[{"verb":"start","piece":"wk-000412/4","try":2},{"verb":"halt","piece":"wk-000377/1","try":1,"windDownS":10},{"verb":"forget","piece":"wk-000398/0","try":1}]';
 
-test('paths of all requests are as they were', () => {
+test('paths of all HTTP requests are unchanged', () => {
   assert.deepEqual(Object.values(PATHS).sort(), [
     '/agent/beat',
     '/commands',
@@ -84,11 +84,11 @@
   ]);
 });
 
-test('submissions are read and written as they were', () => {
-  for (const text of SUBMISSIONS) assertSame(text, (body) => formatSubmission(parseSubmission(body)));
+test('submissions keep their recorded bytes when parsed and formatted', () => {
+  for (const text of SUBMISSIONS) assertRoundTrip(text, (body) => formatSubmission(parseSubmission(body)));
 });
 
-test("a job's state is told to its user as it was", () => {
+test('job status responses keep their recorded bytes in every phase', () => {
   const text = '{"nameId":"wk-000412","phase":"running","done":3,"running":13}';
   const { nameId, done, running } = JSON.parse(text) as { nameId: never; done: number; running: number };
   for (const phase of ['queued', 'running', 'done', 'cancelled'] as const)
@@ -98,17 +98,17 @@
     );
 });
 
-test('heartbeats are read and written as they were', () => {
-  for (const text of HEARTBEATS) assertSame(text, (body) => formatHeartbeat(parseHeartbeat(body)));
+test('heartbeats keep their recorded bytes when parsed and formatted', () => {
+  for (const text of HEARTBEATS) assertRoundTrip(text, (body) => formatHeartbeat(parseHeartbeat(body)));
 });
 
-test('responses to heartbeats and direct commands are read and written as they were', () => {
-  assertSame(`{"baton":41,${ORDERS}}`, (body) => {
-    const read = parseHeartbeatResponse(body);
-    const [token, commands] = Object.values(read) as [never, never];
+test('heartbeat responses, direct commands and redirects keep their recorded form', () => {
+  assertRoundTrip(`{"baton":41,${COMMANDS_FIELD}}`, (body) => {
+    const response = parseHeartbeatResponse(body);
+    const [token, commands] = Object.values(response) as [never, never];
     return formatHeartbeatResponse(token, commands);
   });
-  assertSame(`{"baton":41,"shift":3,${ORDERS}}`, (body) => {
+  assertRoundTrip(`{"baton":41,"shift":3,${COMMANDS_FIELD}}`, (body) => {
     const [token, session, commands] = Object.values(parseDirectCommands(body)) as [never, never, never];
     return formatDirectCommands(token, session, commands);
   });
@@ -116,10 +116,10 @@
   assert.equal(parseRedirect({}), null);
 });
 
-test('requests to the state service and its answers are read and written as they were', () => {
+test('requests to the key-value store and its responses keep their recorded bytes', () => {
   const pair = '{"key":"a/b","value":{"x":[1,null]},"stamp":412}';
-  assertSame(pair, (body) => formatKeyValue(parseKeyValue(body)));
-  assertSame(`{"pairs":[${pair}],"more":true,"ledger":431}`, (body) => {
+  assertRoundTrip(pair, (body) => formatKeyValue(parseKeyValue(body)));
+  assertRoundTrip(`{"pairs":[${pair}],"more":true,"ledger":431}`, (body) => {
     const [items, isPartial, revision] = Object.values(parseKeyValuePage(body)) as [never, never, never];
     return formatKeyValuePage(items, isPartial, revision);
   });
@@ -127,16 +127,16 @@
     '{"when":[{"key":"a/b","stamp":0},{"key":"c","stamp":9}],"apply":[{"set":"a/b","value":{"y":1},"permit":7},{"set":"a/c","value":null},{"remove":"c/d"}]}';
   const compareOnly = '{"when":[{"key":"a/b","stamp":0}]}';
   for (const text of [commit, compareOnly])
-    assertSame(text, (body) => {
+    assertRoundTrip(text, (body) => {
       const [conditions, changes] = Object.values(parseTransaction(body)) as [never, never];
       return formatTransaction(conditions, changes);
     });
-  assertSame('{"ledger":432}', (body) => formatRevision(parseRevision(body)));
-  assertSame('{"failed":["a/b"],"ledger":431}', (body) =>
+  assertRoundTrip('{"ledger":432}', (body) => formatRevision(parseRevision(body)));
+  assertRoundTrip('{"failed":["a/b"],"ledger":431}', (body) =>
     formatConflict(parseFailedKeys(body), parseRevision(body)),
   );
-  assertSame('{"permit":7}', (body) => formatLeaseId(parseLeaseId(body)));
-  assertSame(
+  assertRoundTrip('{"permit":7}', (body) => formatLeaseId(parseLeaseId(body)));
+  assertRoundTrip(
     '{"ledger":433,"log":[{"set":"c/9","value":{"z":2},"stamp":433},{"remove":"c/d","stamp":432}]}',
     (body) => {
       const [revision, events] = Object.values(parseWatchResponse(body)) as [never, never];
@@ -145,21 +145,21 @@
   );
 });
 
-test('requests to the cloud and its answers are read and written as they were', () => {
-  assertSame('{"hire":"r-17","build":"g8","yard":"a","loaners":true,"count":12}', (body) =>
+test('requests to the cloud and its responses keep their recorded bytes', () => {
+  assertRoundTrip('{"hire":"r-17","build":"g8","yard":"a","loaners":true,"count":12}', (body) =>
     formatRentalRequest(parseRentalRequest(body)),
   );
-  for (const [write, read] of [
+  for (const [format, parse] of [
     [formatRentalResponse, parseReleaseRequest],
     [formatReleaseRequest, parseReleaseRequest],
     [formatReleaseRequest, parseRentalResponse],
   ] as const)
-    assertSame('{"rigs":["n-000231","n-000232"]}', (body) => write(read(body)));
-  assertSame(
+    assertRoundTrip('{"rigs":["n-000231","n-000232"]}', (body) => format(parse(body)));
+  assertRoundTrip(
     '{"builds":[{"sku":"g8","cpus":96,"accelerators":8,"memGb":768,"cacheGb":200,"fetchGbPerS":1,"hourly":12,"marketPrice":4.5,"readyS":45,"yards":["a","b"]}]}',
     (body) => formatMachineTypes(parseMachineTypes(body)),
   );
-  assertSame(
+  assertRoundTrip(
     '{"rigs":[{"nameId":"n-000231","address":"10.1.0.232:9000","build":"g8","yard":"a","loaners":true,"phase":"running","ageS":61.5},{"nameId":"n-000232","address":"","build":"s4","yard":"b","loaners":false,"phase":"starting","ageS":0},{"nameId":"n-000233","address":"x:1","build":"s4","yard":"b","loaners":false,"phase":"failed","ageS":3}],"more":false}',
     (body) => {
       const [machines, isPartial] = Object.values(parseMachineList(body)) as [never, never];
@@ -182,7 +182,7 @@
   'cd011a06737075722d322a8d01080910c8011900000000008044402100000000007097402a1c08001204776b2d3118042100000000000000402900000000000000002a1c08011204776b2d3118052100000000000008402900000000000024402a1c08021204776b2d31180621000000000000f03f29000000000000000032086e2d303030323332390000000000001c404100000000000056402a33080a10f70319000000000080444021000000000000000032086e2d30303032333339000000000000f03f410000000000000040',
 ];
 
-test('frames between controllers are read and written as they were', () => {
+test('frames between controllers keep their recorded bytes when decoded and encoded', () => {
   for (const hex of FRAMES) {
     const decoded = decodePeerMessage(Buffer.from(hex, 'hex'));
     assert.ok(decoded !== null);
--- a/packages/wire/test/graphs.test.ts
+++ b/packages/wire/test/graphs.test.ts
@@ -45,57 +45,63 @@
       id: batch,
       parent: b.parent === null ? null : formatGraphTaskId(b.parent[0] as BatchId, b.parent[1]),
       shapes: structuredClone(b.shapes),
-      tasks: b.tasks.map((t, i) => {
-        // Of its own batch a task takes earlier ones, so that there is no circle.
-        const own = i === 0 ? [] : t.own.map((n) => formatGraphTaskId(batch, n % i));
-        const others = t.others
-          .filter(([o]) => o !== b.id)
-          .map(([o, n]) => formatGraphTaskId(o as BatchId, n));
+      tasks: b.tasks.map((task, index) => {
+        // A task depends only on earlier tasks of its batch, so that the dependencies have no cycle.
+        const own = index === 0 ? [] : task.own.map((n) => formatGraphTaskId(batch, n % index));
+        const others = task.others
+          .filter(([otherBatch]) => otherBatch !== b.id)
+          .map(([otherBatch, n]) => formatGraphTaskId(otherBatch as BatchId, n));
         return {
-          shape: t.shape % b.shapes.length,
+          shape: task.shape % b.shapes.length,
           after: [...new Set<GraphTaskId>([...own, ...others])],
-          held: t.held,
+          held: task.held,
         };
       }),
     };
   });
 
-test('a batch is read back as it was sent', () => {
+test('parseBatch reads back a formatted batch unchanged', () => {
   fc.assert(
-    fc.property(batches, (b) => {
-      assert.deepEqual(parseBatch(JSON.parse(JSON.stringify(formatBatch(b)))), b);
+    fc.property(batches, (batch) => {
+      assert.deepEqual(parseBatch(JSON.parse(JSON.stringify(formatBatch(batch)))), batch);
     }),
   );
 });
 
-test('whatever a client sends is read or refused with a field', () => {
-  const changed = fc
+test('graph requests with arbitrary content are parsed or rejected with the name of a field', () => {
+  const withChangedField = fc
     .tuple(batches, fc.constantFrom('batch', 'parent', 'shapes', 'tasks'), fc.jsonValue())
-    .map(([b, field, junk]) => ({ ...formatBatch(b), [field]: junk }));
-  const inner = fc
+    .map(([batch, field, value]) => ({ ...formatBatch(batch), [field]: value }));
+  const withChangedTask = fc
     .tuple(batches, fc.jsonValue(), fc.nat({ max: 2 }))
-    .map(([b, junk, at]) => ({ ...formatBatch(b), tasks: [[0, [], false].with(at, junk as never)] }));
+    .map(([batch, value, position]) => ({
+      ...formatBatch(batch),
+      tasks: [[0, [], false].with(position, value as never)],
+    }));
   for (const parse of [parseBatch, parseGraphSpec, parseResultUpdate]) {
-    let read = 0;
-    let refused = 0;
+    let accepted = 0;
+    let rejected = 0;
     fc.assert(
-      fc.property(fc.oneof(changed, inner, fc.jsonValue()), (value) => {
+      fc.property(fc.oneof(withChangedField, withChangedTask, fc.jsonValue()), (value) => {
         try {
           parse(value);
-          read += 1;
-        } catch (e) {
-          assert.ok(e instanceof ValidationError, String(e));
-          assert.notEqual(e.field, '');
-          refused += 1;
+          accepted += 1;
+        } catch (error) {
+          assert.ok(error instanceof ValidationError, String(error));
+          assert.notEqual(error.field, '');
+          rejected += 1;
         }
       }),
       { numRuns: 1500, seed: 3 },
     );
-    assert.ok(refused > 200 && (parse !== parseBatch || read > 20), `${read} read, ${refused} refused`);
+    assert.ok(
+      rejected > 200 && (parse !== parseBatch || accepted > 20),
+      `${accepted} accepted, ${rejected} rejected`,
+    );
   }
 });
 
-test('what is wrong in a batch is named by its path', () => {
+test('parseBatch reports the path of the invalid field', () => {
   const shapes = [{ cpus: 1, image: 'i', estimateS: 1 }];
   const cases: readonly [RegExp, object][] = [
     [/^batch:/, { batch: 'a b', shapes, tasks: [[0]] }],
@@ -105,7 +111,7 @@
     [/^tasks:/, { batch: 'a', shapes, tasks: [] }],
     [/^tasks\[0\]\[0\]:/, { batch: 'a', shapes, tasks: [[1]] }],
     [
-      /^tasks\[1\]\[1\]\[0\]: expected no task twice|^tasks\[1\]\[1\]\[1\]: expected no task twice/,
+      /^tasks\[1\]\[1\]\[0\]: expected each task at most once|^tasks\[1\]\[1\]\[1\]: expected each task at most once/,
       { batch: 'a', shapes, tasks: [[0], [0, [0, 'a:0']]] },
     ],
     [/^tasks\[0\]\[1\]\[0\]: expected a task of the batch/, { batch: 'a', shapes, tasks: [[0, [5]]] }],
@@ -124,10 +130,10 @@
     [/^tasks\[0\]\[2\]:/, { batch: 'a', shapes, tasks: [[0, [], 'yes']] }],
     [/^parent:/, { batch: 'a', parent: 'x', shapes, tasks: [[0]] }],
   ];
-  for (const [why, body] of cases)
+  for (const [expectedMessage, body] of cases)
     assert.throws(
       () => parseBatch(body),
-      (e) => e instanceof ValidationError && why.test(e.message),
-      String(why),
+      (error) => error instanceof ValidationError && expectedMessage.test(error.message),
+      String(expectedMessage),
     );
 });
--- a/packages/wire/test/heartbeats.test.ts
+++ b/packages/wire/test/heartbeats.test.ts
@@ -3,9 +3,9 @@
 import fc from 'fast-check';
 import type { AgentEpoch, FencingToken, MachineId } from '../src/index.js';
 import { ValidationError, formatHeartbeat, parseHeartbeat, parseTaskName } from '../src/index.js';
-import { RUNS, amount, taskStatus } from './arbitraries.js';
+import { PROPERTY_PARAMETERS, amount, taskStatus } from './arbitraries.js';
 
-test('a heartbeat survives being written and read', () => {
+test('parseHeartbeat reads back a formatted heartbeat unchanged', () => {
   fc.assert(
     fc.property(fc.array(taskStatus, { maxLength: 8 }), fc.nat(), fc.option(amount), (tasks, n, noticeS) => {
       const heartbeat = {
@@ -20,15 +20,15 @@
         preemptionNoticeS: noticeS,
         tasks,
       };
-      const again = parseHeartbeat(JSON.parse(JSON.stringify(formatHeartbeat(heartbeat))));
-      assert.deepEqual(JSON.parse(JSON.stringify(again)), JSON.parse(JSON.stringify(heartbeat)));
+      const parsed = parseHeartbeat(JSON.parse(JSON.stringify(formatHeartbeat(heartbeat))));
+      assert.deepEqual(JSON.parse(JSON.stringify(parsed)), JSON.parse(JSON.stringify(heartbeat)));
     }),
-    RUNS,
+    PROPERTY_PARAMETERS,
   );
 });
 
-test('task names that name no task are malformed', () => {
-  for (const bad of ['', '/', 'wk-1', 'wk-1/', 'wk-1/x', 'x/1', 'wk-1/-1', 'wk-1/1.5'])
-    assert.throws(() => parseTaskName(bad), ValidationError, bad);
+test('parseTaskName rejects malformed task names', () => {
+  for (const malformed of ['', '/', 'wk-1', 'wk-1/', 'wk-1/x', 'x/1', 'wk-1/-1', 'wk-1/1.5'])
+    assert.throws(() => parseTaskName(malformed), ValidationError, malformed);
   assert.deepEqual(parseTaskName('wk-000412/3'), { job: 'wk-000412', task: 3 });
 });
--- a/packages/wire/test/jobs.test.ts
+++ b/packages/wire/test/jobs.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import type { JobSpec } from '../src/index.js';
 import { ValidationError, formatSubmission, parseHeartbeat, parseSubmission } from '../src/index.js';
-import { RUNS, amount, jobId, label } from './arbitraries.js';
+import { PROPERTY_PARAMETERS, amount, jobId, label } from './arbitraries.js';
 
 const spec: fc.Arbitrary<JobSpec> = fc.record({
   id: jobId,
@@ -28,36 +28,41 @@
   deadlineS: fc.option(amount),
 });
 
-test('a submission survives being written and read, unknown fields are ignored', () => {
+test('parseSubmission reads back a formatted submission and ignores unknown fields', () => {
   fc.assert(
-    fc.property(spec, fc.jsonValue(), (s, extra) => {
-      const text = JSON.stringify({ ...formatSubmission(s), somethingNew: extra });
-      assert.equal(JSON.stringify(parseSubmission(JSON.parse(text))), JSON.stringify(s));
+    fc.property(spec, fc.jsonValue(), (submitted, extra) => {
+      const text = JSON.stringify({ ...formatSubmission(submitted), somethingNew: extra });
+      assert.equal(JSON.stringify(parseSubmission(JSON.parse(text))), JSON.stringify(submitted));
     }),
-    RUNS,
+    PROPERTY_PARAMETERS,
   );
 });
 
-test('a submission with one field missing or of another type is malformed', () => {
+test('parseSubmission rejects a required field that is missing or has the wrong type', () => {
   const optional = new Set(['builds', 'yard', 'dueS']);
   fc.assert(
-    fc.property(spec, fc.nat(), fc.constantFrom<unknown>(undefined, {}, [], -1.5), (s, n, wrong) => {
-      const body = formatSubmission(s);
-      const fields = Object.keys(body).filter((f) => !optional.has(f));
-      const field = fields[n % fields.length] as string;
-      assert.throws(() => parseSubmission({ ...body, [field]: wrong }), ValidationError);
-    }),
-    RUNS,
+    fc.property(
+      spec,
+      fc.nat(),
+      fc.constantFrom<unknown>(undefined, {}, [], -1.5),
+      (submitted, n, invalidValue) => {
+        const body = formatSubmission(submitted);
+        const fields = Object.keys(body).filter((name) => !optional.has(name));
+        const field = fields[n % fields.length] as string;
+        assert.throws(() => parseSubmission({ ...body, [field]: invalidValue }), ValidationError);
+      },
+    ),
+    PROPERTY_PARAMETERS,
   );
 });
 
-test('anything that is not an object is malformed, whatever JSON it is', () => {
+test('parseSubmission and parseHeartbeat reject every JSON value that is not an object', () => {
   fc.assert(
-    fc.property(fc.jsonValue(), (v) => {
-      if (typeof v === 'object' && v !== null && !Array.isArray(v)) return;
-      assert.throws(() => parseSubmission(v), ValidationError);
-      assert.throws(() => parseHeartbeat(v), ValidationError);
+    fc.property(fc.jsonValue(), (value) => {
+      if (typeof value === 'object' && value !== null && !Array.isArray(value)) return;
+      assert.throws(() => parseSubmission(value), ValidationError);
+      assert.throws(() => parseHeartbeat(value), ValidationError);
     }),
-    RUNS,
+    PROPERTY_PARAMETERS,
   );
 });
--- a/packages/wire/test/peer-message.test.ts
+++ b/packages/wire/test/peer-message.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import type { AgentEpoch, Attempt, FencingToken, MachineId, NodeId } from '../src/index.js';
 import { decodePeerMessage, encodePeerMessage } from '../src/index.js';
-import { RUNS, jobId, label, taskStatus } from './arbitraries.js';
+import { PROPERTY_PARAMETERS, jobId, label, taskStatus } from './arbitraries.js';
 
 const forwarded = fc.record({
   id: fc.nat(),
@@ -44,7 +44,7 @@
   ),
 });
 
-test('peer messages are found again however the stream is cut', () => {
+test('peer messages are decoded unchanged from a stream that is split at any positions', () => {
   const message = fc.record({
     status: fc.record({
       node: label as fc.Arbitrary<NodeId>,
@@ -73,20 +73,20 @@
     fc.property(
       fc.array(message, { minLength: 1, maxLength: 4 }),
       fc.integer({ min: 1, max: 64 }),
-      (sent, step) => {
-        const stream = Buffer.concat(sent.map((m) => encodePeerMessage(m)));
-        let held = Buffer.alloc(0);
+      (sent, chunkSize) => {
+        const stream = Buffer.concat(sent.map((peerMessage) => encodePeerMessage(peerMessage)));
+        let pending = Buffer.alloc(0);
         const received: unknown[] = [];
-        for (let at = 0; at < stream.length; at += step) {
-          held = Buffer.concat([held, stream.subarray(at, at + step)]);
-          for (let f = decodePeerMessage(held); f !== null; f = decodePeerMessage(held)) {
-            received.push(JSON.parse(JSON.stringify(f.message)));
-            held = held.subarray(f.size);
+        for (let offset = 0; offset < stream.length; offset += chunkSize) {
+          pending = Buffer.concat([pending, stream.subarray(offset, offset + chunkSize)]);
+          for (let frame = decodePeerMessage(pending); frame !== null; frame = decodePeerMessage(pending)) {
+            received.push(JSON.parse(JSON.stringify(frame.message)));
+            pending = pending.subarray(frame.size);
           }
         }
         assert.deepEqual(received, JSON.parse(JSON.stringify(sent)));
       },
     ),
-    RUNS,
+    PROPERTY_PARAMETERS,
   );
 });
--- a/packages/wire/test/tariff.test.ts
+++ b/packages/wire/test/tariff.test.ts
@@ -4,7 +4,7 @@
 import type { TariffDocument } from '../src/index.js';
 import { ValidationError, WEEKDAYS, formatTariff, parseTariff } from '../src/index.js';
 
-const GOOD = {
+const VALID_TARIFF = {
   format: 1,
   revision: 3,
   timeZone: 'Asia/Seoul',
@@ -20,22 +20,23 @@
   ],
 };
 
-function refused(change: (t: Record<string, unknown>) => void): string {
-  const t = structuredClone(GOOD) as Record<string, unknown>;
+/** The error message for the valid tariff after a change, or 'accepted' if there is no error. */
+function parseChanged(change: (t: Record<string, unknown>) => void): string {
+  const t = structuredClone(VALID_TARIFF) as Record<string, unknown>;
   change(t);
   try {
     parseTariff(t);
-  } catch (e) {
-    assert.ok(e instanceof ValidationError, String(e));
-    return e.message;
+  } catch (error) {
+    assert.ok(error instanceof ValidationError, String(error));
+    return error.message;
   }
-  return 'taken';
+  return 'accepted';
 }
 
-test('a tariff is refused whole, with the full path of the field', () => {
+test('parseTariff rejects a tariff with one invalid field and reports its full path', () => {
   assert.equal(
-    refused(() => undefined),
-    'taken',
+    parseChanged(() => undefined),
+    'accepted',
   );
   const cases: readonly [string, (t: Record<string, unknown>) => void][] = [
     ['format', (t) => (t['format'] = 2)],
@@ -45,24 +46,26 @@
     ['base.price', (t) => (t['base'] = { price: 'dear' })],
     ['base.carbon', (t) => (t['base'] = { price: 1, carbon: -1 })],
     ['base.price', (t) => (t['base'] = { price: 1e9 })],
-    ['windows[0].days', (t) => (t['windows'] = [{ ...GOOD.windows[0], days: ['monday'] }])],
-    ['windows[0].to', (t) => (t['windows'] = [{ ...GOOD.windows[0], to: '17:00' }])],
-    ['windows[0].from', (t) => (t['windows'] = [{ ...GOOD.windows[0], from: '25:00' }])],
-    ['windows', (t) => (t['windows'] = Array.from({ length: 1_000_000 }, () => GOOD.windows[0]))],
+    ['windows[0].days', (t) => (t['windows'] = [{ ...VALID_TARIFF.windows[0], days: ['monday'] }])],
+    ['windows[0].to', (t) => (t['windows'] = [{ ...VALID_TARIFF.windows[0], to: '17:00' }])],
+    ['windows[0].from', (t) => (t['windows'] = [{ ...VALID_TARIFF.windows[0], from: '25:00' }])],
+    ['windows', (t) => (t['windows'] = Array.from({ length: 1_000_000 }, () => VALID_TARIFF.windows[0]))],
     ['holidays[0].date', (t) => (t['holidays'] = [{ date: '2026-13-01', like: 'sun' }])],
-    // A negative width, a gap, an overlap.
-    ['slots[0].until', (t) => (t['slots'] = [{ ...GOOD.slots[0], until: '2026-12-01T17:00:00Z' }])],
+    // A slot that ends before it starts, a gap between slots, and an overlap of slots.
+    ['slots[0].until', (t) => (t['slots'] = [{ ...VALID_TARIFF.slots[0], until: '2026-12-01T17:00:00Z' }])],
     [
       'slots[1].from',
-      (t) => (t['slots'] = [GOOD.slots[0], { ...GOOD.slots[1], from: '2026-12-01T19:10:00Z' }]),
+      (t) =>
+        (t['slots'] = [VALID_TARIFF.slots[0], { ...VALID_TARIFF.slots[1], from: '2026-12-01T19:10:00Z' }]),
     ],
     [
       'slots[1].from',
-      (t) => (t['slots'] = [GOOD.slots[0], { ...GOOD.slots[1], from: '2026-12-01T18:50:00Z' }]),
+      (t) =>
+        (t['slots'] = [VALID_TARIFF.slots[0], { ...VALID_TARIFF.slots[1], from: '2026-12-01T18:50:00Z' }]),
     ],
   ];
   for (const [field, change] of cases)
-    assert.match(refused(change), new RegExp(`^${field.replace(/[[\]]/g, '\\$&')}:`));
+    assert.match(parseChanged(change), new RegExp(`^${field.replace(/[[\]]/g, '\\$&')}:`));
 });
 
 const finite = fc.double({ min: 0, max: 1000, noNaN: true });
@@ -102,30 +105,33 @@
     return { ...t, validUntil: validS === null ? null : t.issuedAt + validS * 1000, holidays: [], slots };
   });
 
-test('what is formatted is read back the same', () => {
+test('parseTariff reads back a formatted tariff unchanged', () => {
   fc.assert(
-    fc.property(documents, (t) => {
-      assert.deepEqual(parseTariff(JSON.parse(JSON.stringify(formatTariff(t)))), structuredClone(t));
+    fc.property(documents, (tariff) => {
+      assert.deepEqual(
+        parseTariff(JSON.parse(JSON.stringify(formatTariff(tariff)))),
+        structuredClone(tariff),
+      );
     }),
   );
 });
 
-test('whatever a feed sends, it is read or refused with a field, never anything else', () => {
+test('a tariff with arbitrary content is parsed or rejected with the name of a field', () => {
   const mutated = fc
-    .tuple(documents, fc.constantFrom(...Object.keys(GOOD)), fc.jsonValue())
-    .map(([t, field, junk]) => ({ ...formatTariff(t), [field]: junk }));
-  let read = 0;
+    .tuple(documents, fc.constantFrom(...Object.keys(VALID_TARIFF)), fc.jsonValue())
+    .map(([tariff, field, value]) => ({ ...formatTariff(tariff), [field]: value }));
+  let accepted = 0;
   fc.assert(
     fc.property(fc.oneof(mutated, fc.jsonValue()), (value) => {
       try {
         parseTariff(value);
-        read += 1;
-      } catch (e) {
-        assert.ok(e instanceof ValidationError, String(e));
-        assert.notEqual(e.field, '');
+        accepted += 1;
+      } catch (error) {
+        assert.ok(error instanceof ValidationError, String(error));
+        assert.notEqual(error.field, '');
       }
     }),
     { numRuns: 2000, seed: 7 },
   );
-  assert.ok(read > 20, `${read} read`);
+  assert.ok(accepted > 20, `${accepted} accepted`);
 });
