--- a/packages/cloud/src/http-cloud-provider.ts
+++ b/packages/cloud/src/http-cloud-provider.ts
@@ -71,7 +71,7 @@
       const page = parseMachineList(response.body);
       machines.push(...page.machines);
       const last = page.machines.at(-1);
-      if (!page.more || last === undefined) return machines;
+      if (!page.hasMore || last === undefined) return machines;
       from = last.id;
     }
   }
--- a/packages/configuration/src/replica.ts
+++ b/packages/configuration/src/replica.ts
@@ -37,7 +37,7 @@
   readonly onChange: (configuration: Configuration) => void;
 }
 
-/** The configuration that applies on this node: always one whole version, the newest that the node has seen. */
+/** The configuration that applies on this node: always one complete version, the newest that the node has seen. */
 export class ConfigurationReplica {
   private configuration: Configuration;
   /** Store version of the head record at the last successful read. */
--- a/packages/snapshot/src/directory.ts
+++ b/packages/snapshot/src/directory.ts
@@ -12,7 +12,7 @@
 const EPOCH_DIGITS = 8;
 const REVISION_DIGITS = 14;
 
-/** A directory of snapshot files. Implementations other than the file system serve tests. */
+/** A directory of snapshot files. Tests use implementations without a file system. */
 export interface SnapshotDirectory {
   /** Names of all snapshot files in ascending order: by epoch, then by revision. */
   listNames(): Promise<readonly string[]>;
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -94,7 +94,7 @@
 export interface MachineListPage {
   readonly machines: readonly ListedMachine[];
   /** Whether further machines follow. */
-  readonly more: boolean;
+  readonly hasMore: boolean;
 }
 
 function parseListedMachine(value: unknown): ListedMachine {
@@ -126,15 +126,15 @@
 export function parseMachineList(body: unknown): MachineListPage {
   const fields = read.asObject(body, 'body');
   const machines = read.asArray(fields['rigs'], 'rigs').map(parseListedMachine);
-  return { machines, more: read.booleanOrFalse(fields, 'more') };
+  return { machines, hasMore: read.booleanOrFalse(fields, 'more') };
 }
 
 /** The body of the response to GET /rentals. */
 export function formatMachineList(
   machines: readonly ListedMachine[],
-  isPartial: boolean,
+  hasMore: boolean,
 ): Record<string, unknown> {
-  return { rigs: machines.map(formatListedMachine), more: isPartial };
+  return { rigs: machines.map(formatListedMachine), more: hasMore };
 }
 
 /** A request for machines of one type in one zone (Protocol, Controller nodes -> cloud, POST /rentals). */
--- a/packages/wire/src/graphs/batch.ts
+++ b/packages/wire/src/graphs/batch.ts
@@ -29,7 +29,7 @@
   readonly shape: number;
   /** Tasks whose results it depends on, without repetition. */
   readonly after: readonly GraphTaskId[];
-  /** Whether its result is kept for the client until released, and not only for other tasks. */
+  /** Whether its result is retained until the client releases it, and not only while other tasks need it. */
   readonly held: boolean;
 }
 
--- a/packages/wire/src/key-value.ts
+++ b/packages/wire/src/key-value.ts
@@ -55,10 +55,10 @@
 /** The body of a response to GET /keys. */
 export function formatKeyValuePage(
   items: readonly KeyValue[],
-  isPartial: boolean,
+  hasMore: boolean,
   revision: Revision,
 ): Record<string, unknown> {
-  return { pairs: items.map(formatKeyValue), more: isPartial, ledger: revision };
+  return { pairs: items.map(formatKeyValue), more: hasMore, ledger: revision };
 }
 
 /** Reads the store's revision in any response that states it; throws a `ValidationError`. */
--- a/packages/wire/src/tariff.ts
+++ b/packages/wire/src/tariff.ts
@@ -53,7 +53,7 @@
 export interface TariffDocument {
   /** Rises with every change of content. */
   readonly revision: number;
-  /** IANA name; whether it exists is checked by the package that holds the calendar. */
+  /** IANA name of the time zone. The package `tariff` checks that it exists. */
   readonly timeZone: string;
   /** Milliseconds since 1970. */
   readonly issuedAt: number;
--- a/packages/wire/test/golden.test.ts
+++ b/packages/wire/test/golden.test.ts
@@ -120,8 +120,8 @@
   const pair = '{"key":"a/b","value":{"x":[1,null]},"stamp":412}';
   assertRoundTrip(pair, (body) => formatKeyValue(parseKeyValue(body)));
   assertRoundTrip(`{"pairs":[${pair}],"more":true,"ledger":431}`, (body) => {
-    const [items, isPartial, revision] = Object.values(parseKeyValuePage(body)) as [never, never, never];
-    return formatKeyValuePage(items, isPartial, revision);
+    const [items, hasMore, revision] = Object.values(parseKeyValuePage(body)) as [never, never, never];
+    return formatKeyValuePage(items, hasMore, revision);
   });
   const commit =
     '{"when":[{"key":"a/b","stamp":0},{"key":"c","stamp":9}],"apply":[{"set":"a/b","value":{"y":1},"permit":7},{"set":"a/c","value":null},{"remove":"c/d"}]}';
@@ -162,8 +162,8 @@
   assertRoundTrip(
     '{"rigs":[{"nameId":"n-000231","address":"10.1.0.232:9000","build":"g8","yard":"a","loaners":true,"phase":"running","ageS":61.5},{"nameId":"n-000232","address":"","build":"s4","yard":"b","loaners":false,"phase":"starting","ageS":0},{"nameId":"n-000233","address":"x:1","build":"s4","yard":"b","loaners":false,"phase":"failed","ageS":3}],"more":false}',
     (body) => {
-      const [machines, isPartial] = Object.values(parseMachineList(body)) as [never, never];
-      return formatMachineList(machines, isPartial);
+      const [machines, hasMore] = Object.values(parseMachineList(body)) as [never, never];
+      return formatMachineList(machines, hasMore);
     },
   );
 });
