--- a/packages/configuration/src/apply-changes.ts
+++ b/packages/configuration/src/apply-changes.ts
@@ -55,7 +55,7 @@
     if (total > bound[field] + EPSILON)
       throw new InvalidChangeError(
         `teams.${field}`,
-        `guarantees of ${total} exceed the bound of ${bound[field]}`,
+        `the guarantees of all teams add up to ${total} and exceed the bound of ${bound[field]}`,
       );
   }
 }
--- a/packages/configuration/test/apply-changes.test.ts
+++ b/packages/configuration/test/apply-changes.test.ts
@@ -58,7 +58,7 @@
   );
 });
 
-test('applyChanges rejects invalid amounts and excessive guarantees with the name of the field', () => {
+test('applyChanges rejects invalid amounts and excessive guarantees, and names the field', () => {
   assert.equal(invalidFieldOf({ team: 'red', cpus: 21 }), 'teams.red.cpus');
   assert.equal(invalidFieldOf({ team: 'red', cpus: -1 }), 'teams.red.cpus');
   assert.equal(invalidFieldOf({ team: 'red', cpus: Infinity }), 'teams.red.cpus');
@@ -67,7 +67,7 @@
   assert.equal(invalidFieldOf({ team: 'blue', cpus: 4 }, SETTINGS, { cpus: 14, gpus: 0 }), '');
 });
 
-test('parsing rejects unknown fields, invalid amounts and empty requests with the path of the field', () => {
+test('parsing rejects unknown fields, invalid amounts and empty requests, and reports the path of the field', () => {
   const proposal = { base: 0, changeId: 'x', author: 'me', changes: [{ team: 'red', cpu: 3 }] };
   assert.throws(() => parseProposal(proposal), /changes\[0\]\.cpu: /);
   assert.throws(
--- a/packages/controller/src/heartbeats/command-dispatcher.ts
+++ b/packages/controller/src/heartbeats/command-dispatcher.ts
@@ -101,7 +101,10 @@
     this.concurrentCalls += 1;
     this.callUntilDone(machine)
       .catch((error: unknown) => {
-        this.term.context.log.error({ machine: machine.id, error: String(error) }, 'direct commands failed');
+        this.term.context.log.error(
+          { machine: machine.id, error: String(error) },
+          'direct call to the worker failed',
+        );
       })
       .finally(() => {
         machine.isSendingCommands = false;
--- a/packages/controller/src/heartbeats/heartbeat-responder.ts
+++ b/packages/controller/src/heartbeats/heartbeat-responder.ts
@@ -17,9 +17,9 @@
   readonly delegatedLeaseMs: number;
 }
 
-/** Tells how up to date the leader's knowledge of confirmed cancellations is. */
+/** Reports how stale the leader's knowledge of confirmed cancellations is. */
 export interface CancellationKnowledge {
-  /** Staleness of that knowledge in milliseconds; Infinity without any. */
+  /** Staleness in milliseconds; Infinity while there is no knowledge of cancellations. */
   stalenessMs(): number;
 }
 
--- a/packages/controller/src/jobs/cluster-state.ts
+++ b/packages/controller/src/jobs/cluster-state.ts
@@ -264,9 +264,9 @@
   }
 
   /**
-   * Removes all tasks on a machine that are proven to be gone.
+   * Removes the placements on a machine whose tasks are proven to be gone.
    *
-   * @param before only tasks that were started in an earlier agent epoch than this; null for all tasks
+   * @param before limits the removal to placements of agent epochs earlier than this; null removes all of them
    */
   removePlacementsOn(id: MachineId, reason: string, before: AgentEpoch | null = null): void {
     for (const { job, task } of [...this.tasksOn(id)]) {
@@ -334,10 +334,10 @@
   }
 
   /**
-   * Adds a machine, or fills in the facts of one that records mention by its id alone.
+   * Adds a machine, or fills in the attributes of one of which only the id was known.
    *
-   * @param isConfirmed whether the facts come from a source that cannot be older than the machine's end; a heartbeat
-   * may have been delayed for long
+   * @param isConfirmed whether the source shows that the machine exists now. A heartbeat may not show it, because it
+   * may have been delayed until after the release of the machine
    */
   registerMachine(id: MachineId, type: string, zone: string, spot: boolean, isConfirmed = true): Machine {
     return this.registry.register(id, type, zone, spot, isConfirmed);
--- a/packages/controller/src/jobs/job-service.ts
+++ b/packages/controller/src/jobs/job-service.ts
@@ -178,7 +178,8 @@
 }
 
 /**
- * Decodes a record. Null for a damaged record without an intact replica, which does not show whether the job exists.
+ * Decodes a record. Returns null for a damaged record without an intact replica, because it does not
+ * show whether the job exists.
  */
 function decodeOrNull(value: unknown): JobRecord | null {
   try {
--- a/packages/controller/src/jobs/record-watcher.ts
+++ b/packages/controller/src/jobs/record-watcher.ts
@@ -35,7 +35,7 @@
     return this.freshAt;
   }
 
-  /** Milliseconds by which the knowledge is out of date; Infinity until the records have been read. */
+  /** Staleness of the watched records in milliseconds; Infinity until they have been read. */
   get ageMs(): number {
     return this.freshAt === null ? Infinity : this.term.context.clock.now() - this.freshAt;
   }
--- a/packages/controller/src/leadership/leader-role.ts
+++ b/packages/controller/src/leadership/leader-role.ts
@@ -143,7 +143,7 @@
       directWorkers: () => host.directWorkers(),
       onPlanned: (version) => {
         if (!host.rollout.recordPlan(version)) return;
-        log.info({ version }, 'first scheduling pass with this configuration version');
+        log.info({ version }, 'first scheduling pass completed with this configuration version');
         host.broadcastStatus();
       },
       onReady: () => {
--- a/packages/controller/src/leadership/leader-term.ts
+++ b/packages/controller/src/leadership/leader-term.ts
@@ -28,8 +28,8 @@
    */
   jobPhaseOf(id: JobId): string | null;
   /**
-   * Staleness of the replica in milliseconds: it contains every cancellation that was confirmed before that. Infinity
-   * without a replica.
+   * Staleness of the replica in milliseconds: it contains every cancellation that was confirmed at least this long ago.
+   * Infinity without a replica.
    */
   readonly replicaAgeMs: number;
 }
--- a/packages/controller/src/machines/failure-detector.ts
+++ b/packages/controller/src/machines/failure-detector.ts
@@ -245,8 +245,8 @@
 
   /**
    * Whether a silent machine is not released for now, because its zone is unreachable: its tasks continue while its
-   * lease may be valid. A node in the zone may renew the lease under a delegation. Without one, the lease expires
-   * sooner, and releasing the machine then proves its tasks gone earlier than waiting for the zone to return.
+   * lease may be valid. A node in the zone may renew the lease under a delegation. Without such a node, the lease
+   * expires sooner. Releasing the machine then proves its tasks gone earlier than waiting until the zone is reachable.
    */
   private isSilenceExplained(machine: Machine, now: MonotonicMs): boolean {
     if (machine.preemptionDeadline !== null || !this.zones.explainsSilenceOf(machine, now)) return false;
--- a/packages/controller/src/peers/peer-directory.ts
+++ b/packages/controller/src/peers/peer-directory.ts
@@ -10,7 +10,7 @@
 import type { Settings } from '../settings.js';
 import type { PeerTransport } from './peer-transport.js';
 
-/** An older status is ignored. */
+/** Maximum age of a peer's status in milliseconds; an older one is ignored. */
 const MAX_STATUS_AGE_MS = 2500;
 
 interface KnownPeer {
--- a/packages/controller/src/peers/tcp-peer-transport.ts
+++ b/packages/controller/src/peers/tcp-peer-transport.ts
@@ -13,7 +13,7 @@
 import type { PeerTransport, PeerTransportHost } from './peer-transport.js';
 
 const STATUS_INTERVAL_MS = 700;
-/** An older status is ignored. */
+/** Maximum age of a peer's status in milliseconds; an older one is ignored. */
 const MAX_STATUS_AGE_MS = 4000;
 const LISTEN_RETRY_INTERVAL_MS = 200;
 
--- a/packages/controller/src/placement/arrival-rate.ts
+++ b/packages/controller/src/placement/arrival-rate.ts
@@ -15,8 +15,8 @@
  */
 const RECENT_WINDOW_MS = 10_000;
 /**
- * Window before it for the baseline rate, and its minimum length. Before that, no burst is detected, because the first
- * arrivals after a start are not one.
+ * The window for the baseline rate precedes the recent one. Until it has the minimum length, no burst is detected,
+ * because the first arrivals after a start are not a burst.
  */
 const BASELINE_WINDOW_MS = 120_000;
 const MIN_BASELINE_MS = 30_000;
--- a/packages/controller/src/placement/gang-scheduling.ts
+++ b/packages/controller/src/placement/gang-scheduling.ts
@@ -16,8 +16,8 @@
 const GANG_WAIT_MARGIN_S = 10;
 
 /**
- * Whether all tasks of the gang run on machines that can receive a stop now. If it reaches some of them too late, no
- * checkpoint is saved, and all tasks lose their work since the last one.
+ * Whether all tasks of the gang run on machines that can receive a stop now. If the stop reaches some of them too late,
+ * no checkpoint is saved, and all tasks lose their work since the last one.
  */
 export function isWholeGangReachable(
   cluster: ClusterState,
@@ -37,7 +37,7 @@
 /**
  * Whether the start of a gang's task is delayed although its machine has the image. If another machine may take longer
  * to fetch the image than the first task may wait, the first task would exit each time because the gang is incomplete,
- * and the gang with it.
+ * and the whole attempt would fail.
  */
 export function isGangStartDelayed(
   cluster: ClusterState,
--- a/packages/controller/src/settings.ts
+++ b/packages/controller/src/settings.ts
@@ -73,7 +73,7 @@
 
 /** Subtracted from the time for which leases may be renewed, to allow for the duration of a renewal. */
 const RENEWAL_MARGIN_MS = 2000;
-/** Workers vary the interval of their heartbeats by up to a quarter, given in milliseconds for each second. */
+/** Maximum heartbeat interval in milliseconds per second of `reportS`: workers vary the interval by up to a quarter. */
 const MAX_INTERVAL_MS_PER_S = 1250;
 const HEARTBEAT_TIMEOUT_MARGIN_MS = 3500;
 /** After a failover, a worker finds the new leader with its next heartbeat, or with the one after. */
@@ -85,8 +85,8 @@
 const SUSTAINABLE_HEARTBEATS_PER_S = 500;
 
 /**
- * How long after it last confirmed its own lease, or its knowledge of cancellations, a leader may renew workers' leases
- * (docs/design.md), in milliseconds.
+ * A leader may renew workers' leases for this many milliseconds after it last confirmed its own lease, and for as long
+ * after it last confirmed its knowledge of cancellations (docs/design.md).
  */
 export function maxRenewalStalenessMs({ workers }: Settings): number {
   return Math.max(0, (workers.cancelS - workers.leaseS) * 1000 - RENEWAL_MARGIN_MS);
--- a/packages/controller/test/configuration-rollout.test.ts
+++ b/packages/controller/test/configuration-rollout.test.ts
@@ -25,7 +25,7 @@
   assert.equal(rollout.status().configurationVersion, 5);
 });
 
-test('the status lists every node with the age of its version, including a node that never sent a status', () => {
+test('the rollout status lists every node with the age of its configuration version, including a node that never sent a status', () => {
   let now = 1000;
   const clock = { now: () => now } as unknown as Clock;
   const local = { version: () => asVersion(5), ageMs: () => 40, leads: () => false };
--- a/packages/controller/test/zone-reachability.test.ts
+++ b/packages/controller/test/zone-reachability.test.ts
@@ -32,7 +32,7 @@
   }
 }
 
-test('a zone is away while only its machines send no heartbeats, and explains their silence until it is whole again', () => {
+test('the silence of machines is attributed to their zone while only that zone is silent, until its heartbeats have resumed', () => {
   const states: string[] = [];
   const reachability = new ZoneReachability(HEARTBEAT_MS, ({ to }) => states.push(to));
   const machines = createFleet(20);
@@ -50,14 +50,14 @@
   assert.deepEqual(states, ['away', 'returning']);
   assert.ok(
     reachability.explainsSilenceOf(machineInA, 28_000 as MonotonicMs),
-    'machines that have not sent a heartbeat again yet are covered as well',
+    'the silence of machines that have not resumed their heartbeats is still attributed to the zone',
   );
   simulate(reachability, machines, 'abc', 28_500, 40_000);
   assert.deepEqual(states, ['away', 'returning', 'whole']);
   assert.ok(!reachability.explainsSilenceOf(machineInA, 40_000 as MonotonicMs));
 });
 
-test('no zone is away when all zones, a zone with few machines, or half of the machines are silent', () => {
+test('no zone counts as unreachable when all zones, a zone with few machines, or half of all machines are silent', () => {
   const states: string[] = [];
   const reachability = new ZoneReachability(HEARTBEAT_MS, ({ to }) => states.push(to));
   const machines = createFleet(20);
@@ -76,7 +76,7 @@
   assert.deepEqual(states, []);
 });
 
-test('a new leader considers a zone that sends it no heartbeats away, but only for a limited time', () => {
+test('a new leader considers a zone without heartbeats unreachable, but only for a limited time', () => {
   const reachability = new ZoneReachability(HEARTBEAT_MS, () => undefined);
   const machines = createFleet(20);
   const [machineInA] = machines;
--- a/packages/model/src/record.ts
+++ b/packages/model/src/record.ts
@@ -46,7 +46,7 @@
   readonly submittedAt: WallClockMs;
   /** Tasks per task record. */
   readonly chunkSize: number;
-  /** The task graph that the job is a part of; absent for a user's own job. */
+  /** The task graph that the job is a part of; absent for a job submitted directly by a user. */
   readonly graph?: string;
   /**
    * When its cancellation was requested, which is never later than its confirmation. Absent in records of
@@ -81,7 +81,7 @@
   const [id, tasks] = fields;
   if (typeof id !== 'string' || !isJobId(id)) throw new ValidationError('over', 'a job id');
   if (typeof tasks !== 'number' || !Number.isInteger(tasks) || tasks < 1)
-    throw new ValidationError('over', 'a number of tasks');
+    throw new ValidationError('over', 'a number of tasks of at least 1');
   return {
     id,
     tasks,
--- a/packages/model/test/model.test.ts
+++ b/packages/model/test/model.test.ts
@@ -232,13 +232,14 @@
   assert.ok(small !== undefined);
   assert.match(reasonFor(gang, [{ ...small, zones: ['a'] }]) ?? '', /scatter/);
   assert.equal(reasonFor(gang, [{ ...small, zones: [] }]), null);
-  // Half of one task, rounded up, is one task. Arrays and services can run with half of their tasks.
+  // At most half of the tasks, rounded up, may be in one zone, so a gang of one task needs only one zone. Arrays and
+  // services can run with half of their tasks.
   assert.equal(reasonFor({ ...gang, tasks: 1, oneZone: true }), null);
   assert.equal(reasonFor({ ...gang, kind: 'array', oneZone: true }), null);
   assert.equal(reasonFor({ ...gang, kind: 'service', oneZone: true }), null);
 });
 
-test('a machine keeps the most recently used images in its cache, and a booting one cannot become silent', () => {
+test('a machine evicts the least recently used images from its cache, and cannot become silent while it is booting', () => {
   const testedMachine = new Machine(machine(1), 's4', 'a', false, true, at);
   for (const [image, gb] of [
     ['a', 20],
--- a/packages/model/test/service-levels.test.ts
+++ b/packages/model/test/service-levels.test.ts
@@ -16,7 +16,7 @@
 const spec = jobSpec({ id: 'wk-000001' as JobId, estimateS: 10, deadlineS: 60 });
 const outcome = { spec, ageS: 200, startedS: 5, isEnded: true, isCancelled: false };
 
-test('service levels count jobs that reached an outcome or could have, but no young or cancelled ones', () => {
+test('service levels count reached outcomes, and missed ones only of jobs that are old enough and not cancelled', () => {
   const counts = emptyServiceLevelCounts();
   countJob(counts, { ...outcome, ageS: 50 });
   countJob(counts, outcome);
--- a/packages/planner/src/scheduling/cotask-scheduler.ts
+++ b/packages/planner/src/scheduling/cotask-scheduler.ts
@@ -58,10 +58,10 @@
 }
 
 /**
- * Plans one tier by levels of milestones. Under overload, the paper's order makes every job late, one after
- * another. So a job that would miss its first milestone is placed after those that can still meet theirs, and
- * likewise for each later milestone. A job that is long overdue is no longer placed after the others, so that
- * no job waits forever.
+ * Plans one tier by levels of milestones. Under overload, the paper's order (smallest completion time first)
+ * makes every job late, one after another. So a job that would miss its first milestone is placed after those
+ * that can still meet theirs, and likewise for each later milestone. A job that is long overdue is no longer
+ * placed after the others, so that no job waits forever.
  */
 function planTier(pass: SchedulingPass, jobs: readonly JobView[]): void {
   let group = jobs;
--- a/packages/planner/src/scheduling/job-order.ts
+++ b/packages/planner/src/scheduling/job-order.ts
@@ -42,9 +42,10 @@
 }
 
 /**
- * Splits off the first task of every array whose start is overdue, and plans it before all jobs that are not
- * starved. Under permanent overload, smallest completion first never starts the largest jobs, and the mean
- * wait exceeds the threshold for all jobs at once; but one task is enough to start a job.
+ * Splits off the first task of every array whose start is overdue (`OVERDUE_START_SHARE`), and plans it before
+ * all jobs that are not starved. Under permanent overload, placing the job with the earliest completion first
+ * never starts the largest jobs, and the mean wait exceeds the starvation threshold for all jobs at once. One
+ * running task is enough for a job to count as started.
  */
 export function splitOverdueFirstTasks(snapshot: ClusterSnapshot): ClusterSnapshot {
   if (!snapshot.jobs.some(hasOverdueStart)) return snapshot;
--- a/packages/planner/src/scheduling/queue-estimate.ts
+++ b/packages/planner/src/scheduling/queue-estimate.ts
@@ -14,8 +14,8 @@
 /** The cost, in seconds, of each slot for a typical task that a replica takes away from a machine. */
 const FRAGMENTATION_COST_S = 2;
 /**
- * The cost, in seconds, of a replica that serves later than its objective. It exceeds `FRAGMENTATION_COST_S`, so
- * a replica takes a slot for a typical task rather than be late.
+ * The cost, in seconds, of a replica that begins to serve later than its service-level objective allows. It
+ * exceeds `FRAGMENTATION_COST_S`, so a replica takes a slot for a typical task if it would be late otherwise.
  */
 const LATE_SERVICE_COST_S = 3;
 /** With `isCostAware`, work allowed on spot machines prefers them even if it ends this many seconds later. */
--- a/packages/planner/test/scheduling.test.ts
+++ b/packages/planner/test/scheduling.test.ts
@@ -142,7 +142,7 @@
   assert.equal(planTasks(withTypicalTask).starts[0]?.machine, machine(1, 0).id);
 });
 
-test('a waiting gang reserves its queue places, so the next gang is estimated to start after it', () => {
+test('a waiting gang reserves its place in the queue, so the next gang is estimated to start after it', () => {
   const gang = (index: number): JobView =>
     jobView(
       jobSpec({
--- a/packages/recovery/src/attachment.ts
+++ b/packages/recovery/src/attachment.ts
@@ -1,5 +1,6 @@
 /**
- * The first contact of a controller with the key-value store: whether it may work in the epoch that it finds.
+ * Attaches a controller to the key-value store after its start, and decides whether it may work in the epoch that it
+ * finds.
  *
  * @module
  */
--- a/packages/recovery/src/epoch-store/epoch-store.ts
+++ b/packages/recovery/src/epoch-store/epoch-store.ts
@@ -88,7 +88,7 @@
     const repairedRecords = pendingRepairs.map((repair) => ({
       key: repair.key,
       value: JSON.parse(repair.text) as unknown,
-      // Newer than every record from before the fence, and older than every record that is written after it.
+      // This version is higher than that of any record from before the fence, and lower than that of any later write.
       version: fence.version,
     }));
     this.replica.replaceAll([...records, ...repairedRecords], revision);
--- a/packages/recovery/src/phases/move-fence.ts
+++ b/packages/recovery/src/phases/move-fence.ts
@@ -20,8 +20,8 @@
 /** Moves the fence, and records which epochs this process has initiated. */
 export class FenceMover {
   /**
-   * Times at which this process moved the fence, by epoch id. An epoch with this controller as its initiator that is
-   * missing here was initiated by an earlier process of it.
+   * Times at which this process moved the fence, by epoch id. An epoch that names this controller as its initiator but
+   * is missing here was initiated by an earlier process of this controller.
    */
   private readonly initiatedAt = new Map<string, MonotonicMs>();
 
--- a/packages/recovery/src/phases/quorum.ts
+++ b/packages/recovery/src/phases/quorum.ts
@@ -75,7 +75,10 @@
     if (granted.outcome !== 'granted') return false;
     if (granted.lease > highestEarlierId) return true;
   }
-  log.info({ past: highestEarlierId }, 'lease ids are still not above those granted before the data loss');
+  log.info(
+    { past: highestEarlierId },
+    'new lease ids do not exceed those granted before the data loss; continuing',
+  );
   return true;
 }
 
--- a/packages/recovery/src/replica/replica-entry.ts
+++ b/packages/recovery/src/replica/replica-entry.ts
@@ -39,8 +39,8 @@
 }
 
 /**
- * Returns whether a record is never deleted. That applies to users' own jobs; jobs of a task graph are deleted with the
- * graph.
+ * Returns whether a record is never deleted. That applies to jobs submitted by users; jobs of a task graph are deleted
+ * with the graph.
  */
 export function isNeverDeleted(key: string, entry: ReplicaEntry): boolean {
   return key.startsWith(JOB_KEY_PREFIX) && !entry.text.includes('"graph":"');
--- a/packages/recovery/test/state-loss-model.test.ts
+++ b/packages/recovery/test/state-loss-model.test.ts
@@ -4,16 +4,16 @@
 import { ALL_GUARDS } from './state-loss/model-state.js';
 import { searchStates } from './state-loss/state-space.js';
 
-/** The first leader has started the task on machine 1. */
+/** Steps after which the first leader has started the task on machine 1. */
 const STARTED = [
   'node 0 is elected with token 2',
   'node 0 writes a placement on machine 1',
   'node 0 sends a start command to machine 1',
   'a start message arrives',
 ];
-/** The first leader has crashed while its start command is in transit. */
+/** Steps after which the first leader has crashed while its start command is in transit. */
 const CRASHED_BEFORE_START = [...STARTED.slice(0, 3), 'node 0 crashes'];
-/** The store was emptied while a write of the crashed leader is in transit. */
+/** Steps after which the store is empty and a write of the crashed leader is in transit. */
 const EMPTIED_AFTER_LATE_WRITE = [
   ...STARTED,
   'the task exits on machine 1',
--- a/packages/recovery/test/state-loss/recovery-steps.ts
+++ b/packages/recovery/test/state-loss/recovery-steps.ts
@@ -8,7 +8,7 @@
 /** Increase of the token floor per epoch, larger than the number of tokens that an epoch of the model issues. */
 const TOKEN_FLOOR_RISE = 100;
 
-/** The leader receives the state of every machine under its token, and replaces the record by what they report. */
+/** The leader receives the state of every machine under its token, and replaces the record with what they report. */
 export function reconcile(state: ModelState, index: ControllerIndex): void {
   const term = state.controllers[index].term as LeaderTerm;
   for (const machine of state.machines) machine.token = Math.max(machine.token, term.token);
--- a/packages/snapshot/test/snapshot.test.ts
+++ b/packages/snapshot/test/snapshot.test.ts
@@ -48,7 +48,7 @@
   );
 });
 
-test('decodeSnapshot rejects another format, a later version and missing fields with the name of the field', () => {
+test('decodeSnapshot rejects another format, a later version or a missing field, and names the field', () => {
   const withHeaderFields = (fields: Record<string, unknown>): Buffer => {
     const bytes = encodeSnapshot(origin(9), entries);
     const end = bytes.indexOf('\n');
--- a/packages/store/test/http-key-value-store.test.ts
+++ b/packages/store/test/http-key-value-store.test.ts
@@ -17,7 +17,7 @@
   );
 }
 
-test('reading a key returns its value and version, or that it is absent', async () => {
+test('reading a key returns its value and version, or reports that it is absent', async () => {
   await withStore(async (store, server) => {
     server.body = { key: 'a/b', value: { x: 1 }, stamp: 412, permit: 7 };
     const item = { key: 'a/b', value: { x: 1 }, version: 412 };
@@ -51,7 +51,7 @@
   });
 });
 
-test('a commit returns that it was committed, conflicts, or refers to a lease that has ended', async () => {
+test('a commit reports whether it was executed, conflicted, or referred to a lease that has ended', async () => {
   await withStore(async (store, server) => {
     const commit = (): ReturnType<HttpKeyValueStore['commit']> =>
       store.commit([{ key: 'a', version: 0 as Version }], [{ delete: 'b' }], 0);
@@ -68,7 +68,7 @@
   });
 });
 
-test('a watch returns changes, or that the changes were compacted', async () => {
+test('a watch returns changes, or reports that they were compacted', async () => {
   await withStore(async (store, server) => {
     server.body = { ledger: 433, log: [{ remove: 'c/d', stamp: 432 }] };
     const watch = (): ReturnType<HttpKeyValueStore['watch']> => store.watch('c/', 431 as Revision, 50);
--- a/packages/store/test/leadership.test.ts
+++ b/packages/store/test/leadership.test.ts
@@ -5,7 +5,7 @@
 import type { KeyValueStore } from '../src/index.js';
 import { Leadership } from '../src/index.js';
 
-/** Result of a leader's run. */
+/** What `runLeader` observed of the simulated leader. */
 interface LeadershipRun {
   /** Number of transitions to the state `holding`. */
   readonly holdingCount: number;
--- a/packages/testkit/test/cancellations.test.ts
+++ b/packages/testkit/test/cancellations.test.ts
@@ -10,7 +10,7 @@
 
 /** `cancel_s` of a `smallWorld`. */
 const CANCEL_MS = 26_000;
-/** By then all tasks run, and the workers are distributed over the nodes. */
+/** Time by which all tasks run, and the workers are distributed over the nodes. */
 const BEGIN_MS = 40_000;
 const END_MS = BEGIN_MS + 150_000;
 
--- a/packages/testkit/test/combined-fault-cases.test.ts
+++ b/packages/testkit/test/combined-fault-cases.test.ts
@@ -7,7 +7,7 @@
 import { STORE_HOST, jobId, jobSpec, leaderCheckedWorld, leaderIndex } from '../src/index.js';
 import { aliveWorkers } from './support/fleets.js';
 
-/** By then machines are up, and submitted tasks run. */
+/** Time by which machines are up, and submitted tasks run. */
 const SETTLED_MS = 40_000;
 const LEASE_MS = 12_000;
 
--- a/packages/testkit/test/configuration.test.ts
+++ b/packages/testkit/test/configuration.test.ts
@@ -17,7 +17,7 @@
   runUntilInForce,
 } from '../src/index.js';
 
-/** By then machines are up, and a leader serves them. */
+/** Time by which machines are up, and a leader serves them. */
 const SETTLED_MS = 30_000;
 /** The operators require that a change is in force on all nodes within this time. */
 const ROLLOUT_LIMIT_MS = 5000;
--- a/packages/testkit/test/data-loss-cases.test.ts
+++ b/packages/testkit/test/data-loss-cases.test.ts
@@ -38,7 +38,7 @@
   assert.deepEqual([world.checker.starts - startsBefore, endedRuns, world.checker.violations], [0, 0, []]);
 });
 
-test('when nodes use two diverged stores, the nodes of one store work and the others refuse', async () => {
+test('when nodes use two diverged stores, the nodes of one store keep working and the others refuse requests', async () => {
   const world = watchedWorld(2);
   let checkpoint: StoreCheckpoint | null = null;
   world.time.after(20_000, () => {
@@ -126,7 +126,8 @@
     await world.runUntil(45_000);
     assert.equal(world.recordedPhaseOf(spec.id), 'done');
     assert.equal(damageRecord(world, `j/${spec.id}`), 1);
-    // No response of any node reports an earlier phase, not even the first one; later the record is restored.
+    // No response of any node may report an earlier phase, including the first response after the damage. The
+    // record must have been restored by the end.
     for (let t = 45_100; t < 60_000; t += 700) {
       for (const node of world.nodes) {
         const response = await responseOf(world, node.controller.jobs.status(spec.id));
--- a/packages/testkit/test/fault-search-users.test.ts
+++ b/packages/testkit/test/fault-search-users.test.ts
@@ -95,7 +95,7 @@
         world.faults.lostResponses = 0;
       });
     }
-    // The second period overlaps with an election, the third one with cancellations.
+    // The second period of lost responses overlaps with an election, and the third one with cancellations.
     after(world, 6100, () => {
       crashLeader(world);
     });
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -179,7 +179,7 @@
   return { rigs: machines };
 }
 
-/** Reads the response of 200 to POST /rentals, the machines rented; throws a `ValidationError`. */
+/** Reads the response of 200 to POST /rentals and returns the rented machines; throws a `ValidationError`. */
 export function parseRentalResponse(body: unknown): readonly MachineId[] {
   return parseMachineIds(body);
 }
@@ -190,8 +190,8 @@
 }
 
 /**
- * Reads the body of POST /rentals/release (Protocol, Controller nodes -> cloud), the machines to return; throws a
- * `ValidationError`.
+ * Reads the body of POST /rentals/release (Protocol, Controller nodes -> cloud) and returns the machines to release;
+ * throws a `ValidationError`.
  */
 export function parseReleaseRequest(body: unknown): readonly MachineId[] {
   return parseMachineIds(body);
--- a/packages/wire/src/graphs/batch.ts
+++ b/packages/wire/src/graphs/batch.ts
@@ -108,7 +108,7 @@
   const field = `tasks[${index}]`;
   const [shape, after, held] = read.asArray(value, field);
   if (typeof shape !== 'number' || !Number.isInteger(shape) || shape < 0 || shape >= batch.shapeCount)
-    throw new read.ValidationError(`${field}[0]`, `a shape from 0 to ${batch.shapeCount - 1}`);
+    throw new read.ValidationError(`${field}[0]`, `a shape index from 0 to ${batch.shapeCount - 1}`);
   const dependencies = parseDependencies(after ?? [], `${field}[1]`, batch, index);
   if (held !== undefined && typeof held !== 'boolean')
     throw new read.ValidationError(`${field}[2]`, 'true or false');
--- a/packages/wire/src/peers/forwarded-heartbeat.ts
+++ b/packages/wire/src/peers/forwarded-heartbeat.ts
@@ -168,7 +168,7 @@
   const phase = PHASES[fields.phase];
   if (phase === undefined)
     throw new PeerMessageError(
-      `forwarded heartbeat: task ${fields.job}/${fields.task}: expected a phase below ${PHASES.length}, got ${fields.phase}`,
+      `forwarded heartbeat: task ${fields.job}/${fields.task}: expected a phase index below ${PHASES.length}, got ${fields.phase}`,
     );
   // A cause that this version does not know still means that the task has ended.
   const cause = EXIT_CAUSES[fields.cause];
@@ -251,7 +251,7 @@
   if (op === undefined)
     throw new PeerMessageError(
       `response to a forwarded heartbeat: command for ${fields.job}/${fields.task}: ` +
-        `expected an operation below ${OPERATIONS.length}, got ${fields.op}`,
+        `expected an operation index below ${OPERATIONS.length}, got ${fields.op}`,
     );
   return op === 'stop' ? { op, ...target, graceS: fields.graceS } : { op, ...target };
 }
