--- a/packages/tariff/src/calendar.ts
+++ b/packages/tariff/src/calendar.ts
@@ -45,20 +45,20 @@
 /**
  * Rejects a tariff whose time zone or holidays the calendar of this machine does not know.
  *
- * @throws MalformedError naming the field
+ * @throws ValidationError naming the field
  */
 export function validateCalendar(tariff: TariffDocument): void {
   try {
     zonedTime(tariff.issuedAt, tariff.timeZone);
   } catch {
-    // The calendar throws a RangeError for a zone that it does not know.
+    // The calendar throws a RangeError for an unknown zone.
     throw new ValidationError('timeZone', 'an IANA time zone such as Europe/Riga');
   }
   tariff.holidays.forEach((holiday, index) => {
     try {
       Temporal.PlainDate.from(holiday.date, { overflow: 'reject' });
     } catch {
-      // The calendar throws a RangeError for a date that it does not have.
+      // The calendar throws a RangeError for an invalid date.
       throw new ValidationError(`holidays[${index}].date`, 'a date of the calendar');
     }
   });
@@ -146,8 +146,8 @@
 }
 
 /**
- * Both instants that a local time may denote: in a repeated hour two, in a skipped one those on either side
- * of it.
+ * The instants that a local time may denote: two in a repeated hour, and the instants before and after a
+ * skipped hour.
  */
 function instantsOf(date: Temporal.PlainDate, minute: number, timeZone: string): number[] {
   const day = minute === MINUTES_PER_DAY ? date.add({ days: 1 }) : date;
--- a/packages/tariff/src/capacity.ts
+++ b/packages/tariff/src/capacity.ts
@@ -88,7 +88,7 @@
   /**
    * Restores the observations of an earlier leader.
    *
-   * @throws MalformedError naming the field
+   * @throws ValidationError naming the field
    */
   restore(value: unknown): void {
     this.peakCpus = Math.max(this.peakCpus, read.amount(read.asObject(value, 'capacity'), 'peakCpus'));
--- a/packages/tariff/src/deferral-controller.ts
+++ b/packages/tariff/src/deferral-controller.ts
@@ -50,7 +50,7 @@
     this.scheduler = new ReleaseScheduler(term, cluster, this.repository, this.admissions, options);
     this.poller = options.feed === null ? null : this.createPoller(options.feed);
     cluster.on('jobAdded', (job) => {
-      this.onJobLearned(job);
+      this.onJobAdded(job);
     });
     cluster.on('taskPlaced', (job) => {
       this.admissions.remove(job.spec.id);
@@ -71,8 +71,8 @@
       silentS,
       clock,
       log,
-      last: () => this.repository.document,
-      take: (document) => this.replaceDocument(document),
+      lastAccepted: () => this.repository.document,
+      apply: (document) => this.replaceDocument(document),
     });
   }
 
@@ -110,7 +110,7 @@
 
   // --- failures --------------------------------------------------------------------------------
 
-  /** Deferral only saves cost, so the leader continues without it if it fails. */
+  /** Deferral only reduces cost, so the leader continues without it after an error. */
   private async contain(loop: () => Promise<void>): Promise<void> {
     try {
       await loop();
@@ -123,7 +123,7 @@
     this.hasFailed = true;
     this.term.context.log.error(
       { error: error instanceof Error ? (error.stack ?? error.message) : String(error) },
-      'deferring failed: this leader defers nothing any more',
+      'deferral failed; this leader schedules all jobs without deferral',
     );
     this.cluster.emit('replanNeeded');
   }
@@ -161,7 +161,7 @@
     if (isStored) {
       this.term.context.log.info(
         { revision: document.revision, slots: document.slots.length },
-        'tariff taken',
+        'tariff applied',
       );
       this.wakeUp.notify();
     }
@@ -170,7 +170,7 @@
 
   // --- events ----------------------------------------------------------------------------------
 
-  private onJobLearned(job: Job): void {
+  private onJobAdded(job: Job): void {
     if (!isDeferrable(job, this.options.classes)) return;
     this.admissions.set(job.spec.id, 'undecided');
     this.wakeUp.notify();
@@ -178,7 +178,7 @@
 
   private observeRunTime(spec: JobSpec, placement: Placement): void {
     if (spec.kind !== 'array' || placement.runningSince === null) return;
-    // It is not known here when tasks began that ran already when this node became leader.
+    // The start time of a task that ran before this node became leader is unknown here.
     if (placement.placedAt <= (this.restoredAt ?? Infinity)) return;
     const ranMs = this.term.context.clock.now() - placement.runningSince;
     this.repository.runTimes(spec.class).observe(spec, ranMs / 1000);
@@ -187,7 +187,8 @@
   // --- loops -----------------------------------------------------------------------------------
 
   /**
-   * Errors must not escape: an instant that the calendar rejected once made one leader after another resign.
+   * Catches all errors, because the leader would resign, and its successors, too, if the error recurs. This
+   * happened with an instant that the calendar rejected.
    */
   private decide(): void {
     try {
@@ -223,7 +224,8 @@
       await this.repository.storeObservations();
       const waiting = this.admissions.waitingCount;
       const next = this.scheduler.nextReleaseAt;
-      if (waiting > 0) log.info({ waiting, next, feed: this.poller?.state ?? 'none' }, 'deferred');
+      if (waiting > 0)
+        log.info({ waiting, next, feed: this.poller?.state ?? 'none' }, 'jobs are waiting for release');
     }
   }
 }
--- a/packages/tariff/src/deferral-table.ts
+++ b/packages/tariff/src/deferral-table.ts
@@ -108,7 +108,7 @@
   /**
    * Restores a page that an earlier leader wrote.
    *
-   * @throws MalformedError naming the field
+   * @throws ValidationError naming the field
    */
   restore(index: number, value: unknown, version: Version): void {
     const page = this.pageAt(index);
--- a/packages/tariff/src/deferral.ts
+++ b/packages/tariff/src/deferral.ts
@@ -50,7 +50,7 @@
     return this.currentReason;
   }
 
-  /** Revision of the tariff that it was decided by. */
+  /** Revision of the tariff on which the decision is based. */
   get revision(): number {
     return this.currentRevision;
   }
@@ -84,7 +84,7 @@
   /**
    * Reads what `encode` wrote.
    *
-   * @throws MalformedError naming the field
+   * @throws ValidationError naming the field
    */
   static decode(value: unknown): Deferral {
     const [job, state, since, until, why, revision] = read.asArray(value, 'deferral');
--- a/packages/tariff/src/document-record.ts
+++ b/packages/tariff/src/document-record.ts
@@ -34,7 +34,7 @@
  * Reads what {@link packDocument} made.
  *
  * @param partAt value of a part by its index
- * @throws MalformedError naming the field
+ * @throws ValidationError naming the field
  */
 export function unpackDocument(head: unknown, partAt: (index: number) => unknown): TariffDocument {
   const count = read.count(read.asObject(head, 'head'), 'parts');
--- a/packages/tariff/src/errors.ts
+++ b/packages/tariff/src/errors.ts
@@ -6,12 +6,12 @@
 import type { JobId } from '@spurbridge/wire';
 import { SpurbridgeError } from '@spurbridge/wire';
 
-/** A job's deferral was to be changed although it has ended. */
+/** A change of a deferral that has ended was attempted. */
 export class DeferralEndedError extends SpurbridgeError {
   constructor(
     readonly job: JobId,
     readonly state: string,
   ) {
-    super('DEFERRAL_ENDED', `${job} is ${state} already`);
+    super('DEFERRAL_ENDED', `${job}: the deferral has already ended in the state ${state}`);
   }
 }
--- a/packages/tariff/src/feed-poller.ts
+++ b/packages/tariff/src/feed-poller.ts
@@ -31,20 +31,21 @@
   readonly seed: number;
   /** Seconds without a good response after which the feed counts as silent. */
   readonly silentS: number;
-  /** The latest accepted tariff. */
-  readonly last: () => TariffDocument | null;
+  /** The last accepted tariff. */
+  readonly lastAccepted: () => TariffDocument | null;
   /** Stores and applies a tariff; false if it cannot be stored, with the reason logged. */
-  readonly take: (tariff: TariffDocument) => Promise<boolean>;
+  readonly apply: (tariff: TariffDocument) => Promise<boolean>;
 }
 
 /** Why a well-formed document is rejected as a successor of the last one, or null if it is accepted. */
 export function rejectionReason(next: TariffDocument, last: TariffDocument | null): string | null {
   if (last === null) return null;
   if (next.revision < last.revision)
-    return `revision: expected at least ${last.revision}, the last good one's`;
-  if (next.issuedAt < last.issuedAt) return 'issuedAt: expected no earlier time than the last good one';
+    return `revision: expected at least ${last.revision} as in the last accepted tariff, got ${next.revision}`;
+  if (next.issuedAt < last.issuedAt)
+    return 'issuedAt: expected no earlier time than in the last accepted tariff';
   if (next.revision === last.revision && JSON.stringify(next) !== JSON.stringify(last))
-    return `revision: expected a new number for new content (${last.revision} is known with another)`;
+    return `revision: expected a new number for changed content, got ${next.revision} again`;
   return null;
 }
 
@@ -81,7 +82,8 @@
   }
 
   /**
-   * Seconds until the next request, with a jitter of a quarter so that nodes and sites do not send in step.
+   * Seconds until the next request, with a jitter of 25 % so that nodes and sites do not send requests at the
+   * same time.
    */
   private pauseS(retryAfterS: number | null): number {
     const baseS = this.consecutiveFailures > 0 ? this.backoffS(retryAfterS) : this.intervalS(retryAfterS);
@@ -94,7 +96,7 @@
   }
 
   private intervalS(retryAfterS: number | null): number {
-    const wantedS = retryAfterS ?? this.options.last()?.nextUpdateS ?? DEFAULT_INTERVAL_S;
+    const wantedS = retryAfterS ?? this.options.lastAccepted()?.nextUpdateS ?? DEFAULT_INTERVAL_S;
     return Math.min(MAX_INTERVAL_S, Math.max(MIN_INTERVAL_S, wantedS));
   }
 
@@ -124,7 +126,7 @@
       case 'document': {
         const refused = await this.accept(response.body);
         if (refused !== null) {
-          this.options.log.error({ refused }, 'tariff refused, the last good one stays');
+          this.options.log.error({ refused }, 'tariff rejected; the last accepted one stays in force');
           return { outcome: 'failed', why: refused, retryAfterS: null };
         }
         this.etag = response.etag;
@@ -143,16 +145,16 @@
       if (error instanceof ValidationError) return error.message;
       throw error;
     }
-    const last = this.options.last();
+    const last = this.options.lastAccepted();
     const reason = rejectionReason(next, last);
     if (reason !== null || last?.revision === next.revision) return reason;
-    return (await this.options.take(next)) ? null : 'it could not be kept in the state service';
+    return (await this.options.apply(next)) ? null : 'the tariff could not be stored in the state service';
   }
 
   /** The only function that changes the state. */
   private transition(next: FeedState, why: string): void {
     if (next === this.currentState) return;
-    this.options.log.info({ from: this.currentState, to: next, why }, 'tariff feed');
+    this.options.log.info({ from: this.currentState, to: next, why }, 'tariff feed state changed');
     this.currentState = next;
   }
 }
--- a/packages/tariff/src/feed-source.ts
+++ b/packages/tariff/src/feed-source.ts
@@ -56,7 +56,7 @@
   return Number.isFinite(seconds) && seconds > 0 ? seconds : null;
 }
 
-/** @throws MalformedError if the body exceeds the size limit of a tariff */
+/** @throws ValidationError if the body exceeds the size limit of a tariff */
 async function readBody(response: Response): Promise<unknown> {
   const chunks: Uint8Array[] = [];
   let bytes = 0;
--- a/packages/tariff/src/job-estimates.ts
+++ b/packages/tariff/src/job-estimates.ts
@@ -22,7 +22,7 @@
 /** Assumed boot time of a machine if no suitable type states one, in seconds. */
 const ASSUMED_BOOT_S = 60;
 
-/** What a job is estimated for. */
+/** Inputs of an estimate apart from the job itself. */
 export interface EstimateContext {
   /** Whether the job was deferred before. */
   readonly isWaiting: boolean;
--- a/packages/tariff/src/release-decision.ts
+++ b/packages/tariff/src/release-decision.ts
@@ -9,7 +9,7 @@
 /** A job that may wait. All durations are in seconds. */
 export interface DeferrableJob {
   readonly id: JobId;
-  /** Whether it was deferred before: it is then released in its turn, not as soon as waiting saves little. */
+  /** Whether it was deferred before. Such a job waits even if the remaining saving is small. */
   readonly deferred: boolean;
   /** Index of its team. */
   readonly team: number;
@@ -21,7 +21,7 @@
   readonly workCpuS: number;
   /** Upper estimate of a task's run time. */
   readonly taskRunTimeS: number;
-  /** From its release until its first task runs: boot, image fetch. */
+  /** Time from its release until its first task runs, including machine boot and image fetch. */
   readonly leadTimeS: number;
   /** Margin between the expected end and the finish time, for lost machines, a failover and clock errors. */
   readonly marginS: number;
@@ -61,8 +61,8 @@
  * Why a job is released or waits.
  *
  * - `cheaper`: a cheaper moment is safe.
- * - `turn`: its turn has come, but released work uses all the capacity, and a later moment is safe, too.
- * - `blind`: no price is known; it waits for a tariff while that is safe.
+ * - `turn`: it is due, but released work uses all the capacity, and a later moment is also safe.
+ * - `blind`: no price is known; the job waits for a tariff as long as that is safe.
  * - `cheapest`: the cheapest safe moment is now.
  * - `no-saving`: waiting saves too little.
  * - `latest`: there is a cheaper moment, but it is not safe with respect to the finish time.
--- a/packages/tariff/src/release-planner.ts
+++ b/packages/tariff/src/release-planner.ts
@@ -11,9 +11,7 @@
 
 /** Amounts below this are rounding errors. */
 const EPSILON = 1e-6;
-/**
- * Delay until the next decision about a job whose turn has come while released work uses all the capacity.
- */
+/** Delay until the next decision about a due job while released work uses all the capacity. */
 const TURN_DELAY_MS = 1000;
 
 /** A run of a job that starts in a piece of the grid. */
@@ -90,8 +88,9 @@
   }
 
   /**
-   * Waiting jobs are released only as capacity becomes free. Released as soon as the remaining wait saved
-   * little, hundreds were released together, and those with little time left queued behind the others.
+   * Deferred jobs keep waiting for a cheaper run even if the remaining saving is small, and are released as
+   * capacity becomes free. With the minimum saving applied to them, hundreds were released together, and those
+   * with little time left queued behind the others.
    */
   private isWorthWaiting(job: DeferrableJob, costNow: number, lowestCost: number): boolean {
     if (job.deferred || this.isBlind || costNow === Infinity) return true;
@@ -99,8 +98,9 @@
   }
 
   /**
-   * Released all at once, the jobs of a window filled the fleet completely and urgent work waited. New jobs
-   * queue behind waiting ones: released at once, they took the capacity of jobs with less time left.
+   * Whether the release is delayed because released work uses all the capacity. Without the delay, the jobs of
+   * a window were released together, filled the fleet and blocked urgent work. New jobs are delayed behind
+   * waiting ones, because otherwise they took the capacity of jobs with less time left.
    */
   private mustWaitForTurn(job: DeferrableJob, run: Run): boolean {
     if (!(job.deferred || this.hasWaitingJobs) || !this.isCrowded(job)) return false;
@@ -178,28 +178,28 @@
     const prices = this.prices[job.priceIndex] as Float64Array;
     const finishBy = job.finishBy - job.marginS * 1000;
     if (startsAt + job.taskRunTimeS * 1000 > finishBy) return Infinity;
-    let left = job.workCpuS;
+    let remainingCpuS = job.workCpuS;
     let cost = 0;
-    let isHeldBack = false;
+    let isCapacityLimited = false;
     for (let piece = firstPiece; piece < starts.length; piece += 1) {
       const from = piece === firstPiece ? startsAt : (starts[piece] as number);
       if (from >= finishBy) return Infinity;
       const lengthS = (lengthsS[piece] as number) - Math.max(0, from - (starts[piece] as number)) / 1000;
       const free = Math.min(freeInTeam[piece] as number, this.freeInPool[piece] as number);
-      const wanted = Math.min(left, job.cpus * lengthS);
+      const wanted = Math.min(remainingCpuS, job.cpus * lengthS);
       const used = Math.min(wanted, free);
-      if (used < wanted - EPSILON) isHeldBack = true;
-      left -= used;
+      if (used < wanted - EPSILON) isCapacityLimited = true;
+      remainingCpuS -= used;
       cost += used * (prices[piece] as number);
       if (reserves) {
         freeInTeam[piece] = (freeInTeam[piece] as number) - used;
         this.freeInPool[piece] = (this.freeInPool[piece] as number) - used;
       }
-      if (left > EPSILON) continue;
+      if (remainingCpuS > EPSILON) continue;
       const workEndsAt =
         from + (lengthS * 1000 * used) / Math.max(EPSILON, Math.min(free, job.cpus * lengthS));
-      // Behind other work the last tasks start when this much is done, and run their whole time from then on.
-      const endsAt = isHeldBack
+      // If free capacity limited the job, its last task may start as late as `workEndsAt`.
+      const endsAt = isCapacityLimited
         ? workEndsAt + job.taskRunTimeS * 1000
         : Math.max(workEndsAt, startsAt + job.taskRunTimeS * 1000);
       return endsAt <= finishBy ? cost : Infinity;
--- a/packages/tariff/src/release-scheduler.ts
+++ b/packages/tariff/src/release-scheduler.ts
@@ -21,15 +21,15 @@
 
 /** Maximum number of commits per round of decisions. */
 const MAX_FLUSHES = 20;
-/** A changed planned release is recorded only if it differs by more than this, in milliseconds. */
+/** A planned release is recorded again only if it moves by more than this, in milliseconds. */
 const MIN_RECORDED_MOVE_MS = 60_000;
 /**
- * A gang needs all its places at once: one that needs more than this share of its team's capacity is not
- * deferred.
+ * A gang starts only when all its tasks fit at once. One that needs more than this share of its team's
+ * capacity is not deferred.
  */
 const MAX_GANG_SHARE = 0.5;
 
-/** Decides which jobs wait for cheaper or cleaner hours, and admits the others. */
+/** Decides which jobs wait for hours with lower prices or less carbon, and admits the others. */
 export class ReleaseScheduler {
   /** The planned time of the next release. */
   nextReleaseAt: WallClockMs | null = null;
@@ -157,7 +157,7 @@
     const deferral = this.repository.deferrals.get(id);
     if (deferral === undefined) {
       this.admissions.set(id, 'admitted');
-      log.debug({ job: id, reason }, 'job not deferred');
+      log.debug({ job: id, reason }, 'job admitted without deferral');
       this.cluster.emit('replanNeeded');
       return;
     }
@@ -208,8 +208,8 @@
   }
 
   /**
-   * Deletes a deferral once a start of the job is durable or the job has ended: from then on its task records
-   * suffice.
+   * Deletes a deferral once a start of the job is durable or the job has ended. The job's task records prevent
+   * another deferral from then on.
    */
   private removeIfOver({ job: id }: Deferral): void {
     const job = this.cluster.jobs.get(id);
@@ -223,8 +223,8 @@
 }
 
 /**
- * Whether a wait changed enough to be recorded. Small shifts of hundreds of jobs in turn are not recorded:
- * writing each of them used up the rate limit that urgent starts needed.
+ * Whether a wait changed enough to be recorded. Small changes are not recorded, because writing them for
+ * hundreds of jobs used up the rate limit of the key-value store and delayed urgent starts.
  */
 function isWorthRecording(known: Deferral, decision: ReleaseDecision): boolean {
   if (Math.abs(known.until - decision.at) > MIN_RECORDED_MOVE_MS) return true;
--- a/packages/tariff/src/run-times.ts
+++ b/packages/tariff/src/run-times.ts
@@ -12,8 +12,8 @@
 /** Number of jobs in a generation; beyond it the older generation is dropped. */
 const GENERATION_JOBS = 150;
 /**
- * The prior of a class without observations: owners' estimates are often wrong by half, sometimes by more,
- * and on some days mostly too low. Run time over estimate, and weight in jobs.
+ * The prior of a class without observations: ratios of run time to estimate, each with a weight in jobs.
+ * Owners' estimates are often wrong by half, sometimes by more, and on some days mostly too low.
  */
 const PRIOR: readonly (readonly [ratio: number, weight: number])[] = [
   [0.5, 1],
@@ -46,7 +46,7 @@
   private older: Sketch = newSketch();
   private younger: Sketch = newSketch();
   private sums: RatioSums = { older: 0, younger: 0 };
-  /** Both generations and the prior, merged; null if it has to be recomputed. */
+  /** The merged distribution of both generations and the prior; null if it has to be recomputed. */
   private merged: Sketch | null = null;
   /** Whether there are observations that are not stored yet. */
   isDirty = false;
@@ -101,7 +101,7 @@
   /**
    * Reads what `encode` wrote.
    *
-   * @throws MalformedError naming the field
+   * @throws ValidationError naming the field
    */
   static decode(value: unknown): RunTimeEstimator {
     const fields = read.asObject(value, 'run times');
--- a/packages/tariff/src/tariff-repository.ts
+++ b/packages/tariff/src/tariff-repository.ts
@@ -28,7 +28,7 @@
 const MAX_KEY_BYTES = 200;
 /** Pause before a failed request is retried, in milliseconds. */
 const RETRY_DELAY_MS = 300;
-/** The capacity is stored again if it changed by more than this share. */
+/** The observed peak is stored again if it changed by more than this share. */
 const MIN_PEAK_CHANGE = 0.02;
 
 /** A page as it is being written. */
@@ -40,8 +40,7 @@
 }
 
 /**
- * Holds the tariff, the deferrals and the observations, and writes them on condition that this node still
- * leads.
+ * Holds the tariff, the deferrals and the observations. Each write is conditional on this node's leadership.
  */
 export class TariffRepository {
   readonly deferrals: DeferralTable;
@@ -132,7 +131,10 @@
     const { settings, log } = this.term.context;
     const packed = packDocument(document, settings.storeLimits.valueKb);
     if (packed.parts.length + 1 > settings.storeLimits.txnOps || packed.bytes > MAX_COMMIT_BYTES) {
-      log.error({ refused: `slots: expected fewer (${packed.bytes} bytes packed)` }, 'tariff is too large');
+      log.error(
+        { refused: `slots: expected fewer, got ${packed.bytes} bytes in the stored form` },
+        'tariff is too large to store',
+      );
       return false;
     }
     const isStored = await this.write([
--- a/packages/tariff/src/workload.ts
+++ b/packages/tariff/src/workload.ts
@@ -1,5 +1,5 @@
 /**
- * The load of admitted jobs on the cluster, which precedes deferred jobs.
+ * The load of admitted jobs on the cluster, which takes precedence over deferred jobs.
  *
  * @module
  */
@@ -60,7 +60,7 @@
       sum.workCpuS += workCpuS;
       sum.demandCpus += cpus * tasksLeft;
     }
-    // Urgent work arrives continuously, so as much of it is expected in an hour.
+    // Urgent work arrives continuously, so a similar amount is expected later, too.
     if (spec.deadlineS === null || isUrgent(spec))
       increase(urgentCpus, spec.team, cpus * job.placements.size);
   }
--- a/packages/tariff/test/calendar.test.ts
+++ b/packages/tariff/test/calendar.test.ts
@@ -8,7 +8,7 @@
 
 const HOUR = 3_600_000;
 
-function tariff(over: Partial<TariffDocument>): TariffDocument {
+function tariff(overrides: Partial<TariffDocument>): TariffDocument {
   return {
     revision: 1,
     timeZone: 'Europe/Riga',
@@ -19,16 +19,16 @@
     windows: [],
     holidays: [],
     slots: [],
-    ...over,
+    ...overrides,
   };
 }
 
-function window(from: number, to: number, over: Partial<RecurringWindow> = {}): RecurringWindow {
-  return { name: 'w', days: [...WEEKDAYS], from, to, price: 5, carbon: 0, zones: null, ...over };
+function window(from: number, to: number, overrides: Partial<RecurringWindow> = {}): RecurringWindow {
+  return { name: 'w', days: [...WEEKDAYS], from, to, price: 5, carbon: 0, zones: null, ...overrides };
 }
 
-/** Hours of the window's price between two instants. */
-function hours(t: TariffDocument, from: string, until: string): number {
+/** The hours between two instants in which the window's price applies. */
+function windowHours(t: TariffDocument, from: string, until: string): number {
   const [a, b] = [Date.parse(from) as WallClockMs, Date.parse(until) as WallClockMs];
   const s = expandTariff(t, ['a'], a, b, 0);
   let ms = 0;
@@ -38,33 +38,33 @@
   return ms / HOUR;
 }
 
-// Riga leaps from 03:00 to 04:00 on 29 March 2026 and falls back from 04:00 to 03:00 on 25 October.
+// In Riga, clocks go forward from 03:00 to 04:00 on 29 March 2026 and back from 04:00 to 03:00 on 25 October.
 test('a skipped hour is in no window, and a repeated hour is in a window both times', () => {
   const spring = ['2026-03-28T20:00:00Z', '2026-03-29T12:00:00Z'] as const;
   const autumn = ['2026-10-24T20:00:00Z', '2026-10-25T12:00:00Z'] as const;
-  assert.equal(hours(tariff({ windows: [window(3 * 60, 4 * 60)] }), ...spring), 0);
-  assert.equal(hours(tariff({ windows: [window(3 * 60, 4 * 60)] }), ...autumn), 2);
-  // Half of it missing, and beginning within it.
-  assert.equal(hours(tariff({ windows: [window(3 * 60 + 30, 5 * 60)] }), ...spring), 1);
-  assert.equal(hours(tariff({ windows: [window(3 * 60 + 30, 5 * 60)] }), ...autumn), 2);
-  // The night around it is an hour shorter, or longer.
-  assert.equal(hours(tariff({ windows: [window(23 * 60, 6 * 60)] }), ...spring), 6);
-  assert.equal(hours(tariff({ windows: [window(23 * 60, 6 * 60)] }), ...autumn), 8);
+  assert.equal(windowHours(tariff({ windows: [window(3 * 60, 4 * 60)] }), ...spring), 0);
+  assert.equal(windowHours(tariff({ windows: [window(3 * 60, 4 * 60)] }), ...autumn), 2);
+  // The first half hour of this window lies in the skipped or repeated hour.
+  assert.equal(windowHours(tariff({ windows: [window(3 * 60 + 30, 5 * 60)] }), ...spring), 1);
+  assert.equal(windowHours(tariff({ windows: [window(3 * 60 + 30, 5 * 60)] }), ...autumn), 2);
+  // A window that spans the clock change is an hour shorter in spring and an hour longer in autumn.
+  assert.equal(windowHours(tariff({ windows: [window(23 * 60, 6 * 60)] }), ...spring), 6);
+  assert.equal(windowHours(tariff({ windows: [window(23 * 60, 6 * 60)] }), ...autumn), 8);
 });
 
-test('a window past midnight belongs to the day on which it began, and a holiday is another day', () => {
+test('a window past midnight belongs to its starting day, and a holiday counts as the weekday that it names', () => {
   // 24 December 2026 is a Thursday.
   const friday = window(22 * 60, 6 * 60, { days: ['fri'] });
   const [from, until] = ['2026-12-24T00:00:00Z', '2026-12-27T22:00:00Z'] as const;
-  assert.equal(hours(tariff({ windows: [friday] }), from, until), 8);
+  assert.equal(windowHours(tariff({ windows: [friday] }), from, until), 8);
   const holidays = [{ date: '2026-12-25', like: 'sun' as Weekday }];
-  assert.equal(hours(tariff({ windows: [friday], holidays }), from, until), 0);
+  assert.equal(windowHours(tariff({ windows: [friday], holidays }), from, until), 0);
   const [day, after] = ['2026-12-25T08:00:00Z', '2026-12-25T20:00:00Z'] as const;
   const sunday = window(10 * 60, 22 * 60, { days: ['sun'] });
-  assert.equal(hours(tariff({ windows: [sunday], holidays }), day, after), 12);
+  assert.equal(windowHours(tariff({ windows: [sunday], holidays }), day, after), 12);
 });
 
-test('slots take precedence over windows, zones have their own prices, and validity ends in two steps', () => {
+test('slots take precedence over windows, zones have their own prices, and prices end after the window extension', () => {
   const t = tariff({
     validUntil: 10 * HOUR,
     windows: [window(0, 1440, { zones: ['b'], price: 7 })],
@@ -82,7 +82,7 @@
   assert.ok(Number.isNaN(priceOf(0, 16 * HOUR)));
 });
 
-test('an unknown time zone or an impossible date is refused', () => {
+test('an unknown time zone or an invalid date is rejected', () => {
   assert.throws(() => {
     validateCalendar(tariff({ timeZone: 'Mars/Olympus' }));
   }, ValidationError);
@@ -92,8 +92,8 @@
   }, /holidays\[0\]\.date/);
 });
 
-/** The clock on the wall as the platform's own formatter shows it: a second opinion on every instant. */
-function wall(ms: number, timeZone: string): { weekday: number; minute: number } {
+/** The local time by the platform's own formatter, as an independent reference. */
+function localTime(ms: number, timeZone: string): { weekday: number; minute: number } {
   const parts = new Intl.DateTimeFormat('en-GB', {
     timeZone,
     weekday: 'short',
@@ -108,7 +108,7 @@
   };
 }
 
-test('an instant is in a window exactly when the local time is, in every zone and season', () => {
+test('an instant is in a window exactly when its local time is, in several time zones and seasons', () => {
   fc.assert(
     fc.property(
       fc.constantFrom(
@@ -143,7 +143,7 @@
         );
         for (const m of minutes) {
           const at = start + m * 60_000;
-          const { weekday, minute } = wall(at, timeZone);
+          const { weekday, minute } = localTime(at, timeZone);
           const today = days.includes(WEEKDAYS[weekday] as Weekday);
           const yesterday = days.includes(WEEKDAYS[(weekday + 6) % 7] as Weekday);
           const inside =
--- a/packages/tariff/test/deferral.test.ts
+++ b/packages/tariff/test/deferral.test.ts
@@ -16,7 +16,7 @@
   );
 }
 
-test('a deferral ends once, and cannot change afterwards', () => {
+test('a deferral that has ended cannot change any more', () => {
   for (const end of ['released', 'forced'] as const) {
     const d = deferral(1);
     d.change('deferred', 3 as WallClockMs, 'blind', 2);
@@ -30,55 +30,62 @@
   }
 });
 
+/** The expected state of each deferral. */
 type Model = Map<string, DeferralState>;
 
-class Step implements fc.Command<Model, { book: DeferralTable; kept: Map<string, unknown> }> {
+/** The table under test, and the pages in the simulated key-value store. */
+interface Stored {
+  table: DeferralTable;
+  pages: Map<string, unknown>;
+}
+
+class Step implements fc.Command<Model, Stored> {
   constructor(
     private readonly kind: 'add' | 'release' | 'remove' | 'flush' | 'failover',
     private readonly n: number,
   ) {}
   check = (): boolean => true;
   toString = (): string => `${this.kind}(${this.n})`;
-  run(model: Model, real: { book: DeferralTable; kept: Map<string, unknown> }): void {
+  run(model: Model, real: Stored): void {
     const d = deferral(this.n);
     const id = d.job;
     if (this.kind === 'add' && !model.has(id)) {
-      real.book.add(d);
+      real.table.add(d);
       model.set(id, 'deferred');
     } else if (this.kind === 'release' && model.get(id) === 'deferred') {
-      real.book.get(id)?.change('released', 5 as WallClockMs, 'cheapest', 1);
-      real.book.markChanged(id);
+      real.table.get(id)?.change('released', 5 as WallClockMs, 'cheapest', 1);
+      real.table.markChanged(id);
       model.set(id, 'released');
     } else if (this.kind === 'remove') {
-      real.book.remove(id);
+      real.table.remove(id);
       model.delete(id);
     }
     if (this.kind === 'flush' || this.kind === 'failover')
-      for (const page of real.book.pages) {
+      for (const page of real.table.pages) {
         if (page.generation === page.durableGeneration) continue;
-        const value = real.book.encode(page);
-        assert.ok(JSON.stringify(value).length <= 1024, 'larger than a value may be');
-        real.kept.set(deferralPageKey(page.index), JSON.parse(JSON.stringify(value)));
+        const value = real.table.encode(page);
+        assert.ok(JSON.stringify(value).length <= 1024, 'the page exceeds the size limit of a value');
+        real.pages.set(deferralPageKey(page.index), JSON.parse(JSON.stringify(value)));
         page.durableGeneration = page.generation;
       }
     if (this.kind === 'failover') {
-      real.book = new DeferralTable(1);
-      for (const [key, value] of real.kept) real.book.restore(Number(key.slice(2)), value, 7 as Version);
+      real.table = new DeferralTable(1);
+      for (const [key, value] of real.pages) real.table.restore(Number(key.slice(2)), value, 7 as Version);
     }
-    const known = new Map([...real.book.all()].map((x) => [x.job as string, x.state]));
-    assert.deepEqual(known, new Map([...known.keys()].map((k) => [k, model.get(k)])));
-    assert.equal(known.size, model.size);
-    if (this.kind === 'flush') for (const k of model.keys()) assert.ok(real.book.isDurable(k as JobId));
+    const actual = new Map([...real.table.all()].map((x) => [x.job as string, x.state]));
+    assert.deepEqual(actual, new Map([...actual.keys()].map((k) => [k, model.get(k)])));
+    assert.equal(actual.size, model.size);
+    if (this.kind === 'flush') for (const k of model.keys()) assert.ok(real.table.isDurable(k as JobId));
   }
 }
 
-test('the table agrees with a plain list over many pages, writes and failovers', () => {
+test('the deferral table agrees with a reference map over pages, writes and failovers', () => {
   const kinds = ['add', 'add', 'release', 'remove', 'flush', 'failover'] as const;
   const step = fc.tuple(fc.constantFrom(...kinds), fc.nat({ max: 25 })).map(([k, n]) => new Step(k, n));
   fc.assert(
     fc.property(fc.commands([step], { maxCommands: 80, size: 'max' }), (commands) => {
       fc.modelRun(
-        () => ({ model: new Map(), real: { book: new DeferralTable(1), kept: new Map() } }),
+        () => ({ model: new Map(), real: { table: new DeferralTable(1), pages: new Map() } }),
         commands,
       );
     }),
--- a/packages/tariff/test/feed-poller.test.ts
+++ b/packages/tariff/test/feed-poller.test.ts
@@ -19,21 +19,25 @@
   });
 }
 
-/** A client against scripted answers; one for each request, the last one for all that follow. */
-async function play(answers: readonly FeedResponse[], forMs: number, first: TariffDocument | null = null) {
+/** Runs a poller against scripted responses, one per request; the last one is repeated. */
+async function runPoller(
+  responses: readonly FeedResponse[],
+  durationMs: number,
+  initial: TariffDocument | null = null,
+) {
   const time = new SimTime();
-  const asked: number[] = [];
+  const requestedAt: number[] = [];
   const tags: (string | null)[] = [];
   const errors: string[] = [];
   const states: string[] = [];
-  let held = first;
-  const client = new TariffFeedPoller({
+  let accepted = initial;
+  const poller = new TariffFeedPoller({
     source: {
       fetch: (tag) => {
-        const answer = answers[Math.min(asked.length, answers.length - 1)] as FeedResponse;
-        asked.push(time.now);
+        const response = responses[Math.min(requestedAt.length, responses.length - 1)] as FeedResponse;
+        requestedAt.push(time.now);
         tags.push(tag);
-        return Promise.resolve(answer);
+        return Promise.resolve(response);
       },
     },
     clock: new ProcessClock(time, 1, 0),
@@ -44,29 +48,29 @@
     },
     seed: 3,
     silentS: 600,
-    last: () => held,
-    take: (t) => {
-      held = t;
+    lastAccepted: () => accepted,
+    apply: (document) => {
+      accepted = document;
       return Promise.resolve(true);
     },
   });
-  void client.run(() => time.now < forMs);
+  void poller.run(() => time.now < durationMs);
   await new Promise((resolve) => setImmediate(resolve));
-  await time.runUntil(forMs);
-  return { asked, tags, errors, states, held: held as TariffDocument | null };
+  await time.runUntil(durationMs);
+  return { requestedAt, tags, errors, states, accepted: accepted as TariffDocument | null };
 }
 
-const sent = (t: TariffDocument, tag = '"a"'): FeedResponse => ({
+const documentResponse = (t: TariffDocument, tag = '"a"'): FeedResponse => ({
   outcome: 'document',
   body: formatTariff(t),
   etag: tag,
 });
 const failed: FeedResponse = { outcome: 'failed', why: 'status 500', retryAfterS: null };
 
-test('the poller asks at the interval of the document, with jitter, and an unchanged document is not sent again', async () => {
-  const r = await play([sent(tariff(1)), { outcome: 'unchanged' }], 600_000);
+test('the poller sends requests at the stated interval with jitter, each with the last entity tag', async () => {
+  const r = await runPoller([documentResponse(tariff(1)), { outcome: 'unchanged' }], 600_000);
   assert.deepEqual(r.tags.slice(0, 3), [null, '"a"', '"a"']);
-  const gaps = r.asked.slice(1).map((at, i) => at - (r.asked[i] as number));
+  const gaps = r.requestedAt.slice(1).map((at, i) => at - (r.requestedAt[i] as number));
   assert.ok(
     gaps.every((g) => g >= 45_000 && g <= 75_001),
     gaps.join(),
@@ -76,52 +80,55 @@
 });
 
 test('a failing feed is polled with backoff, becomes silent in time, and becomes fresh again', async () => {
-  const down = await play([sent(tariff(1)), failed], 3_600_000);
-  assert.deepEqual(down.states, ['fresh', 'failing', 'silent']);
-  assert.equal(down.held?.revision, 1);
-  assert.ok(down.asked.length < 25, `${down.asked.length} requests in an hour`);
-  const gaps = down.asked.slice(1).map((at, i) => at - (down.asked[i] as number));
+  const failing = await runPoller([documentResponse(tariff(1)), failed], 3_600_000);
+  assert.deepEqual(failing.states, ['fresh', 'failing', 'silent']);
+  assert.equal(failing.accepted?.revision, 1);
+  assert.ok(failing.requestedAt.length < 25, `${failing.requestedAt.length} requests in an hour`);
+  const gaps = failing.requestedAt.slice(1).map((at, i) => at - (failing.requestedAt[i] as number));
   assert.ok((gaps[1] as number) < 3000 && Math.max(...gaps) <= 375_001 && Math.max(...gaps) > 200_000);
-  const back = await play([sent(tariff(1)), failed, failed, sent(tariff(2))], 300_000);
-  assert.deepEqual(back.states, ['fresh', 'failing', 'fresh']);
-  assert.equal(back.held?.revision, 2);
-  const told = await play([{ ...failed, retryAfterS: 200 }], 500_000);
-  assert.ok((told.asked[1] as number) >= 150_000, 'Retry-After is obeyed');
+  const recovered = await runPoller(
+    [documentResponse(tariff(1)), failed, failed, documentResponse(tariff(2))],
+    300_000,
+  );
+  assert.deepEqual(recovered.states, ['fresh', 'failing', 'fresh']);
+  assert.equal(recovered.accepted?.revision, 2);
+  const withRetryAfter = await runPoller([{ ...failed, retryAfterS: 200 }], 500_000);
+  assert.ok((withRetryAfter.requestedAt[1] as number) >= 150_000, 'Retry-After is observed');
 });
 
-test('a malformed, absurd or backdated document is refused with its field, and the last good one stays', async () => {
-  const good = tariff(5);
+test('a malformed, oversized or outdated document is rejected with its field, and the last accepted one stays', async () => {
+  const accepted = tariff(5);
   const window = { name: 'w', from: '01:00', to: '02:00', price: 1 };
-  const bad: readonly [RegExp, unknown][] = [
+  const invalid: readonly [RegExp, unknown][] = [
     [/^tariff: expected an object/, 'hello'],
     [
       /^windows: expected at most/,
-      { ...formatTariff(good), revision: 6, windows: Array(1_000_000).fill(window) },
+      { ...formatTariff(accepted), revision: 6, windows: Array(1_000_000).fill(window) },
     ],
-    [/^base\.price/, { ...formatTariff(good), revision: 6, base: { price: null } }],
-    [/^timeZone/, { ...formatTariff(good), revision: 6, timeZone: 'Nowhere/Here' }],
+    [/^base\.price/, { ...formatTariff(accepted), revision: 6, base: { price: null } }],
+    [/^timeZone/, { ...formatTariff(accepted), revision: 6, timeZone: 'Nowhere/Here' }],
     [/^revision: expected at least 5/, formatTariff(tariff(4))],
     [/^issuedAt/, formatTariff(tariff(6, 1000))],
-    [/^revision: expected a new number/, { ...formatTariff(good), base: { price: 2 } }],
+    [/^revision: expected a new number/, { ...formatTariff(accepted), base: { price: 2 } }],
   ];
-  for (const [why, body] of bad) {
-    const r = await play([{ outcome: 'document', body, etag: null }], 1000, good);
+  for (const [reason, body] of invalid) {
+    const r = await runPoller([{ outcome: 'document', body, etag: null }], 1000, accepted);
     assert.equal(r.errors.length, 1);
-    assert.match(r.errors[0] as string, why);
-    assert.deepEqual(r.held, good);
+    assert.match(r.errors[0] as string, reason);
+    assert.deepEqual(r.accepted, accepted);
   }
-  assert.equal(rejectionReason(tariff(6), good), null);
-  assert.equal(rejectionReason(good, good), null);
+  assert.equal(rejectionReason(tariff(6), accepted), null);
+  assert.equal(rejectionReason(accepted, accepted), null);
 });
 
 test('the HTTP feed handles entity tags, Retry-After, oversized bodies and no response', async () => {
   let mode: 'good' | 'busy' | 'huge' | 'text' = 'good';
-  const server = createServer((q, a) => {
-    if (mode === 'busy') a.writeHead(503, { 'retry-after': '7' }).end();
-    else if (mode === 'huge') a.writeHead(200).end('x'.repeat(MAX_TARIFF_BYTES + 1));
-    else if (mode === 'text') a.writeHead(200).end('<html>');
-    else if (q.headers['if-none-match'] === '"v1"') a.writeHead(304).end();
-    else a.writeHead(200, { etag: '"v1"' }).end(JSON.stringify(formatTariff(tariff(1))));
+  const server = createServer((request, response) => {
+    if (mode === 'busy') response.writeHead(503, { 'retry-after': '7' }).end();
+    else if (mode === 'huge') response.writeHead(200).end('x'.repeat(MAX_TARIFF_BYTES + 1));
+    else if (mode === 'text') response.writeHead(200).end('<html>');
+    else if (request.headers['if-none-match'] === '"v1"') response.writeHead(304).end();
+    else response.writeHead(200, { etag: '"v1"' }).end(JSON.stringify(formatTariff(tariff(1))));
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const feed = new HttpTariffFeed(`http://127.0.0.1:${(server.address() as AddressInfo).port}/tariff`);
