--- a/packages/graph/src/errors.ts
+++ b/packages/graph/src/errors.ts
@@ -7,7 +7,7 @@
 import { SpurbridgeError } from '@spurbridge/wire';
 import type { TaskState } from './task-state.js';
 
-/** A call names an unknown element of the graph, or is not allowed in a task's present state. */
+/** A call names an unknown element of the graph, or is not allowed in a task's current state. */
 export abstract class GraphError extends SpurbridgeError {}
 
 /** A task is named that is not in the graph. */
@@ -36,6 +36,6 @@
     readonly task: GraphTaskId,
     readonly state: TaskState,
   ) {
-    super('GRAPH_TASK_NOT_SUBMITTED', `${task} is ${state}: it cannot fail`);
+    super('GRAPH_TASK_NOT_SUBMITTED', `${task}: expected the state submitted for a failed run, got ${state}`);
   }
 }
--- a/packages/graph/src/task-graph.ts
+++ b/packages/graph/src/task-graph.ts
@@ -53,7 +53,7 @@
     return this.table.counts;
   }
 
-  /** Whether only the loss of a result can still change a task. */
+  /** Whether all tasks have ended. Only the loss of a result can still change one. */
   get isComplete(): boolean {
     const { done, failed, cancelled } = this.counts;
     return done + failed + cancelled === this.size;
@@ -117,7 +117,7 @@
     else this.lifecycle.returnToPending(index);
   }
 
-  /** Records that a task that was cancelled, or withdrawn from its cotask, is proven to be on no machine. */
+  /** Records that a cancelled task, or one withdrawn from its cotask, is proven to be on no machine. */
   markStopped(id: GraphTaskId): void {
     const index = this.table.indexOf(id);
     const { state } = this.table.at(index);
@@ -137,7 +137,7 @@
     this.lifecycle.loseResult(this.table.indexOf(id));
   }
 
-  /** Takes the results that became unreferenced since the last call: they can be deleted. */
+  /** Returns the results that became unreferenced since the last call; they can be deleted. */
   takeDroppedResults(): GraphTaskId[] {
     return this.lifecycle.takeDropped().map((index) => this.table.idAt(index));
   }
@@ -172,7 +172,7 @@
     return this.table.find(id).result;
   }
 
-  /** What a task takes of a machine. */
+  /** The resources that a task requires of a machine. */
   shape(id: GraphTaskId): TaskShape {
     return this.table.find(id).shape;
   }
@@ -208,7 +208,7 @@
 
   // --- records ---------------------------------------------------------------------------------
 
-  /** Takes the batches whose tasks changed since the last call: their records are outdated. */
+  /** Returns the batches whose tasks changed since the last call; their records are outdated. */
   takeChangedBatches(): Set<BatchId> {
     return this.table.takeChangedBatches();
   }
--- a/packages/graph/src/task-lifecycle.ts
+++ b/packages/graph/src/task-lifecycle.ts
@@ -1,5 +1,6 @@
 /**
- * Propagates changes of tasks and results through a graph: tasks become ready, end with others, or run again.
+ * Propagates changes of tasks and results through a graph: tasks become ready, end when a dependency or parent
+ * ends, or run again.
  *
  * @module
  */
@@ -16,9 +17,9 @@
   readonly failure: FailureKind | null;
 }
 
-/** Applies changes to the tasks of a table, with all their consequences. */
+/** Applies changes to the tasks of a table, and propagates them to dependent and spawned tasks. */
 export class TaskLifecycle {
-  /** Results that became unreferenced and were not taken yet. */
+  /** Results that became unreferenced since {@link takeDropped} was last called. */
   private dropped: number[] = [];
 
   constructor(private readonly table: TaskTable) {}
@@ -52,7 +53,7 @@
 
   /** Ends those new tasks that can never run, and makes the others ready whose dependencies are met. */
   activate(indices: readonly number[]): void {
-    // Tasks that can never run end first, so that no lost result is recomputed for them.
+    // Tasks that can never run are ended first, so that no lost result is recomputed for them.
     for (const index of indices) this.endIfUnrunnable(index);
     for (const index of indices) {
       if (this.table.at(index).state !== 'waiting') continue;
@@ -211,7 +212,7 @@
     else this.updateReadiness(index);
   }
 
-  /** Takes the results that became unreferenced since the last call. */
+  /** Returns the results that became unreferenced since the last call. */
   takeDropped(): number[] {
     const { dropped } = this;
     this.dropped = [];
--- a/packages/graph/src/task-state.ts
+++ b/packages/graph/src/task-state.ts
@@ -36,7 +36,7 @@
   cancelled: [],
 });
 
-/** Whether a task in this state has ended: only the loss of its result can still change it. */
+/** Whether a task in this state has ended. Only the loss of its result can still change it. */
 export function isTerminal(state: TaskState): boolean {
   return state === 'done' || state === 'failed' || state === 'cancelled';
 }
@@ -51,7 +51,7 @@
   return state === 'cancelled' || state === 'cancelling';
 }
 
-/** none -> kept -> dropped | lost. `dropped`: the result is no longer referenced. */
+/** none -> kept -> dropped | lost. `dropped`: no longer referenced. A repeated run starts with `none` again. */
 export type ResultState = 'none' | 'kept' | 'dropped' | 'lost';
 
 /** All states of a result; records hold a state as its position in this list. */
--- a/packages/graph/src/task-table.ts
+++ b/packages/graph/src/task-table.ts
@@ -134,7 +134,7 @@
 
   // --- states ----------------------------------------------------------------------------------
 
-  /** Changes a task's state and the counters, without consequences for other tasks. */
+  /** Changes a task's state and the counters, but no other task. */
   setState(index: number, next: TaskState): void {
     const entry = this.at(index);
     taskTransitions.assertAllowed(entry.state, next);
@@ -151,7 +151,7 @@
     this.changed.add(index);
   }
 
-  /** Takes the batches whose tasks changed since the last call. */
+  /** Returns the batches whose tasks changed since the last call. */
   takeChangedBatches(): Set<BatchId> {
     const batches = new Set<BatchId>();
     for (const index of this.changed) batches.add(this.at(index).batch);
--- a/packages/graph/test/task-graph.test.ts
+++ b/packages/graph/test/task-graph.test.ts
@@ -8,33 +8,33 @@
 
 const ID = 'gr-test' as GraphId;
 
-interface Wish {
+interface TaskInput {
   readonly after?: readonly (string | number)[];
   readonly held?: boolean;
   readonly retries?: number;
   readonly estimateS?: number;
 }
 
-function batch(id: string, wishes: readonly Wish[], parent: string | null = null): Batch {
+function batch(id: string, inputs: readonly TaskInput[], parent: string | null = null): Batch {
   return {
     id: id as BatchId,
     parent: parent as GraphTaskId | null,
-    shapes: wishes.map((w) => ({
+    shapes: inputs.map((input) => ({
       cpus: 1,
       gpus: 0,
       memoryGb: 1,
       image: 'img',
       imageGb: 0,
-      estimateS: w.estimateS ?? 10,
-      retries: w.retries ?? 0,
+      estimateS: input.estimateS ?? 10,
+      retries: input.retries ?? 0,
       spot: true,
     })),
-    tasks: wishes.map((w, i) => ({
+    tasks: inputs.map((input, i) => ({
       shape: i,
-      after: (w.after ?? []).map((a) =>
+      after: (input.after ?? []).map((a) =>
         typeof a === 'number' ? formatGraphTaskId(id as BatchId, a) : (a as GraphTaskId),
       ),
-      held: w.held ?? false,
+      held: input.held ?? false,
     })),
   };
 }
@@ -46,14 +46,14 @@
   graph.markDone(taskId(name));
 }
 
-function grown(...batches: Batch[]): TaskGraph {
+function graphWith(...batches: Batch[]): TaskGraph {
   const graph = new TaskGraph(ID);
   for (const b of batches) graph.addBatch(b);
   return graph;
 }
 
-test('a diamond of tasks runs in dependency order, the longest chain first', () => {
-  const graph = grown(
+test('a diamond of tasks runs in dependency order, tasks on the longest chain first', () => {
+  const graph = graphWith(
     batch('a', [{}, { after: [0], estimateS: 5 }, { after: [0], estimateS: 50 }, { after: [1, 2] }]),
   );
   assert.deepEqual(graph.readyTasks(), ['a:0']);
@@ -69,14 +69,14 @@
   assert.deepEqual(graph.takeDroppedResults().sort(), ['a:1', 'a:2', 'a:3']);
 });
 
-test('a lost result makes its task run again once, for all tasks that need it', () => {
-  const graph = grown(batch('a', [{}, { after: [0] }, { after: [1] }, { after: [1] }, { after: [1] }]));
+test('a task whose result is lost runs again once for all dependents that need it', () => {
+  const graph = graphWith(batch('a', [{}, { after: [0] }, { after: [1] }, { after: [1] }, { after: [1] }]));
   run(graph, 'a:0');
   run(graph, 'a:1');
   assert.equal(graph.resultState(taskId('a:0')), 'dropped');
   graph.markSubmitted(taskId('a:4'));
   graph.markResultLost(taskId('a:1'));
-  // What the lost one takes is gone, too: it runs first.
+  // The input of the lost result was dropped, so its task runs again first.
   assert.deepEqual(graph.readyTasks(), ['a:0']);
   assert.deepEqual([graph.state(taskId('a:2')), graph.state(taskId('a:4'))], ['waiting', 'submitted']);
   run(graph, 'a:0');
@@ -89,8 +89,8 @@
   assert.ok(graph.isComplete && graph.counts.done === 5);
 });
 
-test('a task that exhausts its retries fails its dependents, and each names the task that failed first', () => {
-  const graph = grown(batch('a', [{ retries: 2 }, { after: [0] }, { after: [1] }, {}]));
+test('a task that exhausts its retries fails its dependents, and their failures name the task that failed first', () => {
+  const graph = graphWith(batch('a', [{ retries: 2 }, { after: [0] }, { after: [1] }, {}]));
   for (let n = 0; n < 3; n += 1) {
     assert.equal(graph.state(taskId('a:0')), 'ready');
     graph.markSubmitted(taskId('a:0'));
@@ -106,8 +106,8 @@
   assert.equal(graph.state(taskId('a:3')), 'ready');
 });
 
-test('a recursive cancellation reaches spawned tasks: submitted ones are cancelling until stopped, and none becomes ready', () => {
-  const graph = grown(batch('a', [{}, {}]));
+test('a recursive cancellation includes spawned tasks, and submitted tasks are cancelling until they are stopped', () => {
+  const graph = graphWith(batch('a', [{}, {}]));
   graph.markSubmitted(taskId('a:0'));
   graph.addBatch(batch('s', [{}, { after: [0] }], 'a:0'));
   graph.markSubmitted(taskId('s:0'));
@@ -115,7 +115,7 @@
   assert.deepEqual(graph.cancel([taskId('a:0')], true).sort(), ['a:0', 's:0']);
   assert.deepEqual(graph.readyTasks(), ['a:1']);
   assert.deepEqual([graph.state(taskId('s:1')), graph.state(taskId('ss:0'))], ['cancelled', 'cancelled']);
-  // A spawn that comes after the cancellation is born cancelled.
+  // Tasks spawned after the cancellation are cancelled when they are added.
   graph.addBatch(batch('late', [{}], 's:0'));
   assert.equal(graph.state(taskId('late:0')), 'cancelled');
   graph.markDone(taskId('s:0'));
@@ -126,8 +126,8 @@
   );
 });
 
-test('a task that runs again and spawns the same batch adds no task twice', () => {
-  const graph = grown(batch('a', [{}]));
+test('a batch that a task spawns again on a second run adds no task twice', () => {
+  const graph = graphWith(batch('a', [{}]));
   for (let n = 0; n < 2; n += 1) {
     graph.markSubmitted(taskId('a:0'));
     graph.addBatch(batch('a:0~0'.replace(':', '.'), [{}, {}], 'a:0'));
@@ -136,8 +136,8 @@
   assert.equal(graph.size, 3);
 });
 
-test('a chain of ten spawned tasks completes', () => {
-  const graph = grown(batch('d0', [{}]));
+test('a chain of tasks with a spawn depth of ten completes', () => {
+  const graph = graphWith(batch('d0', [{}]));
   for (let depth = 0; depth < 10; depth += 1) {
     graph.markSubmitted(taskId(`d${depth}:0`));
     graph.addBatch(batch(`d${depth + 1}`, [{}], `d${depth}:0`));
@@ -148,13 +148,13 @@
 });
 
 test('a batch that refers to an unknown task is rejected and changes nothing', () => {
-  const graph = grown(batch('a', [{}]));
+  const graph = graphWith(batch('a', [{}]));
   assert.throws(() => {
     graph.addBatch(batch('b', [{}, { after: ['x:0'] }]));
   }, GraphError);
   assert.throws(() => {
     graph.addBatch(batch('b', [{ after: ['a:1'] }]));
-  }, /a:1: no such task/);
+  }, /a:1: no such task in gr-test/);
   assert.throws(() => {
     graph.addBatch(batch('b', [{}], 'a:9'));
   }, GraphError);
@@ -163,7 +163,7 @@
 
 test('a graph of a hundred thousand tasks completes within seconds', () => {
   const graph = new TaskGraph(ID);
-  const began = performance.now();
+  const startedAt = performance.now();
   for (let b = 0; b < 250; b += 1)
     graph.addBatch(
       batch(
@@ -182,55 +182,60 @@
   for (let ready = graph.readyTasks(); ready.length > 0; ready = graph.readyTasks())
     for (const id of ready) run(graph, id);
   assert.equal(graph.counts.done, 100_000);
-  assert.ok(performance.now() - began < 15_000);
+  assert.ok(performance.now() - startedAt < 15_000);
 });
 
-// --- against a reference model -------------------------------------------------------------------
+// --- comparison with a reference model -----------------------------------------------------------
 
-interface Plain {
+interface ModelTask {
   readonly name: string;
   readonly deps: number[];
   readonly parent: number;
   readonly retries: number;
-  state: 'waiting' | 'ready' | 'submitted' | 'cancelling' | 'done' | 'dead';
+  /** `aborted` stands for failed and cancelled. */
+  state: 'waiting' | 'ready' | 'submitted' | 'cancelling' | 'done' | 'aborted';
   kept: boolean;
   held: boolean;
   errors: number;
 }
 
-/** The same rules, each stated once and applied until nothing changes any more. */
-class Reference {
-  readonly tasks: Plain[] = [];
+/** A simple model of the graph: applies each rule to all tasks until no rule changes a task. */
+class ReferenceModel {
+  readonly tasks: ModelTask[] = [];
 
-  private over = (p: Plain): boolean => p.state === 'done' || p.state === 'dead';
-  private needed(i: number): boolean {
-    return (this.tasks[i] as Plain).held || this.tasks.some((c) => c.deps.includes(i) && !this.over(c));
+  private hasEnded = (p: ModelTask): boolean => p.state === 'done' || p.state === 'aborted';
+  private isNeeded(i: number): boolean {
+    return (
+      (this.tasks[i] as ModelTask).held || this.tasks.some((c) => c.deps.includes(i) && !this.hasEnded(c))
+    );
   }
 
-  /** What can never run is dead; only then is anything thought of that others need. */
-  fix(): void {
+  /** Aborts tasks that can never run, and only then updates the states that depend on results. */
+  settle(): void {
     for (let changed = true; changed;) {
-      changed = this.each((p, deps) => {
-        const stuck = deps.some((d) => d.state === 'dead' || d.state === 'cancelling');
-        return stuck && (p.state === 'waiting' || p.state === 'ready') ? { state: 'dead' } : null;
+      changed = this.applyRule((p, deps) => {
+        const isUnrunnable = deps.some((d) => d.state === 'aborted' || d.state === 'cancelling');
+        return isUnrunnable && (p.state === 'waiting' || p.state === 'ready') ? { state: 'aborted' } : null;
       });
       if (changed) continue;
-      changed = this.each((p, deps, i) => {
-        if (p.state === 'done' && p.kept !== this.needed(i))
+      changed = this.applyRule((p, deps, i) => {
+        if (p.state === 'done' && p.kept !== this.isNeeded(i))
           return p.kept ? { kept: false } : { state: 'waiting' };
-        const all = deps.every((d) => d.state === 'done' && d.kept);
-        if (p.state === 'waiting' && all) return { state: 'ready' };
-        return p.state === 'ready' && !all ? { state: 'waiting' } : null;
+        const hasInputs = deps.every((d) => d.state === 'done' && d.kept);
+        if (p.state === 'waiting' && hasInputs) return { state: 'ready' };
+        return p.state === 'ready' && !hasInputs ? { state: 'waiting' } : null;
       });
     }
   }
 
-  private each(rule: (p: Plain, deps: Plain[], i: number) => Partial<Plain> | null): boolean {
+  private applyRule(
+    rule: (p: ModelTask, deps: ModelTask[], i: number) => Partial<ModelTask> | null,
+  ): boolean {
     let changed = false;
     this.tasks.forEach((p, i) => {
       const next = rule(
         p,
-        p.deps.map((d) => this.tasks[d] as Plain),
+        p.deps.map((d) => this.tasks[d] as ModelTask),
         i,
       );
       if (next !== null) {
@@ -242,70 +247,71 @@
   }
 
   cancel(roots: number[], recursive: boolean): void {
-    const hit = new Set(roots);
-    for (let size = -1; recursive && size !== hit.size;) {
-      size = hit.size;
+    const cancelled = new Set(roots);
+    for (let size = -1; recursive && size !== cancelled.size;) {
+      size = cancelled.size;
       this.tasks.forEach((p, i) => {
-        if (hit.has(p.parent)) hit.add(i);
+        if (cancelled.has(p.parent)) cancelled.add(i);
       });
     }
-    for (const i of hit) {
-      const p = this.tasks[i] as Plain;
+    for (const i of cancelled) {
+      const p = this.tasks[i] as ModelTask;
       if (p.state === 'submitted') p.state = 'cancelling';
-      else if (p.state === 'waiting' || p.state === 'ready') p.state = 'dead';
+      else if (p.state === 'waiting' || p.state === 'ready') p.state = 'aborted';
     }
   }
 }
 
-let played = 0;
+let commandCount = 0;
 
-interface Real {
+interface GraphUnderTest {
   graph: TaskGraph;
   batches: Batch[];
   records: Map<string, TaskStatesRecord>;
 }
 
-type Op = 'add' | 'submit' | 'done' | 'failed' | 'gone' | 'hold' | 'release' | 'lost' | 'cancel' | 'failover';
+type Operation =
+  'add' | 'submit' | 'done' | 'failed' | 'stopped' | 'hold' | 'release' | 'lost' | 'cancel' | 'failover';
 
-/** How the graph is told that a run of a task is over. */
-const ENDINGS = { done: 'markDone', failed: 'markFailed', gone: 'markStopped' } as const;
+/** The method that reports each end of a run. */
+const END_METHODS = { done: 'markDone', failed: 'markFailed', stopped: 'markStopped' } as const;
 
-class Act implements fc.Command<Reference, Real> {
+class GraphCommand implements fc.Command<ReferenceModel, GraphUnderTest> {
   constructor(
-    private readonly op: Op,
+    private readonly op: Operation,
     private readonly pick: number,
-    private readonly wishes: readonly { deps: number[]; held: boolean; retries: number }[],
+    private readonly inputs: readonly { deps: number[]; held: boolean; retries: number }[],
     private readonly flag: boolean,
   ) {}
   check = (): boolean => true;
-  toString = (): string => `${this.op}(${this.pick},${String(this.flag)},${JSON.stringify(this.wishes)})`;
+  toString = (): string => `${this.op}(${this.pick},${String(this.flag)},${JSON.stringify(this.inputs)})`;
 
-  run(model: Reference, real: Real): void {
-    played += 1;
+  run(model: ReferenceModel, real: GraphUnderTest): void {
+    commandCount += 1;
     const { tasks } = model;
-    const among = (state: Plain['state']): number | undefined => {
+    const pickInState = (state: ModelTask['state']): number | undefined => {
       const found = [...tasks.keys()].filter((i) => tasks[i]?.state === state);
       return found[this.pick % Math.max(1, found.length)];
     };
     const any = tasks.length === 0 ? undefined : this.pick % tasks.length;
-    const named = (i: number): GraphTaskId => taskId((tasks[i] as Plain).name);
+    const idOf = (i: number): GraphTaskId => taskId((tasks[i] as ModelTask).name);
     if (this.op === 'add') this.add(model, real);
     else if (this.op === 'submit') {
-      const i = among('ready');
+      const i = pickInState('ready');
       if (i !== undefined) {
-        // Never before all that it takes is there.
-        for (const d of (tasks[i] as Plain).deps) assert.equal(real.graph.resultState(named(d)), 'kept');
-        real.graph.markSubmitted(named(i));
-        (tasks[i] as Plain).state = 'submitted';
+        // All inputs must be available before a task is submitted.
+        for (const d of (tasks[i] as ModelTask).deps) assert.equal(real.graph.resultState(idOf(d)), 'kept');
+        real.graph.markSubmitted(idOf(i));
+        (tasks[i] as ModelTask).state = 'submitted';
       }
-    } else if (this.op === 'done' || this.op === 'failed' || this.op === 'gone') {
-      const i = among(this.flag ? 'cancelling' : 'submitted');
+    } else if (this.op === 'done' || this.op === 'failed' || this.op === 'stopped') {
+      const i = pickInState(this.flag ? 'cancelling' : 'submitted');
       if (i !== undefined) {
-        real.graph[ENDINGS[this.op]](named(i));
-        const p = tasks[i] as Plain;
-        if (p.state === 'cancelling') p.state = 'dead';
+        real.graph[END_METHODS[this.op]](idOf(i));
+        const p = tasks[i] as ModelTask;
+        if (p.state === 'cancelling') p.state = 'aborted';
         else if (this.op === 'done') Object.assign(p, { state: 'done', kept: true });
-        else if (this.op === 'failed' && ++p.errors > p.retries) p.state = 'dead';
+        else if (this.op === 'failed' && ++p.errors > p.retries) p.state = 'aborted';
         else p.state = 'waiting';
       }
     } else if (this.op === 'failover') {
@@ -317,49 +323,51 @@
         })),
       );
     } else if (any !== undefined) {
-      const p = tasks[any] as Plain;
+      const p = tasks[any] as ModelTask;
       if (this.op === 'hold' || this.op === 'release') {
-        real.graph.setHeld(named(any), this.op === 'hold');
+        real.graph.setHeld(idOf(any), this.op === 'hold');
         p.held = this.op === 'hold';
       } else if (this.op === 'lost') {
-        real.graph.markResultLost(named(any));
+        real.graph.markResultLost(idOf(any));
         p.kept = false;
       } else if (this.op === 'cancel') {
-        const running = real.graph.cancel([named(any)], this.flag);
+        const running = real.graph.cancel([idOf(any)], this.flag);
         model.cancel([any], this.flag);
         for (const r of running) assert.equal(real.graph.state(r), 'cancelling');
       }
     }
-    model.fix();
+    model.settle();
     this.compare(model, real.graph);
   }
 
-  private add(model: Reference, real: Real): void {
+  private add(model: ReferenceModel, real: GraphUnderTest): void {
     const first = model.tasks.length;
     const id = `b${real.batches.length}`;
     const parent = first > 0 && this.flag ? this.pick % first : -1;
-    const wishes = this.wishes.map((w, i) => {
+    const inputs = this.inputs.map((w, i) => {
       const deps = [...new Set(w.deps.map((d) => d % Math.max(1, first + i)))].filter((d) => d < first + i);
       return { ...w, deps };
     });
-    const name = (i: number): string => (i < first ? (model.tasks[i] as Plain).name : `${id}:${i - first}`);
+    const name = (i: number): string =>
+      i < first ? (model.tasks[i] as ModelTask).name : `${id}:${i - first}`;
     const b = batch(
       id,
-      wishes.map((w) => ({ ...w, after: w.deps.map(name) })),
+      inputs.map((w) => ({ ...w, after: w.deps.map(name) })),
       parent < 0 ? null : name(parent),
     );
     real.graph.addBatch(b);
     real.graph.addBatch(b);
     real.batches.push(b);
-    wishes.forEach((w, i) => {
-      const born = parent >= 0 && ['cancelling'].includes((model.tasks[parent] as Plain).state);
-      const dead = parent >= 0 && real.graph.state(taskId(name(parent))) === 'cancelled';
+    inputs.forEach((w, i) => {
+      const isParentCancelling =
+        parent >= 0 && ['cancelling'].includes((model.tasks[parent] as ModelTask).state);
+      const isParentCancelled = parent >= 0 && real.graph.state(taskId(name(parent))) === 'cancelled';
       model.tasks.push({
         name: `${id}:${i}`,
         deps: w.deps,
         parent,
         retries: w.retries,
-        state: born || dead ? 'dead' : 'waiting',
+        state: isParentCancelling || isParentCancelled ? 'aborted' : 'waiting',
         kept: false,
         held: w.held,
         errors: 0,
@@ -367,17 +375,17 @@
     });
   }
 
-  private compare(model: Reference, graph: TaskGraph): void {
-    const seen = model.tasks.map((p) => {
+  private compare(model: ReferenceModel, graph: TaskGraph): void {
+    const actual = model.tasks.map((p) => {
       const s = graph.state(taskId(p.name));
       return [
         p.name,
-        s === 'failed' || s === 'cancelled' ? 'dead' : s,
+        s === 'failed' || s === 'cancelled' ? 'aborted' : s,
         graph.resultState(taskId(p.name)) === 'kept',
       ];
     });
     assert.deepEqual(
-      seen,
+      actual,
       model.tasks.map((p) => [p.name, p.state, p.kept]),
     );
     const ready = model.tasks.filter((p) => p.state === 'ready').map((p) => p.name);
@@ -387,15 +395,15 @@
       model.tasks.length,
     );
     for (const p of model.tasks) {
-      const why = graph.failure(taskId(p.name));
-      if (why !== null) assert.equal(why.chain.at(-1), p.name);
-      assert.equal(why !== null, graph.state(taskId(p.name)) === 'failed');
+      const failure = graph.failure(taskId(p.name));
+      if (failure !== null) assert.equal(failure.chain.at(-1), p.name);
+      assert.equal(failure !== null, graph.state(taskId(p.name)) === 'failed');
     }
   }
 }
 
-test('the graph agrees with a plain reference model over generated commands and failovers', () => {
-  const ops: Op[] = [
+test('the graph agrees with a reference model over generated commands and failovers', () => {
+  const operations: Operation[] = [
     'add',
     'add',
     'submit',
@@ -405,7 +413,7 @@
     'done',
     'done',
     'failed',
-    'gone',
+    'stopped',
     'hold',
     'release',
     'lost',
@@ -413,24 +421,24 @@
     'cancel',
     'failover',
   ];
-  const wish = fc.record({
+  const inputArbitrary = fc.record({
     deps: fc.array(fc.nat({ max: 30 }), { maxLength: 3 }),
     held: fc.boolean(),
     retries: fc.nat({ max: 1 }),
   });
-  const act = fc
+  const commandArbitrary = fc
     .tuple(
-      fc.constantFrom(...ops),
+      fc.constantFrom(...operations),
       fc.nat({ max: 40 }),
-      fc.array(wish, { minLength: 1, maxLength: 4 }),
+      fc.array(inputArbitrary, { minLength: 1, maxLength: 4 }),
       fc.boolean(),
     )
-    .map(([op, pick, wishes, flag]) => new Act(op, pick, wishes, flag));
+    .map(([op, pick, inputs, flag]) => new GraphCommand(op, pick, inputs, flag));
   fc.assert(
-    fc.property(fc.commands([act], { maxCommands: 60, size: 'max' }), (commands) => {
+    fc.property(fc.commands([commandArbitrary], { maxCommands: 60, size: 'max' }), (commands) => {
       fc.modelRun(
         () => ({
-          model: new Reference(),
+          model: new ReferenceModel(),
           real: { graph: new TaskGraph(ID), batches: [], records: new Map() },
         }),
         commands,
@@ -438,5 +446,5 @@
     }),
     { numRuns: 500, seed: 21 },
   );
-  assert.ok(played > 8000, `${played} steps`);
+  assert.ok(commandCount > 8000, `${commandCount} commands`);
 });
