--- a/packages/graph-client/src/batch-sender.ts
+++ b/packages/graph-client/src/batch-sender.ts
@@ -45,7 +45,7 @@
     return `${this.namePrefix}~${index}` as BatchId;
   }
 
-  /** Adds a task to the present batch, and sends the batch once it is full. */
+  /** Adds a task to the current batch, and sends the batch once it is full. */
   add(options: TaskOptions, after: readonly GraphTaskId[]): GraphTaskId {
     const task = formatGraphTaskId(this.batchName(this.closedBatches), this.requested.length);
     this.requested.push({ options, after });
@@ -83,12 +83,12 @@
   }
 }
 
-/** A task that runs again uses the same batch names, so that nothing is spawned twice. */
+/** The prefix of the batch names of a task. It is the same on every run, so that nothing is spawned twice. */
 function spawnPrefix(parent: GraphTaskId): string {
   return `s${createHash('sha256').update(parent).digest('hex').slice(0, 24)}`;
 }
 
-/** A task of the same batch is referred to by its position. */
+/** The position of a task of the same batch, otherwise its full id. */
 function relativeTo(batch: BatchId, id: GraphTaskId): GraphTaskId | number {
   const reference = parseGraphTaskId(id);
   return reference.batch === batch ? reference.task : id;
--- a/packages/graph-client/src/client-graph.ts
+++ b/packages/graph-client/src/client-graph.ts
@@ -113,7 +113,7 @@
   /**
    * Waits until `count` of the tasks have ended, with any outcome.
    *
-   * @returns which had ended, and which had not, when enough had ended or the timeout passed
+   * @returns the ended and the pending tasks, once enough have ended or the timeout has passed
    */
   async wait(
     futures: readonly Future[],
--- a/packages/graph-client/src/errors.ts
+++ b/packages/graph-client/src/errors.ts
@@ -20,7 +20,11 @@
 /** No server gave a final response within the client's timeout for a request. */
 export class RequestTimeoutError extends SpurbridgeError {
   constructor(method: string, path: string, lastProblem: string, options?: ErrorOptions) {
-    super('GRAPH_REQUEST_TIMEOUT', `${method} ${path}: no answer in time; last: ${lastProblem}`, options);
+    super(
+      'GRAPH_REQUEST_TIMEOUT',
+      `${method} ${path}: no final response within the timeout; last problem: ${lastProblem}`,
+      options,
+    );
   }
 }
 
@@ -38,7 +42,7 @@
     super(
       'GRAPH_TASK_FAILED',
       chain.length > 1
-        ? `${graph}: ${task} cannot run, since ${chain[0]} failed (${chain.join(' -> ')})`
+        ? `${graph}: ${task} cannot run because ${chain[0]} failed (${chain.join(' -> ')})`
         : `${graph}: ${task} failed`,
       options,
     );
--- a/packages/graph-client/src/final-states.ts
+++ b/packages/graph-client/src/final-states.ts
@@ -71,8 +71,8 @@
   }
 
   /**
-   * The graph has ended and its tasks' records are deleted: if all tasks ended alike, its phase still shows
-   * how.
+   * Derives final states from the phase of a graph that has ended, because its tasks' records are deleted. The
+   * phase shows how a task ended only if all tasks ended alike.
    */
   private async updateFromPhase(
     batch: BatchId,
--- a/packages/graph-client/src/graph-client.ts
+++ b/packages/graph-client/src/graph-client.ts
@@ -12,7 +12,7 @@
 
 /** Connection settings of a client. */
 export interface ClientOptions {
-  /** Such as `http://127.0.0.1:8080`; tried in turn. */
+  /** URLs such as `http://127.0.0.1:8080`; tried in turn. */
   readonly servers: readonly string[];
   /** Total time for all attempts of a request, in milliseconds. */
   readonly patienceMs?: number;
@@ -33,7 +33,7 @@
   readonly priority?: JobPriority;
 }
 
-const DEFAULT_PATIENCE_MS = 60_000;
+const DEFAULT_TIMEOUT_MS = 60_000;
 const DEFAULT_POLL_MS = 1000;
 
 /** Creates graphs on a cluster. */
@@ -46,7 +46,7 @@
     this.requests = new RequestSender({
       servers: options.servers,
       transport: options.transport ?? httpTransport,
-      patienceMs: options.patienceMs ?? DEFAULT_PATIENCE_MS,
+      timeoutMs: options.patienceMs ?? DEFAULT_TIMEOUT_MS,
       sleep: options.sleep ?? ((ms) => new Promise((resolve) => setTimeout(resolve, ms))),
       now: options.now ?? (() => performance.now()),
       random: Math.random,
--- a/packages/graph-client/src/requests.ts
+++ b/packages/graph-client/src/requests.ts
@@ -11,7 +11,7 @@
   readonly servers: readonly string[];
   readonly transport: Transport;
   /** Total time for all attempts of a request, in milliseconds. */
-  readonly patienceMs: number;
+  readonly timeoutMs: number;
   readonly sleep: (ms: number) => Promise<void>;
   /** Monotonic time in milliseconds. */
   readonly now: () => number;
@@ -63,9 +63,9 @@
     body: unknown,
     signal?: AbortSignal,
   ): Promise<ResponseBody> {
-    const { servers, transport, patienceMs, now, sleep, random } = this.options;
-    const deadline = now() + patienceMs;
-    let last: AttemptFailure = { problem: 'no server is named', cause: undefined, retryAfterS: 0 };
+    const { servers, transport, timeoutMs, now, sleep, random } = this.options;
+    const deadline = now() + timeoutMs;
+    let last: AttemptFailure = { problem: 'no server is configured', cause: undefined, retryAfterS: 0 };
     for (let attempt = 0; attempt === 0 || now() < deadline; attempt += 1) {
       signal?.throwIfAborted();
       const server = servers[attempt % servers.length];
