--- a/packages/graph-service/src/graph-service.ts
+++ b/packages/graph-service/src/graph-service.ts
@@ -75,8 +75,8 @@
     const found = await this.reader.findGraph(spec.id);
     if (found.kind === 'found') return describeExisting(found.record, spec);
     if (found.kind !== 'not-found') return found;
-    const refusal = await this.checkOpenGraphs(spec.team);
-    if (refusal !== null) return refusal;
+    const rejection = await this.checkOpenGraphs(spec.team);
+    if (rejection !== null) return rejection;
     const record: GraphRecord = {
       spec,
       phase: 'open',
@@ -114,7 +114,7 @@
    */
   async addBatch(id: string, body: unknown): Promise<GraphResult> {
     const batch = parseBatch(body);
-    const shapesRefusal = this.admission.checkShapes(batch);
+    const shapesRejection = this.admission.checkShapes(batch);
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       const found = await this.reader.findGraph(id);
       if (found.kind !== 'found') return found;
@@ -122,7 +122,7 @@
       const earlier = await this.admission.findEarlier(record.spec.id, batch);
       if (earlier !== null) return earlier;
       if (record.phase !== 'open') return phaseConflict(record);
-      if (shapesRefusal !== null) return shapesRefusal;
+      if (shapesRejection !== null) return shapesRejection;
       const admitted = await this.admission.admit(record, batch);
       if (admitted.kind !== 'admitted') return admitted;
       const outcome = await this.commitBatch(found, batch, admitted.value);
@@ -178,8 +178,8 @@
     const recursive = fields['recursive'] === undefined ? true : read.boolean(fields, 'recursive');
     if (names === null) return this.changeRecord(id, cancelGraph);
     const tasks = names as GraphTaskId[];
-    const refusal = isGraphId(id) ? await this.reader.checkTasks(id, tasks, 'tasks') : GRAPH_NOT_FOUND;
-    if (refusal !== null) return refusal;
+    const rejection = isGraphId(id) ? await this.reader.checkTasks(id, tasks, 'tasks') : GRAPH_NOT_FOUND;
+    if (rejection !== null) return rejection;
     return this.changeRecord(id, (record) => cancelSubtrees(record, tasks, recursive));
   }
 
@@ -219,8 +219,8 @@
     if (found.kind !== 'found') return found;
     const { record, version } = found;
     if (!isActivePhase(record.phase)) return phaseConflict(record);
-    const refusal = await this.checkUpdatedTasks(record, update);
-    if (refusal !== null) return refusal;
+    const rejection = await this.checkUpdatedTasks(record, update);
+    if (rejection !== null) return rejection;
     const key = resultUpdateKey(record.spec.id, update.id);
     const { lost, hold, release } = update;
     const outcome = await this.store.commit(
@@ -242,8 +242,8 @@
     { lost, hold, release }: ResultUpdate,
   ): Promise<GraphFailure | null> {
     for (const [field, tasks] of Object.entries({ lost, hold, release })) {
-      const refusal = await this.reader.checkTasks(spec.id, tasks, field);
-      if (refusal !== null) return refusal;
+      const rejection = await this.reader.checkTasks(spec.id, tasks, field);
+      if (rejection !== null) return rejection;
     }
     return null;
   }
--- a/packages/tariff/src/deferral-controller.ts
+++ b/packages/tariff/src/deferral-controller.ts
@@ -209,7 +209,7 @@
       const startedAt = clock.now();
       if (leadership.holdsValidLease()) {
         this.decide();
-        await this.scheduler.settle();
+        await this.scheduler.persistDecisions();
       }
       const tookMs = clock.now() - startedAt;
       await clock.sleep(Math.max(MIN_DECISION_PAUSE_MS, tookMs * PAUSE_PER_DECISION_TIME));
--- a/packages/tariff/src/feed-poller.ts
+++ b/packages/tariff/src/feed-poller.ts
@@ -124,10 +124,13 @@
       case 'unchanged':
         return { outcome: 'fresh', detail: response.outcome };
       case 'document': {
-        const refused = await this.accept(response.body);
-        if (refused !== null) {
-          this.options.log.error({ refused }, 'tariff rejected; the last accepted one stays in force');
-          return { outcome: 'failed', why: refused, retryAfterS: null };
+        const rejection = await this.accept(response.body);
+        if (rejection !== null) {
+          this.options.log.error(
+            { refused: rejection },
+            'tariff rejected; the last accepted one stays in force',
+          );
+          return { outcome: 'failed', why: rejection, retryAfterS: null };
         }
         this.etag = response.etag;
         return { outcome: 'fresh', detail: response.outcome };
--- a/packages/tariff/src/release-scheduler.ts
+++ b/packages/tariff/src/release-scheduler.ts
@@ -188,7 +188,7 @@
   /**
    * Makes decisions durable. Released jobs are admitted only then, so that no later leader defers them again.
    */
-  async settle(): Promise<void> {
+  async persistDecisions(): Promise<void> {
     for (let flush = 0; flush < MAX_FLUSHES && this.term.isActive; flush += 1)
       if (await this.repository.flush()) break;
     if (!this.term.isActive) return;
--- a/packages/tariff/src/time-grid.ts
+++ b/packages/tariff/src/time-grid.ts
@@ -48,9 +48,9 @@
   let backlogCpuS = capacity.backlogCpuS;
   return grid.lengthsS.map((lengthS) => {
     const totalCpuS = capacity.cpus * lengthS;
-    const taken = Math.min(totalCpuS, backlogCpuS);
-    backlogCpuS -= taken;
-    return totalCpuS - taken;
+    const usedCpuS = Math.min(totalCpuS, backlogCpuS);
+    backlogCpuS -= usedCpuS;
+    return totalCpuS - usedCpuS;
   });
 }
 
