--- a/packages/daemon/src/command-line.ts
+++ b/packages/daemon/src/command-line.ts
@@ -1,11 +1,11 @@
 /**
- * What all programs share: output, exit codes and the handling of unexpected errors.
+ * Functions shared by all programs: output, exit codes and the handling of unexpected errors.
  *
  * @module
  */
 import type { Command } from 'commander';
 
-/** Exit code of a command that could not be carried out. */
+/** Exit code of a command that failed. */
 export const EXIT_FAILURE = 1;
 /** Exit code of a command whose flags or settings are invalid. */
 export const EXIT_INVALID_USAGE = 2;
--- a/packages/daemon/src/config-actions.ts
+++ b/packages/daemon/src/config-actions.ts
@@ -1,5 +1,5 @@
 /**
- * The actions of the configuration command, each of which ends with an exit code.
+ * The actions of the configuration command, each of which returns an exit code.
  *
  * @module
  */
@@ -45,7 +45,7 @@
   return EXIT_CODE.refused;
 }
 
-/** Runs an action and sets the exit code. An error becomes a line and its exit code. */
+/** Runs an action and sets the exit code. An error is printed as one line and mapped to its exit code. */
 export async function runAction(action: () => Promise<number>): Promise<void> {
   try {
     process.exitCode = await action();
@@ -60,7 +60,7 @@
   { node }: NodeFlags,
   action: (client: ConfigurationClient) => Promise<number>,
 ): Promise<number> {
-  if (node.length === 0) throw new ValidationError('--node', 'at least one node');
+  if (node.length === 0) throw new ValidationError('--node', 'at least one node address');
   const client = new ConfigurationClient(node);
   try {
     return await action(client);
@@ -113,7 +113,7 @@
   });
 }
 
-/** Prints the version on each node; the exit code says whether all nodes have the newest one. */
+/** Prints the version on each node; the exit code shows whether all nodes have the newest one. */
 export function showStatus(flags: NodeFlags): Promise<number> {
   return withClient(flags, async (client) => {
     const nodes = await client.status();
--- a/packages/daemon/src/config-command.ts
+++ b/packages/daemon/src/config-command.ts
@@ -20,13 +20,13 @@
 const DEFAULT_ROLLOUT_TIMEOUT_MS = 5000;
 const UNKNOWN_AUTHOR = 'unknown';
 
-/** Nodes from the environment, which apply when `--node` is not given. */
+/** Addresses from the environment, used if `--node` is not given. */
 const DEFAULT_NODES: readonly string[] = (process.env['SPURBRIDGE_NODES'] ?? '')
   .split(',')
   .filter((address) => address !== '');
 
 function nodeOption(): Option {
-  return new Option('--node <address>', 'a controller node, IPv4:port; may be given several times')
+  return new Option('--node <address>', 'address of a controller node, IPv4:port; may be repeated')
     .argParser((text: string, previous: readonly string[]) =>
       // The first address replaces the default ones, further ones are appended.
       appendAddress(text, previous === DEFAULT_NODES ? [] : previous),
@@ -40,39 +40,39 @@
 
 function changeSubcommand(name: string, description: string): Command {
   return subcommand(name, description)
-    .option('--author <name>', 'who changes it', process.env['USER'] ?? UNKNOWN_AUTHOR)
+    .option('--author <name>', 'author recorded in the history', process.env['USER'] ?? UNKNOWN_AUTHOR)
     .option(
       '--within <time>',
-      'wait so long until it is in force everywhere',
+      'how long to wait until the change is in force on all nodes',
       parseDurationMs,
       DEFAULT_ROLLOUT_TIMEOUT_MS,
     )
-    .option('--base <version>', 'the version that it changes; by default the newest', parseVersion)
-    .option('--dry-run', 'say what would change, and change nothing');
+    .option('--base <version>', 'version that the change is based on; by default the newest', parseVersion)
+    .option('--dry-run', 'print the changes without committing them');
 }
 
 function showCommand(): Command {
-  return subcommand('show', 'the newest version, as JSON').action((flags: NodeFlags) =>
+  return subcommand('show', 'prints the newest version as JSON').action((flags: NodeFlags) =>
     runAction(() => showConfiguration(flags)),
   );
 }
 
 function setCommand(): Command {
-  return changeSubcommand('set', 'changes one team, or adds it')
+  return changeSubcommand('set', 'changes or adds one team')
     .argument('<team>')
     .option('--cpus <amount>', 'guaranteed CPUs', parseAmount)
-    .option('--cpus-max <amount>', 'limit of CPUs, or none', parseAmount)
+    .option('--cpus-max <amount>', 'limit of CPUs, or none for no limit', parseAmount)
     .option('--gpus <amount>', 'guaranteed accelerators', parseAmount)
-    .option('--gpus-max <amount>', 'limit of accelerators, or none', parseAmount)
-    .option('--retired', 'it takes no new jobs')
-    .option('--no-retired', 'it takes new jobs again')
+    .option('--gpus-max <amount>', 'limit of accelerators, or none for no limit', parseAmount)
+    .option('--retired', 'the team may submit no new jobs')
+    .option('--no-retired', 'the team may submit new jobs again')
     .action((team: string, flags: SetFlags) =>
       runAction(() => applyAndWait([teamChangeOf(team, flags)], flags)),
     );
 }
 
 function applyCommand(): Command {
-  return changeSubcommand('apply', 'makes all changes of a file at once, or none')
+  return changeSubcommand('apply', 'commits all changes of a file together, or none of them')
     .argument('<file>')
     .action((path: string, flags: ChangeFlags) =>
       runAction(() => applyAndWait(parseConfigFile(readFileSync(path, 'utf8')), flags)),
@@ -80,13 +80,13 @@
 }
 
 function historyCommand(): Command {
-  return subcommand('history', 'who changed what, oldest first').action((flags: NodeFlags) =>
+  return subcommand('history', 'prints who changed what, oldest change first').action((flags: NodeFlags) =>
     runAction(() => showHistory(flags)),
   );
 }
 
 function statusCommand(): Command {
-  return subcommand('status', 'the version in force on each node').action((flags: NodeFlags) =>
+  return subcommand('status', 'prints the version in force on each node').action((flags: NodeFlags) =>
     runAction(() => showStatus(flags)),
   );
 }
--- a/packages/daemon/src/config-file.ts
+++ b/packages/daemon/src/config-file.ts
@@ -8,7 +8,7 @@
 import { ValidationError, read } from '@spurbridge/wire';
 import { parse } from 'smol-toml';
 
-/** Names of the file's fields, each with the name of the request's field that it becomes. */
+/** Maps the names of the file's fields to those of the request's fields. */
 type FieldNames = Readonly<Record<string, string>>;
 
 const TEAM_FIELDS: FieldNames = {
@@ -26,7 +26,7 @@
   share: 'share',
   times: 'times',
 };
-/** As in the platform's settings file, 0 stands for no limit. */
+/** Fields in which 0 means no limit, as in the platform's settings file. */
 const LIMIT_FIELDS: ReadonlySet<string> = new Set(['cpus_max', 'gpus_max']);
 const TOP_LEVEL_FIELDS: ReadonlySet<string> = new Set(['teams', 'objectives']);
 
@@ -34,7 +34,7 @@
   const requestFields: Record<string, unknown> = {};
   for (const [field, value] of Object.entries(read.asObject(entry, path))) {
     const requestField = fieldNames[field];
-    if (requestField === undefined) throw new ValidationError(`${path}.${field}`, 'no such field');
+    if (requestField === undefined) throw new ValidationError(`${path}.${field}`, 'a known field');
     const isUnlimited = LIMIT_FIELDS.has(field) && value === 0;
     requestFields[requestField] = isUnlimited ? null : value;
   }
@@ -42,9 +42,9 @@
 }
 
 /**
- * Parses a file of changes. Teams that it leaves out stay as they are; objectives are replaced as a whole.
+ * Parses a file of changes. Teams that are not in the file stay unchanged; the list of objectives is replaced.
  *
- * @throws `ValidationError` which names the malformed or unknown field, or the TOML parser's error
+ * @throws `ValidationError` that names the malformed or unknown field, or the TOML parser's error
  */
 export function parseConfigFile(text: string): ConfigurationChange[] {
   const file = parse(text) as read.JsonObject;
--- a/packages/daemon/src/config-output.ts
+++ b/packages/daemon/src/config-output.ts
@@ -1,5 +1,5 @@
 /**
- * What the configuration command prints.
+ * The output of the configuration command.
  *
  * @module
  */
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -19,8 +19,8 @@
   readonly logLevel?: string;
 }
 
-/** Complete and valid settings, and the leader components. */
-interface CheckedInput {
+/** Valid settings, and the leader components that the extension created. */
+interface ValidatedInput {
   readonly settings: Settings;
   readonly leaderComponents: readonly LeaderComponentFactory[];
 }
@@ -31,16 +31,14 @@
     .version(manifest.version)
     .requiredOption('--config <file>', "the platform's settings file (TOML)")
     .option('--check', 'check the settings and exit')
-    .addOption(
-      new Option('--log-level <level>', 'least severe level that is logged').choices([...LOG_LEVELS]),
-    );
+    .addOption(new Option('--log-level <level>', 'least severe level to log').choices([...LOG_LEVELS]));
 }
 
-/** Reads the settings file and checks the extension's flags; null after an invalid one has been reported. */
+/** Reads the settings file and validates the extension's flags. Prints an error and returns null if they are invalid. */
 function readInput<Flags>(
   flags: DaemonFlags & Flags,
   extension: DaemonExtension<Flags> | null,
-): CheckedInput | null {
+): ValidatedInput | null {
   try {
     const settings = readSettings(flags.config);
     extension?.validate?.(flags);
@@ -55,7 +53,7 @@
 
 /**
  * Reads the command line and the settings file, then runs the node until the process is killed. With
- * `--check` it only reports whether they are valid.
+ * `--check`, it only reports whether they are valid.
  *
  * @param extension - what the program adds to a controller node, or null
  */
--- a/packages/daemon/src/errors.ts
+++ b/packages/daemon/src/errors.ts
@@ -1,5 +1,5 @@
 /**
- * Errors of the command line, and their representation as text.
+ * Errors of the command line, and their conversion to text.
  *
  * @module
  */
@@ -12,12 +12,12 @@
   }
 }
 
-/** The message of whatever was thrown. */
+/** The message of a thrown value. */
 export function messageOf(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
 
-/** The first line of the message: parsers of files append an excerpt of the file. */
+/** The first line of the message; the TOML parser appends an excerpt of the file as further lines. */
 export function firstLineOf(error: unknown): string {
   return messageOf(error).split('\n')[0] ?? '';
 }
--- a/packages/daemon/src/extension.ts
+++ b/packages/daemon/src/extension.ts
@@ -1,5 +1,5 @@
 /**
- * How a program extends the controller node: with flags, leader components, snapshots and HTTP routes.
+ * The interface by which a program extends the controller node with flags, leader components, snapshots and HTTP routes.
  *
  * @module
  */
@@ -54,7 +54,7 @@
   createLeaderComponents?(flags: Flags): readonly LeaderComponentFactory[];
   /** Opens the snapshots from which the key-value store is recovered when no replica is left. */
   openSnapshotRepository?(flags: Flags, log: Logger): SnapshotSource;
-  /** Starts a task that runs for as long as the node does. It has to handle its own errors. */
+  /** Starts a task that runs for as long as the node does. The task must handle its own errors. */
   startBackgroundTask?(flags: Flags, context: BackgroundTaskContext): void;
   /** Adds HTTP routes to those that every node serves. */
   registerRoutes?(app: FastifyInstance, flags: Flags, context: RouteContext): void;
--- a/packages/daemon/src/heap.ts
+++ b/packages/daemon/src/heap.ts
@@ -6,7 +6,7 @@
  */
 import { getHeapStatistics, setFlagsFromString } from 'node:v8';
 
-/** Memory of the process outside the heap: code, stacks, socket buffers. A conservative estimate, not measured. */
+/** Conservative allowance for the memory outside the heap: code, stacks and socket buffers. */
 const NON_HEAP_MB = 46;
 /** Size of the young generation: three semi-spaces, by `--max-semi-space-size=6` of the start command. */
 const YOUNG_GENERATION_MB = 18;
@@ -14,7 +14,7 @@
 const MIN_GROWTH_PERCENT = 5;
 /** V8 collects the old generation at the latest when it has doubled. */
 const MAX_GROWTH_PERCENT = 100;
-/** Smaller changes of the growth are ignored, to avoid setting it in every sample. */
+/** Smaller changes of the growth are ignored, to avoid setting the V8 flag at every sample. */
 const MIN_GROWTH_CHANGE_PERCENT = 3;
 const SAMPLE_INTERVAL_MS = 1000;
 /** Number of samples kept: enough that one of them was taken shortly after a collection. */
@@ -22,8 +22,8 @@
 const BYTES_PER_MB = 1e6;
 
 /**
- * By how many percent the old generation may grow over the live objects before it is collected, so that the whole
- * process stays within its memory.
+ * Returns by how many percent the old generation may grow beyond the live objects before it is collected, so that the
+ * whole process stays within its memory.
  *
  * @param liveMb - size of the live objects, in megabytes
  * @param memoryMb - memory of the process, in megabytes
@@ -42,8 +42,8 @@
 
   /**
    * @param memoryMb - memory of the process, in megabytes
-   * @param setGrowth - sets V8's growth, in percent
-   * @param usedBytes - bytes of the heap in use
+   * @param setGrowth - sets the growth that V8 allows, in percent
+   * @param usedBytes - returns the heap usage, in bytes
    */
   constructor(
     private readonly memoryMb: number,
@@ -51,7 +51,7 @@
     private readonly usedBytes: () => number = () => getHeapStatistics().used_heap_size,
   ) {}
 
-  /** Takes a sample, and sets the growth where it has changed. */
+  /** Takes a sample, and sets the growth if it has changed. */
   sample(): void {
     this.samplesMb.push(this.usedBytes() / BYTES_PER_MB);
     if (this.samplesMb.length > SAMPLE_COUNT) this.samplesMb.shift();
--- a/packages/daemon/src/main-graphs.ts
+++ b/packages/daemon/src/main-graphs.ts
@@ -28,10 +28,12 @@
   addOptions: (program) => {
     const { openPerTeam, tasks, depth, references } = DEFAULT_GRAPH_LIMITS;
     program
-      .addOption(limitOption('graphs-open', 'open graphs of one team', openPerTeam))
-      .addOption(limitOption('graph-tasks', 'tasks of one graph', tasks))
-      .addOption(limitOption('graph-depth', 'how deep tasks may spawn tasks', depth))
-      .addOption(limitOption('graph-references', 'other batches that a batch refers to', references));
+      .addOption(limitOption('graphs-open', 'maximum number of open graphs per team', openPerTeam))
+      .addOption(limitOption('graph-tasks', 'maximum number of tasks per graph', tasks))
+      .addOption(limitOption('graph-depth', 'maximum depth to which tasks may spawn tasks', depth))
+      .addOption(
+        limitOption('graph-references', 'maximum number of other batches that a batch refers to', references),
+      );
   },
   createLeaderComponents: () => [graphControllerFactory()],
   registerRoutes: (app, flags, { settings, store, machineTypes }) => {
--- a/packages/daemon/src/main-live-configuration.ts
+++ b/packages/daemon/src/main-live-configuration.ts
@@ -19,7 +19,7 @@
 }
 
 function boundOption(name: string): Option {
-  const description = 'bound of all guarantees together';
+  const description = 'upper bound of the sum of all guarantees';
   return numberOption({ name, description, defaultValue: UNBOUNDED, min: 0, max: UNBOUNDED });
 }
 
--- a/packages/daemon/src/main-snapshots.ts
+++ b/packages/daemon/src/main-snapshots.ts
@@ -17,7 +17,7 @@
 
 const INTERVAL_OPTION = numberOption({
   name: 'snapshot-every-s',
-  description: 'seconds between two snapshots',
+  description: 'interval between two snapshots, in seconds',
   defaultValue: 30,
   min: 1,
   max: 86_400,
@@ -25,7 +25,7 @@
 
 const MAX_SNAPSHOTS_OPTION = numberOption({
   name: 'snapshot-keep',
-  description: 'snapshots kept, of all nodes',
+  description: 'number of snapshots to keep, of all nodes together',
   defaultValue: 20,
   min: 1,
   max: 100_000,
@@ -54,7 +54,9 @@
   addOptions: (program) => {
     program
       .addOption(
-        new Option('--snapshot-dir <directory>', 'where snapshots are kept').env('SPURBRIDGE_SNAPSHOT_DIR'),
+        new Option('--snapshot-dir <directory>', 'directory that stores the snapshots').env(
+          'SPURBRIDGE_SNAPSHOT_DIR',
+        ),
       )
       .addOption(INTERVAL_OPTION)
       .addOption(MAX_SNAPSHOTS_OPTION);
@@ -74,7 +76,7 @@
       wallNow: () => Date.now() as WallClockMs,
       log,
     }).catch((error: unknown) => {
-      log.error({ error: String(error) }, 'snapshots ended');
+      log.error({ error: String(error) }, 'periodic snapshots stopped');
     });
   },
 });
--- a/packages/daemon/src/node-process.ts
+++ b/packages/daemon/src/node-process.ts
@@ -21,7 +21,7 @@
 const PORT_RETRY_INTERVAL_MS = 200;
 const INCARNATION_BYTES = 8;
 
-/** What a controller node is started with. */
+/** Options of a controller node. */
 export interface NodeProcessOptions<Flags> {
   readonly settings: Settings;
   readonly logLevel: string;
@@ -40,7 +40,7 @@
   return Date.now() as WallClockMs;
 }
 
-/** Number of machines that the cloud provider says are running; null where it does not respond. */
+/** Number of machines that the cloud provider reports as running; null if it does not respond. */
 async function countRunningMachines(cloud: CloudProvider): Promise<number | null> {
   const machines = await cloud.listMachines();
   if (machines === null) return null;
@@ -117,7 +117,7 @@
   return error instanceof Error && 'code' in error && error.code === 'EADDRINUSE';
 }
 
-/** Listens as soon as the previous process of this node has released the port. */
+/** Listens on the address. Retries while the port is in use, because the node's previous process may still hold it. */
 async function listen(app: FastifyInstance, address: string, log: Logger): Promise<void> {
   const { host, port } = parseSocketAddress(address);
   for (;;) {
@@ -126,7 +126,7 @@
       return;
     } catch (error) {
       if (!isAddressInUse(error)) throw error;
-      log.info({ listen: address }, 'port still taken');
+      log.info({ listen: address }, 'port in use; retrying');
       await monotonicClock.sleep(PORT_RETRY_INTERVAL_MS);
     }
   }
--- a/packages/daemon/src/number-option.ts
+++ b/packages/daemon/src/number-option.ts
@@ -1,18 +1,18 @@
 /**
- * Options of the command line that are numbers within bounds.
+ * Command-line options whose values are numbers within bounds.
  *
  * @module
  */
 import { InvalidArgumentError, Option } from 'commander';
 
-/** An option that is a number. */
+/** A command-line option whose value is a number. */
 export interface NumberOptionSpec {
   /** Name of the flag without its dashes, such as `some-limit`. */
   readonly name: string;
   readonly description: string;
   readonly defaultValue: number;
   readonly min: number;
-  /** Infinity: no upper bound. */
+  /** Infinity means that there is no upper bound. */
   readonly max: number;
   /** Whether fractions are rejected; by default they are accepted. */
   readonly integer?: boolean;
@@ -21,7 +21,7 @@
 function describeExpected({ min, max, integer }: NumberOptionSpec): string {
   const kind = integer === true ? 'whole number' : 'number';
   const range = max === Infinity ? `of at least ${min}` : `from ${min} to ${max}`;
-  return `a ${kind} ${range} is expected`;
+  return `expected a ${kind} ${range}`;
 }
 
 function parseNumber(text: string, spec: NumberOptionSpec): number {
--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -29,7 +29,7 @@
 }
 
 /**
- * The platform writes 0 for an unset limit. Interpreted as a limit of 0, it caused every job to be rejected.
+ * The platform writes 0 for an unset limit. If this were interpreted as a limit of 0, every job would be rejected.
  */
 function limitOf(amount: number): number {
   return amount === 0 ? Infinity : amount;
@@ -89,7 +89,7 @@
 /**
  * Parses the text of a settings file.
  *
- * @throws `ValidationError` which names the missing or malformed field, or the TOML parser's error
+ * @throws `ValidationError` that names the missing or malformed field, or the TOML parser's error
  */
 export function parseSettings(text: string): Settings {
   const file = parse(text) as read.JsonObject;
@@ -121,7 +121,7 @@
 /**
  * Reads a settings file.
  *
- * @throws {@link SettingsError} with the path of the file and what is wrong with it
+ * @throws {@link SettingsError} with the path of the file and the error in it
  */
 export function readSettings(path: string): Settings {
   try {
--- a/packages/daemon/src/snapshot-tool-command.ts
+++ b/packages/daemon/src/snapshot-tool-command.ts
@@ -45,7 +45,7 @@
   readonly deployment?: string;
 }
 
-/** Runs a command and turns its expected errors into a line and an exit code. */
+/** Runs a command; prints an expected error as one line and sets the exit code. */
 async function reportErrors(run: () => Promise<void>): Promise<void> {
   try {
     await run();
@@ -114,33 +114,33 @@
   return new Command('write')
     .description('take a snapshot of the state service now')
     .requiredOption('--config <file>', "the platform's settings file (TOML)")
-    .requiredOption('--dir <directory>', 'where to keep it')
+    .requiredOption('--dir <directory>', 'directory to write it to')
     .action((flags: WriteFlags) => reportErrors(() => writeSnapshot(flags)));
 }
 
 function listCommand(): Command {
   return new Command('list')
-    .description('snapshots by name, newest last')
-    .requiredOption('--dir <directory>', 'where they are kept')
+    .description('list the snapshots by name, newest last')
+    .requiredOption('--dir <directory>', 'directory that stores the snapshots')
     .action((flags: DirectoryFlags) => inspectSnapshots(flags, false));
 }
 
 function verifyCommand(): Command {
   return new Command('verify')
-    .description('read every snapshot whole; exits with 1 if one is unusable')
-    .requiredOption('--dir <directory>', 'where they are kept')
+    .description('read and verify every snapshot; exit with 1 if one is unusable')
+    .requiredOption('--dir <directory>', 'directory that stores the snapshots')
     .action((flags: DirectoryFlags) => inspectSnapshots(flags, true));
 }
 
 function restoreCommand(): Command {
   return new Command('restore')
     .argument('<file>')
-    .description('put back what the snapshot has and the state service lacks')
+    .description('restore the records that the state service lacks or has in an older version')
     .requiredOption('--config <file>', "the platform's settings file (TOML)")
-    .option('--dry-run', 'only say what would change')
+    .option('--dry-run', 'print what would change without restoring it')
     .option(
       '--deployment <id>',
-      'take a snapshot of this deployment, although the state service is another by now',
+      'accept a snapshot of this deployment although the state service belongs to another one',
     )
     .action((path: string, flags: RestoreFlags) => reportErrors(() => restoreFile(path, flags)));
 }
--- a/packages/daemon/src/snapshot-tool-output.ts
+++ b/packages/daemon/src/snapshot-tool-output.ts
@@ -1,5 +1,5 @@
 /**
- * What the snapshot command prints.
+ * The output of the snapshot command.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 
 const MAX_PRINTED_KEYS = 20;
 
-/** Whether a restore was made, or would be made. */
+/** Describes a completed restore ('was') or a dry run ('would be'). */
 export type RestoreVerb = 'was' | 'would be';
 
 function printKeys(keys: readonly string[], verb: RestoreVerb, change: 'added' | 'replaced'): void {
--- a/packages/daemon/src/tariff-options.ts
+++ b/packages/daemon/src/tariff-options.ts
@@ -21,7 +21,7 @@
 const MAX_PATTERN_HOURS = 720;
 const MAX_PROBABILITY = 0.9999;
 const MAX_SPARE_RUNS = 10;
-/** Upper bound of the random seed that spreads the nodes' requests to the feed. */
+/** Exclusive upper bound of the random seed that spreads the nodes' requests to the feed over time. */
 const FEED_SEED_RANGE = 2 ** 31;
 const FEED_PROTOCOLS: readonly string[] = ['http:', 'https:'];
 
@@ -40,11 +40,14 @@
 
 function sourceOptions(): Option[] {
   return [
-    new Option('--tariff <file>', 'the tariff (TOML)').env('SPURBRIDGE_TARIFF'),
-    new Option('--tariff-feed <url>', 'where newer ones are published').env('SPURBRIDGE_TARIFF_FEED'),
-    new Option('--tariff-classes <names>', 'classes that may wait, by comma (all with a deadline)').env(
-      'SPURBRIDGE_TARIFF_CLASSES',
+    new Option('--tariff <file>', 'the tariff file (TOML)').env('SPURBRIDGE_TARIFF'),
+    new Option('--tariff-feed <url>', 'URL at which newer tariffs are published').env(
+      'SPURBRIDGE_TARIFF_FEED',
     ),
+    new Option(
+      '--tariff-classes <names>',
+      'classes that may be deferred, separated by commas; by default all with a deadline',
+    ).env('SPURBRIDGE_TARIFF_CLASSES'),
   ];
 }
 
@@ -53,42 +56,42 @@
   return [
     numberOption({
       name: 'tariff-carbon',
-      description: 'weight of carbon against price',
+      description: 'weight of carbon in the cost: 0 is price alone, 1 is carbon alone',
       defaultValue: carbonShare,
       min: 0,
       max: 1,
     }),
     numberOption({
       name: 'tariff-pattern-h',
-      description: 'hours for which windows outlive their tariff',
+      description: "hours beyond a tariff's validity for which its recurring windows still count",
       defaultValue: windowExtensionS / S_PER_HOUR,
       min: 0,
       max: MAX_PATTERN_HOURS,
     }),
     numberOption({
       name: 'tariff-silent-s',
-      description: 'seconds after which a feed counts as silent',
+      description: 'seconds without a valid response after which the feed counts as silent',
       defaultValue: DEFAULT_FEED_SILENCE_S,
       min: 1,
       max: MAX_FEED_SILENCE_S,
     }),
     numberOption({
       name: 'tariff-saving',
-      description: 'share of its cost that a wait must save',
+      description: "minimum share of a job's cost that a deferral must save",
       defaultValue: minSaving,
       min: 0,
       max: 1,
     }),
     numberOption({
       name: 'tariff-probability',
-      description: 'share of run times to be safe against',
+      description: "quantile of the observed run times that is taken as a task's maximum run time",
       defaultValue: runTimeQuantile,
       min: 0.5,
       max: MAX_PROBABILITY,
     }),
     numberOption({
       name: 'tariff-spare-runs',
-      description: 'lost runs of a task to be safe against',
+      description: 'number of lost runs of a task for which the finish time must still be met',
       defaultValue: spareRuns,
       min: 0,
       max: MAX_SPARE_RUNS,
@@ -101,7 +104,7 @@
   for (const option of [...sourceOptions(), ...decisionOptions()]) program.addOption(option);
 }
 
-/** An empty environment variable counts as one that is not set. */
+/** Returns null for an empty environment variable, as for one that is not set. */
 function presentOrNull(text: string | undefined): string | null {
   return text === undefined || text === '' ? null : text;
 }
@@ -125,14 +128,15 @@
 function parseClasses(names: string | null): readonly string[] | null {
   if (names === null) return null;
   const classes = names.split(',').map((name) => name.trim());
-  if (classes.includes('')) throw new SettingsError('--tariff-classes: expected names, separated by commas');
+  if (classes.includes(''))
+    throw new SettingsError('--tariff-classes: expected names separated by commas, got an empty name');
   return classes;
 }
 
 /**
  * Checks the flags, reads the tariff file and opens the feed.
  *
- * @throws `SettingsError` which names the flag, or the file and what is wrong with it
+ * @throws `SettingsError` that names the flag, or the file and the error in it
  */
 export function tariffOptionsOf(flags: TariffFlags): TariffOptions {
   const path = presentOrNull(flags.tariff);
--- a/packages/daemon/test/good-settings.ts
+++ b/packages/daemon/test/good-settings.ts
@@ -1,5 +1,5 @@
-/** A settings file that is valid. */
-export const GOOD = `
+/** The text of a valid settings file. */
+export const VALID_SETTINGS = `
 label = "spur-0"
 domain = "east"
 listen = "10.0.0.1:8080"
--- a/packages/daemon/test/heap.test.ts
+++ b/packages/daemon/test/heap.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import { HeapGovernor, heapGrowth } from '../src/heap.js';
 
-test('what lives and its growth stay within the memory, as long as there is any left', () => {
+test('heap growth keeps the process within its memory while it is above the minimum growth', () => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 4000 }), fc.integer({ min: 100, max: 8000 }), (live, memory) => {
       const growth = heapGrowth(live, memory);
@@ -14,54 +14,56 @@
   );
 });
 
-test('the growth follows the least that was used, and is not set anew for a trifle', () => {
-  const set: number[] = [];
-  let used = 60e6;
+test('heap growth follows the lowest recent heap usage and ignores small changes', () => {
+  const growthsSet: number[] = [];
+  let usedBytes = 60e6;
   const governor = new HeapGovernor(
     230,
-    (percent) => set.push(percent),
-    () => used,
+    (percent) => growthsSet.push(percent),
+    () => usedBytes,
   );
   governor.sample();
-  used = 61e6;
+  usedBytes = 61e6;
   governor.sample();
-  assert.deepEqual(set, [100]);
-  // A burst of garbage is no sign of what lives; that it stays for twenty samples is.
-  used = 130e6;
+  assert.deepEqual(growthsSet, [100]);
+  // A high usage may be garbage, but after twenty samples without a lower one it counts as live objects.
+  usedBytes = 130e6;
   governor.sample();
-  assert.deepEqual(set, [100]);
+  assert.deepEqual(growthsSet, [100]);
   for (let n = 0; n < 20; n += 1) governor.sample();
-  assert.deepEqual(set, [100, 27]);
+  assert.deepEqual(growthsSet, [100, 27]);
 });
 
+/** Minimum number of rounds: on a busy machine, three seconds may pass before there is garbage to collect. */
+const MIN_ROUNDS = 500;
 /**
- * A process whose records take so many megabytes and are written again and again; prints its peak in megabytes. It ends after
- * three seconds and no less than so many turns: on a busy machine time alone would end it before there was garbage to collect.
+ * A program that fills the heap with records of a given size, overwrites them for at least three seconds and `MIN_ROUNDS`
+ * rounds, and prints the peak size of the heap in megabytes.
  */
-const MIN_TURNS = 500;
-const CHURN = `
+const OVERWRITE_RECORDS_PROGRAM = `
   const { HeapGovernor } = await import('./packages/daemon/src/heap.ts');
-  const [, memory, live] = process.argv;
-  if (Number(memory) > 0) new HeapGovernor(Number(memory)).start();
+  const [, memoryMb, liveMb] = process.argv;
+  if (Number(memoryMb) > 0) new HeapGovernor(Number(memoryMb)).start();
   const records = new Map();
   const write = (n) => records.set(n, JSON.parse(JSON.stringify({ n, text: 'x'.repeat(180) })));
-  const size = Number(live) * 3000;
+  const size = Number(liveMb) * 3000;
   for (let n = 0; n < size; n += 1) write(n);
-  let peak = 0;
+  let peakMb = 0;
   const until = Date.now() + 3000;
-  let turns = 0;
-  const turn = () => {
+  let rounds = 0;
+  const runRound = () => {
     for (let n = 0; n < 3000; n += 1) write(Math.floor(Math.random() * size));
-    peak = Math.max(peak, process.memoryUsage().heapTotal / 1e6);
-    turns += 1;
-    if (Date.now() < until || turns < ${MIN_TURNS}) setImmediate(turn);
-    else { console.log(Math.round(peak)); process.exit(0); }
+    peakMb = Math.max(peakMb, process.memoryUsage().heapTotal / 1e6);
+    rounds += 1;
+    if (Date.now() < until || rounds < ${MIN_ROUNDS}) setImmediate(runRound);
+    else { console.log(Math.round(peakMb)); process.exit(0); }
   };
-  turn();
+  runRound();
 `;
 
-function churn(flags: readonly string[], memoryMb: number, liveMb: number): number | null {
-  const run = spawnSync(
+/** Runs the program; a `memoryMb` of 0 runs it without a governor. Returns null if the process failed. */
+function peakHeapMb(flags: readonly string[], memoryMb: number, liveMb: number): number | null {
+  const result = spawnSync(
     process.execPath,
     [
       '--max-semi-space-size=6',
@@ -70,23 +72,26 @@
       'tsx',
       '--input-type=module',
       '-e',
-      CHURN,
+      OVERWRITE_RECORDS_PROGRAM,
       String(memoryMb),
       String(liveMb),
     ],
     { encoding: 'utf8' },
   );
-  return run.status === 0 ? Number(run.stdout.trim()) : null;
+  return result.status === 0 ? Number(result.stdout.trim()) : null;
 }
 
-test('records of more than 72 MB are held where the memory is given, and the fixed limit ended the process', () => {
-  const held = churn([], 400, 120);
-  assert.ok(held !== null && held > 100, `${held} MB`);
-  assert.equal(churn(['--max-old-space-size=72'], 0, 120), null);
+test('a governed process holds 120 MB of records, which end a process with a fixed heap limit of 72 MB', () => {
+  const governedMb = peakHeapMb([], 400, 120);
+  assert.ok(governedMb !== null && governedMb > 100, `${governedMb} MB`);
+  assert.equal(peakHeapMb(['--max-old-space-size=72'], 0, 120), null);
 });
 
-test('a process with little memory collects sooner than V8 would by itself', () => {
-  const governed = churn([], 130, 40);
-  const free = churn([], 0, 40);
-  assert.ok(governed !== null && free !== null && governed < free, `${governed} MB, ${free} MB by itself`);
+test('a process with little memory has a lower peak heap size than with the defaults of V8', () => {
+  const governedMb = peakHeapMb([], 130, 40);
+  const defaultMb = peakHeapMb([], 0, 40);
+  assert.ok(
+    governedMb !== null && defaultMb !== null && governedMb < defaultMb,
+    `${governedMb} MB governed, ${defaultMb} MB by default`,
+  );
 });
--- a/packages/daemon/test/run-program.ts
+++ b/packages/daemon/test/run-program.ts
@@ -1,22 +1,22 @@
 /**
- * Runs a program from its sources, as tests of command lines need it.
+ * Runs a program from its sources, for tests of command lines.
  *
  * @module
  */
 import { spawnSync } from 'node:child_process';
 
-/** How a program ended, and all that it printed. */
+/** Exit code and output of a program. */
 export interface ProgramResult {
   readonly code: number | null;
   /** The standard output, followed by the standard error. */
-  readonly says: string;
+  readonly output: string;
 }
 
 /**
- * Runs a program to its end.
+ * Runs a program until it exits.
  *
  * @param program - name of its main module, without the extension
- * @param environment - variables besides those of this process
+ * @param environment - variables that are added to those of this process
  */
 export function runProgram(
   program: string,
@@ -28,5 +28,5 @@
     ['--import', 'tsx', `packages/daemon/src/${program}.ts`, ...programArguments],
     { env: { ...process.env, ...environment } },
   );
-  return { code: result.status, says: result.stdout.toString() + result.stderr.toString() };
+  return { code: result.status, output: result.stdout.toString() + result.stderr.toString() };
 }
--- a/packages/daemon/test/snapshot-flags.test.ts
+++ b/packages/daemon/test/snapshot-flags.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'node:test';
 import { encodeSnapshot, snapshotName } from '@spurbridge/snapshot';
 import type { Revision, Version } from '@spurbridge/wire';
-import { GOOD } from './good-settings.js';
+import { VALID_SETTINGS } from './good-settings.js';
 import type { ProgramResult } from './run-program.js';
 import { runProgram } from './run-program.js';
 
@@ -13,18 +13,21 @@
   return runProgram(program, programArguments, { SPURBRIDGE_SNAPSHOT_DIR: '' });
 }
 
-test('programs of snapshots name what is wrong, and tell good snapshots from bad ones', () => {
+test('the snapshot programs name invalid flags and files, and distinguish usable from unusable snapshots', () => {
   const directory = mkdtempSync(join(tmpdir(), 'snapshots-'));
   try {
     const config = join(directory, 'settings.toml');
-    writeFileSync(config, GOOD);
+    writeFileSync(config, VALID_SETTINGS);
     const check = (...flags: string[]): ProgramResult =>
       run('main-snapshots', '--check', '--config', config, ...flags);
-    assert.deepEqual(check('--snapshot-dir', directory), { code: 0, says: 'settings of spur-0 are valid\n' });
+    assert.deepEqual(check('--snapshot-dir', directory), {
+      code: 0,
+      output: 'settings of spur-0 are valid\n',
+    });
     assert.equal(check().code, 2);
-    assert.match(check().says, /^--snapshot-dir: expected a directory/);
+    assert.match(check().output, /^--snapshot-dir: expected a directory/);
     assert.match(
-      check('--snapshot-dir', directory, '--snapshot-every-s', '0').says,
+      check('--snapshot-dir', directory, '--snapshot-every-s', '0').output,
       /a number from 1 to 86400/,
     );
 
@@ -39,12 +42,12 @@
     );
     const verified = run('main-snapshot-tool', 'verify', '--dir', directory);
     assert.equal(verified.code, 1);
-    assert.match(verified.says, /1 records.*whole\n.*unusable: the checksum[^]*1 usable, 1 unusable/);
+    assert.match(verified.output, /1 records.*whole\n.*unusable: the checksum[^]*1 usable, 1 unusable/);
     const missing = run('main-snapshot-tool', 'restore', join(directory, 'none'), '--config', config);
-    assert.deepEqual([missing.code, /^none: /.test(missing.says)], [2, true]);
-    // Nothing listens where the settings say that the state service is.
-    const unanswered = run('main-snapshot-tool', 'write', '--config', config, '--dir', directory);
-    assert.deepEqual(unanswered, { code: 1, says: 'the state service does not answer\n' });
+    assert.deepEqual([missing.code, /^none: /.test(missing.output)], [2, true]);
+    // No process listens at the state service's address in the settings.
+    const unreachable = run('main-snapshot-tool', 'write', '--config', config, '--dir', directory);
+    assert.deepEqual(unreachable, { code: 1, output: 'the state service does not answer\n' });
   } finally {
     rmSync(directory, { recursive: true });
   }
