--- a/packages/simulated-worker/src/agent-state.ts
+++ b/packages/simulated-worker/src/agent-state.ts
@@ -12,12 +12,12 @@
 export interface AgentStateOptions {
   readonly time: Timeline;
   readonly leaseMs: number;
-  /** The lease ended at this time: the worker kills all tasks and discards its state. */
+  /** Called when the lease has expired, with the time of its expiry. The worker then kills and discards its tasks. */
   readonly onLeaseEnded: (atMs: number) => void;
 }
 
 /**
- * Tracks the lease. When it expires, a new epoch begins and nothing from the old one takes effect any more.
+ * Tracks the lease. When it expires, a new epoch begins, and actions of the old epoch have no effect.
  */
 export class AgentState {
   alive = true;
@@ -60,12 +60,12 @@
     return true;
   }
 
-  /** A heartbeat sent at this time was accepted: the lease is extended from then on. */
+  /** Renews the lease after a heartbeat was accepted. The lease is counted from the time at which it was sent. */
   renewLease(sentAtMs: number): void {
     this.leaseFromMs = Math.max(this.leaseFromMs, sentAtMs);
   }
 
-  /** Suspends the process; its actions are deferred. */
+  /** Suspends the process. Its actions are deferred until it resumes. */
   hang(): void {
     this.hanging = true;
   }
@@ -78,7 +78,7 @@
     for (const run of this.onResume.splice(0)) run();
   }
 
-  /** Runs the action now; if the process hangs, once it resumes; if it is dead, never. */
+  /** Runs the action now, or once the process resumes if it hangs. Drops the action if the process is dead. */
   act(run: () => void): void {
     if (!this.alive) return;
     if (this.hanging) {
--- a/packages/simulated-worker/src/gang-task-runner.ts
+++ b/packages/simulated-worker/src/gang-task-runner.ts
@@ -9,9 +9,9 @@
 import type { WorkerHost } from './worker-host.js';
 import type { WorkerTask } from './worker-task.js';
 
-const MIN_WATCH_MS = 1;
+const MIN_WATCH_INTERVAL_MS = 1;
 
-/** What gang tasks need from their worker. */
+/** Dependencies of the gang task runner. */
 export interface GangTaskRunnerOptions {
   readonly host: WorkerHost;
   readonly agent: AgentState;
@@ -22,7 +22,7 @@
 export class GangTaskRunner {
   constructor(private readonly options: GangTaskRunnerOptions) {}
 
-  /** The task waits for the others; when the last one arrives, all begin to run. */
+  /** Lets the task wait for the gang's other tasks. When the last one is present, all begin to run. */
   awaitPeers(task: WorkerTask): void {
     const { host, agent, end } = this.options;
     const { job, attempt } = task;
@@ -37,13 +37,13 @@
     });
   }
 
-  /** A running task exits if another task of its gang is lost, or was not told to stop in time. */
+  /** Ends a running task if another task of its gang is lost, or if the task itself was not told to stop in time. */
   watchPeers(task: WorkerTask): void {
     const { host, agent, end } = this.options;
     const { job, attempt } = task;
     const { firstStopAtMs } = host.gangs.attempt(job, attempt);
     const untilStopMs = firstStopAtMs === null ? Infinity : firstStopAtMs + host.gangPeerMs - host.time.now;
-    agent.actAfter(Math.max(MIN_WATCH_MS, Math.min(host.gangPeerMs / 2, untilStopMs)), () => {
+    agent.actAfter(Math.max(MIN_WATCH_INTERVAL_MS, Math.min(host.gangPeerMs / 2, untilStopMs)), () => {
       if (task.phase !== 'running') return;
       if (host.observer.isTaskDone(job.id, task.task)) end(task, 'done');
       else if (!this.hasMissedStop(task) && this.isComplete(task)) this.watchPeers(task);
@@ -51,7 +51,7 @@
     });
   }
 
-  /** The task's run is over, and with it the gang's, unless a task is missing; returns false in that case. */
+  /** Completes the gang when the task's run is over. Returns false if a task of the gang is missing. */
   complete({ job, task, attempt }: WorkerTask): boolean {
     const { gangs, observer } = this.options.host;
     if (observer.isTaskDone(job.id, task)) return true;
@@ -61,7 +61,8 @@
   }
 
   /**
-   * A graceful stop succeeds only if every task of the gang receives it within the limit after the first one.
+   * Saves a checkpoint for a graceful stop. The stop succeeds only if every task of the gang is told to stop within
+   * `gangPeerMs` after the first one.
    */
   save(task: WorkerTask): void {
     const { host, agent, end } = this.options;
@@ -75,7 +76,7 @@
     agent.actAfter(Math.max(0, gang.firstStopAtMs + host.gangPeerMs - host.time.now), () => {
       if (task.phase === 'saving' && gang.toldToStop.size < job.tasks) end(task, 'stopped');
     });
-    // If a task that was told to stop is lost before it has saved, the others need not wait for it.
+    // The other tasks do not wait any longer for a task that was told to stop and was lost before it had saved.
     agent.actAfter(job.saveS * 1000 + 2 * host.gangPeerMs, () => {
       if (task.phase === 'saving') end(task, 'stopped');
     });
--- a/packages/simulated-worker/src/gangs.ts
+++ b/packages/simulated-worker/src/gangs.ts
@@ -23,9 +23,9 @@
   readonly isHanging: boolean;
   /** The attempt at a task that is on the worker; null if there is none. */
   attemptOf(job: JobId, task: number): { readonly attempt: Attempt; readonly phase: TaskPhase } | null;
-  /** All tasks of the gang are present: this one begins to run. */
+  /** Starts the run of this task, once all tasks of the gang are present. */
   runGangTask(job: JobSpec, task: number): void;
-  /** All tasks of the gang have saved a checkpoint: this one exits. */
+  /** Ends this task, once all tasks of the gang have saved a checkpoint. */
   finishCheckpoint(job: JobSpec, task: number): void;
 }
 
@@ -35,7 +35,7 @@
   readonly task: number;
 }
 
-/** Phases in which a task cannot act together with the others yet, or any more. */
+/** Phases in which a task does not take part in its gang yet, or no longer does. */
 const INACTIVE_PHASES: ReadonlySet<TaskPhase> = new Set(['fetching', 'exited']);
 
 /** All attempts of all gangs on a set of workers that can reach each other. */
@@ -44,7 +44,7 @@
 
   constructor(private readonly workers: () => Iterable<GangWorker>) {}
 
-  /** The attempt of a gang; created by the first call. */
+  /** Returns the attempt of a gang; the first call creates it. */
   attempt(job: JobSpec, attempt: Attempt): GangAttempt {
     const key = `${job.id}#${attempt}`;
     const known = this.byKey.get(key);
@@ -60,7 +60,7 @@
     return gang;
   }
 
-  /** Tasks of the same attempt that wait, run or save on workers that do not hang. */
+  /** The tasks of the attempt that wait, run or save, on workers that are alive and do not hang. */
   activeMembers(job: JobSpec, attempt: Attempt): GangMember[] {
     const members: GangMember[] = [];
     for (const worker of this.workers()) {
--- a/packages/simulated-worker/src/heartbeat-loop.ts
+++ b/packages/simulated-worker/src/heartbeat-loop.ts
@@ -7,22 +7,20 @@
 import type { AgentState } from './agent-state.js';
 import type { HeartbeatResult, HeartbeatSender, WorkerHost } from './worker-host.js';
 
-/**
- * Minimum distance of heartbeats as a share of the interval; up to `INTERVAL_SPREAD` hundredths are added.
- */
+/** Minimum time between heartbeats as a share of the interval; up to `INTERVAL_SPREAD` hundredths are added. */
 const MIN_INTERVAL_SHARE = 0.75;
 const INTERVAL_SPREAD = 50;
-/** Minimum distance of heartbeats sent early because of a change, in milliseconds. */
+/** Minimum time between a heartbeat and the next one that is sent early because of a change. */
 const MIN_GAP_MS = 500;
-/** Tolerance for timer rounding, by which a heartbeat may be early. */
+/** Timers are rounded, so a heartbeat may be early by this much. */
 const TIMER_TOLERANCE_MS = 1;
-/** A response that arrives later than this is ignored. */
+/** A response that arrives later than this after its request is ignored. */
 const RESPONSE_VALID_MS = 4000;
 const NEXT_NODE_DELAY_MS = 1000;
-/** Upper bound of the random delay that spreads workers that were redirected together. */
+/** Upper bound of the random delay after a redirect, which spreads the requests of workers redirected together. */
 const REDIRECT_SPREAD_MS = 500;
 
-/** What the loop needs from its worker. */
+/** Dependencies of the heartbeat loop. */
 export interface HeartbeatLoopOptions {
   readonly host: WorkerHost;
   readonly agent: AgentState;
@@ -33,7 +31,7 @@
 
 /** Sends heartbeats at intervals and after changes; tries one node after another until one accepts them. */
 export class HeartbeatLoop {
-  /** Incremented when the loop gives up on a node. */
+  /** Index of the current node; may exceed the number of nodes, because it is incremented to try the next one. */
   private node = 0;
   private isWaiting = false;
   private lastSentMs = -Infinity;
@@ -45,7 +43,7 @@
     return this.node % this.options.host.nodes.length;
   }
 
-  /** Sends the first heartbeat now; the loop ends with the agent. */
+  /** Sends a heartbeat now and then at intervals, until the agent is dead. */
   start(): void {
     const { agent, host } = this.options;
     if (!agent.alive) return;
@@ -56,7 +54,7 @@
     });
   }
 
-  /** Sends a heartbeat soon, because of a change that is relevant to the controllers. */
+  /** Sends a heartbeat as soon as the minimum gap allows, because of a change that the controllers should learn. */
   sendSoon(): void {
     const { agent, host } = this.options;
     const waitMs = Math.max(0, this.lastSentMs + MIN_GAP_MS - host.time.now);
@@ -108,12 +106,12 @@
 
   private followRedirect(leader: string): void {
     const { host } = this.options;
-    const named = host.nodes.indexOf(leader);
-    if (named < 0 || named === this.nodeIndex) {
+    const leaderIndex = host.nodes.indexOf(leader);
+    if (leaderIndex < 0 || leaderIndex === this.nodeIndex) {
       this.tryNextNode();
       return;
     }
-    this.node = named;
+    this.node = leaderIndex;
     host.time.after(host.random(REDIRECT_SPREAD_MS), () => {
       this.sendNow();
     });
--- a/packages/simulated-worker/src/task-runner.ts
+++ b/packages/simulated-worker/src/task-runner.ts
@@ -14,13 +14,13 @@
 /** Time to start a task whose image is in the machine's cache. */
 const CACHED_IMAGE_MS = 5;
 
-/** What the tasks need from their worker. */
+/** Dependencies of the task runner. */
 export interface TaskRunnerOptions {
   readonly host: WorkerHost;
   readonly agent: AgentState;
   readonly type: MachineType;
   readonly placement: TaskPlacement;
-  /** A task changed, which the controllers should learn soon. */
+  /** Called when a task has changed, so that the controllers learn of it soon. */
   readonly onChange: () => void;
 }
 
@@ -68,7 +68,7 @@
     return killed.length;
   }
 
-  /** Executes commands in their order. */
+  /** Executes the commands in order. */
   execute(commands: readonly WorkerCommand[]): void {
     for (const command of commands) {
       const { job, task: index, attempt } = command;
@@ -80,7 +80,7 @@
     }
   }
 
-  /** The task's run begins. */
+  /** Starts the run of the task. */
   run(job: JobSpec, index: number): void {
     const task = this.find(job.id, index);
     if (task === undefined || task.phase === 'exited') return;
@@ -97,7 +97,7 @@
     if (isGang) this.gangTasks.watchPeers(task);
   }
 
-  /** All tasks of the gang have saved a checkpoint, and this one exits. */
+  /** Ends the task, once all tasks of its gang have saved a checkpoint. */
   finishCheckpoint(job: JobSpec, index: number): void {
     const task = this.find(job.id, index);
     if (task?.phase === 'saving') this.end(task, 'stopped', true);
@@ -136,7 +136,7 @@
     return cpus <= type.cpus + EPSILON && gpus <= type.gpus + EPSILON && memoryGb <= type.memoryGb + EPSILON;
   }
 
-  /** The image was fetched. */
+  /** Starts the task after its image was fetched. */
   private begin(task: WorkerTask): void {
     const { host, placement, onChange } = this.options;
     const { job, task: index, attempt } = task;
--- a/packages/simulated-worker/src/timeline.ts
+++ b/packages/simulated-worker/src/timeline.ts
@@ -1,5 +1,5 @@
 /**
- * The source of time of a stand-in: simulated time, or the clock of this machine.
+ * The time source of simulated components: simulated time, or the clock of this machine.
  *
  * @module
  */
--- a/packages/simulated-worker/src/worker-host.ts
+++ b/packages/simulated-worker/src/worker-host.ts
@@ -21,10 +21,10 @@
   | { readonly code: 200; readonly fencingToken: FencingToken; readonly commands: readonly WorkerCommand[] }
   /** Another node is responsible for the worker. */
   | { readonly code: 421; readonly leader: string }
-  /** No node can be named now. */
+  /** The node serves no workers now and cannot name one that does. */
   | { readonly code: 503 };
 
-/** Where a task was started. */
+/** The machine on which a task was started. */
 export interface TaskPlacement {
   readonly machine: MachineId;
   readonly zone: string;
@@ -34,9 +34,9 @@
 
 /** Observes the tasks on a worker. */
 export interface TaskObserver {
-  /** Tasks that ended because their worker's lease expired. */
+  /** Number of tasks that were killed because their worker's lease expired. */
   killedByLease: number;
-  /** The task's image was fetched, and the task occupies the machine from now on. */
+  /** The task was started after its image had been fetched, and occupies the machine from now on. */
   taskStarted(job: JobSpec, task: number, attempt: Attempt, at: TaskPlacement): void;
   /** The task left the machine, at `atMs` at the latest if that is before now. */
   taskStopped(job: JobId, task: number, machine: MachineId, isDone: boolean, atMs?: number): void;
@@ -64,7 +64,8 @@
   /** How long a gang task waits for the others to start, in milliseconds. */
   readonly gangWaitMs: number;
   /**
-   * Limit within which gang tasks detect the loss of another, and must all be told to stop, in milliseconds.
+   * Time within which gang tasks detect the loss of another one, and within which all must be told to stop, in
+   * milliseconds.
    */
   readonly gangPeerMs: number;
   readonly gangs: GangRegistry;
@@ -72,7 +73,7 @@
   readonly random: (below: number) => number;
   /** Whether this run of the task ends with an error. */
   readonly taskFails: (job: JobSpec, task: number) => boolean;
-  /** The description of a job; undefined if there is no such job. */
+  /** The specification of a job; undefined if there is no such job. */
   findJob(id: JobId): JobSpec | undefined;
   /** The run time of the task, in milliseconds. */
   taskRunMs(job: JobSpec, task: number): number;
--- a/packages/simulated-worker/src/worker.ts
+++ b/packages/simulated-worker/src/worker.ts
@@ -1,6 +1,6 @@
 /**
- * A worker without real tasks: it implements the protocol's fencing tokens, epochs, lease, images and gangs,
- * but its tasks are timers. The same code runs under simulated time and on the machine's own clock.
+ * A simulated worker. It implements the protocol's fencing tokens, epochs, lease, images and gangs, but its tasks
+ * are timers. The same code runs in simulated time and on the machine's clock.
  *
  * @module
  */
@@ -23,7 +23,7 @@
 
 /** One machine with its agent and its tasks. */
 export class SimulatedWorker implements GangWorker {
-  /** When the cloud takes the machine back, in milliseconds; null without a preemption notice. */
+  /** When the cloud provider preempts the machine, in milliseconds; null without a preemption notice. */
   preemptionAtMs: number | null = null;
   private readonly agent: AgentState;
   private readonly heartbeats: HeartbeatLoop;
@@ -99,7 +99,7 @@
     return this.tasks.occupying;
   }
 
-  /** Removes the machine with everything on it. */
+  /** Ends the machine and kills all its tasks. */
   die(): void {
     this.agent.alive = false;
     this.tasks.clear(this.host.time.now);
@@ -110,7 +110,7 @@
     this.agent.hang();
   }
 
-  /** Resumes the machine; tasks whose lease expired meanwhile are gone. */
+  /** Resumes the machine. If its lease expired meanwhile, its tasks are killed. */
   resume(): void {
     this.agent.resume();
   }
