--- a/packages/scale/src/capacity-metrics.ts
+++ b/packages/scale/src/capacity-metrics.ts
@@ -1,12 +1,12 @@
 /**
- * The resource figures of the capacity tables: what they grow with, and their limits.
+ * The resource figures of the capacity tables, with the load that drives each of them and their limits.
  *
  * @module
  */
 import { RUN_SETTINGS } from './controller-settings.js';
 import type { StepResult } from './results.js';
 
-/** What a figure grows with. */
+/** Name of a load that drives resource figures. */
 export type DriverName = 'starts/s' | 'workers' | 'tasks';
 
 /** One figure that is fitted as a line over its driver. */
@@ -28,9 +28,9 @@
   tasks: (step) => step.tasksOnLoneWorker,
 };
 
-/** What a worker may spend on being controlled. */
+/** Resources that the agent of a worker may use. */
 const WORKER_LIMITS = { cores: 0.024, megabytes: 256, kilobytesPerS: 5 } as const;
-/** Scheduling runs in one thread of each node. */
+/** Each node schedules in one thread. */
 const CORES_PER_NODE = 1;
 const MEMORY_MB = RUN_SETTINGS.resources.mem_mb;
 
--- a/packages/scale/src/capacity.ts
+++ b/packages/scale/src/capacity.ts
@@ -1,5 +1,5 @@
 /**
- * The capacity tables of docs/CAPACITY.md, made from the kept runs.
+ * The capacity tables of docs/CAPACITY.md, rendered from the kept runs.
  *
  * @module
  */
@@ -9,17 +9,17 @@
 import { configurationTable, endedJobsTable, isPlainStep } from './special-run-tables.js';
 import { faultTable, stepTable } from './step-tables.js';
 
-/** Name of the kept run that the slopes are fitted from. */
+/** Name of the kept run to which the slopes are fitted. */
 export const PLAN_RUN = 'plan';
 
 /** A kept run that the tables need is missing. */
 export class MissingRunError extends SpurbridgeError {
   constructor(readonly run: string) {
-    super('CAPACITY_RUN_MISSING', `there is no kept run called ${run}`);
+    super('CAPACITY_RUN_MISSING', `the kept run '${run}' is missing`);
   }
 }
 
-/** Renders all tables of docs/CAPACITY.md. Throws a `MissingRunError` without the run that the slopes are fitted from. */
+/** Renders all tables of docs/CAPACITY.md. Throws a `MissingRunError` if the run for the slopes is missing. */
 export function capacityTables(results: readonly NamedResult[]): string {
   const plan = results.find((run) => run.name === PLAN_RUN)?.result;
   if (plan === undefined) throw new MissingRunError(PLAN_RUN);
--- a/packages/scale/src/child-main.ts
+++ b/packages/scale/src/child-main.ts
@@ -10,7 +10,7 @@
 import { runUsers } from './users.js';
 import { runWorkers } from './worker-host.js';
 
-/** Runs this process in the role that its only argument gives as JSON. */
+/** Runs this process in the role that its only argument states as JSON. */
 async function main(): Promise<void> {
   const role = JSON.parse(process.argv[2] ?? 'null') as Role;
   const meter = new Meter();
--- a/packages/scale/src/cloud-server.ts
+++ b/packages/scale/src/cloud-server.ts
@@ -1,5 +1,5 @@
 /**
- * The helper process that stands in for the cloud provider of one region.
+ * The helper process that simulates the cloud provider of one region.
  *
  * @module
  */
@@ -28,10 +28,10 @@
 /** CPUs of one machine: a quarter more than the mean number of one-CPU tasks on a machine in the capacity plan. */
 export const MACHINE_CPUS = 20;
 const MAX_LISTED = 500;
-/** Boot times vary from 0.6 to 1.5 of the type's own, in milliseconds per second of it. */
+/** Boot times are drawn from 0.6 to 1.5 times `bootS` of the type: milliseconds per second of `bootS`. */
 const MIN_BOOT_MS_PER_S = 600;
 const BOOT_SPAN_MS_PER_S = 900;
-const BATCH_MS = 50;
+const EVENT_BATCH_INTERVAL_MS = 50;
 
 /** The only machine type of a run, offered in the given zones. */
 export function machineType(zones: readonly string[]): MachineType {
@@ -147,7 +147,7 @@
     notifyDriver({ notice: 'events', events, until: this.time.now - 1 });
   }
 
-  /** Adds the machines that run from the start, spread over the zones. */
+  /** Adds the machines that run from the beginning, spread over the zones. */
   addInitialMachines(): void {
     const { machines, zones } = this.role;
     for (let n = 0; n < machines; n += 1)
@@ -155,7 +155,7 @@
   }
 }
 
-/** Runs the cloud of one region in this process; the driver has its machines started by the processes of workers. */
+/** Runs the cloud provider of one region in this process. The driver starts its machines in the worker processes. */
 export async function runCloud(role: CloudRole, meter: Meter): Promise<void> {
   const server = new CloudServer(role, meter);
   await server.app.listen(parseSocketAddress(role.listen));
@@ -165,7 +165,7 @@
   });
   setInterval(() => {
     server.flushEvents();
-  }, BATCH_MS);
+  }, EVENT_BATCH_INTERVAL_MS);
   server.addInitialMachines();
   notifyDriver({ notice: 'ready' });
 }
--- a/packages/scale/src/command.ts
+++ b/packages/scale/src/command.ts
@@ -7,7 +7,7 @@
 import { cpus, totalmem } from 'node:os';
 import { join } from 'node:path';
 import { Command } from 'commander';
-import { KEPT_RUNS } from './capacity-command.js';
+import { KEPT_RUNS_DIRECTORY } from './capacity-command.js';
 import type { RawOptions, ScaleOptions, Step } from './options.js';
 import { OptionsError, CAPACITY_PLAN, parseOptions } from './options.js';
 import { ProcessError } from './processes.js';
@@ -15,17 +15,17 @@
 import { StepRun } from './step-run.js';
 import { FAULTS } from './faults.js';
 
-const PROGRAMS = ['target/main.js', 'target/scale-child.js'];
+const REQUIRED_PROGRAMS = ['target/main.js', 'target/scale-child.js'];
 
 const EXIT_FAILED = 1;
-const EXIT_WRONG_USAGE = 2;
+const EXIT_INVALID_USAGE = 2;
 
-const MB = 1e6;
-/** No larger step is run once a step has used these shares of the machine. */
+const BYTES_PER_MB = 1e6;
+/** No further step is run after one that used these shares of the machine. */
 const MAX_CPU_SHARE = 0.85;
 const MAX_MEMORY_SHARE = 0.5;
 const MAX_PROCESSES = 200;
-const SMOKE = {
+const SMOKE_PRESET = {
   workers: '20',
   regions: '1',
   zones: '2',
@@ -35,7 +35,7 @@
   steps: '1',
   seconds: '10',
 };
-const SHORT = {
+const SHORT_PRESET = {
   workers: '100',
   regions: '1',
   zones: '4',
@@ -46,7 +46,7 @@
   seconds: '30',
 };
 
-/** Why no larger step may follow, or null if one may. */
+/** Returns why no further step may follow, or null if one may. */
 export function stopReason(result: StepResult, totalMb: number): string | null {
   if (result.machineCpu >= MAX_CPU_SHARE)
     return `${Math.round(result.machineCpu * 100)}% of the machine's cores were used`;
@@ -55,19 +55,22 @@
   return null;
 }
 
-function isWholePart(step: Step): boolean {
+function isWholeRegion(step: Step): boolean {
   return step.regions === 1 && step.share === 1;
 }
 
-/** Runs the steps one after another, until the machine allows no more. */
-export async function runScale(options: ScaleOptions, say: (line: string) => void): Promise<ScaleResult> {
+/** Runs the steps one after another, until one uses too much of the machine. */
+export async function runScale(
+  options: ScaleOptions,
+  reportProgress: (line: string) => void,
+): Promise<ScaleResult> {
   const steps: StepResult[] = [];
-  const memoryMb = totalmem() / MB;
+  const memoryMb = totalmem() / BYTES_PER_MB;
   let stopped = 'all steps were played';
   for (const step of options.steps) {
-    say(`step: ${step.regions} region(s), ${step.share} of its part`);
-    const faults = options.injectFaults && isWholePart(step) ? FAULTS : [];
-    const result = await new StepRun(options, step, say).run(faults);
+    reportProgress(`step: ${step.regions} region(s), each with ${step.share} of its load`);
+    const faults = options.injectFaults && isWholeRegion(step) ? FAULTS : [];
+    const result = await new StepRun(options, step, reportProgress).run(faults);
     steps.push(result);
     const reason = stopReason(result, memoryMb);
     if (reason === null) continue;
@@ -84,7 +87,7 @@
   };
 }
 
-/** The summary table for readers; programs read the JSON of the last line of output. */
+/** Renders a summary table to be read by people. Programs read the JSON in the last line of the output. */
 export function summaryTable(result: ScaleResult): string {
   const rows = result.steps.map((step) => ({
     regions: step.regions,
@@ -108,9 +111,9 @@
   return [...lines, `ended: ${result.stopped}`].join('\n');
 }
 
-function keep(result: ScaleResult, name: string): void {
-  mkdirSync(KEPT_RUNS, { recursive: true });
-  writeFileSync(join(KEPT_RUNS, `${name}.json`), `${JSON.stringify(result, null, 1)}\n`);
+function writeKeptRun(result: ScaleResult, name: string): void {
+  mkdirSync(KEPT_RUNS_DIRECTORY, { recursive: true });
+  writeFileSync(join(KEPT_RUNS_DIRECTORY, `${name}.json`), `${JSON.stringify(result, null, 1)}\n`);
 }
 
 function fail(message: string, exitCode: number): void {
@@ -119,10 +122,10 @@
 }
 
 async function runCommand(flags: RawOptions): Promise<void> {
-  const preset = flags['smoke'] === true ? SMOKE : flags['short'] === true ? SHORT : {};
-  const missing = PROGRAMS.filter((program) => !existsSync(program));
+  const preset = flags['smoke'] === true ? SMOKE_PRESET : flags['short'] === true ? SHORT_PRESET : {};
+  const missing = REQUIRED_PROGRAMS.filter((program) => !existsSync(program));
   if (missing.length > 0) {
-    fail(`scale: ${missing.join(', ')} missing: npm run build`, EXIT_FAILED);
+    fail(`scale: missing ${missing.join(', ')}; run "npm run build" first`, EXIT_FAILED);
     return;
   }
   const isPreset = Object.keys(preset).length > 0;
@@ -131,16 +134,16 @@
     options = parseOptions({ ...flags, ...preset, ...(isPreset ? { troubles: false } : {}) });
   } catch (error) {
     if (!(error instanceof OptionsError)) throw error;
-    fail(error.message, EXIT_WRONG_USAGE);
+    fail(error.message, EXIT_INVALID_USAGE);
     return;
   }
-  const say = (line: string): void => {
+  const reportProgress = (line: string): void => {
     process.stderr.write(`${line}\n`);
   };
   try {
-    const result = await runScale(options, say);
-    if (typeof flags['keep'] === 'string') keep(result, flags['keep']);
-    say(summaryTable(result));
+    const result = await runScale(options, reportProgress);
+    if (typeof flags['keep'] === 'string') writeKeptRun(result, flags['keep']);
+    reportProgress(summaryTable(result));
     process.stdout.write(`${JSON.stringify(result)}\n`);
     if (result.steps.some((step) => step.brokenRules.length > 0)) process.exitCode = EXIT_FAILED;
   } catch (error) {
@@ -149,44 +152,48 @@
   }
 }
 
-/** Builds the `scale` command: the shipped program under load on loopback, with simulated workers. */
+/** Builds the `scale` command, which runs a load test of the built program on loopback with simulated workers. */
 export function scaleCommand(): Command {
   return new Command('scale')
-    .description('the shipped program under load on loopback, with workers that have no real tasks')
-    .option('--workers <n>', 'workers of all regions', String(CAPACITY_PLAN.workers))
-    .option('--regions <n>', 'regions', String(CAPACITY_PLAN.regions))
-    .option('--zones <n>', 'zones of all regions', String(CAPACITY_PLAN.zones))
-    .option('--teams <n>', 'teams', String(CAPACITY_PLAN.teams))
-    .option('--starts <n>', 'task starts a second, of all regions', String(CAPACITY_PLAN.starts))
-    .option('--running <n>', 'tasks that run at once, of all regions', String(CAPACITY_PLAN.running))
-    .option('--nodes <n>', 'controller nodes of each region', '3')
-    .option('--seconds <n>', 'how long each step is measured', '60')
-    .option('--seed <n>', 'what is drawn', '1')
+    .description('runs a load test of the built program on loopback, with simulated workers')
+    .option('--workers <n>', 'number of workers of all regions', String(CAPACITY_PLAN.workers))
+    .option('--regions <n>', 'number of regions', String(CAPACITY_PLAN.regions))
+    .option('--zones <n>', 'number of zones of all regions', String(CAPACITY_PLAN.zones))
+    .option('--teams <n>', 'number of teams', String(CAPACITY_PLAN.teams))
+    .option('--starts <n>', 'task starts per second of all regions', String(CAPACITY_PLAN.starts))
+    .option('--running <n>', 'number of running tasks of all regions', String(CAPACITY_PLAN.running))
+    .option('--nodes <n>', 'number of controller nodes per region', '3')
+    .option('--seconds <n>', 'duration of the measurement of each step, in seconds', '60')
+    .option('--seed <n>', 'seed of the generated load', '1')
     .option(
       '--steps <list>',
-      "shares of one region's part (1/16), then numbers of regions",
+      "comma-separated steps: a share of one region's load (1/16) or a number of whole regions",
       '1/16,1/8,1/4,1/2,1,2,4',
     )
-    .option('--deploy <file>', 'whose start line the controllers are started by', 'deploy/service.toml')
+    .option(
+      '--deploy <file>',
+      'deployment file whose start command runs the controllers',
+      'deploy/service.toml',
+    )
     .option(
       '--changes <n>',
-      'changes of configuration an hour in each region (deploy/live-configuration.toml)',
+      'configuration changes per hour in the first region (needs deploy/live-configuration.toml)',
       '0',
     )
     .option(
       '--end-leader-every <n>',
-      'the leader ends this often, in seconds, and is back at once; 0: never',
+      'interval at which the leaders are killed and restarted, in seconds; 0 for never',
       '0',
     )
-    .option('--first-region <n>', 'number of the first region: addresses of runs at once differ by it', '0')
-    .option('--ended-jobs <n>', 'records of jobs that ended before, in each region', '0')
-    .option('--no-troubles', "no troubles at one region's whole part")
-    .option('--keep <name>', `keep the result under ${KEPT_RUNS}`)
-    .option('--smoke', 'twenty workers for ten seconds')
-    .option('--short', 'a hundred workers for half a minute')
+    .option('--first-region <n>', 'number of the first region; simultaneous runs need different ones', '0')
+    .option('--ended-jobs <n>', 'number of records of ended jobs that each region starts with', '0')
+    .option('--no-troubles', 'inject no faults into the step that runs one whole region')
+    .option('--keep <name>', `keep the result under ${KEPT_RUNS_DIRECTORY}`)
+    .option('--smoke', 'preset: 20 workers for 10 seconds')
+    .option('--short', 'preset: 100 workers for 30 seconds')
     .configureOutput({ outputError: (text, write) => write(text) })
     .exitOverride((error) => {
-      process.exit(error.exitCode === 0 ? 0 : EXIT_WRONG_USAGE);
+      process.exit(error.exitCode === 0 ? 0 : EXIT_INVALID_USAGE);
     })
     .action(runCommand);
 }
--- a/packages/scale/src/configuration-load.ts
+++ b/packages/scale/src/configuration-load.ts
@@ -7,17 +7,17 @@
 import { ConfigurationClient, StaleVersionError } from '@spurbridge/configuration';
 import type { ConfigurationChange } from '@spurbridge/configuration';
 import { MACHINE_CPUS } from './cloud-server.js';
-import { summary } from './meter.js';
+import { summarizeLatencies } from './meter.js';
 import { teamCpuLimit } from './controller-settings.js';
 import type { RegionShape } from './controller-settings.js';
 import type { LatencySummary, NodeAddress } from './messages.js';
 
-const HOUR_MS = 3_600_000;
+const MS_PER_HOUR = 3_600_000;
 const POLL_INTERVAL_MS = 25;
 const MAX_WAIT_MS = 20_000;
 const MAX_ATTEMPTS = 5;
-/** Limits are only lowered, by up to this share, so that the limit that the rule checker applies still holds. */
-const MAX_LOWERING = 0.2;
+/** Limits are lowered by up to this share and never raised, so that the limits of the rule checker stay valid. */
+const MAX_LIMIT_REDUCTION = 0.2;
 
 /** Outcomes and latencies of the configuration changes of a measured interval. */
 export interface ConfigurationResult {
@@ -28,9 +28,9 @@
   readonly failed: number;
   /** Changes that were committed but not in force on every node within 20 s. */
   readonly lagged: number;
-  /** From the first request to being in force on every node, in milliseconds. */
+  /** Time from the first request until the change is in force on every node, in milliseconds. */
   readonly inForceMs: LatencySummary;
-  /** From the response to the commit to being in force on every node, in milliseconds. */
+  /** Time from the response to the commit until the change is in force on every node, in milliseconds. */
   readonly afterCommitMs: LatencySummary;
   /** Latency of one commit that changes every team, in milliseconds; null if it was not made. */
   readonly allTeamsMs: number | null;
@@ -55,26 +55,26 @@
     this.nodes = nodes.map((node) => new ConfigurationClient([node.address]));
     this.client = new ConfigurationClient(nodes.map((node) => node.address));
     this.timer = setInterval(() => {
-      this.begin([this.change(this.counts.asked)]);
-    }, HOUR_MS / changesPerHour);
+      this.startChange([this.teamChange(this.counts.asked)]);
+    }, MS_PER_HOUR / changesPerHour);
   }
 
-  private change(n: number): ConfigurationChange {
+  private teamChange(n: number): ConfigurationChange {
     const limit = teamCpuLimit(this.shape.workers * MACHINE_CPUS);
-    const lowered = limit * (1 - (MAX_LOWERING * (1 + (n % 10))) / 10);
+    const lowered = limit * (1 - (MAX_LIMIT_REDUCTION * (1 + (n % 10))) / 10);
     return { team: `team-${n % this.shape.teams}`, cpusMax: Math.round(lowered * 100) / 100 };
   }
 
-  private begin(changes: readonly ConfigurationChange[]): void {
-    const change = this.make(changes).catch(() => {
+  private startChange(changes: readonly ConfigurationChange[]): void {
+    const change = this.commitAndWait(changes).catch(() => {
       this.counts.failed += 1;
     });
     this.pending.add(change);
     void change.finally(() => this.pending.delete(change));
   }
 
-  /** Commits the changes and waits until they are in force on every node; returns the milliseconds, or null on failure. */
-  private async make(changes: readonly ConfigurationChange[]): Promise<number | null> {
+  /** Commits the changes and waits until they are in force on every node. Returns the latency in ms; null on failure. */
+  private async commitAndWait(changes: readonly ConfigurationChange[]): Promise<number | null> {
     this.counts.asked += 1;
     const beganAt = performance.now();
     const version = await this.commit(changes);
@@ -108,39 +108,39 @@
     return null;
   }
 
-  /** Polls one node until the version that it applies itself is new enough; false on timeout. */
+  /** Polls one node until it applies at least this version; returns false on timeout. */
   private async waitFor(node: ConfigurationClient, version: number): Promise<boolean> {
     const until = performance.now() + MAX_WAIT_MS;
     while (performance.now() < until) {
-      const own = await node.status().then(
+      const appliedVersion = await node.status().then(
         (all) => all[0]?.version ?? 0,
         () => 0,
       );
-      if (own >= version) return true;
+      if (appliedVersion >= version) return true;
       await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
     return false;
   }
 
-  /** Starts no further changes. */
+  /** Stops starting changes. */
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Waits for the changes under way, changes all teams in one commit, and returns the result. */
+  /** Waits for the pending changes, changes all teams in one commit, and returns the result. */
   async end(): Promise<ConfigurationResult> {
     this.stop();
     await Promise.all(this.pending);
     const changes = Array.from({ length: this.shape.teams }, (_, n) => ({
-      ...this.change(n * 3 + 1),
+      ...this.teamChange(n * 3 + 1),
       team: `team-${n}`,
     }));
-    this.allTeamsMs = await this.make(changes).catch(() => null);
+    this.allTeamsMs = await this.commitAndWait(changes).catch(() => null);
     for (const client of [this.client, ...this.nodes]) client.close();
     return {
       ...this.counts,
-      inForceMs: summary(this.inForce),
-      afterCommitMs: summary(this.afterCommit),
+      inForceMs: summarizeLatencies(this.inForce),
+      afterCommitMs: summarizeLatencies(this.afterCommit),
       allTeamsMs: this.allTeamsMs,
     };
   }
--- a/packages/scale/src/controller-settings.ts
+++ b/packages/scale/src/controller-settings.ts
@@ -16,7 +16,7 @@
   readonly teams: number;
 }
 
-/** Durations and limits of the run, in the platform's settings; docs/CAPACITY.md names them as assumptions. */
+/** Durations and limits of a run, named as in the platform's settings file (docs/CAPACITY.md). */
 export const RUN_SETTINGS = {
   workers: { report_s: 4.0, lease_s: 22.0, gang_wait_s: 50.0, gang_peer_s: 8.0, cancel_s: 42.0 },
   state: { rps: 600.0, write_rps: 250.0, value_kb: 16.0, txn_ops: 12 },
@@ -25,11 +25,11 @@
   urgentWithinS: 3.7,
 } as const;
 
-/** A team is guaranteed half of an even share of the region, and limited to a quarter of it. */
+/** Each team is guaranteed half of an equal share of the region's CPUs, and limited to a quarter of the region's CPUs. */
 const GUARANTEED_SHARE = 0.5;
 const LIMIT_SHARE = 0.25;
 
-/** The limit of one team in a region with so many CPUs. */
+/** The CPU limit of one team in a region with this number of CPUs. */
 export function teamCpuLimit(cpus: number): number {
   return cpus * LIMIT_SHARE;
 }
--- a/packages/scale/src/driver-channel.ts
+++ b/packages/scale/src/driver-channel.ts
@@ -5,12 +5,12 @@
  */
 import type { Notice, Order } from './messages.js';
 
-/** Sends a notice to the driver. Without a connection it is dropped: the process ends soon. */
+/** Sends a notice to the driver. Drops it if the driver has disconnected, because this process then exits. */
 export function notifyDriver(notice: Notice): void {
   if (process.connected) process.send?.(notice);
 }
 
-/** Calls the handler for each order of the driver, and ends this process when the driver ends. */
+/** Calls the handler for each order of the driver, and exits when the driver disconnects. */
 export function handleOrders(handler: (order: Order) => void): void {
   process.on('message', (order) => {
     handler(order as Order);
--- a/packages/scale/src/events.ts
+++ b/packages/scale/src/events.ts
@@ -1,12 +1,12 @@
 /**
- * Events that the processes of a run observe, put in one order and passed to the rule checker.
+ * Events that the processes of a run observe, merged in the order of their times and passed to the rule checker.
  *
  * @module
  */
 import type { RuleChecker } from '@spurbridge/testkit';
 import type { Attempt, JobId, JobPhase, JobSpec, MachineId } from '@spurbridge/wire';
 
-/** An event that a process of the run observed; `at` is the machine's monotonic clock in milliseconds. */
+/** An event that a process of the run observed; `at` is the time by the machine's monotonic clock, in milliseconds. */
 export type RunEvent =
   | {
       readonly kind: 'started';
@@ -47,8 +47,8 @@
 }
 
 /**
- * Merges the events of several processes in the order of their times. An event is passed on once every process has
- * reported all earlier ones; a stopped process delays everybody's later events until it continues or is removed.
+ * Merges the events of several processes in the order of their times. An event is delivered once every process has
+ * reported all earlier ones. A stopped process delays later events of all processes until it continues or is removed.
  */
 export class EventOrder {
   private readonly sources = new Map<string, Source>();
@@ -56,18 +56,18 @@
 
   constructor(private readonly deliver: (event: RunEvent) => void) {}
 
-  /** Adds a process whose events from this time on are waited for. */
+  /** Adds a process. Events after this time are delivered only once the process has reported its own up to then. */
   add(source: string, from: number): void {
     this.sources.set(source, { until: from });
   }
 
-  /** Removes a process; its later events are not waited for. */
+  /** Removes a process, so that events no longer wait for it. */
   remove(source: string): void {
     this.sources.delete(source);
     this.flush();
   }
 
-  /** Accepts events of one process that are complete until the given time. */
+  /** Accepts events of one process, which are complete up to the given time. */
   batch(source: string, events: readonly RunEvent[], until: number): void {
     const known = this.sources.get(source);
     if (known === undefined) return;
--- a/packages/scale/src/faults.ts
+++ b/packages/scale/src/faults.ts
@@ -1,11 +1,11 @@
 /**
- * Faults that are injected while a run goes on.
+ * Faults that are injected during a run.
  *
  * @module
  */
 import type { Region } from './region.js';
 
-/** A fault of one region that is injected while the run goes on. */
+/** A fault that is injected into one region during a run. */
 export interface Fault {
   readonly name: string;
   /** How long the run is observed after the injection, in seconds. */
@@ -13,13 +13,13 @@
   readonly inject: (region: Region, sleep: (seconds: number) => Promise<void>) => Promise<void>;
 }
 
-/** Delay before a process that ended is started again, in seconds, where its supervisor restarts it at once. */
+/** Delay of a restart by a supervisor that restarts a process at once, in seconds. */
 export const QUICK_RESTART_S = 0.2;
 const RACK_MACHINES = 40;
 const ZONE_STOP_S = 40;
 const REPLACED_MACHINES = 2;
 
-/** Ends the leader's process and starts it again after a delay in seconds. */
+/** Kills the leader's process and restarts it after a delay in seconds. */
 export async function endLeader(
   region: Region,
   restartDelayS: number,
@@ -33,7 +33,7 @@
   region.startController(leader);
 }
 
-/** The faults injected into a step that runs one region's whole part. */
+/** The faults injected into a step that runs one whole region. */
 export const FAULTS: readonly Fault[] = [
   {
     name: 'leader ended, back after 0.2 s',
--- a/packages/scale/src/index.ts
+++ b/packages/scale/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Load test of the shipped program with real processes, and the capacity tables made from its results.
+ * Load test of the built program with real processes, and the capacity tables rendered from its results.
  *
  * @module
  */
--- a/packages/scale/src/linear-fit.ts
+++ b/packages/scale/src/linear-fit.ts
@@ -5,17 +5,17 @@
  */
 import { linearRegression, rSquared } from 'simple-statistics';
 
-/** A straight line through measured points. */
+/** A straight line fitted to points. */
 export interface LinearFit {
   readonly base: number;
   readonly slope: number;
-  /** Root of the mean squared distance of the points from the line. */
+  /** Root mean square of the vertical distances of the points from the line. */
   readonly residual: number;
   readonly r2: number;
   /** Smallest value of the driver among the points. */
-  readonly least: number;
+  readonly minDriver: number;
   /** Largest value of the driver among the points. */
-  readonly most: number;
+  readonly maxDriver: number;
 }
 
 /** Fits value = base + slope x driver to pairs of driver and value; needs at least two points. */
@@ -31,7 +31,7 @@
     slope,
     residual,
     r2: rSquared(data, line),
-    least: Math.min(...drivers),
-    most: Math.max(...drivers),
+    minDriver: Math.min(...drivers),
+    maxDriver: Math.max(...drivers),
   };
 }
--- a/packages/scale/src/measured-interval.ts
+++ b/packages/scale/src/measured-interval.ts
@@ -1,5 +1,5 @@
 /**
- * What the processes of a run counted and used in one measured interval.
+ * Counters and resource usage of the processes of a run in one measured interval.
  *
  * @module
  */
@@ -40,7 +40,7 @@
   return new Map(await Promise.all(readings));
 }
 
-/** Tasks that workers killed because their lease had expired, since the start of the processes. */
+/** Number of tasks that workers killed because their lease had expired, since the start of the processes. */
 export function killedByLease(readings: Readings): number {
   let sum = 0;
   for (const reading of readings.values()) sum += reading.counts['killedByLease'] ?? 0;
@@ -62,22 +62,22 @@
     return this.measurements.machineCpu;
   }
 
-  /** Tasks that workers killed in the interval because their lease had expired. */
+  /** Number of tasks that workers killed in the interval because their lease had expired. */
   get killedByLease(): number {
     return killedByLease(this.measurements.after) - killedByLease(this.measurements.before);
   }
 
-  /** What the key-value store of a region counted, as the mean of all regions. */
+  /** A counter of the key-value store of a region, as the mean of all regions. */
   storeCount(kind: string): number {
     return this.meanCount((region) => [region.store], kind);
   }
 
-  /** What the workers of a region counted, as the mean of all regions. */
+  /** A counter of the workers of a region, as the mean of all regions. */
   workerCount(kind: string): number {
     return this.meanCount((region) => [...region.hosts.values()], kind);
   }
 
-  /** What the users of all regions counted, by kind. */
+  /** Counters of the users of all regions, by kind. */
   userCounts(): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const { users } of this.regions) {
@@ -90,7 +90,7 @@
     return counts;
   }
 
-  /** A latency of the users of the region with the highest 99th percentile. */
+  /** A user latency of the region in which its 99th percentile is highest. */
   worstUserLatency(kind: string): LatencySummary {
     const summaries = this.regions.flatMap(({ users }) => {
       const found = users === null ? undefined : this.measurements.after.get(users)?.latencies[kind];
@@ -114,7 +114,7 @@
     };
   }
 
-  /** Mean number of tasks on a worker with a process of its own, from the readings before and after. */
+  /** Mean number of tasks on a worker that runs in a dedicated process, from the readings before and after. */
   tasksPerDedicatedWorker(): number {
     const { before, after } = this.measurements;
     const means = this.dedicatedWorkers.map(
--- a/packages/scale/src/messages.ts
+++ b/packages/scale/src/messages.ts
@@ -7,7 +7,7 @@
 import type { RunEvent } from './events.js';
 import type { WorkloadShape } from './workload.js';
 
-/** Durations that workers apply, in milliseconds. */
+/** Durations of the worker protocol, in milliseconds. */
 export interface WorkerTimes {
   readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
@@ -46,20 +46,20 @@
   readonly workload: WorkloadShape;
 }
 
-/** Role of the process that plays all users of one region. */
+/** Role of the process that simulates all users of one region. */
 export interface UsersRole {
   readonly role: 'users';
   readonly nodes: readonly NodeAddress[];
   readonly workload: WorkloadShape;
 }
 
-/** A controller node and where it listens. */
+/** A controller node and its address. */
 export interface NodeAddress {
   readonly name: string;
   readonly address: string;
 }
 
-/** Role of a helper process, given to it when it starts. */
+/** Role of a helper process, passed to it as JSON when it starts. */
 export type Role = StoreRole | CloudRole | WorkersRole | UsersRole;
 
 /** A machine that has finished booting. */
@@ -75,7 +75,7 @@
   | { readonly order: 'up'; readonly machines: readonly MachineUp[] }
   | { readonly order: 'end'; readonly machines: readonly MachineId[] }
   | { readonly order: 'fail'; readonly machines: readonly MachineId[] }
-  /** To the key-value store: add the records of so many ended jobs. */
+  /** Makes the key-value store add the records of this number of ended jobs. */
   | { readonly order: 'remember'; readonly endedJobs: number }
   | { readonly order: 'read' };
 
@@ -87,7 +87,7 @@
   readonly most: number;
 }
 
-/** Totals of one process since its start; latencies are those since the previous reading. */
+/** Totals of one process since its start. The latencies are those since the previous reading. */
 export interface Reading {
   /** Bytes received and sent on the sockets of this process. */
   readonly bytesIn: number;
@@ -97,7 +97,7 @@
   readonly counts: Readonly<Record<string, number>>;
   readonly latencies: Readonly<Record<string, LatencySummary>>;
   readonly heapBytes: number;
-  /** Tasks on the workers of this process at present. */
+  /** Number of tasks that are on the workers of this process now. */
   readonly tasks: number;
 }
 
--- a/packages/scale/src/meter.ts
+++ b/packages/scale/src/meter.ts
@@ -64,10 +64,10 @@
     sketch.accept(ms);
   }
 
-  /** Returns the totals so far. Latencies are reset with each reading. */
+  /** Returns the totals so far. Each reading resets the latencies. */
   read(): Reading {
     const latencies = Object.fromEntries(
-      [...this.latencies].map(([kind, sketch]) => [kind, summary(sketch)]),
+      [...this.latencies].map(([kind, sketch]) => [kind, summarizeLatencies(sketch)]),
     );
     this.latencies = new Map();
     return {
@@ -80,8 +80,8 @@
   }
 }
 
-/** Summarises the latencies that a sketch holds, in milliseconds. */
-export function summary(sketch: DDSketch): LatencySummary {
+/** Summarizes the latencies of a sketch, in milliseconds. */
+export function summarizeLatencies(sketch: DDSketch): LatencySummary {
   const atQuantile = (quantile: number): number => Number(sketch.getValueAtQuantile(quantile).toFixed(1));
   return {
     count: sketch.count,
--- a/packages/scale/src/options.ts
+++ b/packages/scale/src/options.ts
@@ -14,9 +14,9 @@
   /** Zones of all regions together. */
   readonly zones: number;
   readonly teams: number;
-  /** Task starts a second at the peak. */
+  /** Task starts per second at the peak. */
   readonly starts: number;
-  /** Tasks that run at the peak. */
+  /** Number of running tasks at the peak. */
   readonly running: number;
   /** Controller nodes of each region. */
   readonly nodes: number;
@@ -24,13 +24,13 @@
   readonly seconds: number;
   readonly seed: number;
   readonly steps: readonly Step[];
-  /** Whether faults are injected into the step that runs one region's whole part. */
+  /** Whether faults are injected into the step that runs one whole region. */
   readonly injectFaults: boolean;
   /** Deployment file whose start command the controllers are run with. */
   readonly deployFile: string;
-  /** Configuration changes per hour in each region; 0 for none. */
+  /** Configuration changes per hour in the first region; 0 for none. */
   readonly changes: number;
-  /** Interval at which the leader of each region is restarted, in seconds; 0 for never. */
+  /** Interval at which the leader of each region is killed and restarted, in seconds; 0 for never. */
   readonly endLeaderEvery: number;
   /** Number of the first region. Simultaneous runs on one machine need different numbers, as addresses depend on it. */
   readonly firstRegion: number;
@@ -55,7 +55,7 @@
   jobsADay: 26_000,
 } as const;
 
-/** Invalid options; the message names every mistake, one per line. */
+/** Invalid options; the message names every invalid one, one per line. */
 export class OptionsError extends SpurbridgeError {
   constructor(readonly mistakes: readonly string[]) {
     super('INVALID_SCALE_OPTIONS', mistakes.join('\n'));
@@ -67,34 +67,34 @@
 
 const MAX_PROCESSES = 200;
 const MAX_SECONDS = 3600;
-/** Key-value store, cloud and users of a region. */
-const OTHER_HELPERS = 3;
+/** The key-value store, the cloud provider and the users, with one process each. */
+const FIXED_HELPERS_PER_REGION = 3;
 
 type CountField = Exclude<keyof ScaleOptions, 'steps' | 'injectFaults' | 'deployFile'>;
 
 interface CountRule {
   readonly field: CountField;
-  readonly least: number;
-  readonly most: number;
+  readonly min: number;
+  readonly max: number;
 }
 
-const COUNTS: readonly CountRule[] = [
-  { field: 'workers', least: 1, most: 20_000 },
-  { field: 'regions', least: 1, most: 16 },
-  { field: 'zones', least: 1, most: 64 },
-  { field: 'teams', least: 1, most: 5000 },
-  { field: 'starts', least: 1, most: 10_000 },
-  { field: 'running', least: 1, most: 1_000_000 },
-  { field: 'nodes', least: 1, most: 9 },
-  { field: 'seconds', least: 1, most: MAX_SECONDS },
-  { field: 'seed', least: 0, most: 2 ** 31 },
-  { field: 'changes', least: 0, most: 36_000 },
-  { field: 'endLeaderEvery', least: 0, most: MAX_SECONDS },
-  { field: 'firstRegion', least: 0, most: 60 },
-  { field: 'endedJobs', least: 0, most: 5_000_000 },
+const COUNT_RULES: readonly CountRule[] = [
+  { field: 'workers', min: 1, max: 20_000 },
+  { field: 'regions', min: 1, max: 16 },
+  { field: 'zones', min: 1, max: 64 },
+  { field: 'teams', min: 1, max: 5000 },
+  { field: 'starts', min: 1, max: 10_000 },
+  { field: 'running', min: 1, max: 1_000_000 },
+  { field: 'nodes', min: 1, max: 9 },
+  { field: 'seconds', min: 1, max: MAX_SECONDS },
+  { field: 'seed', min: 0, max: 2 ** 31 },
+  { field: 'changes', min: 0, max: 36_000 },
+  { field: 'endLeaderEvery', min: 0, max: MAX_SECONDS },
+  { field: 'firstRegion', min: 0, max: 60 },
+  { field: 'endedJobs', min: 0, max: 5_000_000 },
 ];
 
-/** Reads `1/16` as a share of one region's load, and a whole number as a number of whole regions; null if neither. */
+/** Parses `1/16` as a share of one region's load, and a whole number as a number of whole regions; null if neither. */
 function parseStep(text: string): Step | null {
   const fraction = /^1\/(\d{1,4})$/.exec(text);
   if (fraction !== null) {
@@ -109,14 +109,14 @@
   return field.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`);
 }
 
-/** Reads all counts; adds to the mistakes, and gives NaN or the wrong number, where one is invalid. */
+/** Parses all counts. Adds a message for each invalid one, whose value is then NaN or out of range. */
 function parseCounts(raw: RawOptions, mistakes: string[]): Record<CountField, number> {
   const counts = {} as Record<CountField, number>;
-  for (const { field, least, most } of COUNTS) {
+  for (const { field, min, max } of COUNT_RULES) {
     const text = String(raw[field]);
     const value = /^\d{1,10}$/.test(text) ? Number(text) : NaN;
-    if (!(value >= least && value <= most))
-      mistakes.push(`--${flagOf(field)}: a whole number from ${least} to ${most}, not '${text}'`);
+    if (!(value >= min && value <= max))
+      mistakes.push(`--${flagOf(field)}: expected a whole number from ${min} to ${max}, got '${text}'`);
     counts[field] = value;
   }
   return counts;
@@ -125,15 +125,15 @@
 function parseSteps(list: string, mistakes: string[]): Step[] {
   return list.split(',').flatMap((text) => {
     const step = parseStep(text.trim());
-    if (step === null) mistakes.push(`--steps: '${text}' is neither 1/N nor a number of regions`);
+    if (step === null) mistakes.push(`--steps: expected 1/N or a number of regions, got '${text}'`);
     return step === null ? [] : [step];
   });
 }
 
-/** Processes of the step with the most regions. */
+/** Number of processes of the step with the most regions. */
 function maxProcesses(counts: Record<CountField, number>, steps: readonly Step[]): number {
   const hosts = Math.ceil(counts.zones / counts.regions) + DEDICATED_WORKERS.length;
-  const perRegion = counts.nodes + OTHER_HELPERS + hosts;
+  const perRegion = counts.nodes + FIXED_HELPERS_PER_REGION + hosts;
   return perRegion * Math.max(0, ...steps.map((step) => step.regions));
 }
 
@@ -143,15 +143,15 @@
   const counts = parseCounts(raw, mistakes);
   const steps = parseSteps(String(raw['steps']), mistakes);
   if (steps.some((step) => step.regions > counts.regions))
-    mistakes.push(`--steps: more regions than --regions ${counts.regions}`);
-  if (counts.zones < counts.regions) mistakes.push('--zones: fewer than --regions');
-  if (counts.workers < counts.zones) mistakes.push('--workers: fewer than --zones');
+    mistakes.push(`--steps: a step has more regions than --regions ${counts.regions}`);
+  if (counts.zones < counts.regions) mistakes.push('--zones: expected at least one zone per region');
+  if (counts.workers < counts.zones) mistakes.push('--workers: expected at least one worker per zone');
   if (counts.running < counts.starts)
-    mistakes.push('--running: less than --starts, tasks would run under a second');
+    mistakes.push('--running: expected at least --starts, or tasks would run for less than a second');
   const deployFile = String(raw['deploy']);
-  if (!existsSync(deployFile)) mistakes.push(`--deploy: there is no file '${deployFile}'`);
+  if (!existsSync(deployFile)) mistakes.push(`--deploy: file '${deployFile}' does not exist`);
   if (maxProcesses(counts, steps) > MAX_PROCESSES)
-    mistakes.push(`--nodes: more than ${MAX_PROCESSES} processes in all`);
+    mistakes.push(`--nodes: the largest step would run more than ${MAX_PROCESSES} processes`);
   if (mistakes.length > 0) throw new OptionsError(mistakes);
   return { ...counts, steps, injectFaults: raw['troubles'] !== false, deployFile };
 }
--- a/packages/scale/src/processes.ts
+++ b/packages/scale/src/processes.ts
@@ -1,5 +1,5 @@
 /**
- * Processes that a run starts: their output, their messages, their resource usage and their end.
+ * The processes that a run starts: their output, messages, resource usage and termination.
  *
  * @module
  */
@@ -10,17 +10,17 @@
 import { SpurbridgeError } from '@spurbridge/wire';
 import type { Notice, Order, Reading } from './messages.js';
 
-const LAST_LINES = 20;
+const MAX_KEPT_LINES = 20;
 const READ_TIMEOUT_MS = 10_000;
 const START_TIMEOUT_MS = 30_000;
-/** Clock ticks per second in which Linux counts processor time. */
-const TICKS_PER_S = 100;
-const KIB = 1024;
+/** Rate of the clock ticks in which Linux counts processor time. */
+const CPU_TICKS_PER_S = 100;
+const BYTES_PER_KIB = 1024;
 
 /** A process did not start or did not respond; the message ends with its last lines of output. */
 export class ProcessError extends SpurbridgeError {
-  constructor(name: string, what: string, lines: readonly string[]) {
-    super('PROCESS_FAILED', [`${name}: ${what}`, ...lines.map((line) => `  ${line}`)].join('\n'));
+  constructor(name: string, failure: string, lines: readonly string[]) {
+    super('PROCESS_FAILED', [`${name}: ${failure}`, ...lines.map((line) => `  ${line}`)].join('\n'));
   }
 }
 
@@ -35,7 +35,7 @@
   readonly writtenBytes: number;
 }
 
-function field(text: string, name: string): number {
+function statusField(text: string, name: string): number {
   return Number(new RegExp(`^${name}:\\s+(\\d+)`, 'm').exec(text)?.[1] ?? 0);
 }
 
@@ -59,24 +59,24 @@
     const status = readFileSync(`/proc/${pid}/status`, 'utf8');
     const io = readFileSync(`/proc/${pid}/io`, 'utf8');
     return {
-      cpuS: (Number(fields[11]) + Number(fields[12])) / TICKS_PER_S,
-      residentBytes: field(status, 'VmRSS') * KIB,
-      peakBytes: field(status, 'VmHWM') * KIB,
+      cpuS: (Number(fields[11]) + Number(fields[12])) / CPU_TICKS_PER_S,
+      residentBytes: statusField(status, 'VmRSS') * BYTES_PER_KIB,
+      peakBytes: statusField(status, 'VmHWM') * BYTES_PER_KIB,
       sockets: socketsOf(pid),
-      readBytes: field(io, 'rchar'),
-      writtenBytes: field(io, 'wchar'),
+      readBytes: statusField(io, 'rchar'),
+      writtenBytes: statusField(io, 'wchar'),
     };
   } catch {
     return null;
   }
 }
 
-/** What to start, and the callbacks for what it does. */
+/** A process to start, and the callbacks for its output and its exit. */
 export interface ProcessSpec {
   readonly name: string;
   readonly args: readonly string[];
   readonly env?: Readonly<Record<string, string>>;
-  /** Whether it exchanges messages with the driver; controllers do not. */
+  /** Whether the process exchanges messages with the driver. Controllers do not. */
   readonly hasChannel: boolean;
   readonly onNotice?: (notice: Notice) => void;
   readonly onLine?: (line: string) => void;
@@ -103,7 +103,7 @@
     if (this.child.stderr !== null)
       createInterface(this.child.stderr).on('line', (line) => {
         this.lines.push(line);
-        if (this.lines.length > LAST_LINES) this.lines.shift();
+        if (this.lines.length > MAX_KEPT_LINES) this.lines.shift();
         spec.onLine?.(line);
       });
     this.child.on('message', (notice) => {
@@ -137,7 +137,7 @@
     else this.spec.onNotice?.(notice);
   }
 
-  /** Sends an order; dropped if the process is not connected. */
+  /** Sends an order. Drops it if the process is not connected. */
   order(order: Order): void {
     if (this.child.connected) this.child.send(order);
   }
@@ -147,14 +147,14 @@
     if (this.isReady) return;
     await this.within(
       START_TIMEOUT_MS,
-      'did not come up',
+      'process did not become ready',
       (resolve) => (this.resolveReady = () => resolve(undefined)),
     );
   }
 
-  /** Asks the process for its own counters. Throws a `ProcessError` on timeout. */
+  /** Requests the process's own counters. Throws a `ProcessError` on timeout. */
   async read(): Promise<Reading> {
-    return this.within<Reading>(READ_TIMEOUT_MS, 'did not answer', (resolve) => {
+    return this.within<Reading>(READ_TIMEOUT_MS, 'process did not return its counters', (resolve) => {
       this.resolveReading = resolve;
       this.order({ order: 'read' });
     });
@@ -162,12 +162,12 @@
 
   private async within<T>(
     timeoutMs: number,
-    what: string,
+    failure: string,
     begin: (resolve: (value: T) => void) => void,
   ): Promise<T> {
     return new Promise<T>((resolve, reject) => {
       const fail = (): void => {
-        reject(new ProcessError(this.name, what, this.lines));
+        reject(new ProcessError(this.name, failure, this.lines));
       };
       const timer = setTimeout(fail, timeoutMs);
       this.child.once('exit', fail);
@@ -194,7 +194,7 @@
   }
 }
 
-/** All processes of a run, so that every one of them can be ended by its own process id. */
+/** All processes of a run. Each is killed by its own process id. */
 export class Processes {
   private readonly all = new Set<RunProcess>();
 
@@ -209,13 +209,13 @@
     return [...this.all].filter((process) => !process.ended);
   }
 
-  /** Ends one process and forgets it. */
+  /** Kills one process and removes it from the set. */
   async end(process: RunProcess): Promise<void> {
     await process.end();
     this.all.delete(process);
   }
 
-  /** Ends all processes. */
+  /** Kills all processes. */
   async endAll(): Promise<void> {
     await Promise.all([...this.all].map((process) => this.end(process)));
   }
--- a/packages/scale/src/region-rule-checker.ts
+++ b/packages/scale/src/region-rule-checker.ts
@@ -19,7 +19,7 @@
     this.check(event);
   });
   private readonly checker: RuleChecker;
-  /** The checker's clock: the time of the event that is being checked, in milliseconds. */
+  /** Time of the event that is being checked, which serves as the checker's clock, in milliseconds. */
   private eventAt = 0;
   private sweptAt = 0;
 
--- a/packages/scale/src/region.ts
+++ b/packages/scale/src/region.ts
@@ -1,5 +1,5 @@
 /**
- * One region of a run: its controllers and the helper processes around them.
+ * One region of a run: its controllers and its helper processes.
  *
  * @module
  */
@@ -18,45 +18,45 @@
 import type { WorkloadShape } from './workload.js';
 
 const HELPER_PROGRAM = 'target/scale-child.js';
-/** Processes that host one worker each, so that the processor time and memory of a single worker can be read. */
+/** Processes that host one worker each, so that the processor time and memory of a single worker can be measured. */
 export const DEDICATED_WORKERS = ['worker 1', 'worker 2', 'worker 3'] as const;
 
-/** Callbacks for what happens to the processes of a region. */
+/** Callbacks for the events and the lifecycle of a region's processes. */
 export interface RegionEvents {
-  /** Events of the process with this name, complete until the given time. */
+  /** Called with events of the process with this name, which are complete up to the given time. */
   readonly onEvents: (source: string, events: readonly RunEvent[], until: number) => void;
   readonly onProcessStarted: (source: string) => void;
   readonly onProcessEnded: (source: string) => void;
-  /** A process ended unexpectedly. */
+  /** Called when a process exited unexpectedly. */
   readonly onUnexpectedExit: (name: string, code: number | null) => void;
 }
 
-/** Interval at which the start of a leader is checked. */
+/** Interval at which the region is checked for a leader. */
 const POLL_INTERVAL_MS = 20;
-/** Longest wait for a leader that has read its records. */
+/** Maximum time to wait for a leader that has read its records. */
 const MAX_READY_MS = 180_000;
 
 /** How the controllers of a region are started. */
 export interface Launch {
-  /** Deployment file whose start command the controllers are run with. */
+  /** Deployment file whose start command runs the controllers. */
   readonly deployFile: string;
   /** Records of ended jobs that the store holds from the start. */
   readonly endedJobs: number;
 }
 
-/** Arguments of the start command in a deployment file, without the path of the settings that comes last. */
+/** Arguments of the start command in a deployment file, without the settings path that is appended to them. */
 function startArguments(deployFile: string): string[] {
   const { run } = parse(readFileSync(deployFile, 'utf8')) as { run: string };
   return run.split(' ').slice(1);
 }
 
-/** How often a controller logged each message, and since when it leads. */
+/** The number of times that a controller logged each message, and the time since which it leads. */
 interface ControllerLog {
   readonly messages: Map<string, number>;
   leadsSince: number | null;
 }
 
-/** One region of a run: the shipped controllers, and helper processes for everything around them. */
+/** One region of a run: controllers of the built program, and helper processes that simulate their environment. */
 export class Region {
   readonly controllers: RunProcess[] = [];
   readonly logs: ControllerLog[] = [];
@@ -66,11 +66,11 @@
   users: RunProcess | null = null;
   readonly workload: Workload;
   private readonly directory = mkdtempSync(join(tmpdir(), 'spurbridge-scale-'));
-  private readonly hostOf = new Map<MachineId, string>();
-  private placed = 0;
+  private readonly hostByMachine = new Map<MachineId, string>();
+  private placedCount = 0;
   private startedAt = 0;
   private onEndedJobsAdded: () => void = () => undefined;
-  /** From the start of the controllers until one first led with its records read, in milliseconds. */
+  /** Time from the start of the controllers until a leader had first read its records, in milliseconds. */
   readyMs: number | null = null;
 
   constructor(
@@ -83,12 +83,12 @@
     this.workload = new Workload(workloadShape);
   }
 
-  /** The job of that id, or undefined if it is not of this region. */
+  /** The job with this id, or undefined if it does not belong to this region. */
   find(id: JobId): JobSpec | undefined {
     return this.workload.find(id);
   }
 
-  /** The controller nodes and where they listen. */
+  /** The controller nodes and their addresses. */
   get nodes(): NodeAddress[] {
     const { region, nodes } = this.shape;
     return Array.from({ length: nodes }, (_, n) => ({
@@ -97,7 +97,7 @@
     }));
   }
 
-  /** Starts everything but the users. Throws a `ProcessError` if a process does not start. */
+  /** Starts all processes except the users. Throws a `ProcessError` if one does not start. */
   async start(): Promise<void> {
     await this.startStore();
     await this.startHosts();
@@ -148,7 +148,7 @@
     for (let node = 0; node < this.shape.nodes; node += 1) this.startController(node);
   }
 
-  /** Adds the records of ended jobs to the store and restarts all controllers, which have to read them. */
+  /** Adds the records of ended jobs to the store and restarts all controllers, which then have to read them. */
   private async restartWithEndedJobs(): Promise<void> {
     await this.waitForLeader();
     const added = new Promise<void>((resolve) => (this.onEndedJobsAdded = resolve));
@@ -159,14 +159,14 @@
     await this.waitForLeader();
   }
 
-  /** Waits until a leader has read its records, or until the longest time allowed has passed. */
+  /** Waits until a leader has read its records, or until the maximum time has passed. */
   private async waitForLeader(): Promise<void> {
     const until = performance.now() + MAX_READY_MS;
     while (this.readyMs === null && performance.now() < until)
       await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 
-  /** Starts the process that plays the users. Throws a `ProcessError` if it does not start. */
+  /** Starts the process that simulates the users. Throws a `ProcessError` if it does not start. */
   async startUsers(): Promise<void> {
     this.users = this.startHelper('users', {
       role: 'users',
@@ -197,7 +197,7 @@
     });
   }
 
-  /** Starts the process of a controller node, also after it has ended. */
+  /** Starts the process of a controller node, for the first time or after it has ended. */
   startController(node: number): void {
     const file = join(this.directory, `${node}.toml`);
     writeFileSync(file, settingsFile(this.shape, node));
@@ -229,7 +229,7 @@
     else if (message === 'no longer leading') log.leadsSince = null;
   }
 
-  /** Number of the node that was elected last; null if none leads. */
+  /** Index of the node that was elected last; null if none leads. */
   get leader(): number | null {
     let found: number | null = null;
     let since = -Infinity;
@@ -260,28 +260,28 @@
     }
   }
 
-  /** Hosts a few machines, spread over the fleet, in dedicated processes, and all others in the process of their zone. */
+  /** Hosts a few machines, spread over the fleet, in dedicated processes, and all others in their zone's process. */
   private place(machine: MachineUp): void {
     const spacing = Math.max(1, Math.floor(this.shape.workers / DEDICATED_WORKERS.length));
     const dedicated =
-      this.placed % spacing === spacing - 1
-        ? DEDICATED_WORKERS[Math.floor(this.placed / spacing)]
+      this.placedCount % spacing === spacing - 1
+        ? DEDICATED_WORKERS[Math.floor(this.placedCount / spacing)]
         : undefined;
     const host = dedicated ?? machine.zone;
-    this.placed += 1;
-    this.hostOf.set(machine.id, host);
+    this.placedCount += 1;
+    this.hostByMachine.set(machine.id, host);
     this.hosts.get(host)?.order({ order: 'up', machines: [machine] });
   }
 
   private endMachine(id: MachineId): void {
-    const host = this.hostOf.get(id);
-    this.hostOf.delete(id);
+    const host = this.hostByMachine.get(id);
+    this.hostByMachine.delete(id);
     if (host !== undefined) this.hosts.get(host)?.order({ order: 'end', machines: [id] });
   }
 
-  /** Machines that run in the zone's shared process at present. */
+  /** The machines that run in the zone's shared process now. */
   machinesIn(zone: string): MachineId[] {
-    return [...this.hostOf].filter(([, host]) => host === zone).map(([id]) => id);
+    return [...this.hostByMachine].filter(([, host]) => host === zone).map(([id]) => id);
   }
 
   /** Makes the machines fail at once. */
--- a/packages/scale/src/results.ts
+++ b/packages/scale/src/results.ts
@@ -1,5 +1,5 @@
 /**
- * Results of a run, in the form in which they are kept as JSON under docs/capacity.
+ * Results of a run, in the format that is kept as JSON under docs/capacity.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 
 /** Mean resource usage of one process of a role in the measured interval. */
 export interface RoleUsage {
-  /** Processor time per second, in cores: the mean, and the maximum in any one second. */
+  /** Mean processor usage in cores; `cpuPeak` is the maximum in any one second. */
   readonly cpu: number;
   readonly cpuPeak: number;
   readonly residentMb: number;
@@ -20,22 +20,22 @@
 
 /** The roles of processes whose usage is measured. */
 export const ROLES = ['leader', 'node', 'state', 'cloud', 'users', 'workers', 'worker'] as const;
-/** `workers` is a process of many simulated workers, `worker` one of a single worker. */
+/** `workers` is a process that hosts many simulated workers; `worker` is one that hosts a single worker. */
 export type RoleName = (typeof ROLES)[number];
 
-/** Result of one fault that was injected while the run went on. */
+/** Result of one fault that was injected during the run. */
 export interface FaultResult {
   readonly trouble: string;
   readonly watchedS: number;
   readonly startsPerS: number;
-  /** Longest time in which no task started anywhere in the run, in seconds. */
+  /** Longest time without a task start in any region, in seconds. */
   readonly longestPauseS: number;
   readonly urgentMs: LatencySummary;
   readonly killedByLease: number;
   readonly brokenRules: number;
 }
 
-/** Result of one step; figures are means of one region over the measured interval. */
+/** Result of one step. Figures are per region, as means over the measured interval. */
 export interface StepResult {
   readonly regions: number;
   readonly share: number;
@@ -46,13 +46,13 @@
   readonly warmS: number;
   readonly seconds: number;
   readonly startsAskedPerS: number;
-  /** Tasks submitted per second. Arrivals are random, so this differs from the rate asked for. */
+  /** Tasks submitted per second. Arrivals are random, so this differs from the target rate. */
   readonly tasksCamePerS: number;
   readonly startsPerS: number;
   readonly jobsPerS: number;
   readonly running: number;
   readonly roles: Readonly<Record<RoleName, RoleUsage>>;
-  /** Mean number of tasks on a worker with a process of its own. */
+  /** Mean number of tasks on a worker that runs in a dedicated process. */
   readonly tasksOnLoneWorker: number;
   readonly state: {
     readonly requestsPerS: number;
@@ -65,24 +65,25 @@
   readonly unanswered: number;
   readonly redirects: number;
   readonly urgentMs: LatencySummary;
-  /** Urgent tasks that had not started by the end though they had waited for longer than the objective. */
+  /** Number of urgent tasks that had waited for longer than the objective and had not started by the end. */
   readonly urgentNotStarted: number;
   readonly acceptedMs: LatencySummary;
   readonly users: Readonly<Record<string, number>>;
   readonly killedByLease: number;
-  /** Processes that ended unexpectedly. */
+  /** Processes that exited unexpectedly. */
   readonly ends: readonly string[];
-  /** From the start of the controllers until one leads with its records read, in seconds; null if none did. */
+  /** Time from the start of the controllers until a leader had read its records, in seconds; null if none had. */
   readonly readySeconds?: number | null;
-  /** Records of ended jobs that the store held from the start. */
+  /** Number of records of ended jobs that the store held from the start. */
   readonly endedJobs?: number;
   readonly elections: number;
   readonly brokenRules: readonly string[];
   readonly troubles: readonly FaultResult[];
   /** Configuration changes in the first region; null if none were made. */
   readonly configuration?: ConfigurationResult | null;
-  /** Share of the machine's cores that all its processes used, and memory resident in those of the run. */
+  /** Share of the machine's cores in use by all its processes, from 0 to 1. */
   readonly machineCpu: number;
+  /** Resident memory of the run's processes together. */
   readonly memoryMb: number;
 }
 
--- a/packages/scale/src/run-statistics.ts
+++ b/packages/scale/src/run-statistics.ts
@@ -5,14 +5,14 @@
  */
 import { DDSketch } from '@datadog/sketches-js';
 import type { JobId, JobSpec } from '@spurbridge/wire';
-import { summary } from './meter.js';
+import { summarizeLatencies } from './meter.js';
 import type { RunEvent } from './events.js';
 import type { LatencySummary } from './messages.js';
 import { RUN_SETTINGS } from './controller-settings.js';
 
-const EMPTY: LatencySummary = { count: 0, p50: 0, p99: 0, most: 0 };
+const NO_LATENCY: LatencySummary = { count: 0, p50: 0, p99: 0, most: 0 };
 
-/** Counts task starts, and the waiting times of urgent tasks, over an interval. */
+/** Counts task starts and records the waiting times of urgent tasks over an interval. */
 export class RunStatistics {
   starts = 0;
   tasksSubmitted = 0;
@@ -25,7 +25,7 @@
 
   constructor(private readonly find: (id: JobId) => JobSpec | undefined) {}
 
-  /** Starts a new interval; running and waiting tasks are kept. */
+  /** Starts a new interval. The sets of running and waiting tasks are kept. */
   reset(): void {
     this.starts = 0;
     this.tasksSubmitted = 0;
@@ -35,7 +35,7 @@
     this.longestPauseMs = 0;
   }
 
-  /** Counts one event. */
+  /** Processes one event. */
   record(event: RunEvent): void {
     switch (event.kind) {
       case 'submitted':
@@ -48,7 +48,7 @@
         this.running.delete(`${event.job}/${event.task}`);
         return;
       case 'cancelAsked':
-        this.forget(event.job);
+        this.stopWaiting(event.job);
         return;
       case 'told':
       case 'completed':
@@ -80,7 +80,7 @@
   }
 
   /** Stops measuring the waiting times of a cancelled job's tasks. */
-  private forget(id: JobId): void {
+  private stopWaiting(id: JobId): void {
     for (const name of this.waiting.keys()) if (name.startsWith(`${id}/`)) this.waiting.delete(name);
   }
 
@@ -89,10 +89,10 @@
   }
 
   get urgentLatency(): LatencySummary {
-    return this.waits.count === 0 ? EMPTY : summary(this.waits);
+    return this.waits.count === 0 ? NO_LATENCY : summarizeLatencies(this.waits);
   }
 
-  /** Urgent tasks that have not started and have waited for longer than the objective. */
+  /** Number of urgent tasks that have not started and have waited for longer than the objective. */
   countOverdue(now: number): number {
     return [...this.waiting.values()].filter((at) => now - at > RUN_SETTINGS.urgentWithinS * 1000).length;
   }
--- a/packages/scale/src/slope-table.ts
+++ b/packages/scale/src/slope-table.ts
@@ -1,5 +1,5 @@
 /**
- * The table of slopes: how each resource figure grows with the load, and what the plan would need.
+ * The table of slopes: how each resource figure grows with the load, and its value for the capacity plan.
  *
  * @module
  */
@@ -16,14 +16,14 @@
 const RANGE_TOLERANCE = 0.05;
 const SLOPE_DIGITS = 3;
 
-/** The drivers in the capacity plan, for one region. */
+/** The drivers of one region in the capacity plan. */
 const PLAN_PER_REGION: Readonly<Record<DriverName, number>> = {
   'starts/s': CAPACITY_PLAN.starts / CAPACITY_PLAN.regions,
   workers: CAPACITY_PLAN.workers / CAPACITY_PLAN.regions,
   tasks: CAPACITY_PLAN.running / CAPACITY_PLAN.workers,
 };
 
-/** The drivers in the capacity plan, for all regions under a single leader. */
+/** The drivers of all regions in the capacity plan, if a single leader controlled them. */
 const PLAN_IN_TOTAL: Readonly<Record<DriverName, number>> = {
   'starts/s': CAPACITY_PLAN.starts,
   workers: CAPACITY_PLAN.workers,
@@ -33,9 +33,9 @@
 interface SlopeRow {
   readonly metric: Metric;
   readonly fit: LinearFit;
-  /** The fitted value at one region's part of the plan. */
+  /** The fitted value for one region of the plan. */
   readonly perRegion: number;
-  /** The fitted value at the whole plan. */
+  /** The fitted value for the whole plan. */
   readonly inTotal: number;
 }
 
@@ -54,11 +54,11 @@
   return limit === null ? '-' : `${Math.round((value / limit) * 100)}%`;
 }
 
-/** Whether a value of the driver lies within the measured range, or how far beyond it. */
+/** Describes whether a value of the driver lies within the measured range, or by what factor it exceeds it. */
 function rangeNote(fit: LinearFit, driver: number): string {
-  if (driver <= fit.most * (1 + RANGE_TOLERANCE) && driver >= fit.least * (1 - RANGE_TOLERANCE))
+  if (driver <= fit.maxDriver * (1 + RANGE_TOLERANCE) && driver >= fit.minDriver * (1 - RANGE_TOLERANCE))
     return 'measured';
-  return driver > fit.most ? `extrapolated x${(driver / fit.most).toFixed(1)}` : 'below the range';
+  return driver > fit.maxDriver ? `extrapolated x${(driver / fit.maxDriver).toFixed(1)}` : 'below the range';
 }
 
 function formulaCell({ metric, fit }: SlopeRow): string {
@@ -86,7 +86,7 @@
   },
   {
     title: 'range',
-    cell: ({ fit }) => `${formatNumber(fit.least, 0)} to ${formatNumber(fit.most, 0)}`,
+    cell: ({ fit }) => `${formatNumber(fit.minDriver, 0)} to ${formatNumber(fit.maxDriver, 0)}`,
   },
   { title: "one region's part", cell: perRegionCell },
   { title: 'limit', cell: ({ metric }) => (metric.limit === null ? '-' : String(metric.limit)) },
@@ -94,7 +94,7 @@
   { title: 'all at one leader', cell: inTotalCell },
 ];
 
-/** Renders the table of slopes, fitted through the given steps. */
+/** Renders the table of slopes, fitted to the given steps. */
 export function slopeTable(steps: readonly StepResult[]): string {
   const rows = METRICS.map((metric) => slopeRow(metric, steps));
   return markdownTable(COLUMNS, rows);
--- a/packages/scale/src/special-run-tables.ts
+++ b/packages/scale/src/special-run-tables.ts
@@ -1,5 +1,5 @@
 /**
- * Tables of the runs with configuration changes, and of those that start with many ended jobs.
+ * Tables of the runs with configuration changes, and of the runs that start with many ended jobs.
  *
  * @module
  */
--- a/packages/scale/src/step-result.ts
+++ b/packages/scale/src/step-result.ts
@@ -14,7 +14,7 @@
 
 const ELECTED_MESSAGE = 'leading';
 
-/** What the result of a step is built from. */
+/** The data from which the result of a step is built. */
 export interface StepOutcome {
   readonly options: ScaleOptions;
   readonly step: Step;
@@ -24,7 +24,7 @@
   readonly statistics: RunStatistics;
   readonly processes: readonly RunProcess[];
   readonly warmS: number;
-  /** Processes that ended unexpectedly. */
+  /** Processes that exited unexpectedly. */
   readonly ends: readonly string[];
   readonly brokenRules: readonly string[];
   /** Time of the run's clock at the end of the interval, in milliseconds. */
@@ -74,13 +74,13 @@
   return region?.readyMs === null ? null : roundFigure((region?.readyMs ?? 0) / 1000);
 }
 
-/** Elections in all regions since the start of the controllers. */
+/** Number of elections in all regions since the start of the controllers. */
 function electionsIn(regions: readonly Region[]): number {
   const logs = regions.flatMap((region) => region.logs);
   return logs.reduce((sum, log) => sum + (log.messages.get(ELECTED_MESSAGE) ?? 0), 0);
 }
 
-/** Builds the result of a step; configuration changes and faults are added once they have ended. */
+/** Builds the result of a step. The results of configuration changes and faults are added later. */
 export function buildStepResult(outcome: StepOutcome): StepResult {
   const { options, step, shape, regions, interval, statistics, processes } = outcome;
   return {
--- a/packages/scale/src/step-run.ts
+++ b/packages/scale/src/step-run.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one step: starts the regions, warms them up, measures them, injects faults, and ends all processes.
+ * Runs one step: starts the regions, warms them up, measures them, injects faults, and kills all processes.
  *
  * @module
  */
@@ -22,11 +22,11 @@
 import { Workload } from './workload.js';
 
 const MIN_WARM_S = 8;
-/** Tasks run for up to one and a half times the mean: after this multiple of it as many end as start. */
+/** Tasks run for up to 1.5 times the mean run time. After this multiple of it, as many tasks end as start. */
 const WARM_MEAN_RUNS = 1.7;
 /** Pause before the users start, in seconds. */
 const USERS_DELAY_S = 1;
-/** Time for the last events to arrive, in seconds. */
+/** Time to wait for the last events to arrive, in seconds. */
 const DRAIN_S = 1;
 const PROGRESS_INTERVAL_S = 10;
 const EXIT_INTERRUPTED = 130;
@@ -37,7 +37,7 @@
   private readonly processes = new Processes();
   private readonly shape: StepShape;
   private readonly regions: Region[] = [];
-  /** One for each region, as names of machines and limits of teams are the region's own. */
+  /** One for each region, because machine names and team limits are specific to a region. */
   private readonly ruleCheckers: RegionRuleChecker[] = [];
   private readonly statistics: RunStatistics;
   private readonly unexpectedExits: string[] = [];
@@ -45,7 +45,7 @@
   constructor(
     private readonly options: ScaleOptions,
     private readonly step: Step,
-    private readonly say: (line: string) => void,
+    private readonly reportProgress: (line: string) => void,
   ) {
     this.shape = new StepShape(options, step);
     this.statistics = new RunStatistics((id) => this.find(id));
@@ -74,7 +74,7 @@
       },
       onUnexpectedExit: (name, code) => {
         this.unexpectedExits.push(`${name} (${code ?? 'signal'})`);
-        this.say(`  ${name} ended by itself: ${code ?? 'signal'}`);
+        this.reportProgress(`  ${name} exited unexpectedly: ${code ?? 'signal'}`);
       },
     };
   }
@@ -87,18 +87,18 @@
     return undefined;
   }
 
-  /** Runs the step. All processes are ended in any case, also on SIGINT and SIGTERM. */
+  /** Runs the step. All processes are killed at the end, also after an error, SIGINT or SIGTERM. */
   async run(faults: readonly Fault[]): Promise<StepResult> {
-    const interrupted = (): void => {
+    const onInterrupt = (): void => {
       void this.processes.endAll().then(() => process.exit(EXIT_INTERRUPTED));
     };
-    process.once('SIGINT', interrupted);
-    process.once('SIGTERM', interrupted);
+    process.once('SIGINT', onInterrupt);
+    process.once('SIGTERM', onInterrupt);
     try {
       return await this.runPhases(faults);
     } finally {
-      process.off('SIGINT', interrupted);
-      process.off('SIGTERM', interrupted);
+      process.off('SIGINT', onInterrupt);
+      process.off('SIGTERM', onInterrupt);
       await this.processes.endAll();
       for (const region of this.regions) region.removeFiles();
     }
@@ -107,7 +107,7 @@
   private async runPhases(faults: readonly Fault[]): Promise<StepResult> {
     await this.startRegions();
     const { warmS } = this;
-    await this.watch(warmS, 'warming up');
+    await this.waitWithProgress(warmS, 'warming up');
     this.statistics.reset();
     const load = this.startConfigurationLoad();
     const leaderRestarts = this.startLeaderRestarts();
@@ -118,7 +118,7 @@
       clearInterval(leaderRestarts);
       load?.stop();
     }
-    // Built before the last configuration changes are awaited: what starts meanwhile is not part of the interval.
+    // Tasks that start while the last configuration changes are awaited are not part of the interval.
     const result = this.resultOf(interval, warmS);
     const configuration = (await load?.end()) ?? null;
     const troubles: FaultResult[] = [];
@@ -163,7 +163,7 @@
   }
 
   /** Waits, and prints the progress at intervals. */
-  private async watch(seconds: number, phase: string): Promise<void> {
+  private async waitWithProgress(seconds: number, phase: string): Promise<void> {
     const until = performance.now() + seconds * 1000;
     let starts = this.statistics.starts;
     while (performance.now() < until) {
@@ -171,8 +171,8 @@
       await this.sleep(spanS);
       const rate = (this.statistics.starts - starts) / spanS;
       starts = this.statistics.starts;
-      this.say(
-        `  ${phase}: ${this.statistics.runningTasks} tasks run, ${rate.toFixed(0)} starts a second, ` +
+      this.reportProgress(
+        `  ${phase}: ${this.statistics.runningTasks} tasks running, ${rate.toFixed(0)} starts/s, ` +
           `urgent p99 ${this.statistics.urgentLatency.p99} ms, ${this.brokenRules().length} rules broken`,
       );
     }
@@ -183,7 +183,7 @@
     const load = new MachineLoad();
     const sampler = new ProcessUsageSampler(this.processes.running);
     const beganAt = performance.now();
-    await this.watch(seconds, 'measuring');
+    await this.waitWithProgress(seconds, 'measuring');
     const usage = sampler.end();
     const machineCpu = load.read();
     const after = await readHelpers(this.regions);
@@ -192,14 +192,14 @@
   }
 
   private async injectFault(fault: Fault): Promise<FaultResult> {
-    this.say(`  trouble: ${fault.name}`);
+    this.reportProgress(`  injecting fault: ${fault.name}`);
     const region = this.regions[0] as Region;
     const killedBefore = killedByLease(await readHelpers(this.regions));
     const brokenBefore = this.brokenRules().length;
     this.statistics.reset();
     const beganAt = performance.now();
     await fault.inject(region, (seconds) => this.sleep(seconds));
-    await this.watch(fault.watchS, fault.name);
+    await this.waitWithProgress(fault.watchS, fault.name);
     const watchedS = (performance.now() - beganAt) / 1000;
     return {
       trouble: fault.name,
--- a/packages/scale/src/step-shape.ts
+++ b/packages/scale/src/step-shape.ts
@@ -12,20 +12,20 @@
 import type { WorkloadShape } from './workload.js';
 import { JOBS_PER_REGION } from './workload.js';
 
-/** Arrival rate of jobs at the peak, as a multiple of the day's mean: an assumption of docs/CAPACITY.md. */
-const PEAK_FACTOR = 9;
+/** Arrival rate of jobs at the peak, as a multiple of the daily mean (docs/CAPACITY.md). */
+const PEAK_TO_MEAN_RATIO = 9;
 const SECONDS_PER_DAY = 86_400;
-/** Small steps keep the arrival rate of a whole region and make its jobs smaller, down to this many tasks. */
+/** Small steps keep the job arrival rate of a whole region and reduce the tasks per job, down to this number. */
 const MIN_TASKS_PER_JOB = 10;
 
-/** Computes what each region of a step consists of. */
+/** Computes the size and the load of each region of a step. */
 export class StepShape {
   constructor(
     private readonly options: ScaleOptions,
     private readonly step: Step,
   ) {}
 
-  /** Workers of one region; at least one for each zone. */
+  /** Number of workers of one region, at least one for each zone. */
   get workers(): number {
     return Math.max(this.zonesOf(0).length, Math.round(this.perRegion(this.options.workers)));
   }
@@ -68,11 +68,11 @@
   }
 
   private get jobsPerS(): number {
-    const peakRate = (CAPACITY_PLAN.jobsADay / this.options.regions / SECONDS_PER_DAY) * PEAK_FACTOR;
+    const peakRate = (CAPACITY_PLAN.jobsADay / this.options.regions / SECONDS_PER_DAY) * PEAK_TO_MEAN_RATIO;
     return Math.min(peakRate, this.startsPerS / MIN_TASKS_PER_JOB);
   }
 
-  /** The part of a count of the whole deployment that one region of this step has. */
+  /** Scales a count of the whole deployment to one region of this step. */
   private perRegion(total: number): number {
     return (total / this.options.regions) * this.step.share;
   }
--- a/packages/scale/src/store-server.ts
+++ b/packages/scale/src/store-server.ts
@@ -1,5 +1,5 @@
 /**
- * The helper process that stands in for the key-value store of one region.
+ * The helper process that simulates the key-value store of one region.
  *
  * @module
  */
@@ -26,7 +26,7 @@
 import { jsonServer } from './json-server.js';
 import type { StoreRole } from './messages.js';
 
-const KEPT_EVENTS = 10_000;
+const MAX_HISTORY_EVENTS = 10_000;
 const TRIM_INTERVAL_MS = 1000;
 const MAX_PAGE_SIZE = 1000;
 const MAX_WAIT_MS = 60_000;
@@ -48,7 +48,7 @@
 export class KeyValueStoreServer {
   readonly app: FastifyInstance = jsonServer();
   private readonly store: SimKeyValueStore;
-  private listed: {
+  private lastListing: {
     readonly prefix: string;
     readonly revision: Revision;
     readonly items: readonly KeyValue[];
@@ -60,13 +60,13 @@
   ) {
     this.store = new SimKeyValueStore(new MonotonicTimeline(), role);
     setInterval(() => {
-      this.store.trimHistory(KEPT_EVENTS);
+      this.store.trimHistory(MAX_HISTORY_EVENTS);
     }, TRIM_INTERVAL_MS).unref();
     this.registerKeyRoutes();
     this.registerLeaseRoutes();
   }
 
-  /** Adds records of ended jobs, in the form in which controllers write them. */
+  /** Adds records of ended jobs, in the format in which controllers write them. */
   seedEndedJobs(endedJobs: number): void {
     for (let n = 0; n < endedJobs; n += 1) {
       const spec = jobSpec({ id: `wk-old-${n}` as JobId, team: `team-${n % TEAMS_OF_ENDED_JOBS}` });
@@ -80,7 +80,7 @@
     return this.store.currentRevision();
   }
 
-  /** Applies the rate limits to a request with so many mutations; a rejected one is responded to here. */
+  /** Applies the rate limits to a request with this number of mutations. Sends the response if they reject it. */
   private admits(reply: FastifyReply, mutations: number): boolean {
     const isAdmitted = this.store.admits(mutations);
     this.meter.count(isAdmitted ? 'requests' : 'refused');
@@ -155,12 +155,13 @@
     void reply.send(formatKeyValuePage(page, first + most < items.length, this.revision));
   }
 
-  /** All items of a prefix, cached until the next revision so that the pages of one list cost one scan. */
+  /** All items of a prefix, cached until the next revision, so that all pages of a list need only one scan. */
   private itemsBelow(prefix: string): readonly KeyValue[] {
-    if (this.listed?.prefix === prefix && this.listed.revision === this.revision) return this.listed.items;
+    if (this.lastListing?.prefix === prefix && this.lastListing.revision === this.revision)
+      return this.lastListing.items;
     const listed = this.store.list(prefix);
     const items = listed.outcome === 'listed' ? listed.items : [];
-    this.listed = { prefix, revision: this.revision, items };
+    this.lastListing = { prefix, revision: this.revision, items };
     return items;
   }
 
@@ -186,7 +187,7 @@
   }
 }
 
-/** Index of the first item whose key comes after this one; the items are sorted by key. */
+/** Index of the first item whose key is greater than this one. The items are sorted by key. */
 function firstAfter(items: readonly KeyValue[], key: string): number {
   let low = 0;
   let high = items.length;
--- a/packages/scale/src/usage.ts
+++ b/packages/scale/src/usage.ts
@@ -1,5 +1,5 @@
 /**
- * Resource usage of processes and of the whole machine between two moments.
+ * Resource usage of processes and of the whole machine over an interval.
  *
  * @module
  */
@@ -8,11 +8,11 @@
 import { usageOf } from './processes.js';
 import type { RoleUsage } from './results.js';
 
-const MB = 1e6;
-const KB = 1000;
-const SAMPLE_MS = 1000;
+const BYTES_PER_MB = 1e6;
+const BYTES_PER_KB = 1000;
+const SAMPLE_INTERVAL_MS = 1000;
 
-/** Samples the resource usage of processes every second until it is ended. */
+/** Samples the resource usage of processes every second until `end` is called. */
 export class ProcessUsageSampler {
   private readonly began = new Map<RunProcess, ProcessUsage>();
   private readonly last = new Map<RunProcess, { readonly usage: ProcessUsage; readonly at: number }>();
@@ -29,7 +29,7 @@
     }
     this.timer = setInterval(() => {
       this.sample();
-    }, SAMPLE_MS);
+    }, SAMPLE_INTERVAL_MS);
   }
 
   private sample(): void {
@@ -56,17 +56,17 @@
       return {
         cpu: (usage.cpuS - before.cpuS) / seconds,
         cpuPeak: this.peaks.get(process) ?? 0,
-        residentMb: usage.residentBytes / MB,
-        peakMb: usage.peakBytes / MB,
+        residentMb: usage.residentBytes / BYTES_PER_MB,
+        peakMb: usage.peakBytes / BYTES_PER_MB,
         sockets: usage.sockets,
-        kbInPerS: (usage.readBytes - before.readBytes) / KB / seconds,
-        kbOutPerS: (usage.writtenBytes - before.writtenBytes) / KB / seconds,
+        kbInPerS: (usage.readBytes - before.readBytes) / BYTES_PER_KB / seconds,
+        kbOutPerS: (usage.writtenBytes - before.writtenBytes) / BYTES_PER_KB / seconds,
       };
     };
   }
 }
 
-/** Mean usage of several processes of one role; the peak of processor time is their maximum. */
+/** Mean usage of several processes of one role. The peak of the processor time is the maximum of their peaks. */
 export function meanUsage(all: readonly RoleUsage[]): RoleUsage {
   const mean = (of: (usage: RoleUsage) => number): number =>
     all.length === 0 ? 0 : all.reduce((sum, usage) => sum + of(usage), 0) / all.length;
@@ -82,7 +82,7 @@
   };
 }
 
-/** Rounds a figure to three digits after the decimal point, as results are kept. */
+/** Rounds a figure to the three decimal places with which results are kept. */
 export function roundFigure(value: number): number {
   return Number(value.toFixed(3));
 }
--- a/packages/scale/src/users.ts
+++ b/packages/scale/src/users.ts
@@ -1,5 +1,5 @@
 /**
- * The helper process that plays the users of one region, who submit, poll and cancel jobs.
+ * The helper process that simulates the users of one region, who submit, poll and cancel jobs.
  *
  * @module
  */
@@ -16,21 +16,21 @@
 
 const RESPONSE_TIMEOUT_MS = 5000;
 const POLL_RESPONSE_TIMEOUT_MS = 2000;
-const POLL_MS = 5000;
-const RETRY_MS = 1000;
+const POLL_INTERVAL_MS = 5000;
+const RETRY_DELAY_MS = 1000;
 const SUBMIT_DEADLINE_MS = 60_000;
-const BATCH_MS = 50;
-/** Connections to each controller node. */
-const SOCKETS = 64;
-/** Services are submitted one after another, so that the start of a run does not overload the controllers. */
+const EVENT_BATCH_INTERVAL_MS = 50;
+/** Maximum number of connections to each controller node. */
+const SOCKETS_PER_NODE = 64;
+/** Time between the submissions of two services, so that the start of a run does not overload the controllers. */
 const SERVICE_GAP_MS = 20;
 
 type Call = 'submit' | 'poll' | 'cancel';
 
-/** State of one job as its user sees it. */
+/** State of one user with respect to the job. */
 type UserState = 'submitting' | 'polling' | 'cancelling' | 'over';
 
-/** Users of one region. The load is open: jobs arrive at their own times, however slow the service is. */
+/** Users of one region. They form an open-loop load: jobs arrive on schedule, however slow the service is. */
 class Users {
   private readonly time = new MonotonicTimeline();
   private readonly workload: Workload;
@@ -43,7 +43,7 @@
     private readonly meter: Meter,
   ) {
     this.workload = new Workload(role.workload);
-    this.clients = role.nodes.map((node) => new JsonClient(node.address, SOCKETS));
+    this.clients = role.nodes.map((node) => new JsonClient(node.address, SOCKETS_PER_NODE));
   }
 
   run(): void {
@@ -51,32 +51,32 @@
       const { events } = this;
       this.events = [];
       notifyDriver({ notice: 'events', events, until: this.time.now - 1 });
-    }, BATCH_MS);
+    }, EVENT_BATCH_INTERVAL_MS);
     this.workload.services().forEach((spec, n) => {
       this.time.after(n * SERVICE_GAP_MS, () => {
-        this.begin(spec, null);
+        this.startUser(spec, null);
       });
     });
-    this.arrive(0, this.time.now);
+    this.scheduleArrival(0, this.time.now);
   }
 
-  /** Schedules the arrival of the next job, independently of how long the one before takes. */
-  private arrive(index: number, dueAt: number): void {
-    const at = dueAt + this.workload.gapMs(index);
+  /** Schedules the arrival of the next job, independently of how long the previous one takes. */
+  private scheduleArrival(index: number, dueAt: number): void {
+    const at = dueAt + this.workload.interarrivalMs(index);
     this.time.after(at - this.time.now, () => {
-      this.begin(this.workload.job(index), this.workload.cancelAfterS(index));
-      this.arrive(index + 1, at);
+      this.startUser(this.workload.job(index), this.workload.cancelAfterS(index));
+      this.scheduleArrival(index + 1, at);
     });
   }
 
-  private begin(spec: JobSpec, cancelAfterS: number | null): void {
+  private startUser(spec: JobSpec, cancelAfterS: number | null): void {
     this.meter.count('jobs');
     this.events.push({ kind: 'submitted', at: this.time.now, job: spec.id });
     const emit = (event: RunEvent): void => {
       this.events.push(event);
     };
     const user = new User(spec, this.time, this.meter, emit, () => this.client());
-    void user.live(cancelAfterS);
+    void user.run(cancelAfterS);
   }
 
   private client(): JsonClient {
@@ -100,12 +100,12 @@
     this.beganAt = time.now;
   }
 
-  /** The only function that changes the state. */
-  private enter(next: UserState): void {
+  /** Changes the state. No other function does. */
+  private transitionTo(next: UserState): void {
     this.state = next;
   }
 
-  async live(cancelAfterS: number | null): Promise<void> {
+  async run(cancelAfterS: number | null): Promise<void> {
     while (this.state !== 'over') await this.step(cancelAfterS);
   }
 
@@ -115,7 +115,7 @@
         return this.submit();
       case 'polling': {
         const isDue = cancelAfterS !== null && this.time.now - this.beganAt > cancelAfterS * 1000;
-        if (isDue) this.enter('cancelling');
+        if (isDue) this.transitionTo('cancelling');
         else await this.poll();
         return;
       }
@@ -130,26 +130,26 @@
     const status = await this.request('submit');
     if (status === 200 || status === 201) {
       this.meter.latency('accepted', this.time.now - this.beganAt);
-      this.enter('polling');
+      this.transitionTo('polling');
     } else if (status === 400 || status === 422) this.giveUp('refused');
     else if (this.time.now - this.beganAt > SUBMIT_DEADLINE_MS) this.giveUp('gave up');
-    else await this.wait(RETRY_MS);
+    else await this.wait(RETRY_DELAY_MS);
   }
 
   private giveUp(why: string): void {
     this.meter.count(why);
-    this.enter('over');
+    this.transitionTo('over');
   }
 
   private async poll(): Promise<void> {
-    await this.wait(POLL_MS);
+    await this.wait(POLL_INTERVAL_MS);
     await this.request('poll');
   }
 
   private async cancel(): Promise<void> {
     this.emit({ kind: 'cancelAsked', at: this.time.now, job: this.spec.id });
     await this.request('cancel');
-    if (this.isCancelling()) await this.wait(RETRY_MS);
+    if (this.isCancelling()) await this.wait(RETRY_DELAY_MS);
   }
 
   private isCancelling(): boolean {
@@ -162,7 +162,7 @@
     });
   }
 
-  /** Sends one request; returns its status, or null without a response. */
+  /** Sends one request. Returns the status of the response, or null if there was none. */
   private async request(call: Call): Promise<number | null> {
     const askedAt = this.time.now;
     this.meter.count(call);
@@ -187,7 +187,7 @@
       phase,
       askedAt,
     });
-    if (isFinal(phase)) this.enter('over');
+    if (isFinal(phase)) this.transitionTo('over');
     return response.status;
   }
 
--- a/packages/scale/src/worker-host.ts
+++ b/packages/scale/src/worker-host.ts
@@ -33,10 +33,10 @@
 import type { MachineUp, WorkersRole } from './messages.js';
 import { Workload } from './workload.js';
 
-/** A worker gives up a heartbeat without a response after this time. */
+/** Timeout of a heartbeat. */
 const RESPONSE_TIMEOUT_MS = 4000;
-const BATCH_MS = 50;
-/** An event may be recorded with a time up to this much in the past, as the end of a lease is noticed late. */
+const EVENT_BATCH_INTERVAL_MS = 50;
+/** Maximum age of an event when it is recorded. The expiry of a lease is detected with a delay. */
 const MAX_EVENT_DELAY_MS = 400;
 
 /** Buffers the events of tasks until they are sent to the driver. */
@@ -72,15 +72,18 @@
   }
 }
 
-/** The simulated workers of this process; each has an address and connections of its own. */
+/** The simulated workers of this process. Each has its own address and connections. */
 class SimulatedWorkers {
   private readonly time = new MonotonicTimeline();
   private readonly log = new EventLog(this.time);
   private readonly workers = new Map<MachineId, SimulatedWorker>();
   private readonly byHost = new Map<string, SimulatedWorker>();
   private readonly servers = new Map<MachineId, Server>();
-  /** The connection on which each worker sends heartbeats, and to which node. */
-  private readonly links = new Map<MachineId, { readonly node: string; readonly client: JsonClient }>();
+  /** The connection on which each worker sends heartbeats, and the node to which it leads. */
+  private readonly heartbeatConnections = new Map<
+    MachineId,
+    { readonly node: string; readonly client: JsonClient }
+  >();
   private readonly generator;
   private readonly host: WorkerHost;
   private readonly app: FastifyInstance = jsonServer();
@@ -111,7 +114,7 @@
     await this.app.ready();
     setInterval(() => {
       this.log.flush();
-    }, BATCH_MS);
+    }, EVENT_BATCH_INTERVAL_MS);
     handleOrders((order) => {
       if (order.order === 'up') for (const machine of order.machines) this.start(machine);
       else if (order.order === 'end') for (const id of order.machines) this.stop(id);
@@ -144,12 +147,12 @@
     this.servers.set(machine.id, server);
   }
 
-  /** Ends a machine as a power failure does, with its tasks and connections. */
+  /** Ends a machine like a power failure: its tasks are killed and its connections are closed. */
   private stop(id: MachineId): void {
     this.workers.get(id)?.die();
     this.workers.delete(id);
-    this.links.get(id)?.client.close();
-    this.links.delete(id);
+    this.heartbeatConnections.get(id)?.client.close();
+    this.heartbeatConnections.delete(id);
     this.byHost.delete(parseSocketAddress(workerAddress(this.role.region, id)).host);
     const server = this.servers.get(id);
     server?.close();
@@ -159,7 +162,7 @@
 
   private registerRoutes(): void {
     this.app.post(PATHS.commands, (request, reply) => {
-      const worker = this.calledWorker(request);
+      const worker = this.targetWorker(request);
       if (worker === undefined) return reply.code(HTTP_STATUS.unavailable).send({});
       const { fencingToken, agentEpoch, commands } = parseDirectCommands(request.body);
       this.meter.count('commands');
@@ -169,7 +172,7 @@
       return reply;
     });
     this.app.get(PATHS.show, (request, reply: FastifyReply) => {
-      const worker = this.calledWorker(request);
+      const worker = this.targetWorker(request);
       this.meter.count('shows');
       return worker === undefined
         ? reply.code(HTTP_STATUS.unavailable).send({})
@@ -177,17 +180,17 @@
     });
   }
 
-  private calledWorker(request: FastifyRequest): SimulatedWorker | undefined {
+  private targetWorker(request: FastifyRequest): SimulatedWorker | undefined {
     return this.byHost.get(request.socket.localAddress ?? '');
   }
 
-  private linkOf(id: MachineId, node: string): JsonClient {
-    const link = this.links.get(id);
-    if (link?.node === node) return link.client;
-    link?.client.close();
+  private heartbeatClient(id: MachineId, node: string): JsonClient {
+    const connection = this.heartbeatConnections.get(id);
+    if (connection?.node === node) return connection.client;
+    connection?.client.close();
     const address = this.role.nodes.find((candidate) => candidate.name === node)?.address ?? '';
     const client = new JsonClient(address, 1);
-    this.links.set(id, { node, client });
+    this.heartbeatConnections.set(id, { node, client });
     return client;
   }
 
@@ -196,16 +199,16 @@
     node: string,
     heartbeat: Heartbeat,
   ): Promise<HeartbeatResult | null> {
-    const began = this.time.now;
+    const sentAt = this.time.now;
     this.meter.count('reports');
     try {
-      const response = await this.linkOf(worker.id, node).call(
+      const response = await this.heartbeatClient(worker.id, node).call(
         'POST',
         PATHS.heartbeat,
         formatHeartbeat(heartbeat),
         RESPONSE_TIMEOUT_MS,
       );
-      this.meter.latency('report', this.time.now - began);
+      this.meter.latency('report', this.time.now - sentAt);
       switch (response.status) {
         case 200:
           return { code: 200, ...parseHeartbeatResponse(response.body) };
--- a/packages/scale/src/workload.ts
+++ b/packages/scale/src/workload.ts
@@ -1,5 +1,5 @@
 /**
- * The generated jobs of one region. Every process derives the same jobs from the seed.
+ * The generated jobs of one region. Every process generates the same jobs from the seed.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 /** Parameters of the generated load of one region, given to every process of the run. */
 export interface WorkloadShape {
   readonly seed: number;
-  /** Number of the first job. It differs between the regions of a run, and so do the ids of their jobs. */
+  /** Number of the first job. It differs between the regions of a run, so that their job ids differ. */
   readonly firstJob: number;
   readonly teams: number;
   /** Target rate of task starts of job arrays. */
@@ -25,10 +25,10 @@
 /** Classes of generated jobs. */
 export type JobClass = 'batch' | 'urgent' | 'gang' | 'service';
 
-/** Share of the replicas of services among the running tasks. */
+/** Share of service replicas among the running tasks. */
 const SERVICE_SHARE = 0.2;
 const REPLICAS = 10;
-/** Shares of the arriving jobs. */
+/** Shares of these classes among the arriving jobs; the others are batch arrays. */
 const URGENT_SHARE = 0.5;
 const GANG_SHARE = 0.02;
 const URGENT_TASKS = 8;
@@ -40,22 +40,22 @@
 const TASK_MEMORY_GB = 2;
 const SHARE_STEPS = 1_000_000;
 const DISCARDED_DRAWS = 16;
-/** Job numbers reserved for one region; the services that run from the start have the last ones. */
+/** Number of job numbers reserved for one region. Services that run from the start have those from `FIRST_SERVICE` on. */
 export const JOBS_PER_REGION = 100_000;
 const FIRST_SERVICE = 80_000;
-/** Sizes of job arrays as multiples of the mean: as in practice, a few large arrays hold most tasks. */
-const SIZES = [0.05, 0.3, 0.6, 0.9, 1.2, 1.6, 2.35] as const;
+/** Sizes of job arrays as multiples of the mean. A few large arrays hold most tasks, as in practice. */
+const RELATIVE_ARRAY_SIZES = [0.05, 0.3, 0.6, 0.9, 1.2, 1.6, 2.35] as const;
 
 const ID_PREFIX = 'wk-';
 const ID_DIGITS = 7;
 
-/** Random numbers for one purpose, fully determined by the seed and the index. */
+/** A sequence of random numbers that is determined by the seed and the index. */
 class SeededDraw {
   private readonly generator;
 
   constructor(seed: number, index: number) {
     this.generator = xoroshiro128plus((seed * 7_919 + index * 104_729) | 0);
-    // The first numbers are correlated with the seed: neighbouring indexes would get similar ones.
+    // The first numbers are correlated with the seed, so adjacent indexes would get similar ones.
     for (let n = 0; n < DISCARDED_DRAWS; n += 1) this.generator.next();
   }
 
@@ -70,7 +70,7 @@
   }
 }
 
-/** The jobs of one region. Each depends on the seed and its number alone, so that processes need not exchange them. */
+/** The jobs of one region. A job depends only on the seed and its number, so processes need not exchange jobs. */
 export class Workload {
   private readonly specs = new Map<number, JobSpec>();
 
@@ -81,7 +81,7 @@
     return (this.shape.running * (1 - SERVICE_SHARE)) / this.shape.startsPerS;
   }
 
-  /** Mean number of tasks of a batch array, such that all classes together reach the target rate of starts. */
+  /** Mean number of tasks of a batch array, so that all classes together reach the target rate of task starts. */
   get meanTasks(): number {
     const { startsPerS, jobsPerS } = this.shape;
     const otherTasks = URGENT_SHARE * ((URGENT_TASKS + 1) / 2) + GANG_SHARE * GANG_TASKS;
@@ -95,12 +95,12 @@
     return Array.from({ length: count }, (_, n) => this.spec(this.shape.firstJob + FIRST_SERVICE + n));
   }
 
-  /** The job that arrives as number `index`, counted from 0. */
+  /** The job that arrives at position `index`, counted from 0. */
   job(index: number): JobSpec {
     return this.spec(this.shape.firstJob + index);
   }
 
-  /** The job of that id, or undefined if this workload has none. */
+  /** The job with this id, or undefined if the workload has none. */
   find(id: JobId): JobSpec | undefined {
     const digits = id.slice(ID_PREFIX.length);
     if (!/^\d+$/.test(digits)) return undefined;
@@ -164,25 +164,28 @@
       case 'urgent':
         return 1 + draw.below(URGENT_TASKS);
       case 'batch':
-        return Math.max(1, Math.round(this.meanTasks * (SIZES[draw.below(SIZES.length)] ?? 1)));
+        return Math.max(
+          1,
+          Math.round(this.meanTasks * (RELATIVE_ARRAY_SIZES[draw.below(RELATIVE_ARRAY_SIZES.length)] ?? 1)),
+        );
     }
   }
 
-  /** How long a task runs, in milliseconds; the same for all tasks of a gang. */
+  /** Run time of a task in milliseconds, which is the same for all tasks of a gang. */
   runMs(spec: JobSpec, task: number): number {
     const index = Number(spec.id.slice(ID_PREFIX.length));
     const { meanRunS } = this;
-    const own = new SeededDraw(this.shape.seed + 2, index * 131 + (spec.kind === 'gang' ? 0 : task));
-    return meanRunS * (0.5 + own.share()) * 1000;
+    const draw = new SeededDraw(this.shape.seed + 2, index * 131 + (spec.kind === 'gang' ? 0 : task));
+    return meanRunS * (0.5 + draw.share()) * 1000;
   }
 
   /** Milliseconds until the next job arrives; arrivals are a Poisson process. */
-  gapMs(index: number): number {
+  interarrivalMs(index: number): number {
     const share = new SeededDraw(this.shape.seed + 3, index).share();
     return (-Math.log(1 - share) / this.shape.jobsPerS) * 1000;
   }
 
-  /** After how many seconds its user cancels the job; null if never. */
+  /** Seconds after which the user cancels the job; null if never. */
   cancelAfterS(index: number): number | null {
     const draw = new SeededDraw(this.shape.seed + 4, index);
     return draw.share() < CANCEL_SHARE ? draw.share() * this.meanRunS : null;
--- a/packages/scale/test/options.test.ts
+++ b/packages/scale/test/options.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { OptionsError, parseOptions } from '../src/index.js';
 
-const GOOD = {
+const VALID_FLAGS = {
   workers: '2700',
   regions: '4',
   zones: '16',
@@ -20,8 +20,8 @@
   deploy: 'deploy/service.toml',
 };
 
-test('flags are read, and steps are shares of one region and then whole regions', () => {
-  const options = parseOptions(GOOD);
+test('valid flags are parsed, with steps given as shares of one region or numbers of whole regions', () => {
+  const options = parseOptions(VALID_FLAGS);
   assert.equal(options.workers, 2700);
   assert.deepEqual(options.steps, [
     { regions: 1, share: 1 / 16 },
@@ -30,9 +30,9 @@
   ]);
 });
 
-test('all mistakes of the flags are named at once', () => {
-  const wrong = {
-    ...GOOD,
+test('one error names all invalid flags', () => {
+  const invalidFlags = {
+    ...VALID_FLAGS,
     workers: '-3',
     teams: 'many',
     zones: '2',
@@ -41,7 +41,7 @@
     deploy: 'no/such',
   };
   assert.throws(
-    () => parseOptions(wrong),
+    () => parseOptions(invalidFlags),
     (e: unknown) => {
       assert.ok(e instanceof OptionsError);
       for (const field of [
@@ -59,10 +59,10 @@
   );
 });
 
-test('more regions than there are, and more processes than allowed, are refused', () => {
-  assert.throws(() => parseOptions({ ...GOOD, steps: '5' }), /more regions/);
+test('a step with more regions than configured, or with too many processes, is rejected', () => {
+  assert.throws(() => parseOptions({ ...VALID_FLAGS, steps: '5' }), /more regions/);
   assert.throws(
-    () => parseOptions({ ...GOOD, regions: '16', zones: '64', nodes: '9', steps: '16' }),
+    () => parseOptions({ ...VALID_FLAGS, regions: '16', zones: '64', nodes: '9', steps: '16' }),
     /processes/,
   );
 });
--- a/packages/scale/test/smoke.test.ts
+++ b/packages/scale/test/smoke.test.ts
@@ -6,7 +6,7 @@
 const SCALE = ['--import', 'tsx', 'packages/measure/src/main.ts', 'scale'];
 
 test(
-  'the shipped program serves twenty workers for ten seconds, and no rule breaks',
+  'a smoke run with twenty workers for ten seconds starts tasks and violates no rule',
   { timeout: 120_000 },
   () => {
     const run = spawnSync(process.execPath, [...SCALE, '--smoke', '--first-region', '50'], {
@@ -16,7 +16,7 @@
     const result = JSON.parse(run.stdout.trim().split('\n').at(-1) ?? '') as ScaleResult;
     const step = result.steps[0];
     assert.ok(step !== undefined);
-    assert.ok(step.startsPerS > 2, `${step.startsPerS} starts a second`);
+    assert.ok(step.startsPerS > 2, `${step.startsPerS} starts/s`);
     assert.deepEqual(step.brokenRules, []);
     assert.deepEqual(step.ends, []);
     assert.equal(step.killedByLease, 0);
@@ -24,7 +24,7 @@
   },
 );
 
-test('wrong flags end with 2 and are named', () => {
+test('the command names invalid flags and exits with 2', () => {
   const run = spawnSync(process.execPath, [...SCALE, '--workers', '0', '--steps', 'x'], { encoding: 'utf8' });
   assert.equal(run.status, 2);
   assert.match(run.stderr, /--workers.*\n.*--steps/);
