--- a/packages/measure/src/configuration.ts
+++ b/packages/measure/src/configuration.ts
@@ -1,5 +1,5 @@
 /**
- * Changes of the live configuration in the simulated world: how long until they are in force on all nodes.
+ * Measures how long configuration changes take to be in force on all nodes of the simulated world.
  *
  * @module
  */
@@ -12,22 +12,22 @@
   proposeChanges,
   runUntilInForce,
 } from '@spurbridge/testkit';
-import { parallel } from './parallel.js';
+import { runPartsInParallel } from './parallel.js';
 
-/** One run: the size of the fleet, the rate of changes and of crashes. */
+/** One run: the size of the fleet, and the rates of changes and crashes. */
 export interface ConfigurationPart {
   readonly workers: number;
   readonly changesAnHour: number;
-  /** The leader crashes this often, in seconds, and is back after 200 ms; 0: never. */
+  /** Interval at which the leader crashes, in seconds; it restarts after 200 ms. 0 means never. */
   readonly endLeaderS: number;
   readonly seconds: number;
 }
 
 interface ConfigurationResult extends ConfigurationPart {
   readonly made: number;
-  /** Retries because of a failover or of another change. */
+  /** Number of retries because of a failover or another change. */
   readonly askedAgain: number;
-  /** From the first request until the change is in force on every node, in simulated milliseconds; null without any. */
+  /** Simulated milliseconds from the first request until the change is in force on every node; null if none was. */
   readonly inForceMs: { readonly p50: number; readonly p99: number; readonly most: number } | null;
   readonly late: number;
   readonly brokenRules: number;
@@ -37,13 +37,13 @@
 const TEAMS = 350;
 const NODES = 3;
 const ZONES = ['a', 'b', 'c', 'd'];
-const UP_MS = 30_000;
-const HOUR_MS = 3_600_000;
-const BACK_MS = 200;
-const MOST_WAIT_MS = 20_000;
-const RETRY_MS = 200;
+const WARM_UP_MS = 30_000;
+const MS_PER_HOUR = 3_600_000;
+const RESTART_DELAY_MS = 200;
+const MAX_WAIT_MS = 20_000;
+const RETRY_DELAY_MS = 200;
 const TYPE = { ...machineType('w20', 20), bootS: 4 };
-const FULL = { workers: 2700 };
+const FULL_FLEET = { workers: 2700 };
 
 function createWorld(part: ConfigurationPart): World {
   const cpus = part.workers * TYPE.cpus;
@@ -80,7 +80,7 @@
   return world;
 }
 
-/** Proposes changes one after the other and records how long each takes to be in force. */
+/** Proposes changes one after another and records how long each takes to be in force. */
 class ChangeClient {
   readonly tookMs: number[] = [];
   retries = 0;
@@ -93,13 +93,13 @@
     const beganMs = world.time.now;
     const changes = [{ team: `team-${index % TEAMS}`, cpusMax: 1000 + (index % 50) }];
     let outcome = await proposeChanges(world, index % NODES, changes);
-    while (outcome.outcome !== 'committed' && world.time.now - beganMs < MOST_WAIT_MS) {
+    while (outcome.outcome !== 'committed' && world.time.now - beganMs < MAX_WAIT_MS) {
       this.retries += 1;
-      await world.runUntil(world.time.now + RETRY_MS);
+      await world.runUntil(world.time.now + RETRY_DELAY_MS);
       outcome = await proposeChanges(world, (index + this.retries) % NODES, changes);
     }
     const waitedMs =
-      outcome.outcome === 'committed' ? await runUntilInForce(world, outcome.version, MOST_WAIT_MS) : null;
+      outcome.outcome === 'committed' ? await runUntilInForce(world, outcome.version, MAX_WAIT_MS) : null;
     if (waitedMs === null) this.late += 1;
     else this.tookMs.push(world.time.now - beganMs);
   }
@@ -114,20 +114,20 @@
   return { p50: at(0.5), p99: at(0.99), most: at(1) };
 }
 
-/** Plays one run. */
+/** Simulates one run. */
 export async function configurationPart(part: ConfigurationPart): Promise<ConfigurationResult> {
   const world = createWorld(part);
-  await world.runUntil(UP_MS);
+  await world.runUntil(WARM_UP_MS);
   const client = new ChangeClient(world);
   const untilMs = world.time.now + part.seconds * 1000;
   const crashEveryMs = part.endLeaderS === 0 ? Infinity : part.endLeaderS * 1000;
   let crashAtMs = world.time.now + crashEveryMs;
   let dueAtMs = world.time.now;
   for (let index = 0; world.time.now < untilMs; index += 1) {
-    dueAtMs += HOUR_MS / part.changesAnHour;
+    dueAtMs += MS_PER_HOUR / part.changesAnHour;
     if (world.time.now < dueAtMs) await world.runUntil(dueAtMs);
     if (world.time.now >= crashAtMs) {
-      world.crash(leaderIndex(world), BACK_MS);
+      world.crash(leaderIndex(world), RESTART_DELAY_MS);
       crashAtMs += crashEveryMs;
     }
     await client.change(index);
@@ -143,12 +143,12 @@
   };
 }
 
-/** Changes of configuration at the planned rate, at 20 times that, and with the leader crashing every 30 s. */
+/** Measures configuration changes at the planned rate, at 20 times that rate, and with leader crashes every 30 s. */
 export async function measureConfiguration(printLine: (line: string) => void): Promise<unknown> {
   const parts: ConfigurationPart[] = [
-    { ...FULL, changesAnHour: 54, endLeaderS: 0, seconds: 400 },
-    { ...FULL, changesAnHour: 1083, endLeaderS: 0, seconds: 120 },
-    { ...FULL, changesAnHour: 1083, endLeaderS: 30, seconds: 120 },
+    { ...FULL_FLEET, changesAnHour: 54, endLeaderS: 0, seconds: 400 },
+    { ...FULL_FLEET, changesAnHour: 1083, endLeaderS: 0, seconds: 120 },
+    { ...FULL_FLEET, changesAnHour: 1083, endLeaderS: 30, seconds: 120 },
   ];
-  return { simulated: true, results: await parallel('configuration', parts, printLine) };
+  return { simulated: true, results: await runPartsInParallel('configuration', parts, printLine) };
 }
--- a/packages/measure/src/digest.ts
+++ b/packages/measure/src/digest.ts
@@ -1,6 +1,6 @@
 /**
- * The digest of behaviour: days of the simulated world, generated from fixed seeds, and one hash a day over everything that
- * its programs sent. Refactoring must leave all digests as they were in the version before.
+ * Digests of the scheduler's behaviour: one hash per simulated day, generated from a fixed seed, over all messages that
+ * its programs send. A refactoring must not change any digest.
  *
  * @module
  */
@@ -21,16 +21,16 @@
   injectRandomFault,
 } from '@spurbridge/testkit';
 import type { World, WorldOptions } from '@spurbridge/testkit';
-import { parallel } from './parallel.js';
+import { runPartsInParallel } from './parallel.js';
 
 /** File of the expected digests. */
 export const EXPECTED_DIGESTS = 'docs/digest.json';
 const LOSS_AT_MS = 60_000;
-const SNAPSHOTS_EVERY_MS = 10_000;
-const MOST_COMBINED = 4;
+const SNAPSHOT_INTERVAL_MS = 10_000;
+const MAX_COMBINED_FAULTS = 4;
 const CONFIGURATION_CHANGES_AT_MS = [30_000, 50_000, 70_000] as const;
 
-/** One day of the digest: its kind of faults, and the seed from which everything else is generated. */
+/** One simulated day: its kind of faults, and the seed from which everything else is generated. */
 export interface DigestDay {
   readonly name: string;
   readonly kind: 'faults' | 'combined' | 'loss' | 'configuration';
@@ -56,7 +56,7 @@
       for (let n = 0; n < seed; n += 1) injectRandomFault(world);
       return;
     case 'combined':
-      injectCombinedFaults(world, MOST_COMBINED);
+      injectCombinedFaults(world, MAX_COMBINED_FAULTS);
       return;
     case 'loss': {
       const loss = DATA_LOSSES[seed % DATA_LOSSES.length] ?? 'emptied';
@@ -82,12 +82,12 @@
   }
 }
 
-/** Plays one day and returns its digest. */
+/** Simulates one day and returns its digest. */
 export async function digestPart(day: DigestDay): Promise<string> {
   const traffic = new TrafficDigest();
   const options: Partial<WorldOptions> =
     day.kind === 'loss'
-      ? { traffic, snapshots: { folder: new InMemorySnapshotDirectory(), everyMs: SNAPSHOTS_EVERY_MS } }
+      ? { traffic, snapshots: { folder: new InMemorySnapshotDirectory(), everyMs: SNAPSHOT_INTERVAL_MS } }
       : { traffic };
   const world = smallWorld(day.seed, options);
   prepare(world, day);
@@ -101,15 +101,15 @@
   return JSON.parse(readFileSync(EXPECTED_DIGESTS, 'utf8')) as Record<string, string>;
 }
 
-/** Plays all days and lists those with another digest than expected; if there are any, the process exits with 1. */
+/** Simulates all days and prints those whose digest differs from the expected one. If any does, the process exits with 1. */
 export async function measureDigest(printLine: (line: string) => void): Promise<Record<string, string>> {
-  const digests = (await parallel('digest', DAYS, () => undefined)) as string[];
+  const digests = (await runPartsInParallel('digest', DAYS, () => undefined)) as string[];
   const found = Object.fromEntries(DAYS.map((day, n) => [day.name, digests[n] ?? '']));
   const expected = readExpected();
-  const moved = DAYS.filter(({ name }) => found[name] !== expected[name]);
-  for (const { name } of moved)
-    printLine(`moved: ${name}: ${expected[name] ?? 'none'} -> ${found[name] ?? ''}`);
-  printLine(`${DAYS.length - moved.length} of ${DAYS.length} days as expected`);
-  if (moved.length > 0) process.exitCode = 1;
+  const changed = DAYS.filter(({ name }) => found[name] !== expected[name]);
+  for (const { name } of changed)
+    printLine(`digest changed: ${name}: ${expected[name] ?? 'none'} -> ${found[name] ?? ''}`);
+  printLine(`${DAYS.length - changed.length} of ${DAYS.length} digests as expected`);
+  if (changed.length > 0) process.exitCode = 1;
   return found;
 }
--- a/packages/measure/src/graphs-parts.ts
+++ b/packages/measure/src/graphs-parts.ts
@@ -28,11 +28,11 @@
 const GRAPH_TASKS = 4800;
 const CRASHES = 20;
 /** A run shorter than this only returned the stored result of its task. */
-const SHORTEST_RUN_MS = 10;
+const MIN_RUN_MS = 10;
 
-/** Share of the fleet's CPU time that the team of a graph client gets beside an ordinary one, both with too much work. */
+/** Share of the CPU time that a team with a graph gets beside a team with ordinary jobs. Both have too much work. */
 export async function graphTeamShare(seed: number): Promise<number> {
-  // As many CPUs as one team may use at the most: both want all of them.
+  // The fleet has as many CPUs as the quota limit of one team, so each team could use all of them.
   const world = createWorld(seed, 1, 96);
   const used = { red: 0, blue: 0 };
 
@@ -41,7 +41,7 @@
     used[run.job.team as 'red' | 'blue'] += ms * run.job.cpus;
   };
   await createGraph(world);
-  // Jobs that fit into the guaranteed quota, more of them than can run.
+  // Each job fits into the guaranteed quota, but there are more jobs than can run at once.
   for (let i = 0; i < ORDINARY_JOBS; i += 1)
     world.startUser(
       jobSpec({
@@ -60,7 +60,7 @@
   return used.red / (used.red + used.blue);
 }
 
-/** What the failovers of one graph came to. */
+/** Results of the failovers during one graph. */
 export interface FailoverResult {
   readonly takeovers: number;
   readonly lost: number;
@@ -69,15 +69,15 @@
   readonly meanMs: number;
 }
 
-/** Failovers in the middle of a graph: what is lost, what is done twice, how long until the next start. */
+/** Crashes leaders while a graph runs. Counts lost and repeated tasks, and measures the time until the next start. */
 export async function measureFailovers(seed: number, tasks: number): Promise<FailoverResult> {
   const world = createWorld(seed, 8, 700);
   const completions = new Map<string, number>();
   const starts: number[] = [];
   world.checker.onRunEnded = (run) => {
     starts.push(run.sinceMs);
-    // A task that was started again after its end returns the stored result at once, without doing any work.
-    if (!run.done || run.untilMs - run.sinceMs < SHORTEST_RUN_MS) return;
+    // A task that is started again after its completion returns the stored result at once, without doing any work.
+    if (!run.done || run.untilMs - run.sinceMs < MIN_RUN_MS) return;
     const task = graphTaskOf(world, tasks, run.job.id, run.task) ?? `${run.job.id}/${run.task}`;
     completions.set(task, (completions.get(task) ?? 0) + 1);
   };
@@ -101,7 +101,7 @@
   };
 }
 
-/** The task of the graph that a task of a cotask's job stands for, by the stored state of the batches; null if none. */
+/** The graph task that corresponds to a task of a cotask's job, by the stored state of the batches; null if none. */
 function graphTaskOf(world: World, tasks: number, job: JobId, jobTask: number): string | null {
   const cotask = job.slice(job.lastIndexOf('.') + 1);
   for (let batch = 0; batch < tasks / BATCH_SIZE; batch += 1) {
@@ -114,7 +114,7 @@
   return null;
 }
 
-/** Crashes the leader again and again, some seconds apart; the times of the crashes. */
+/** Crashes the leader repeatedly, 12 to 16 seconds apart. Returns the times of the crashes. */
 async function crashLeaders(world: World): Promise<number[]> {
   const crashes: number[] = [];
   for (let i = 0; i < CRASHES; i += 1) {
@@ -129,7 +129,7 @@
   return crashes;
 }
 
-/** Rates of one graph, per simulated second, and commits to the key-value store. */
+/** Rates of one graph per simulated second, and its commits to the key-value store. */
 export interface Throughput {
   readonly tasks: number;
   readonly acceptedPerS: number;
@@ -137,7 +137,7 @@
   readonly commitsPerTask: number;
 }
 
-/** Throughput of the graph service on a graph of so many tasks. */
+/** Measures the throughput of the graph service for a graph of this number of tasks. */
 export async function measureThroughput(tasks: number): Promise<Throughput> {
   const world = createWorld(1, 10, 900);
   await createGraph(world);
@@ -155,14 +155,14 @@
   };
 }
 
-/** Memory and time that a graph takes. */
+/** Memory and time that a graph needs. */
 export interface MemoryUse {
   readonly tasks: number;
   readonly bytesPerTask: number;
   readonly msPerTask: number;
 }
 
-/** Bytes of heap per task of a graph of so many tasks, and milliseconds per task to add and run all of it. */
+/** Measures the heap per task of a graph of this number of tasks, and the time per task to add and complete them. */
 export function measureMemory(tasks: number): MemoryUse {
   const collect = (globalThis as { gc?: () => void }).gc ?? (() => undefined);
   collect();
@@ -183,11 +183,11 @@
     graph.addBatch(batch);
   }
   collect();
-  const held = process.memoryUsage().heapUsed - before;
+  const graphBytes = process.memoryUsage().heapUsed - before;
   for (let ready = graph.readyTasks(); ready.length > 0; ready = graph.readyTasks())
     for (const task of ready) {
       graph.markSubmitted(task);
       graph.markDone(task);
     }
-  return { tasks, bytesPerTask: held / tasks, msPerTask: (performance.now() - began) / tasks };
+  return { tasks, bytesPerTask: graphBytes / tasks, msPerTask: (performance.now() - began) / tasks };
 }
--- a/packages/measure/src/graphs-world.ts
+++ b/packages/measure/src/graphs-world.ts
@@ -1,5 +1,5 @@
 /**
- * A simulated world with graph controllers, and a client that adds one measured graph to it.
+ * A simulated world with graph controllers, and a client that adds the measured graph to it.
  *
  * @module
  */
@@ -11,13 +11,13 @@
 
 /** Name of the measured graph. */
 export const GRAPH_ID = 'gr-measured' as GraphId;
-/** Tasks of one batch. */
+/** Number of tasks of one batch. */
 export const BATCH_SIZE = 400;
-/** Time in which the world elects its first leader. */
-const UP_MS = 3000;
+/** Time within which the world elects its first leader. */
+const WARM_UP_MS = 3000;
 const RESPONSE_STEP_MS = 10;
-const RESPONSE_STEPS = 2000;
-const RETRY_MS = 300;
+const MAX_RESPONSE_STEPS = 2000;
+const RETRY_DELAY_MS = 300;
 const HTTP_TOO_MANY_REQUESTS = 429;
 const STORE_LIMITS = { rps: 250, writeRps: 100, valueKb: 16, txnOps: 12 };
 
@@ -33,7 +33,7 @@
   spot: true,
 };
 
-/** A world of two teams with equal quotas. */
+/** Creates a world with two teams that have equal quotas. */
 export function createWorld(seed: number, capacity: number, cpusMax: number): World {
   return new World({
     seed,
@@ -52,7 +52,7 @@
   });
 }
 
-/** A graph service on one node. */
+/** Creates a graph service on one node. */
 function graphServiceOn(world: World, node: number): GraphService {
   const host = world.nodes[node];
   if (host === undefined) throw new NoSuchNodeError(node);
@@ -61,9 +61,9 @@
 }
 
 /**
- * Repeats a request, on one node after the other, until it succeeds.
+ * Repeats a request on one node after another until it succeeds.
  *
- * @throws GraphRequestRefusedError on a response that no retry can change
+ * @throws GraphRequestRefusedError on a response that is not retryable
  */
 async function requestUntilAccepted(
   world: World,
@@ -72,7 +72,7 @@
   for (let n = 0; ; n += 1) {
     const responses: GraphResponse[] = [];
     void respond(() => call(graphServiceOn(world, n % 3))).then((response) => responses.push(response));
-    for (let i = 0; responses.length === 0 && i < RESPONSE_STEPS; i += 1) {
+    for (let i = 0; responses.length === 0 && i < MAX_RESPONSE_STEPS; i += 1) {
       await new Promise((resolve) => setImmediate(resolve));
       await world.runUntil(world.time.now + RESPONSE_STEP_MS);
     }
@@ -80,11 +80,11 @@
     if (response !== undefined && response.code < 300) return;
     if (response !== undefined && response.code < 500 && response.code !== HTTP_TOO_MANY_REQUESTS)
       throw new GraphRequestRefusedError(response);
-    await world.runUntil(world.time.now + RETRY_MS);
+    await world.runUntil(world.time.now + RETRY_DELAY_MS);
   }
 }
 
-/** Adds tasks in batches; each depends on the task at its place in the layer before. */
+/** Adds tasks in batches. Each task depends on the task at its position in the previous layer. */
 export async function addTasks(world: World, tasks: number, layers: number): Promise<void> {
   const batches = Math.ceil(tasks / BATCH_SIZE);
   const perLayer = Math.max(1, Math.floor(batches / layers));
@@ -104,13 +104,13 @@
 
 /** Runs until a leader is elected and creates the graph. */
 export async function createGraph(world: World): Promise<void> {
-  await world.runUntil(UP_MS);
+  await world.runUntil(WARM_UP_MS);
   await requestUntilAccepted(world, (service) =>
     service.create({ graph: GRAPH_ID, class: 'video', team: 'red', priority: 'normal' }),
   );
 }
 
-/** Seals the graph: no more tasks are added. */
+/** Seals the graph, after which no more tasks can be added. */
 export async function sealGraph(world: World): Promise<void> {
   await requestUntilAccepted(world, (service) => service.seal(GRAPH_ID));
 }
@@ -121,7 +121,7 @@
     await world.runUntil(world.time.now + stepMs);
 }
 
-/** Number of completed tasks by the stored record of the graph. */
+/** Number of completed tasks according to the stored record of the graph. */
 export function completedTasks(world: World): number {
   return graphRecord(world)?.tally?.done ?? 0;
 }
--- a/packages/measure/src/graphs.ts
+++ b/packages/measure/src/graphs.ts
@@ -1,23 +1,23 @@
 /**
- * Task graphs in the simulated world: fairness, orders of cotasks, failovers, throughput and memory.
+ * Measurements of task graphs in the simulated world: fairness, orders of cotasks, failovers, throughput and memory.
  *
  * @module
  */
 import type { FailoverResult, Throughput } from './graphs-parts.js';
 import { graphTeamShare, measureFailovers, measureMemory, measureThroughput } from './graphs-parts.js';
 import type { Order, OrderTimes } from './orders.js';
-import { longTailedTrace, playOrder } from './orders.js';
-import { parallel } from './parallel.js';
+import { longTailedTrace, simulateOrder } from './orders.js';
+import { runPartsInParallel } from './parallel.js';
 
 const SEEDS = 10;
 const GUARANTEED_SHARE = 0.5;
-/** Work that arrives, as a share of what the machines can do. */
+/** Arriving work as a share of the machines' capacity. */
 const LOADS = [0.7, 0.9, 1.1, 1.4] as const;
 const ORDERS: readonly Order[] = ['paper', 'first-come', 'shortest-task'];
 const SMALL_GRAPH = 10_000;
 const LARGE_GRAPH = 100_000;
 
-/** One part of the measurement; `tasks` counts for all kinds but fairness and orders. */
+/** One part of the measurement. Fairness and orders ignore `tasks`. */
 export interface GraphsPart {
   readonly kind: 'fairness' | 'recovery' | 'scale' | 'orders' | 'memory';
   readonly seed: number;
@@ -27,14 +27,14 @@
 /** Mean times by load, in the order of LOADS, and by order, in the order of ORDERS. */
 type TimesByLoad = readonly (readonly OrderTimes[])[];
 
-function playOrders(seed: number): TimesByLoad {
+function simulateOrders(seed: number): TimesByLoad {
   return LOADS.map((load) => {
     const trace = longTailedTrace(seed, load);
-    return ORDERS.map((order) => playOrder(trace, order));
+    return ORDERS.map((order) => simulateOrder(trace, order));
   });
 }
 
-/** Plays one part. */
+/** Runs one part. */
 export async function graphsPart(part: GraphsPart): Promise<unknown> {
   switch (part.kind) {
     case 'fairness':
@@ -46,7 +46,7 @@
     case 'memory':
       return measureMemory(part.tasks);
     case 'orders':
-      return playOrders(part.seed);
+      return simulateOrders(part.seed);
   }
 }
 
@@ -84,10 +84,10 @@
   ];
 }
 
-/** Runs all parts and sums them up. */
+/** Runs all parts and summarizes their results. */
 export async function measureGraphs(printLine: (line: string) => void): Promise<Record<string, unknown>> {
   const parts = allParts();
-  const results = await parallel('graphs', parts, printLine);
+  const results = await runPartsInParallel('graphs', parts, printLine);
   const of = <Result>(kind: GraphsPart['kind']): Result[] =>
     results.filter((_, i) => parts[i]?.kind === kind) as Result[];
   const shares = of<number>('fairness');
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -26,7 +26,7 @@
 interface Measurement {
   /** Shown in the help of the command. */
   readonly description: string;
-  /** Runs all parts, in processes of their own, and sums them up. */
+  /** Runs all parts, each in its own process, and summarizes their results. */
   readonly all: (printLine: (line: string) => void) => Promise<unknown>;
   /** Runs one part in this process. */
   readonly part: (part: unknown) => Promise<unknown>;
@@ -34,37 +34,37 @@
 
 const MEASUREMENTS: Readonly<Record<string, Measurement>> = {
   tariff: {
-    description: 'nights with and without deferral in the simulated world',
+    description: 'simulated nights with and without deferral',
     all: measureTariff,
     part: (part) => tariffPart(part as TariffPart),
   },
   graphs: {
-    description: 'task graphs: fairness, orders, takeovers, scale',
+    description: 'task graphs: fairness, orders of cotasks, failovers, throughput and memory',
     all: measureGraphs,
     part: (part) => graphsPart(part as GraphsPart),
   },
   plans: {
-    description: 'what one plan costs by the size of the fleet',
+    description: 'time of one scheduling plan by the size of the fleet',
     all: measurePlans,
     part: (part) => Promise.resolve(plansPart(part as PlansPart)),
   },
   configuration: {
-    description: 'changes of configuration until they are in force, at 2,700 simulated workers',
+    description: 'time until configuration changes are in force, with 2,700 simulated workers',
     all: measureConfiguration,
     part: (part) => configurationPart(part as ConfigurationPart),
   },
   shares: {
-    description: 'workers held by every node: ends of nodes with and without shares',
+    description: 'crashes of controllers with and without worker shards',
     all: measureWorkerShards,
     part: (part) => workerShardsPart(part as WorkerShardsPart),
   },
   digest: {
-    description: 'whether the programs behave as before: a hash over all that they send on generated days',
+    description: 'hashes over all messages sent on generated days, compared with the expected ones',
     all: measureDigest,
     part: (part) => digestPart(part as DigestDay),
   },
   'state-loss': {
-    description: 'losses of the state service: noticing, rebuilding, what is lost, what it costs',
+    description: 'data losses of the state service: detection, recovery, lost work and cost',
     all: measureStoreDataLoss,
     part: (part) => storeDataLossPart(part as LossPart),
   },
@@ -75,7 +75,7 @@
   const measurement = MEASUREMENTS[name];
   if (measurement === undefined) {
     const names = Object.keys(MEASUREMENTS).join(', ');
-    command.error(`measure: no measurement is called ${name}; there are: ${names}`, {
+    command.error(`measure: unknown measurement ${name}; expected one of ${names}`, {
       exitCode: EXIT_UNKNOWN_NAME,
     });
     return;
@@ -88,14 +88,16 @@
 }
 
 new Command('measure')
-  .description('Measures one thing; the last line is one JSON object. Progress goes to standard error.')
+  .description(
+    'Runs one measurement. The last line of output is one JSON object; progress goes to standard error.',
+  )
   .argument(
     '<name>',
     Object.entries(MEASUREMENTS)
       .map(([name, measurement]) => `${name}: ${measurement.description}`)
       .join('; '),
   )
-  .option('--part <json>', 'one part of it, as the measurement itself calls it')
+  .option('--part <json>', 'run only this part, in the format in which the measurement starts its parts')
   .action(runMeasurement)
   .addCommand(scaleCommand())
   .addCommand(capacityCommand())
--- a/packages/measure/src/night-jobs.ts
+++ b/packages/measure/src/night-jobs.ts
@@ -1,6 +1,6 @@
 /**
- * The jobs of a simulated night: deferrable reruns, urgent arrays and services, generated from the seed of the world,
- * and what becomes of them.
+ * The jobs of a simulated night, generated from the seed of the world: deferrable reruns, urgent arrays and services;
+ * and their costs, waiting times and ends.
  *
  * @module
  */
@@ -13,16 +13,16 @@
 export const DEFERRABLE_CLASS = 'rerun';
 
 const RERUNS_FROM_MS = 60_000;
-const RERUNS_WITHIN_MS = 5_400_000;
-const LATEST_DEADLINE_MS = 10_200_000;
-const SHORTEST_DEADLINE_MS = 1_500_000;
-const URGENT_EVERY_MS = 5000;
+const RERUN_ARRIVAL_SPAN_MS = 5_400_000;
+const MAX_DEADLINE_MS = 10_200_000;
+const MIN_DEADLINE_MS = 1_500_000;
+const MIN_URGENT_GAP_MS = 5000;
 const NO_URGENT_AT_END_MS = 600_000;
 const SERVICES = 60;
 const NO_SERVICE_AT_END_MS = 1_200_000;
-const SERVICE_RUNS_AT_LEAST_MS = 600_000;
-const SERVICE_RUNS_UP_TO_MS = 3_000_000;
-/** Costs are summed up over pieces of this length, which is fine enough for price windows of minutes. */
+const MIN_SERVICE_RUN_MS = 600_000;
+const SERVICE_RUN_SPREAD_MS = 3_000_000;
+/** Step by which costs are summed up, which is fine enough for price windows of minutes. */
 const COST_STEP_MS = 1000;
 
 /** Whether a job with a deadline finished in time. */
@@ -43,7 +43,7 @@
 export class NightJobs {
   deferrableCost = 0;
   cost = 0;
-  /** Seconds from submission to the first start, by task, of all jobs above normal priority. */
+  /** Seconds from submission to the first start of each task of jobs above normal priority. */
   readonly urgentWaitsS = new Map<string, number>();
   private readonly submittedAtMs = new Map<JobId, number>();
   private readonly doneAtMs = new Map<JobId, number>();
@@ -56,12 +56,12 @@
   submitAll(reruns: number): void {
     for (let i = 0; i < reruns; i += 1) this.submitRerun();
     const urgentUntilMs = NIGHT_MS - NO_URGENT_AT_END_MS;
-    for (let at = URGENT_EVERY_MS; at < urgentUntilMs; at += URGENT_EVERY_MS + this.world.random(5000))
+    for (let at = MIN_URGENT_GAP_MS; at < urgentUntilMs; at += MIN_URGENT_GAP_MS + this.world.random(5000))
       this.submitUrgent(at);
     for (let i = 0; i < SERVICES; i += 1) this.submitService();
   }
 
-  /** Records a run of a task that ended, whether it completed or not. */
+  /** Records an ended run of a task, whether it completed or not. */
   readonly onRunEnded = (run: TaskRun): void => {
     const spent = costOf(run);
     this.cost += spent;
@@ -75,7 +75,7 @@
     if (unfinished === 0) this.doneAtMs.set(run.job.id, run.untilMs);
   };
 
-  /** The ends of all jobs with a deadline; a job that did not finish has missed it. */
+  /** The ends of all jobs with a deadline. A job that did not finish has missed its deadline. */
   ends(): JobEnd[] {
     const ends: JobEnd[] = [];
     for (const spec of this.world.checker.submitted.values()) {
@@ -101,8 +101,8 @@
 
   private submitRerun(): void {
     const { world } = this;
-    const at = RERUNS_FROM_MS + world.random(RERUNS_WITHIN_MS);
-    const latest = LATEST_DEADLINE_MS - at;
+    const at = RERUNS_FROM_MS + world.random(RERUN_ARRIVAL_SPAN_MS);
+    const latest = MAX_DEADLINE_MS - at;
     const spec = jobSpec({
       id: this.nextId(),
       class: DEFERRABLE_CLASS,
@@ -112,7 +112,7 @@
       estimateS: 15 + world.random(30),
       image: `img-${world.random(6)}`,
       imageGb: 1,
-      deadlineS: Math.round((SHORTEST_DEADLINE_MS + world.random(latest - SHORTEST_DEADLINE_MS)) / 1000),
+      deadlineS: Math.round((MIN_DEADLINE_MS + world.random(latest - MIN_DEADLINE_MS)) / 1000),
     });
     this.submit(at, spec, null);
   }
@@ -149,6 +149,6 @@
       spread: true,
       image: `srv-${world.random(3)}`,
     });
-    this.submit(at, spec, at + SERVICE_RUNS_AT_LEAST_MS + world.random(SERVICE_RUNS_UP_TO_MS));
+    this.submit(at, spec, at + MIN_SERVICE_RUN_MS + world.random(SERVICE_RUN_SPREAD_MS));
   }
 }
--- a/packages/measure/src/night-tariff.ts
+++ b/packages/measure/src/night-tariff.ts
@@ -1,12 +1,12 @@
 /**
- * The tariff of a simulated night: its prices, and when the feed publishes them or is silent.
+ * The tariff of a simulated night: its prices, and the times at which the feed publishes them or is unavailable.
  *
  * @module
  */
 import type { SimTariffFeed, World } from '@spurbridge/testkit';
 import type { TariffDocument } from '@spurbridge/wire';
 
-/** A night of three hours that models one of twelve at four times the speed. */
+/** Length of a simulated night: three hours, which model twelve hours at four times the speed. */
 export const NIGHT_MS = 10_800_000;
 
 /** Wall clock at the start of the night, in milliseconds since the epoch. */
@@ -16,8 +16,8 @@
 const CHEAP_FROM_MS = 5_400_000;
 const CHEAP_UNTIL_MS = 9_000_000;
 /** New end of the cheap window, announced while jobs wait for the window. */
-const CLOSES_EARLY_MS = 8_400_000;
-const ANNOUNCED_MS = 7_500_000;
+const SHORTENED_CHEAP_UNTIL_MS = 8_400_000;
+const SHORTENING_ANNOUNCED_MS = 7_500_000;
 const TARIFF_BEYOND_NIGHT_MS = 3_600_000;
 /** Periods in which the feed does not respond, as [from, until] in milliseconds of the night. */
 const FEED_OUTAGES_MS = [
@@ -30,11 +30,11 @@
 const CHEAP_PRICE = 0.08;
 const MORNING_PRICE = 0.25;
 
-/** The price of a CPU second at a time of the night, whatever the feed had announced. */
+/** The actual price of a CPU second at a time of the night, whatever the feed had announced. */
 export function priceAt(ms: number): number {
   if (ms < EVENING_UNTIL_MS) return EVENING_PRICE;
   if (ms < CHEAP_FROM_MS) return NIGHT_PRICE;
-  if (ms < CLOSES_EARLY_MS) return CHEAP_PRICE;
+  if (ms < SHORTENED_CHEAP_UNTIL_MS) return CHEAP_PRICE;
   return MORNING_PRICE;
 }
 
@@ -72,7 +72,7 @@
     world.time.after(fromMs, () => (feed.isSilent = true));
     world.time.after(untilMs, () => (feed.isSilent = false));
   }
-  world.time.after(ANNOUNCED_MS, () => {
-    feed.publish(tariff(2, CLOSES_EARLY_MS, ANNOUNCED_MS));
+  world.time.after(SHORTENING_ANNOUNCED_MS, () => {
+    feed.publish(tariff(2, SHORTENED_CHEAP_UNTIL_MS, SHORTENING_ANNOUNCED_MS));
   });
 }
--- a/packages/measure/src/night.ts
+++ b/packages/measure/src/night.ts
@@ -1,5 +1,5 @@
 /**
- * One simulated night with or without deferral: the same jobs, the same faults.
+ * One simulated night with or without deferral, with the same jobs and faults in both cases.
  *
  * @module
  */
@@ -17,16 +17,16 @@
   { name: 'red', cpus: 260, cpusMax: 400, gpus: 0, gpusMax: 0 },
   { name: 'blue', cpus: 120, cpusMax: 240, gpus: 0, gpusMax: 0 },
 ];
-/** One deferrable job out of this many runs twice as long as estimated. */
+/** One out of this number of deferrable jobs runs twice as long as estimated. */
 const OVERRUN_EVERY = 3;
 const OVERRUN_FACTOR = 2;
 const FAILOVER_AT_MS = 4_500_000;
 const MACHINES_LOST_AT_MS = 6_500_000;
 const MACHINES_LOST = 2;
-/** Simulated time after the night in which running tasks can finish. */
+/** Simulated time after the night for running tasks to finish. */
 const AFTER_NIGHT_MS = 600_000;
 
-/** What is played. */
+/** Options of a simulated night. */
 export interface NightOptions {
   readonly seed: number;
   /** Number of deferrable jobs. */
@@ -35,16 +35,16 @@
   readonly log?: Logger;
 }
 
-/** What a night came to. */
+/** Result of a simulated night. */
 export interface NightResult {
   readonly ends: readonly JobEnd[];
   /** Cost of all runs of deferrable jobs. */
   readonly deferrableCost: number;
   /** Cost of all runs. */
   readonly cost: number;
-  /** Seconds from submission to start, of services and urgent tasks. */
+  /** Seconds from submission to start of each service replica and urgent task. */
   readonly urgentWaitsS: readonly number[];
-  /** Number of broken rules. */
+  /** Number of rule violations. */
   readonly broken: number;
   readonly feedRequests: number;
 }
@@ -81,7 +81,7 @@
   return { world, feed: feedOn(world.network) };
 }
 
-/** Schedules a failover while hundreds of jobs are deferred, and the loss of machines in the cheap window. */
+/** Schedules a failover while hundreds of jobs are deferred, and a loss of machines in the cheap window. */
 function scheduleFaults(world: World): void {
   world.time.after(FAILOVER_AT_MS, () => {
     for (let i = 0; i < 3; i += 1)
@@ -93,8 +93,8 @@
   });
 }
 
-/** Plays one night. */
-export async function playNight(night: NightOptions): Promise<NightResult> {
+/** Simulates one night. */
+export async function simulateNight(night: NightOptions): Promise<NightResult> {
   const { world, feed } = createNight(night);
   scheduleTariff(world, feed);
   scheduleFaults(world);
--- a/packages/measure/src/optimum.ts
+++ b/packages/measure/src/optimum.ts
@@ -1,5 +1,5 @@
 /**
- * Small nights on which the release decisions are compared with a clairvoyant optimum.
+ * Small nights on which the costs of the release decisions are compared with those of a clairvoyant optimum.
  *
  * @module
  */
@@ -16,11 +16,11 @@
 const CPUS = 12;
 const JOBS = 14;
 const STEP_S = 10;
-/** Less work than this is a rounding error. */
+/** Remaining work below this is a rounding error. */
 const ROUNDING_CPU_S = 1e-6;
-const DECISION_TIMES = 21;
+const DECISION_REPETITIONS = 21;
 
-/** A job of one task; times in seconds of the night. */
+/** A job of one task. Times are in seconds from the start of the night. */
 interface SmallJob {
   readonly id: JobId;
   readonly arrives: number;
@@ -29,13 +29,13 @@
   readonly runS: number;
 }
 
-/** Prices by slot, and the jobs. */
+/** The prices of the slots, and the jobs. */
 export interface SmallNight {
   readonly prices: readonly number[];
   readonly jobs: readonly SmallJob[];
 }
 
-/** Two hours of five-minute prices and a few jobs that arrive in the first of them. */
+/** Generates two hours of five-minute prices and a few jobs that arrive in the first eight slots. */
 export function smallNight(seed: number): SmallNight {
   const generator = xoroshiro128plus(seed);
   const below = (limit: number): number => uniformInt(generator, 0, limit - 1);
@@ -58,8 +58,8 @@
 }
 
 /**
- * The least that a clairvoyant could pay: a linear program over what each job does in each slot. It may cut
- * a job into pieces and knows all arrivals, so that no real schedule can be cheaper.
+ * The minimum cost of a clairvoyant schedule, by a linear program over the work of each job in each slot. The program
+ * may split a job and knows all arrivals, so no real schedule can be cheaper. NaN if not all jobs can finish in time.
  */
 export function clairvoyantCost(night: SmallNight): number {
   const constraints: Record<string, { min?: number; max?: number; equal?: number }> = {};
@@ -85,19 +85,19 @@
   return result.feasible ? result.result : NaN;
 }
 
-/** A released job and the work that is left of it. */
+/** A released job and its remaining work. */
 interface StartedJob {
   readonly job: SmallJob;
   leftCpuS: number;
 }
 
-/** What the release decisions pay, and how many jobs finish late. */
+/** Cost of the release decisions, and the number of jobs that finish late. */
 export interface OnlineCost {
   readonly cost: number;
   readonly late: number;
 }
 
-/** What the release decisions pay, made every ten seconds without knowledge of what is still to come. */
+/** Simulates release decisions every ten seconds without knowledge of future arrivals, and returns their cost. */
 export function onlineCost(night: SmallNight): OnlineCost {
   const deferred = new Map(night.jobs.map((job) => [job.id, false]));
   let running: StartedJob[] = [];
@@ -123,7 +123,7 @@
   return started.leftCpuS <= ROUNDING_CPU_S;
 }
 
-/** Decides about all jobs that have arrived: released ones move to `running`, the others are marked as deferred. */
+/** Decides about all jobs that have arrived. Released ones move to `running`; the others are marked as deferred. */
 function release(night: SmallNight, atS: number, deferred: Map<JobId, boolean>, running: StartedJob[]): void {
   const known = night.jobs.filter((job) => job.arrives <= atS && deferred.has(job.id));
   const load = {
@@ -166,7 +166,7 @@
   };
 }
 
-/** Median milliseconds of one decision about so many deferred jobs, with a tariff of 15-minute slots. */
+/** Median time of one decision about this number of deferred jobs in milliseconds, with a tariff of 15-minute slots. */
 export function decisionMs(jobs: number): number {
   const generator = xoroshiro128plus(1);
   const below = (limit: number): number => uniformInt(generator, 0, limit - 1);
@@ -196,10 +196,10 @@
     prices: Array.from({ length: 4 }, () => Float64Array.from(starts, () => 1 + below(10))),
     minSaving: 0.05,
   };
-  const took = Array.from({ length: DECISION_TIMES }, () => {
+  const took = Array.from({ length: DECISION_REPETITIONS }, () => {
     const began = performance.now();
     decideReleases(input);
     return performance.now() - began;
   });
-  return took.sort((a, b) => a - b)[DECISION_TIMES >> 1] as number;
+  return took.sort((a, b) => a - b)[DECISION_REPETITIONS >> 1] as number;
 }
--- a/packages/measure/src/orders.ts
+++ b/packages/measure/src/orders.ts
@@ -10,7 +10,7 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** How waiting cotasks are ordered: the order of the published algorithm by the real planner, or a baseline. */
+/** How waiting cotasks are ordered: `paper` is the published algorithm as the planner implements it; others are baselines. */
 export type Order = 'paper' | 'first-come' | 'shortest-task';
 
 /** Tasks of one graph that become ready together. */
@@ -40,15 +40,16 @@
 const TEAM = { name: 'red', cpus: MACHINES * CPUS, cpusMax: MACHINES * CPUS, gpus: 0, gpusMax: 0 };
 
 /**
- * Graphs of one to four stages. Tasks of a stage: Pareto (shape 1.1, from 2 to 400); run times: Pareto (shape
- * 1.5, from 2 s to 120 s), the same for all tasks of a stage; estimates 0.75 to 1.33 times that; arrivals
- * Poisson, at `load` times what the machines can do.
+ * Generates graphs of one to four stages. The numbers of tasks per stage follow a Pareto distribution (shape 1.1,
+ * from 2 to 400). Run times are the same for all tasks of a stage and follow a Pareto distribution (shape 1.5, from
+ * 2 s to 120 s). Estimates are 0.75 to 1.33 times the run time. Graphs arrive as a Poisson process, whose rate is
+ * `load` times the machines' capacity.
  */
 export function longTailedTrace(seed: number, load: number): Trace {
   const generator = xoroshiro128plus(seed);
   const draw = (): number => uniformFloat64(generator);
-  const pareto = (shape: number, least: number, most: number): number =>
-    Math.min(most, least / (1 - draw()) ** (1 / shape));
+  const pareto = (shape: number, min: number, max: number): number =>
+    Math.min(max, min / (1 - draw()) ** (1 / shape));
   const graphs: { arrivesS: number; stages: Stage[] }[] = [];
   let work = 0;
   for (let graph = 0; graph < GRAPHS; graph += 1) {
@@ -83,19 +84,19 @@
 
 const TYPE = machineType('m8', CPUS);
 
-/** Mean seconds from ready to done of cotasks, and from arrival to end of graphs. */
+/** Mean seconds from ready to done for cotasks, and from arrival to end for graphs. */
 export interface OrderTimes {
   readonly cotaskS: number;
   readonly graphS: number;
 }
 
-/** Plays a trace under one order of the waiting cotasks. */
-export function playOrder(trace: Trace, order: Order): OrderTimes {
-  return new TracePlayback(trace, order).play();
+/** Simulates a trace with one order of the waiting cotasks. */
+export function simulateOrder(trace: Trace, order: Order): OrderTimes {
+  return new TraceSimulation(trace, order).run();
 }
 
-/** An event-driven simulation of a fixed fleet that runs a trace; one CPU per task. */
-class TracePlayback {
+/** An event-driven simulation of a fixed fleet that runs a trace. Each task uses one CPU. */
+class TraceSimulation {
   private readonly machines: Running[][] = Array.from({ length: MACHINES }, () => []);
   private readonly waiting: Cotask[] = [];
   private readonly arrivals: { readonly at: number; readonly graph: number }[];
@@ -113,7 +114,7 @@
     this.nextStage = trace.graphs.map(() => 0);
   }
 
-  play(): OrderTimes {
+  run(): OrderTimes {
     for (;;) {
       this.place();
       const nextS = this.nextEventS();
@@ -154,7 +155,7 @@
     this.beginNextStage(cotask.graph);
   }
 
-  /** Makes the next stage of a graph wait for machines, or records the end of the graph after its last one. */
+  /** Adds the next stage of a graph to the waiting cotasks, or records the end of the graph after its last stage. */
   private beginNextStage(graph: number): void {
     const stageIndex = this.nextStage[graph] as number;
     const stage = this.trace.graphs[graph]?.stages[stageIndex];
@@ -177,8 +178,8 @@
     const placed = planTasks({
       jobs: this.waiting
         .filter((cotask) => cotask.waiting > 0)
-        .map((cotask, i) => viewOf(cotask, i, this.now)),
-      machines: this.machines.map((tasks, i) => machineOf(tasks, i, this.now)),
+        .map((cotask, i) => jobViewOf(cotask, i, this.now)),
+      machines: this.machines.map((tasks, i) => machineViewOf(tasks, i, this.now)),
       teams: [TEAM],
       starvationThresholdS: STARVATION_S,
       placeAheadS: 0,
@@ -215,7 +216,7 @@
   return values.reduce((a, b) => a + b, 0) / values.length;
 }
 
-function viewOf(cotask: Cotask, order: number, now: number): JobView {
+function jobViewOf(cotask: Cotask, order: number, now: number): JobView {
   const spec = jobSpec({
     id: cotask.id,
     tasks: cotask.tasks,
@@ -242,7 +243,7 @@
   };
 }
 
-function machineOf(tasks: readonly Running[], machine: number, now: number): MachineView {
+function machineViewOf(tasks: readonly Running[], machine: number, now: number): MachineView {
   const occupants = tasks.map((running): Occupant => {
     const ranS = now - running.startS;
     return {
--- a/packages/measure/src/parallel.ts
+++ b/packages/measure/src/parallel.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the parts of a measurement in parallel, each in a process of its own.
+ * Runs the parts of a measurement in parallel, each in its own process.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 
 const MAIN = fileURLToPath(new URL('main.ts', import.meta.url));
 
-/** Runs one part of a measurement in a process of its own; the last line of its output is the result. */
+/** Runs one part of a measurement in its own process. The last line of its output is the result. */
 function runPart(name: string, part: unknown): Promise<unknown> {
   return new Promise((resolve, reject) => {
     const child = spawn(
@@ -32,11 +32,11 @@
 }
 
 /**
- * Runs all parts, one at a time for each processor but one, and returns their results in the order of the parts.
+ * Runs all parts, at most one less than there are processors at a time. Returns their results in the order of the parts.
  *
  * @throws MeasurementPartError if the process of a part exits with another code than 0
  */
-export async function parallel(
+export async function runPartsInParallel(
   name: string,
   parts: readonly unknown[],
   printLine: (line: string) => void,
--- a/packages/measure/src/plans.ts
+++ b/packages/measure/src/plans.ts
@@ -1,5 +1,5 @@
 /**
- * What one plan of the scheduler costs by the size of the fleet.
+ * Measures the time of one scheduling plan by the size of the fleet.
  *
  * @module
  */
@@ -7,9 +7,9 @@
 import { planTasks } from '@spurbridge/planner';
 import { jobSpec, machineType } from '@spurbridge/testkit';
 import type { JobId, MachineId } from '@spurbridge/wire';
-import { parallel } from './parallel.js';
+import { runPartsInParallel } from './parallel.js';
 
-/** Pending work: one job, a usual minute, a burst of hundreds of jobs, or the moment after much capacity came free. */
+/** Pending work: one job, the usual load, a burst of hundreds of jobs, or the load right after much capacity was freed. */
 const LOADS = ['one', 'usual', 'burst', 'freed'] as const;
 type Load = (typeof LOADS)[number];
 
@@ -23,7 +23,7 @@
   readonly jobs: number;
   readonly starts: number;
   readonly unmet: number;
-  /** Milliseconds on one core of this machine, after a first plan that is not counted. */
+  /** Milliseconds of a plan on one core of this machine, without the first one, which warms up the code. */
   readonly planMs: { readonly median: number; readonly most: number };
   readonly steps: number;
 }
@@ -32,15 +32,15 @@
 const ZONES = ['a', 'b', 'c'];
 const TYPES = [machineType('s4', 4), machineType('m16', 16), machineType('l32', 32)];
 const TEAMS = ['red', 'blue', 'green'];
-const TIMES = 15;
+const REPETITIONS = 15;
 const IMAGES = 12;
-/** Numbers of running jobs start here, beyond those of all pending ones. */
+/** First number of the running jobs, greater than the numbers of all pending ones. */
 const FIRST_RUNNING_JOB = 1_000_000;
 const TASKS_PER_RUNNING_JOB = 30;
 
 const jobId = (jobNumber: number): JobId => `wk-${String(jobNumber).padStart(7, '0')}` as JobId;
 
-/** Two replicas of services on machines that are large enough, and array tasks on all further CPUs. */
+/** Two service replicas on machines that are large enough, and array tasks on the remaining CPUs. */
 function occupantsOf(machine: number, cpus: number): Occupant[] {
   const occupants: Occupant[] = [];
   let freeCpus = cpus;
@@ -67,7 +67,7 @@
   return occupants;
 }
 
-/** A fleet of mostly full machines; one out of `halfFreeEvery` has half of its CPUs free. */
+/** A fleet of full machines, except that one out of `halfFreeEvery` has half of its CPUs free. */
 function machinesOf(count: number, halfFreeEvery: number): MachineView[] {
   return Array.from({ length: count }, (_, index) => {
     const type = TYPES[index % 7 === 0 ? 0 : index % 3 === 0 ? 2 : 1] as MachineView['type'];
@@ -124,7 +124,7 @@
   });
 }
 
-/** A cluster with the same load per machine at every size. */
+/** A cluster whose load per machine is the same at every size. */
 function snapshotOf(part: PlansPart): ClusterSnapshot {
   const perMachine = { one: 0, usual: 0.006, burst: 0.25, freed: 0.06 }[part.load];
   const halfFreeEvery = { one: 100, usual: 40, burst: 400, freed: 4 }[part.load];
@@ -140,12 +140,12 @@
   };
 }
 
-/** Times the plans of one part. */
+/** Measures the plans of one part. */
 export function plansPart(part: PlansPart): PlansResult {
   const snapshot = snapshotOf(part);
   const took: number[] = [];
   let last: SchedulingPlan = planTasks(snapshot);
-  for (let i = 0; i < TIMES; i += 1) {
+  for (let i = 0; i < REPETITIONS; i += 1) {
     const began = performance.now();
     last = planTasks(snapshot);
     took.push(performance.now() - began);
@@ -157,13 +157,13 @@
     jobs: snapshot.jobs.length,
     starts: last.starts.length,
     unmet: last.unplacedDemand.length,
-    planMs: { median: figure(took[TIMES >> 1]), most: figure(took.at(-1)) },
+    planMs: { median: figure(took[REPETITIONS >> 1]), most: figure(took.at(-1)) },
     steps: last.queueVisits,
   };
 }
 
-/** What one plan costs by the size of the fleet, with the same load for each machine. */
+/** Measures the time of one plan by the size of the fleet, with the same load per machine. */
 export async function measurePlans(printLine: (line: string) => void): Promise<unknown> {
   const parts = SIZES.flatMap((machines) => LOADS.map((load) => ({ machines, load })));
-  return { simulated: true, results: await parallel('plans', parts, printLine) };
+  return { simulated: true, results: await runPartsInParallel('plans', parts, printLine) };
 }
--- a/packages/measure/src/regress.ts
+++ b/packages/measure/src/regress.ts
@@ -7,22 +7,22 @@
 import { readFileSync, readdirSync } from 'node:fs';
 import { basename, join } from 'node:path';
 import { Argument, Command, InvalidArgumentError } from 'commander';
-import { playSiteVariants } from './site-variants/index.js';
+import { runSiteVariants } from './site-variants/index.js';
 import { SiteError } from './errors.js';
 
-/** Environment variables that name the bench and the sites, which belong to the operators and are no part of this repository. */
-const BENCH = 'SPURBRIDGE_BENCH';
-const SITES = 'SPURBRIDGE_SITES';
-const FLEET = 'SPURBRIDGE_FLEET_SITES';
-const JOURNAL = 'journal';
-/** A fall of a score by up to this much is noise. */
-const NOISE = 0.03;
+/** Environment variables that name the bench and the sites. These belong to the operators, not to this repository. */
+const BENCH_VARIABLE = 'SPURBRIDGE_BENCH';
+const SITES_VARIABLE = 'SPURBRIDGE_SITES';
+const FLEET_SITES_VARIABLE = 'SPURBRIDGE_FLEET_SITES';
+const JOURNAL_DIRECTORY = 'journal';
+/** A score that falls by at most this much is not a regression, because scores vary between runs. */
+const SCORE_TOLERANCE = 0.03;
 const FAULT_SEARCH_DAYS = '3';
-/** Exit code for wrong arguments and settings. */
-const EXIT_UNUSABLE = 2;
+/** Exit code for invalid arguments and settings. */
+const EXIT_INVALID_USAGE = 2;
 
 /** One score of the journal. */
-interface Entry {
+interface JournalEntry {
   readonly at: string;
   readonly site: string;
   readonly mode: string;
@@ -32,9 +32,9 @@
 
 type Mode = 'quick' | 'fleet' | 'full' | 'own';
 
-/** Entries of the bench's journal that hold a site's score, oldest first; others are skipped. */
-export function readJournal(folder: string): Entry[] {
-  const entries: Entry[] = [];
+/** Reads the entries of the bench's journal that hold a site's score, oldest first. Other entries are skipped. */
+export function readJournal(folder: string): JournalEntry[] {
+  const entries: JournalEntry[] = [];
   for (const file of readdirSync(folder).sort()) {
     if (!file.endsWith('.json')) continue;
     const record = JSON.parse(readFileSync(join(folder, file), 'utf8')) as Record<string, unknown>;
@@ -51,8 +51,8 @@
   return entries;
 }
 
-/** A new score and its predecessor. */
-export interface Row {
+/** A new score, compared with the previous one of the same site and mode. */
+export interface ScoreComparison {
   readonly site: string;
   readonly mode: string;
   readonly score: number | null;
@@ -60,8 +60,11 @@
   readonly verdict: 'ok' | 'fell' | 'broken' | 'failed' | 'first';
 }
 
-/** Compares each new score with the last one of the same site and mode before it. */
-export function compare(old: readonly Entry[], added: readonly Entry[]): Row[] {
+/** Compares each new score with the last old one of the same site and mode. */
+export function compareScores(
+  old: readonly JournalEntry[],
+  added: readonly JournalEntry[],
+): ScoreComparison[] {
   return added.map((entry) => {
     const before =
       old.findLast(
@@ -72,15 +75,15 @@
   });
 }
 
-function verdictOn(entry: Entry, before: number | null): Row['verdict'] {
+function verdictOn(entry: JournalEntry, before: number | null): ScoreComparison['verdict'] {
   if (entry.rulesBroken.length > 0) return 'broken';
   if (entry.score === null) return 'failed';
   if (before === null) return 'first';
-  return entry.score < before - NOISE ? 'fell' : 'ok';
+  return entry.score < before - SCORE_TOLERANCE ? 'fell' : 'ok';
 }
 
-/** The rows as text, one line each. */
-export function print(rows: readonly Row[]): string {
+/** Formats the comparisons as text, one line each. */
+export function formatComparisons(rows: readonly ScoreComparison[]): string {
   const figure = (value: number | null): string => (value === null ? '-' : value.toFixed(3));
   const lines = rows.map((row) => {
     const change =
@@ -95,34 +98,36 @@
   return (process.env[variable] ?? '').split(':').filter((site) => site !== '');
 }
 
-/** Names the variable that is not set; the exit code. */
+/** Prints the name of the variable that is not set. Returns the exit code. */
 function reportMissing(variable: string): number {
-  process.stderr.write(`regress: ${variable} is not set; docs/regression.md says what it names\n`);
-  return EXIT_UNUSABLE;
+  process.stderr.write(`regress: ${variable} is not set; see docs/regression.md\n`);
+  return EXIT_INVALID_USAGE;
 }
 
-/** Runs the bench; whether it succeeded. */
-function run(bench: string, args: readonly string[]): boolean {
+/** Runs the bench. Returns whether it succeeded. */
+function runBench(bench: string, args: readonly string[]): boolean {
   return spawnSync(bench, args, { stdio: 'inherit' }).status === 0;
 }
 
-/** Scores sites by the bench; the exit code. */
+/** Scores the sites with the bench. Returns the exit code. */
 function scoreSites(mode: Exclude<Mode, 'own'>, why: string): number {
-  const bench = process.env[BENCH] ?? '';
-  const usual = sitesIn(SITES);
-  const fleet = sitesIn(FLEET);
+  const bench = process.env[BENCH_VARIABLE] ?? '';
+  const usual = sitesIn(SITES_VARIABLE);
+  const fleet = sitesIn(FLEET_SITES_VARIABLE);
   const sites = mode === 'quick' ? usual : mode === 'fleet' ? fleet : [...usual, ...fleet];
   if (bench === '' || sites.length === 0)
-    return reportMissing(bench === '' ? BENCH : mode === 'fleet' ? FLEET : SITES);
-  const old = readJournal(JOURNAL);
-  const ran = run(bench, ['score', ...sites, ...(mode === 'full' ? [] : ['--quick']), '--why', why]);
-  const rows = compare(old, readJournal(JOURNAL).slice(old.length));
+    return reportMissing(
+      bench === '' ? BENCH_VARIABLE : mode === 'fleet' ? FLEET_SITES_VARIABLE : SITES_VARIABLE,
+    );
+  const old = readJournal(JOURNAL_DIRECTORY);
+  const ran = runBench(bench, ['score', ...sites, ...(mode === 'full' ? [] : ['--quick']), '--why', why]);
+  const rows = compareScores(old, readJournal(JOURNAL_DIRECTORY).slice(old.length));
   const searched =
     mode !== 'full' ||
-    sites.map((site) => run(bench, ['hunt', site, '--days', FAULT_SEARCH_DAYS])).every(Boolean);
-  process.stdout.write(`${print(rows)}\n`);
-  const isGood = rows.every((row) => row.verdict === 'ok' || row.verdict === 'first');
-  return ran && searched && isGood && rows.length === sites.length ? 0 : 1;
+    sites.map((site) => runBench(bench, ['hunt', site, '--days', FAULT_SEARCH_DAYS])).every(Boolean);
+  process.stdout.write(`${formatComparisons(rows)}\n`);
+  const isPassed = rows.every((row) => row.verdict === 'ok' || row.verdict === 'first');
+  return ran && searched && isPassed && rows.length === sites.length ? 0 : 1;
 }
 
 /** Options of the command line. */
@@ -137,12 +142,13 @@
   readonly jobs?: number;
 }
 
-/** Plays variants of the fleet sites; the exit code. */
-async function playVariants(flags: Flags): Promise<number> {
-  const bench = process.env[BENCH] ?? '';
-  const sites = sitesIn(FLEET);
-  if (bench === '' || sites.length === 0) return reportMissing(bench === '' ? BENCH : FLEET);
-  const isGood = await playSiteVariants({
+/** Runs variants of the fleet sites. Returns the exit code. */
+async function runVariants(flags: Flags): Promise<number> {
+  const bench = process.env[BENCH_VARIABLE] ?? '';
+  const sites = sitesIn(FLEET_SITES_VARIABLE);
+  if (bench === '' || sites.length === 0)
+    return reportMissing(bench === '' ? BENCH_VARIABLE : FLEET_SITES_VARIABLE);
+  const isPassed = await runSiteVariants({
     bench,
     sites,
     factor: flags.factor,
@@ -155,35 +161,41 @@
     why: flags.why,
     printLine: (line) => process.stdout.write(`${line}\n`),
   });
-  return isGood ? 0 : 1;
+  return isPassed ? 0 : 1;
 }
 
 function parsePositive(text: string): number {
   const value = Number(text);
-  if (!Number.isFinite(value) || value <= 0) throw new InvalidArgumentError('must be a number above 0');
+  if (!Number.isFinite(value) || value <= 0) throw new InvalidArgumentError('expected a number above 0');
   return value;
 }
 
 function parsePositiveInteger(text: string): number {
   const value = parsePositive(text);
-  if (!Number.isInteger(value)) throw new InvalidArgumentError('must be a whole number above 0');
+  if (!Number.isInteger(value)) throw new InvalidArgumentError('expected a whole number above 0');
   return value;
 }
 
 if (basename(process.argv[1] ?? '') === 'regress.ts')
   new Command('regress')
-    .description("Scores the operators' sites and holds each figure against the last one in journal/.")
-    .addArgument(new Argument('<mode>', 'which sites, and how').choices(['quick', 'fleet', 'full', 'own']))
+    .description("Scores the operators' sites and compares each score with the last one in journal/.")
+    .addArgument(
+      new Argument('<mode>', 'which sites to run, and how').choices(['quick', 'fleet', 'full', 'own']),
+    )
     .option('--why <text>', 'one sentence for the journal', 'Regression')
-    .option('--factor <number>', 'own: machines, limits and load times this', parsePositive, 1.5)
-    .option('--restart <seconds>', 'own: a process that ended is back after this', parsePositive, 0.2)
-    .option('--nodes <count>', 'own: controllers, instead of as many as the site has', parsePositiveInteger)
-    .option('--other-zones', 'own: zones with other names')
-    .option('--days <names...>', 'own: only these days')
-    .option('--times <count>', 'own: each day so often', parsePositiveInteger, 1)
-    .option('--jobs <count>', 'own: days at once', parsePositiveInteger)
+    .option('--factor <number>', 'own: factor on machines, limits and load', parsePositive, 1.5)
+    .option('--restart <seconds>', 'own: delay before an ended process restarts', parsePositive, 0.2)
+    .option(
+      '--nodes <count>',
+      'own: number of controllers; by default that of the site',
+      parsePositiveInteger,
+    )
+    .option('--other-zones', 'own: rename the zones')
+    .option('--days <names...>', 'own: run only these days')
+    .option('--times <count>', 'own: number of runs of each day', parsePositiveInteger, 1)
+    .option('--jobs <count>', 'own: number of days that run in parallel', parsePositiveInteger)
     .action(async (mode: Mode, flags: Flags) => {
-      process.exitCode = mode === 'own' ? await playVariants(flags) : scoreSites(mode, flags.why);
+      process.exitCode = mode === 'own' ? await runVariants(flags) : scoreSites(mode, flags.why);
     })
     .parseAsync()
     .catch((error: unknown) => {
@@ -191,5 +203,5 @@
       process.stderr.write(
         `regress: ${isExpected ? error.message : error instanceof Error ? (error.stack ?? '') : String(error)}\n`,
       );
-      process.exitCode = isExpected ? EXIT_UNUSABLE : 1;
+      process.exitCode = isExpected ? EXIT_INVALID_USAGE : 1;
     });
--- a/packages/measure/src/site-variants/report.ts
+++ b/packages/measure/src/site-variants/report.ts
@@ -1,11 +1,11 @@
 /**
- * Reports of the bench on days of a site: whether a day failed, and by how much everyone's share is above half.
+ * Reads the bench's reports on days of a site: whether a day failed, and the margins of each class and team over half.
  *
  * @module
  */
 import { MIN_SERVED_SHARE } from '@spurbridge/model';
 
-/** The fields of a bench report that are read; all others are ignored. */
+/** The fields of a bench report that are read. All others are ignored. */
 interface BenchReport {
   readonly rules_broken?: { readonly total?: number; readonly by_kind?: Readonly<Record<string, number>> };
   readonly classes?: Readonly<Record<string, ClassReport>>;
@@ -42,27 +42,27 @@
   readonly restarts: readonly { readonly why: string }[];
 }
 
-/** One reading of one class or team on a day. */
+/** One share of a class or team on a day, and its margin over the minimum share. */
 export interface Reading {
   readonly who: string;
   readonly reading: string;
   readonly share: number;
   readonly margin: number;
-  /** The definition of being served (`served` of the model) does not count this reading; operators may. */
+  /** Whether a low share is only a warning, because the model's definition of being served does not include it. */
   readonly isWarning: boolean;
 }
 
-/** What a day came to. */
+/** Result of a day. */
 export interface DayResult {
   readonly site: string;
   readonly day: string;
   readonly score: number | null;
   readonly rules: Readonly<Record<string, number>>;
-  /** Processes that crashed or exceeded their memory, without those that the bench ended. */
+  /** Number of processes that crashed or exceeded their memory, without those that the bench ended. */
   readonly ends: number;
   readonly killedByLease: number;
   readonly elections: number;
-  /** Highest figures of any node: sockets and memory as shares of the limits, mean and peak of the processor's share. */
+  /** Highest value of any node: sockets and memory as shares of their limits, and mean and peak processor usage. */
   readonly sockets: number;
   readonly memory: number;
   readonly cpuMean: number;
@@ -77,7 +77,7 @@
   readonly memoryMb: number;
 }
 
-/** What the bench calls an end of a process that it caused itself. */
+/** Reason that the bench states for the end of a process that it caused itself. */
 const CAUSED_BY_BENCH = 'fault';
 
 function classReadings(name: string, classReport: ClassReport, targets: readonly Target[]): Reading[] {
@@ -177,8 +177,8 @@
 
 const figure = (value: number | null): string => (value === null ? '-' : value.toFixed(3));
 
-/** A day as a few lines: what it is judged by, then every class and team with its margin over half. */
-export function printDay(result: DayResult): string {
+/** Formats a day: first its overall figures, then one line for each share of a class or team with its margin over half. */
+export function formatDay(result: DayResult): string {
   const rules = Object.entries(result.rules).map(([rule, n]) => `${rule} ${n}`);
   const head =
     `${result.failed ? 'FAILED' : 'ok    '} ${result.site} ${result.day}: ${figure(result.score)}; ` +
@@ -192,8 +192,8 @@
   return [head, ...rows].join('\n');
 }
 
-/** The last line: whether a day failed, and the least margins. */
-export function printEnd(days: readonly DayResult[]): string {
+/** Formats the last line: which days failed, and all warnings. */
+export function formatSummary(days: readonly DayResult[]): string {
   const failed = days.filter((day) => day.failed).map((day) => `${day.site} ${day.day}`);
   const warned = days.flatMap((day) =>
     day.readings
--- a/packages/measure/src/site-variants/variant.ts
+++ b/packages/measure/src/site-variants/variant.ts
@@ -11,9 +11,9 @@
 export interface SiteVariation {
   /** Factor on machines, limits, guaranteed quotas and load. */
   readonly factor: number;
-  /** Seconds until a process that ended is back. */
+  /** Delay before an ended process restarts, in seconds. */
   readonly restartS: number;
-  /** Controllers; null: as many as the site has. */
+  /** Number of controllers; null for that of the site. */
   readonly nodes: number | null;
   /** Whether zones get other names. */
   readonly renamesZones: boolean;
@@ -41,26 +41,26 @@
   });
 }
 
-function scale(of: TomlTable, field: string, factor: number): void {
+function scaleField(of: TomlTable, field: string, factor: number): void {
   const value = of[field];
   if (typeof value === 'bigint') of[field] = BigInt(Math.round(Number(value) * factor));
   else if (typeof value === 'number') of[field] = value * factor;
 }
 
-/** Another name for a zone: reversed and prefixed, so that all names stay different and none stays the same. */
-function renamed(zone: string): string {
+/** Reverses and prefixes the name of a zone, so that every name changes and all names stay distinct. */
+function renamedZone(zone: string): string {
   return `z-${[...zone].reverse().join('')}`;
 }
 
-/** Renames zones wherever a text is a zone's name, at any depth. */
-function rename(value: TomlValue, zones: ReadonlySet<string>): TomlValue {
-  if (typeof value === 'string') return zones.has(value) ? renamed(value) : value;
-  if (Array.isArray(value)) return value.map((nested) => rename(nested, zones));
+/** Renames zones at any depth, wherever a string equals the name of a zone. */
+function renameZones(value: TomlValue, zones: ReadonlySet<string>): TomlValue {
+  if (typeof value === 'string') return zones.has(value) ? renamedZone(value) : value;
+  if (Array.isArray(value)) return value.map((nested) => renameZones(nested, zones));
   if (!isTable(value)) return value;
-  return Object.fromEntries(Object.entries(value).map(([key, nested]) => [key, rename(nested, zones)]));
+  return Object.fromEntries(Object.entries(value).map(([key, nested]) => [key, renameZones(nested, zones)]));
 }
 
-/** The number of machines that the cloud provider has at most. */
+/** Maximum number of machines of the cloud provider. */
 export function machinesOf(site: TomlTable): number {
   return tables(site, 'capacity').reduce(
     (n, capacity) => n + Number(capacity['count'] ?? 0) + Number(capacity['spot'] ?? 0),
@@ -68,54 +68,55 @@
   );
 }
 
-/** Parses a site description; integers become bigints, so that they are written as integers again. */
+/** Parses a site description. Integers become bigints, so that they are written as integers again. */
 export function readSite(text: string): TomlTable {
   return parse(text, INTEGERS);
 }
 
-/** The site as TOML text; integers stay integers, and other numbers keep their decimal point. */
+/** Formats the site as TOML. Integers stay integers, and other numbers keep their decimal point. */
 export function writeSite(site: TomlTable): string {
   return stringify(site, { numbersAsFloat: true });
 }
 
 /**
- * A copy of a site with other sizes, names and times.
+ * Returns a copy of a site with other sizes, names and times.
  *
- * @throws SiteError if a table or list that varies is missing
+ * @throws SiteError if a table or list that is to be varied is missing
  */
 export function applyVariation(given: TomlTable, variation: SiteVariation): TomlTable {
   const site = structuredClone(given);
   for (const capacity of tables(site, 'capacity'))
-    for (const field of ['count', 'spot']) scale(capacity, field, variation.factor);
-  for (const machines of tables(site, 'machines')) scale(machines, 'count', variation.factor);
+    for (const field of ['count', 'spot']) scaleField(capacity, field, variation.factor);
+  for (const machines of tables(site, 'machines')) scaleField(machines, 'count', variation.factor);
   for (const team of tables(site, 'teams'))
-    for (const field of ['cpus', 'cpus_max', 'gpus', 'gpus_max']) scale(team, field, variation.factor);
+    for (const field of ['cpus', 'cpus_max', 'gpus', 'gpus_max']) scaleField(team, field, variation.factor);
   for (const job of tables(site, 'jobs')) {
-    scale(table(job, 'arrivals'), 'rate', variation.factor);
-    scale(job, 'initial', variation.factor);
+    scaleField(table(job, 'arrivals'), 'rate', variation.factor);
+    scaleField(job, 'initial', variation.factor);
   }
   for (const day of tables(site, 'day'))
     for (const fault of tables(day, 'faults'))
-      if (String(fault['kind']).startsWith('machine_')) scale(fault, 'count', variation.factor);
+      if (String(fault['kind']).startsWith('machine_')) scaleField(fault, 'count', variation.factor);
   const nodes = table(site, 'nodes');
   nodes['restart_delay_s'] = variation.restartS;
   const { zones } = nodes;
   if (!Array.isArray(zones)) throw new SiteError('nodes.zones must be a list');
   if (variation.nodes !== null) nodes['count'] = BigInt(variation.nodes);
   const names = new Set(zones.map(String));
-  return variation.renamesZones ? (rename(site, names) as TomlTable) : site;
+  return variation.renamesZones ? (renameZones(site, names) as TomlTable) : site;
 }
 
 /**
- * The days of a text, with a site's classes, zones and numbers of machines in place of the placeholders (`@array`, `@zone1`).
+ * Parses the days of a text and replaces their placeholders (`@array`, `@zone1`) and machine shares by the site's job
+ * classes, zones and numbers of machines.
  *
- * @throws SiteError if the site has nothing to put in place of one
+ * @throws SiteError if the site has no value for a placeholder
  */
 export function additionalDays(text: string, site: TomlTable): TomlTable[] {
   const jobs = tables(site, 'jobs');
   const { zones } = table(site, 'nodes');
   const machines = machinesOf(site);
-  const named = (value: TomlValue): TomlValue => {
+  const resolvePlaceholder = (value: TomlValue): TomlValue => {
     if (typeof value !== 'string' || !value.startsWith('@')) return value;
     const zone = /^@zone(\d)$/.exec(value)?.[1];
     if (zone !== undefined && Array.isArray(zones)) {
@@ -123,13 +124,14 @@
       if (found !== undefined) return found;
     }
     const job = jobs.find((candidate) => candidate['kind'] === value.slice(1));
-    if (job?.['name'] === undefined) throw new SiteError(`the site has nothing that ${value} stands for`);
+    if (job?.['name'] === undefined)
+      throw new SiteError(`the site has no job class or zone for the placeholder ${value}`);
     return job['name'];
   };
   return tables(parse(text, INTEGERS), 'day').map((day) => {
     const faults = tables(day, 'faults').map((fault): TomlTable => {
       const { share, ...rest } = Object.fromEntries(
-        Object.entries(fault).map(([key, nested]) => [key, named(nested)]),
+        Object.entries(fault).map(([key, nested]) => [key, resolvePlaceholder(nested)]),
       );
       if (share === undefined) return rest;
       if (!String(rest['kind']).startsWith('machine_')) return { ...rest, share };
@@ -137,14 +139,14 @@
     });
     const changed = tables(day, 'jobs').map((change): TomlTable => ({
       ...change,
-      name: named(change['name'] ?? ''),
+      name: resolvePlaceholder(change['name'] ?? ''),
     }));
-    const own = { slot: 'scale', light: false, ...day, faults };
-    return changed.length === 0 ? own : { ...own, jobs: changed };
+    const completeDay = { slot: 'scale', light: false, ...day, faults };
+    return changed.length === 0 ? completeDay : { ...completeDay, jobs: changed };
   });
 }
 
-/** A copy of a site with more days. */
+/** Returns a copy of a site with additional days. */
 export function addDays(site: TomlTable, days: readonly TomlTable[]): TomlTable {
   return { ...site, day: [...tables(site, 'day'), ...days] };
 }
--- a/packages/measure/src/store-data-loss-part.ts
+++ b/packages/measure/src/store-data-loss-part.ts
@@ -1,6 +1,6 @@
 /**
- * One simulated loss of data of the key-value store: how soon it is noticed, how the state is rebuilt, what is lost and
- * what recovery costs.
+ * One simulated data loss of the key-value store: the times of its detection and recovery, the lost work, and the cost
+ * of recovery.
  *
  * @module
  */
@@ -22,23 +22,23 @@
 } from '@spurbridge/testkit';
 import type { JobId } from '@spurbridge/wire';
 
-/** Which replicas of the state are left besides the reports of the workers. */
-export type Left = 'all nodes' | 'all but the leader' | 'a snapshot' | 'workers';
+/** The replicas of the state that survive a loss, besides the heartbeats of the workers. */
+export type SurvivingReplicas = 'all nodes' | 'all but the leader' | 'a snapshot' | 'workers';
 
 /** One simulated day with at most one loss. */
 export interface LossPart {
   readonly machines: number;
   readonly loss: DataLoss | 'nothing';
-  readonly left: Left;
+  readonly left: SurvivingReplicas;
   readonly seed: number;
-  /** Generated small days of the tests' kind, from this seed on, instead of a large one. */
+  /** Whether to run generated small days like those of the tests, from this seed on, instead of a large day. */
   readonly drawn?: boolean;
 }
 
-/** Figures of one day; times in milliseconds after the loss, null for what did not happen. */
+/** Results of one day. Times are in milliseconds after the loss; null for events that did not happen. */
 export interface LossResult extends LossPart {
   readonly noticedMs: number | null;
-  /** When a node trusts the key-value store again. */
+  /** Time at which a node trusts the key-value store again. */
   readonly soundMs: number | null;
   readonly firstStartMs: number | null;
   readonly writtenMs: number | null;
@@ -58,21 +58,21 @@
   };
 }
 
-/** Generated days that one part plays. */
+/** Number of generated days that one part simulates. */
 export const GENERATED_DAYS_PER_PART = 40;
 
-const LOSS_MS = 70_000;
-const END_MS = 150_000;
+const LOSS_AT_MS = 70_000;
+const DAY_END_MS = 150_000;
 const STEADY_MS = 20_000;
-const STEP_MS = 20;
+const SIMULATION_STEP_MS = 20;
 const AVAILABILITY_SAMPLE_MS = 250;
 /** Limits of the key-value stores of the fleet sites. */
 const STORE_LIMITS = { rps: 200, writeRps: 35, valueKb: 16, txnOps: 16 };
 const TEAM_CPUS = 1e6;
-const SNAPSHOT_MS = 30_000;
-const INTEGRITY_CHANGED = 'store integrity changed';
+const SNAPSHOT_INTERVAL_MS = 30_000;
+const INTEGRITY_CHANGED_MESSAGE = 'store integrity changed';
 
-/** Half of the fleet in services, and arrays that come and go, for a fleet of about so many machines. */
+/** Creates a fleet of about this number of machines, with services on half of it and arriving job arrays. */
 function largeWorld(part: LossPart, log: LossLog): World {
   const types = [machineType('m16', 16)];
   const team = (name: string) => ({ name, cpus: TEAM_CPUS, cpusMax: TEAM_CPUS, gpus: 0, gpusMax: 0 });
@@ -88,7 +88,7 @@
     storeLimits: STORE_LIMITS,
     log,
     ...(part.left === 'a snapshot'
-      ? { snapshots: { folder: new InMemorySnapshotDirectory(), everyMs: SNAPSHOT_MS } }
+      ? { snapshots: { folder: new InMemorySnapshotDirectory(), everyMs: SNAPSHOT_INTERVAL_MS } }
       : {}),
   });
   let next = 0;
@@ -111,7 +111,7 @@
       );
     });
   const everyMs = 160_000 / part.machines + 800;
-  for (let at = 8000; at < END_MS - 20_000; at += everyMs) {
+  for (let at = 8000; at < DAY_END_MS - 20_000; at += everyMs) {
     const cancelAt = world.random(8) === 0 ? at + 9000 + world.random(30_000) : null;
     const tasks = Math.min(32, 4 + Math.floor(part.machines / 40));
     world.time.after(at, () => {
@@ -124,7 +124,7 @@
   return world;
 }
 
-/** A logger that keeps when each message came first and last after the loss, in milliseconds after it. */
+/** A logger that records the times of the first and last occurrence of each message, in milliseconds after the loss. */
 class LossLog {
   readonly firstMs = new Map<string, number>();
   readonly lastMs = new Map<string, number>();
@@ -132,56 +132,56 @@
 
   info(fields: object, message: string): void {
     const now = this.world?.time.now ?? 0;
-    if (now < LOSS_MS) return;
+    if (now < LOSS_AT_MS) return;
     const { to } = fields as { to?: unknown };
-    const key = message === INTEGRITY_CHANGED ? `${message} ${String(to)}` : message;
-    if (!this.firstMs.has(key)) this.firstMs.set(key, now - LOSS_MS);
-    this.lastMs.set(key, now - LOSS_MS);
+    const key = message === INTEGRITY_CHANGED_MESSAGE ? `${message} ${String(to)}` : message;
+    if (!this.firstMs.has(key)) this.firstMs.set(key, now - LOSS_AT_MS);
+    this.lastMs.set(key, now - LOSS_AT_MS);
   }
 
   readonly debug = (): void => undefined;
   readonly error = (): void => undefined;
 }
 
-/** Samples how many replicas of services are missing after the loss. */
+/** Samples the number of service replicas that are missing after the loss. */
 class ReplicaSampler {
   private missing = 0;
-  private wanted = 0;
+  private expected = 0;
 
   constructor(private readonly world: World) {}
 
   readonly sample = (): void => {
     const { checker, time } = this.world;
-    if (time.now >= LOSS_MS) {
+    if (time.now >= LOSS_AT_MS) {
       const services = [...checker.submitted.values()].filter((job) => job.kind === 'service');
       const tasks = services.reduce((sum, job) => sum + job.tasks, 0);
-      this.wanted += tasks;
+      this.expected += tasks;
       this.missing += Math.max(0, tasks - checker.runningTasksOfKind('service'));
     }
     time.after(AVAILABILITY_SAMPLE_MS, this.sample);
   };
 
-  /** Lost share of the time of all replicas. */
+  /** Share of the replicas' total time that was lost. */
   lostShare(): number {
-    return Number((this.missing / Math.max(1, this.wanted)).toFixed(5));
+    return Number((this.missing / Math.max(1, this.expected)).toFixed(5));
   }
 }
 
 function scheduleLoss(world: World, part: LossPart): void {
-  if (part.loss !== 'nothing') injectDataLoss(world, part.loss, LOSS_MS);
+  if (part.loss !== 'nothing') injectDataLoss(world, part.loss, LOSS_AT_MS);
   if (part.left === 'all nodes') return;
-  world.time.after(LOSS_MS + 1, () => {
+  world.time.after(LOSS_AT_MS + 1, () => {
     if (part.left === 'all but the leader') world.crash(leaderOrFirst(world));
     else for (let i = 0; i < 3; i += 1) world.crash(i);
   });
 }
 
-/** Runs until the loss; requests and mutations a second of the key-value store in steady work before it. */
+/** Runs until the loss. Returns the key-value store's requests and mutations per second under steady load before it. */
 async function runUntilLoss(world: World): Promise<Pick<LossResult, 'requestsPerS' | 'changesPerS'>> {
   const { store } = world;
-  await world.runUntil(LOSS_MS - STEADY_MS);
+  await world.runUntil(LOSS_AT_MS - STEADY_MS);
   const before = { requests: store.requests, mutations: store.mutations };
-  await world.runUntil(LOSS_MS);
+  await world.runUntil(LOSS_AT_MS);
   const steadyS = STEADY_MS / 1000;
   return {
     requestsPerS: Number(((store.requests - before.requests) / steadyS).toFixed(1)),
@@ -189,7 +189,7 @@
   };
 }
 
-/** Size of the replica of the first node, and the size and the cost of a snapshot of it. */
+/** Returns the size of the first node's replica, and the size and the encoding time of a snapshot of it. */
 function measureReplica(world: World): Pick<LossResult, 'records' | 'copyBytes' | 'snapshot'> {
   const replica = world.nodes[0]?.recoverableStore.replicaSnapshot();
   const began = performance.now();
@@ -216,23 +216,23 @@
   };
 }
 
-/** Runs to the end of the day; milliseconds from the loss to the first start that a ready leader made, or null. */
+/** Runs until the end of the day. Returns the milliseconds from the loss to the first start by a ready leader, or null. */
 async function runUntilEnd(world: World, part: LossPart, log: LossLog): Promise<number | null> {
   const { checker } = world;
   const startsBefore = checker.starts;
   let firstStartMs: number | null = null;
-  while (world.time.now < END_MS) {
-    await world.runUntil(world.time.now + STEP_MS);
+  while (world.time.now < DAY_END_MS) {
+    await world.runUntil(world.time.now + SIMULATION_STEP_MS);
     if (firstStartMs !== null) continue;
-    // Tasks that fetched their images before the loss start without the rebuilt cluster; these do not count.
-    const isTrusted = part.loss === 'nothing' || log.firstMs.has(`${INTEGRITY_CHANGED} trusted`);
+    // Tasks that fetched their images before the loss can start before the recovery; these starts do not count.
+    const isTrusted = part.loss === 'nothing' || log.firstMs.has(`${INTEGRITY_CHANGED_MESSAGE} trusted`);
     if (isTrusted && log.firstMs.has('leader ready') && checker.starts > startsBefore)
-      firstStartMs = world.time.now - LOSS_MS;
+      firstStartMs = world.time.now - LOSS_AT_MS;
   }
   return firstStartMs;
 }
 
-async function playLoss(part: LossPart): Promise<LossResult> {
+async function simulateLoss(part: LossPart): Promise<LossResult> {
   const log = new LossLog();
   const world = largeWorld(part, log);
   log.world = world;
@@ -249,8 +249,8 @@
   const lost = checker.violations.filter(({ rule }) => rule === 'forgotten' || rule === 'went_back');
   return {
     ...part,
-    noticedMs: round(log.firstMs.get(`${INTEGRITY_CHANGED} suspect`)),
-    soundMs: round(log.firstMs.get(`${INTEGRITY_CHANGED} trusted`)),
+    noticedMs: round(log.firstMs.get(`${INTEGRITY_CHANGED_MESSAGE} suspect`)),
+    soundMs: round(log.firstMs.get(`${INTEGRITY_CHANGED_MESSAGE} trusted`)),
     firstStartMs: round(firstStartMs ?? undefined),
     writtenMs: round(log.lastMs.get('all written back')),
     replicaTimeLost: replicas.lostShare(),
@@ -266,8 +266,8 @@
   return ms === undefined ? null : Math.round(ms);
 }
 
-/** Small days in which losses are combined with all other faults: broken rules, by name. */
-async function playGeneratedDays(part: LossPart): Promise<Readonly<Record<string, number>>> {
+/** Simulates small days with losses and all other faults. Returns the number of rule violations by rule. */
+async function simulateGeneratedDays(part: LossPart): Promise<Readonly<Record<string, number>>> {
   const broken: Record<string, number> = { days: 0, starts: 0 };
   for (let seed = part.seed; seed < part.seed + GENERATED_DAYS_PER_PART; seed += 1) {
     const world = smallWorld(seed);
@@ -284,9 +284,9 @@
   return broken;
 }
 
-/** Plays one part: a large day with its figures, or generated small days with their broken rules. */
+/** Simulates one part: either a large day with its results, or generated small days with their rule violations. */
 export async function storeDataLossPart(
   part: LossPart,
 ): Promise<LossResult | Readonly<Record<string, number>>> {
-  return part.drawn === true ? playGeneratedDays(part) : playLoss(part);
+  return part.drawn === true ? simulateGeneratedDays(part) : simulateLoss(part);
 }
--- a/packages/measure/src/store-data-loss.ts
+++ b/packages/measure/src/store-data-loss.ts
@@ -1,17 +1,22 @@
 /**
- * Losses of data of the key-value store at several sizes of the fleet, summed up by size, loss and what is left.
+ * Measures data losses of the key-value store, summarized by size of the fleet, kind of loss and surviving replicas.
  *
  * @module
  */
 import { DDSketch } from '@datadog/sketches-js';
-import { parallel } from './parallel.js';
-import type { Left, LossPart, LossResult } from './store-data-loss-part.js';
+import { runPartsInParallel } from './parallel.js';
+import type { SurvivingReplicas, LossPart, LossResult } from './store-data-loss-part.js';
 import { GENERATED_DAYS_PER_PART } from './store-data-loss-part.js';
 
 const SIZES = [100, 800, 3200] as const;
-const LARGEST = 3200;
+const LARGEST_SIZE = 3200;
 const LOSSES = ['nothing', 'emptied', 'rolled back 20 s', 'tasks gone'] as const;
-const LEFT: readonly Left[] = ['all nodes', 'all but the leader', 'a snapshot', 'workers'];
+const SURVIVING_REPLICAS: readonly SurvivingReplicas[] = [
+  'all nodes',
+  'all but the leader',
+  'a snapshot',
+  'workers',
+];
 const GENERATED_DAYS = 200;
 const FIRST_GENERATED_SEED = 1000;
 const MEDIAN_ACCURACY = 0.005;
@@ -20,20 +25,21 @@
   [Field in keyof LossResult]-?: LossResult[Field] extends number | null ? Field : never;
 }[keyof LossResult];
 
-function isPlayed(machines: number, loss: LossPart['loss'], left: Left): boolean {
+function isMeasured(machines: number, loss: LossPart['loss'], left: SurvivingReplicas): boolean {
   if (loss === 'nothing' && left !== 'all nodes') return false;
-  return machines !== LARGEST || (loss !== 'tasks gone' && left !== 'workers');
+  return machines !== LARGEST_SIZE || (loss !== 'tasks gone' && left !== 'workers');
 }
 
 function largeParts(): LossPart[] {
   const parts: LossPart[] = [];
   for (const machines of SIZES)
     for (const loss of LOSSES)
-      for (const left of LEFT) {
-        if (!isPlayed(machines, loss, left)) continue;
-        for (const seed of machines === LARGEST ? [1] : [1, 2, 3]) parts.push({ machines, loss, left, seed });
+      for (const left of SURVIVING_REPLICAS) {
+        if (!isMeasured(machines, loss, left)) continue;
+        for (const seed of machines === LARGEST_SIZE ? [1] : [1, 2, 3])
+          parts.push({ machines, loss, left, seed });
       }
-  // The longest first, so that no processor is left waiting at the end.
+  // The longest parts run first, so that the processors finish at about the same time.
   return parts.reverse();
 }
 
@@ -51,7 +57,12 @@
   for (const [name, count] of Object.entries(counts)) totals[name] = (totals[name] ?? 0) + count;
 }
 
-function summary(machines: number, loss: string, left: Left, group: readonly LossResult[]): unknown {
+function summarizeGroup(
+  machines: number,
+  loss: string,
+  left: SurvivingReplicas,
+  group: readonly LossResult[],
+): unknown {
   const valuesOf = (field: NumericField): number[] =>
     group.map((result) => result[field]).filter((value) => value !== null);
   const median = (field: NumericField): number | null => {
@@ -90,20 +101,20 @@
 function summaries(results: readonly LossResult[]): unknown[] {
   const table: unknown[] = [];
   for (const machines of SIZES)
-    for (const left of LEFT)
+    for (const left of SURVIVING_REPLICAS)
       for (const loss of LOSSES) {
         const group = results.filter(
           (result) => result.machines === machines && result.left === left && result.loss === loss,
         );
-        if (group.length > 0) table.push(summary(machines, loss, left, group));
+        if (group.length > 0) table.push(summarizeGroup(machines, loss, left, group));
       }
   return table;
 }
 
-/** Plays all losses and the generated days; medians and worst figures of each kind of loss. */
+/** Simulates all losses and the generated days. Returns the medians and the worst values for each kind of loss. */
 export async function measureStoreDataLoss(printLine: (line: string) => void): Promise<unknown> {
   const large = largeParts();
-  const results = await parallel('state-loss', [...large, ...generatedParts()], printLine);
+  const results = await runPartsInParallel('state-loss', [...large, ...generatedParts()], printLine);
   const drawnDays: Record<string, number> = {};
   for (const counts of results.slice(large.length) as Record<string, number>[]) addCounts(drawnDays, counts);
   return { simulated: true, table: summaries(results.slice(0, large.length) as LossResult[]), drawnDays };
--- a/packages/measure/src/tariff.ts
+++ b/packages/measure/src/tariff.ts
@@ -1,13 +1,14 @@
 /**
- * Deferral of jobs to cheap times: simulated nights with and without it, its distance to an optimum, and its cost.
+ * Measures the deferral of jobs to cheap times: simulated nights with and without it, a comparison of its costs with a
+ * clairvoyant optimum, and the time of a decision.
  *
  * @module
  */
 import { DDSketch } from '@datadog/sketches-js';
 import type { NightResult } from './night.js';
-import { playNight } from './night.js';
+import { simulateNight } from './night.js';
 import { clairvoyantCost, decisionMs, onlineCost, smallNight } from './optimum.js';
-import { parallel } from './parallel.js';
+import { runPartsInParallel } from './parallel.js';
 
 const SEEDS = 10;
 const JOBS = 2000;
@@ -44,9 +45,9 @@
   readonly urgentOver2S: OnAndOff & { readonly of: number };
 }
 
-/** One night in a process of its own. */
+/** Simulates one night. */
 export async function tariffPart(part: TariffPart): Promise<NightResult> {
-  return playNight({ seed: part.seed, jobs: JOBS, deferral: part.on });
+  return simulateNight({ seed: part.seed, jobs: JOBS, deferral: part.on });
 }
 
 function percentile(values: readonly number[], quantile: number): number {
@@ -57,7 +58,7 @@
 
 const sum = (values: readonly number[]): number => values.reduce((a, b) => a + b, 0);
 
-/** Deadlines that are missed with deferral although they are met without, and all that are missed without. */
+/** Counts the deadlines that are missed only with deferral, and those that are missed without it. */
 function countMissedDeadlines(results: readonly NightResult[]): MissedDeadlines {
   let missedByDeferral = 0;
   let missedWithout = 0;
@@ -70,14 +71,14 @@
   return { missedByDeferral, missedWithout };
 }
 
-/** Costs of small nights over those of a clairvoyant. */
+/** Compares the costs of small nights with those of a clairvoyant schedule. */
 function compareWithOptimum(): OptimumComparison {
   const ratios: number[] = [];
   let lateInSmallNights = 0;
   for (let seed = 1; seed <= SMALL_NIGHTS; seed += 1) {
     const night = smallNight(seed);
     const best = clairvoyantCost(night);
-    // A night that not even a clairvoyant can finish in time says nothing.
+    // Nights whose jobs cannot all finish in time even with a clairvoyant schedule are not comparable.
     if (Number.isNaN(best)) continue;
     const online = onlineCost(night);
     ratios.push(online.cost / best);
@@ -108,13 +109,13 @@
   return waitsS.filter((waitS) => waitS > limitS).length / waitsS.length;
 }
 
-/** Ten nights with and without deferral, small nights against a clairvoyant, the time of a decision. */
+/** Measures ten nights with and without deferral, small nights against the optimum, and the time of a decision. */
 export async function measureTariff(printLine: (line: string) => void): Promise<Record<string, unknown>> {
   const parts: TariffPart[] = Array.from({ length: SEEDS * 2 }, (_, i) => ({
     seed: 1 + (i >> 1),
     on: i % 2 === 0,
   }));
-  const results = (await parallel('tariff', parts, printLine)) as NightResult[];
+  const results = (await runPartsInParallel('tariff', parts, printLine)) as NightResult[];
   const on = results.filter((_, i) => i % 2 === 0);
   const off = results.filter((_, i) => i % 2 === 1);
   const total = (nights: readonly NightResult[], field: 'cost' | 'deferrableCost' | 'broken'): number =>
--- a/packages/measure/src/worker-shards.ts
+++ b/packages/measure/src/worker-shards.ts
@@ -6,7 +6,7 @@
 import type { JobId, MachineId } from '@spurbridge/wire';
 import type { SimulatedWorker } from '@spurbridge/simulated-worker';
 import { World, jobSpec, machineType } from '@spurbridge/testkit';
-import { parallel } from './parallel.js';
+import { runPartsInParallel } from './parallel.js';
 
 const FAULTS = [
   'leader, back after 0.2 s',
@@ -22,54 +22,58 @@
   readonly machines: number;
   readonly nodes: number;
   readonly trouble: Fault;
-  /** Whether controllers other than the leader receive heartbeats; without, all workers send them to the leader. */
+  /** Whether all controllers receive heartbeats. If not, all workers send theirs to the leader. */
   readonly shares: boolean;
 }
 
 interface SharesResult extends WorkerShardsPart {
-  /** Machines that each node held before the fault. */
+  /** Number of machines that each node held before the fault. */
   readonly held: readonly number[];
-  /** From the crash until a node holds a valid lease as leader, a task starts, 95 % and all workers know the leader. */
+  /** Time from the crash until a node holds a valid lease as leader. */
   readonly ledS: number | null;
+  /** Time from the crash until a leader is elected and a task has started. */
   readonly startedS: number | null;
+  /** Time from the crash until 95 % of the workers know the leader. */
   readonly most95S: number | null;
+  /** Time from the crash until all workers know the leader. */
   readonly allS: number | null;
-  /** Workers that connected to another node in the 30 s after it, and the most of them at one node. */
+  /** Number of times that a worker connected to another node in the 30 s after the crash. */
   readonly moved: number;
+  /** The part of `moved` at the node with the most of them. */
   readonly movedToOne: number;
   readonly killedByLease: number;
   readonly brokenRules: number;
-  /** Between controllers, each second, in steady work. */
+  /** Frames per second between controllers under steady load; `kilobytes` is their size per second. */
   readonly frames: number;
   readonly kilobytes: number;
 }
 
-const UP_MS = 60_000;
+const WARM_UP_MS = 60_000;
 const STEADY_MS = 20_000;
-const AFTER_MS = 40_000;
+const OBSERVATION_MS = 40_000;
 const TYPE = { ...machineType('s4', 4), bootS: 4 };
 const CPUS = 1_000_000;
 const SIZES = [300, 800, 1245, 3200];
-/** Played with five nodes only. */
-const LARGEST = 10_000;
-const OBSERVE_EVERY_MS = 20;
+/** Simulated with five nodes only. */
+const LARGEST_SIZE = 10_000;
+const OBSERVATION_INTERVAL_MS = 20;
 const RESTART_MS = 200;
 const SLOW_RESTART_MS = 8000;
-/** Share of the workers that counts as most of them. */
-const MOST_WORKERS = 0.95;
-const MOVES_WITHIN_S = 30;
+/** Share of the workers for `most95S`. */
+const MOST_WORKERS_SHARE = 0.95;
+const MOVE_COUNT_PERIOD_S = 30;
 
 type RecoveryTimes = Record<'ledS' | 'startedS' | 'most95S' | 'allS', number | null>;
 
 interface BeforeFault {
   /** The highest fencing token of any node. */
   readonly fencingToken: number;
-  /** Index of the node that each worker sends its heartbeats to; kept up to date while recovery is observed. */
+  /** Index of the node that receives each worker's heartbeats; updated while recovery is observed. */
   readonly nodeOfWorker: Map<MachineId, number>;
 }
 
-/** A fleet of this many machines, each with tasks that outlast the measurement and a stream of short ones. */
-function fleet(part: WorkerShardsPart): World {
+/** Creates a fleet with tasks that outlast the measurement on each machine, and a stream of short tasks. */
+function createWorld(part: WorkerShardsPart): World {
   const world = new World({
     seed: 11,
     teams: [{ name: 'red', cpus: CPUS, cpusMax: CPUS, gpus: 0, gpusMax: 0 }],
@@ -80,7 +84,7 @@
     leaseS: 22,
     cancelS: 42,
     storeLimits: { rps: 2000, writeRps: 1000, valueKb: 16, txnOps: 12 },
-    taskRunMs: (job) => (job.image === 'long' ? 10 * UP_MS : 3000),
+    taskRunMs: (job) => (job.image === 'long' ? 10 * WARM_UP_MS : 3000),
   });
   if (!part.shares) for (let i = 0; i < part.nodes; i += 1) world.previousVersionNodes.add(`spur-${i}`);
   let jobs = 0;
@@ -92,18 +96,18 @@
     );
   };
   for (let left = part.machines; left > 0; left -= 100) submit(Math.min(100, left), 3, 'long');
-  for (let at = UP_MS / 2; at < UP_MS + STEADY_MS + AFTER_MS; at += 250)
+  for (let at = WARM_UP_MS / 2; at < WARM_UP_MS + STEADY_MS + OBSERVATION_MS; at += 250)
     world.time.after(at, () => {
       submit(4, 1, 'short');
     });
   return world;
 }
 
-/** Looks every 20 ms at how far the cluster has recovered from a fault. */
+/** Checks every 20 ms how far the cluster has recovered from a fault. */
 class RecoveryObserver {
-  /** Seconds from the fault, each null until it happens. */
-  readonly found: RecoveryTimes = { ledS: null, startedS: null, most95S: null, allS: null };
-  /** Workers that changed their node, by the index of the new node. */
+  /** Seconds from the fault to each event; null until the event happens. */
+  readonly times: RecoveryTimes = { ledS: null, startedS: null, most95S: null, allS: null };
+  /** Number of moves of workers to another node, by the index of the new node. */
   readonly movedTo = new Map<number, number>();
   private readonly beganMs: number;
   private readonly startsBefore: number;
@@ -123,37 +127,37 @@
     const fencingToken = this.observeLeader(atS);
     this.observeWorkers(atS, alive, fencingToken);
     this.observeMoves(atS, alive);
-    this.world.time.after(OBSERVE_EVERY_MS, this.observe);
+    this.world.time.after(OBSERVATION_INTERVAL_MS, this.observe);
   };
 
-  /** Fencing token of the present leader; infinite without one. */
+  /** Fencing token of the current leader; Infinity if there is none. */
   private observeLeader(atS: number): number {
-    const { found, world } = this;
+    const { times, world } = this;
     const leader = world.nodes.find((node) => node.clock.alive && holdsValidLease(node));
     const fencingToken = leader?.controller.leadership.fencingToken ?? Infinity;
     const isNew = fencingToken > this.before.fencingToken || this.isLeaderKept;
-    if (leader !== undefined && isNew) found.ledS ??= atS;
-    // Starts that were already on their way before the election do not count.
-    if (found.ledS !== null && world.checker.starts > this.startsBefore) found.startedS ??= atS;
+    if (leader !== undefined && isNew) times.ledS ??= atS;
+    // Starts are checked only after the election, because earlier ones were requested by the previous leader.
+    if (times.ledS !== null && world.checker.starts > this.startsBefore) times.startedS ??= atS;
     return fencingToken;
   }
 
   private observeWorkers(atS: number, alive: readonly SimulatedWorker[], fencingToken: number): void {
-    const { found, world } = this;
+    const { times, world } = this;
     const informed = alive.filter(
       (worker) =>
         worker.highestFencingToken >= fencingToken &&
         world.nodes[worker.heartbeatNodeIndex]?.clock.alive === true,
     ).length;
-    if (informed >= alive.length * MOST_WORKERS) found.most95S ??= atS;
-    if (informed === alive.length) found.allS ??= atS;
+    if (informed >= alive.length * MOST_WORKERS_SHARE) times.most95S ??= atS;
+    if (informed === alive.length) times.allS ??= atS;
   }
 
   private observeMoves(atS: number, alive: readonly SimulatedWorker[]): void {
     const { nodeOfWorker } = this.before;
     for (const { id, heartbeatNodeIndex: node } of alive) {
       if (nodeOfWorker.get(id) === node) continue;
-      if (nodeOfWorker.has(id) && atS < MOVES_WITHIN_S)
+      if (nodeOfWorker.has(id) && atS < MOVE_COUNT_PERIOD_S)
         this.movedTo.set(node, (this.movedTo.get(node) ?? 0) + 1);
       nodeOfWorker.set(id, node);
     }
@@ -180,10 +184,10 @@
   }
 }
 
-/** Runs the fleet in steady work; frames and kilobytes a second between controllers. */
+/** Runs the fleet under steady load and returns the frames and kilobytes per second between controllers. */
 async function measureSteadyTraffic(world: World): Promise<Pick<SharesResult, 'frames' | 'kilobytes'>> {
   const { frames, bytes } = world.peerTraffic;
-  await world.runUntil(UP_MS + STEADY_MS);
+  await world.runUntil(WARM_UP_MS + STEADY_MS);
   const steadyS = STEADY_MS / 1000;
   return {
     frames: Math.round((world.peerTraffic.frames - frames) / steadyS),
@@ -191,10 +195,10 @@
   };
 }
 
-/** Plays one fault on one fleet. */
+/** Simulates one fault on one fleet. */
 export async function workerShardsPart(part: WorkerShardsPart): Promise<SharesResult> {
-  const world = fleet(part);
-  await world.runUntil(UP_MS);
+  const world = createWorld(part);
+  await world.runUntil(WARM_UP_MS);
   const steady = await measureSteadyTraffic(world);
   const held = world.machinesPerNode();
   const before: BeforeFault = {
@@ -207,12 +211,12 @@
   for (const node of crashedNodes(world, part.trouble)) world.crash(node, backMs);
   const observer = new RecoveryObserver(world, before, part.trouble === 'another node');
   observer.observe();
-  await world.runUntil(world.time.now + AFTER_MS);
+  await world.runUntil(world.time.now + OBSERVATION_MS);
   const moves = [...observer.movedTo.values()];
   return {
     ...part,
     held,
-    ...observer.found,
+    ...observer.times,
     moved: moves.reduce((a, b) => a + b, 0),
     movedToOne: Math.max(0, ...moves),
     killedByLease: world.checker.killedByLease,
@@ -221,7 +225,7 @@
   };
 }
 
-/** Crashes of controllers with and without worker shards. Processor time is not simulated: docs/results.md has it from the bench. */
+/** Measures crashes of controllers with and without worker shards. Processor time is not simulated (docs/results.md). */
 export async function measureWorkerShards(printLine: (line: string) => void): Promise<unknown> {
   const parts: WorkerShardsPart[] = [];
   for (const machines of SIZES)
@@ -229,10 +233,10 @@
       for (const trouble of FAULTS)
         for (const shares of nodes === 3 ? [true, false] : [true])
           parts.push({ machines, nodes, trouble, shares });
-  const largest = { machines: LARGEST, nodes: 5, shares: true };
+  const largest = { machines: LARGEST_SIZE, nodes: 5, shares: true };
   parts.unshift(
     { ...largest, trouble: 'leader, back after 0.2 s' },
     { ...largest, trouble: 'the leader and another node' },
   );
-  return { simulated: true, results: await parallel('shares', parts, printLine) };
+  return { simulated: true, results: await runPartsInParallel('shares', parts, printLine) };
 }
--- a/packages/measure/test/site-variants.test.ts
+++ b/packages/measure/test/site-variants.test.ts
@@ -2,7 +2,7 @@
 import { readFileSync, readdirSync } from 'node:fs';
 import { test } from 'node:test';
 import { SiteError } from '../src/errors.js';
-import { printDay, printEnd, readDay } from '../src/site-variants/report.js';
+import { formatDay, formatSummary, readDay } from '../src/site-variants/report.js';
 import {
   machinesOf,
   additionalDays,
@@ -48,7 +48,7 @@
 `;
 const BASE = { factor: 1.5, restartS: 0.2, nodes: null, renamesZones: false };
 
-test('a variant has its machines, limits, load and times changed in proportion, and nothing else', () => {
+test('a variant scales only machines, limits and load, and sets the restart delay, nodes and zone names', () => {
   const given = readSite(SITE);
   const site = applyVariation(given, BASE);
   const text = writeSite(site);
@@ -64,18 +64,18 @@
   ])
     assert.ok(text.includes(line), line);
   assert.ok(text.includes('restart_delay_s = 0.2') && text.includes('max_connections = 100\n'));
-  assert.ok(text.includes('count = 3\n'), 'controllers are no machines');
+  assert.ok(text.includes('count = 3\n'), 'the number of controllers is not scaled');
   assert.equal(writeSite(readSite(text)), text);
-  const five = writeSite(applyVariation(given, { ...BASE, nodes: 5, renamesZones: true }));
-  assert.ok(five.includes('count = 5') && five.includes('"z-a"') && !five.includes('"b"'));
+  const fiveNodes = writeSite(applyVariation(given, { ...BASE, nodes: 5, renamesZones: true }));
+  assert.ok(fiveNodes.includes('count = 5') && fiveNodes.includes('"z-a"') && !fiveNodes.includes('"b"'));
 });
 
-test('a site without its tables is refused with the field named', () => {
+test('a site without a required table is rejected with an error that names the field', () => {
   assert.throws(() => applyVariation(readSite('name = "x"'), BASE), SiteError);
   assert.throws(() => applyVariation(readSite('[nodes]\nzones = 3'), BASE), /nodes\.zones/);
 });
 
-test('our own days take classes, zones and counts from the site', () => {
+test('placeholders of additional days are replaced by classes, zones and machine counts of the site', () => {
   const site = applyVariation(readSite(SITE), BASE);
   const days = additionalDays(
     `[[day]]
@@ -97,7 +97,7 @@
   const [changed] = additionalDays('[[day]]\njobs = [{ name = "@array", cancelled = 0.8 }]', site);
   assert.deepEqual(changed?.['jobs'], [{ name: 'nightly', cancelled: 0.8 }]);
   assert.throws(() => additionalDays('[[day]]\njobs = [{ name = "@gang" }]', site), /@gang/);
-  // Every day in the folder can be made for this site.
+  // All placeholders in the days of the repository can be resolved for this site.
   const folder = new URL('../../../days/bench/', import.meta.url);
   for (const file of readdirSync(folder))
     assert.ok(additionalDays(readFileSync(new URL(file, folder), 'utf8'), site).length >= 4, file);
@@ -121,7 +121,7 @@
   });
 }
 
-test('a day is judged by rules, ends and half of everyone; in time is a warning', () => {
+test('a day without broken rules or ends passes, and a low share of jobs within the deadline is a warning', () => {
   const log = [
     'calm   30   0.61  3/13',
     '1.0 n {"level":30,"from":"campaigning","to":"leading","msg":"leadership"}',
@@ -141,21 +141,21 @@
       ['replicas', '0.70'],
     ],
   );
-  assert.match(printDay(day), /by the deadline: 0\.400 \(-0\.100 over half\) {2}warning/);
-  assert.match(printEnd([day]), /^no day of 1 failed; warnings: /);
+  assert.match(formatDay(day), /by the deadline: 0\.400 \(-0\.100 over half\) {2}warning/);
+  assert.match(formatSummary([day]), /^no day of 1 failed; warnings: /);
 });
 
-test('less than half of a class, a broken rule or an end of its own fails a day', () => {
+test('a day fails if a class or team is served less than half, a rule is broken or a process exceeds its memory', () => {
   const classes = { nightly: { jobs: 10, started: 9, done: 3, cancelled: 1, up: null } };
-  const bad = [
+  const failedDays = [
     report({ classes }),
     report({ rules_broken: { total: 1, by_kind: { quota: 1 } } }),
     report({ node_stats: [{ ...NODE, restarts: [{ why: 'memory' }] }] }),
     report({ teams: { red: { jobs: 14, started: 6 } } }),
   ].map((text) => readDay('east', 'calm', LIMITS, text, ''));
   assert.deepEqual(
-    bad.map((d) => d.failed),
+    failedDays.map((day) => day.failed),
     [true, true, true, true],
   );
-  assert.match(printEnd(bad), /^failed: east calm/);
+  assert.match(formatSummary(failedDays), /^failed: east calm/);
 });
