--- a/packages/controller/src/jobs/cluster-state.ts
+++ b/packages/controller/src/jobs/cluster-state.ts
@@ -306,8 +306,8 @@
   // --- machines --------------------------------------------------------------------------------
 
   /** Id of the last machine of the initial fleet, empty if there was none; null until it is known. */
-  get initialFleetUpTo(): string | null {
-    return this.registry.initialFleetUpTo;
+  get lastInitialMachineId(): string | null {
+    return this.registry.lastInitialMachineId;
   }
 
   /** Sets the initial fleet, which the service found at its very first start. */
--- a/packages/controller/src/leadership/leader-term.ts
+++ b/packages/controller/src/leadership/leader-term.ts
@@ -39,7 +39,7 @@
   /** The number of their machines. */
   readonly size: number;
   /** When the latest heartbeat of any of them was received; null before the first one. */
-  readonly lastAt: MonotonicMs | null;
+  readonly lastHeartbeatAt: MonotonicMs | null;
 }
 
 /** The dependencies of a leader, provided by its controller. */
--- a/packages/controller/src/machines/fleet-controller.ts
+++ b/packages/controller/src/machines/fleet-controller.ts
@@ -124,7 +124,7 @@
   private canPlan(): boolean {
     const { leadership, machineTypes } = this.term.context;
     return (
-      this.cluster.initialFleetUpTo !== null &&
+      this.cluster.lastInitialMachineId !== null &&
       machineTypes().length > 0 &&
       leadership.holdsValidLease() &&
       this.mayScale()
--- a/packages/controller/src/machines/leader-isolation.ts
+++ b/packages/controller/src/machines/leader-isolation.ts
@@ -72,9 +72,9 @@
    */
   private receivesNoHeartbeats(now: MonotonicMs): boolean {
     const { settings, leadership, directWorkers } = this.term.context;
-    const { size, lastAt } = directWorkers();
+    const { size, lastHeartbeatAt } = directWorkers();
     const intervalMs = maxHeartbeatIntervalMs(settings);
-    const silenceMs = now - Math.max(lastAt ?? now, this.term.electedAt);
+    const silenceMs = now - Math.max(lastHeartbeatAt ?? now, this.term.electedAt);
     const areDirectWorkersSilent =
       size >= MIN_DIRECT_WORKERS &&
       silenceMs > Math.max(NO_HEARTBEAT_MS, (intervalMs / Math.max(1, size)) * NO_HEARTBEAT_INTERVALS);
--- a/packages/controller/src/machines/machine-lister.ts
+++ b/packages/controller/src/machines/machine-lister.ts
@@ -44,7 +44,7 @@
         await clock.sleep(LIST_RETRY_DELAY_MS);
         continue;
       }
-      if (this.cluster.initialFleetUpTo === null) await this.determineInitialFleet(listed);
+      if (this.cluster.lastInitialMachineId === null) await this.determineInitialFleet(listed);
       for (const machine of listed) this.register(machine);
       this.requestedAt = requestedAt;
       await clock.sleep(LIST_INTERVAL_MS);
--- a/packages/controller/src/machines/machine-registry.ts
+++ b/packages/controller/src/machines/machine-registry.ts
@@ -31,7 +31,7 @@
   constructor(private readonly options: MachineRegistryOptions) {}
 
   /** Id of the last machine of the initial fleet, empty if there was none; null until it is known. */
-  get initialFleetUpTo(): string | null {
+  get lastInitialMachineId(): string | null {
     return this.initialFleetEnd;
   }
 
--- a/packages/store/src/http-key-value-store.ts
+++ b/packages/store/src/http-key-value-store.ts
@@ -145,7 +145,7 @@
       revision ??= page.revision;
       items.push(...page.items);
       const last = page.items.at(-1);
-      if (!page.more || last === undefined)
+      if (!page.hasMore || last === undefined)
         return { outcome: 'listed', items, revision, latest: page.revision };
       from = last.key;
     }
--- a/packages/wire/src/key-value.ts
+++ b/packages/wire/src/key-value.ts
@@ -22,7 +22,7 @@
 export interface KeyValuePage {
   readonly items: readonly KeyValue[];
   /** Whether further keys follow. */
-  readonly more: boolean;
+  readonly hasMore: boolean;
   /** Revision of the store when the page was read. */
   readonly revision: Revision;
 }
@@ -47,7 +47,7 @@
   const fields = read.asObject(body, 'body');
   return {
     items: read.asArray(fields['pairs'], 'pairs').map(parseKeyValue),
-    more: read.booleanOrFalse(fields, 'more'),
+    hasMore: read.booleanOrFalse(fields, 'more'),
     revision: read.count(fields, 'ledger') as Revision,
   };
 }
--- a/packages/worker-shards/src/worker-shard.ts
+++ b/packages/worker-shards/src/worker-shard.ts
@@ -42,7 +42,7 @@
   private readonly members = new Map<MachineId, ShardMember>();
   private attachedCount = 0;
   /** When the latest heartbeat of any machine was received; null before the first one. */
-  lastAt: MonotonicMs | null = null;
+  lastHeartbeatAt: MonotonicMs | null = null;
 
   constructor(
     private readonly clock: Clock,
@@ -59,7 +59,7 @@
   recordHeartbeat(heartbeat: Heartbeat): void {
     const member = this.members.get(heartbeat.machine);
     const receivedAt = this.clock.now();
-    this.lastAt = receivedAt;
+    this.lastHeartbeatAt = receivedAt;
     if (member === undefined) {
       this.members.set(heartbeat.machine, {
         membership: 'attached',
