--- a/packages/testkit/src/known-failures.ts
+++ b/packages/testkit/src/known-failures.ts
@@ -1,5 +1,5 @@
 /**
- * Known failures: the tests listed in `KNOWN-RED.txt`, and how a test run is judged by this list.
+ * Known failures: parses the tests listed in `KNOWN-RED.txt` and evaluates a test run against this list.
  *
  * @module
  */
@@ -36,7 +36,7 @@
   /** The reasons why the run fails. */
   readonly faults: string[];
   /** A line to be printed for each listed test. */
-  readonly said: string[];
+  readonly reportLines: string[];
 }
 
 /**
@@ -53,24 +53,29 @@
       throw new KnownFailuresFormatError(index + 1, 'the test is listed twice');
     found.push(known);
     if (found.length > MAX_KNOWN_FAILURES)
-      throw new KnownFailuresFormatError(index + 1, `more than ${MAX_KNOWN_FAILURES} tests are red`);
+      throw new KnownFailuresFormatError(
+        index + 1,
+        `expected at most ${MAX_KNOWN_FAILURES} listed tests, this is number ${found.length}`,
+      );
   }
   return found;
 }
 
 /** Every listed test must have been run, and no other test may have failed. */
-export function judgeRun(known: readonly KnownFailure[], { passed, failed }: TestResults): RunVerdict {
+export function evaluateRun(known: readonly KnownFailure[], { passed, failed }: TestResults): RunVerdict {
   const faults: string[] = [];
-  const said: string[] = [];
+  const reportLines: string[] = [];
   for (const { test, cause, issue } of known) {
     if (!passed.has(test) && !failed.has(test))
-      faults.push(`KNOWN-RED.txt lists no test of this run: ${test}`);
+      faults.push(`test listed in KNOWN-RED.txt was not run: ${test}`);
     else
-      said.push(`known red, ${failed.has(test) ? 'failed' : 'passed'}: ${test} (${cause}; issue ${issue})`);
+      reportLines.push(
+        `known red, ${failed.has(test) ? 'failed' : 'passed'}: ${test} (${cause}; issue ${issue})`,
+      );
   }
   for (const test of failed)
     if (!known.some((listed) => listed.test === test)) faults.push(`failed: ${test}`);
-  return { faults, said };
+  return { faults, reportLines };
 }
 
 function parseLine(text: string, line: number): KnownFailure {
@@ -79,6 +84,10 @@
   if (cause === '') throw new KnownFailuresFormatError(line, 'the cause is missing');
   const number = /^issue (\d+)$/.exec(issue)?.[1];
   if (number === undefined) throw new KnownFailuresFormatError(line, 'the issue is missing ("issue N")');
-  if (rest.length > 0) throw new KnownFailuresFormatError(line, 'there is more than test, cause and issue');
+  if (rest.length > 0)
+    throw new KnownFailuresFormatError(
+      line,
+      `expected 3 fields (test, cause, issue), got ${3 + rest.length}`,
+    );
   return { test, cause, issue: Number(number) };
 }
--- a/packages/testkit/src/unit.ts
+++ b/packages/testkit/src/unit.ts
@@ -9,7 +9,7 @@
 import { run } from 'node:test';
 import { tap } from 'node:test/reporters';
 import type { KnownFailure } from './known-failures.js';
-import { judgeRun, parseKnownFailures } from './known-failures.js';
+import { evaluateRun, parseKnownFailures } from './known-failures.js';
 
 const KNOWN_FAILURES_FILE = 'KNOWN-RED.txt';
 const PACKAGES_FOLDER = 'packages';
@@ -35,8 +35,8 @@
 stream.on('test:pass', ({ name }) => passed.add(name));
 stream.on('test:fail', ({ name }) => failed.add(name));
 stream.once('end', () => {
-  const { faults, said } = judgeRun(knownFailures, { passed, failed });
-  for (const line of [...said, ...faults]) process.stdout.write(`# ${line}\n`);
+  const { faults, reportLines } = evaluateRun(knownFailures, { passed, failed });
+  for (const line of [...reportLines, ...faults]) process.stdout.write(`# ${line}\n`);
   process.exitCode = faults.length > 0 || passed.size === 0 ? 1 : 0;
 });
 stream.compose(tap).pipe(process.stdout);
