--- a/packages/testkit/src/configuration.ts
+++ b/packages/testkit/src/configuration.ts
@@ -21,12 +21,12 @@
 /** A node was named that does not exist. */
 export class NoSuchNodeError extends SpurbridgeError {
   constructor(readonly index: number) {
-    super('NO_SUCH_NODE', `there is no node ${index}`);
+    super('NO_SUCH_NODE', `node ${index} does not exist`);
   }
 }
 
 /**
- * An author at one node: behaves like a request to that node's program.
+ * Creates an editor with the store client and clock of one node, as for a request to that node.
  *
  * @throws NoSuchNodeError
  */
@@ -60,17 +60,17 @@
   changeId = nextChangeId(),
   baseVersion?: number,
 ): Promise<ProposalOutcome> {
-  let answer: ProposalOutcome | null = null;
+  let response: ProposalOutcome | null = null;
   const version = baseVersion ?? world.nodes[index]?.controller.configurationStatus()[0]?.version ?? 0;
   void editorAt(world, index)
     .propose({ baseVersion: version as never, changeId, author: 'test', changes, isDryRun: false })
     .then((outcome) => {
-      answer = outcome;
+      response = outcome;
     });
-  for (let checks = 0; checks < MAX_CHECKS && answer === null; checks += 1)
+  for (let checks = 0; checks < MAX_CHECKS && response === null; checks += 1)
     await world.runUntil(world.time.now + CHECK_INTERVAL_MS);
   // An ended process never responds.
-  return answer ?? { outcome: 'unsure' };
+  return response ?? { outcome: 'unsure' };
 }
 
 /** The version in force on each running node; null if a node has none. */
@@ -95,10 +95,10 @@
   version: number,
   timeoutMs: number,
 ): Promise<number | null> {
-  const beganMs = world.time.now;
+  const startedMs = world.time.now;
   while (!isInForceEverywhere(world, version)) {
-    if (world.time.now - beganMs >= timeoutMs) return null;
+    if (world.time.now - startedMs >= timeoutMs) return null;
     await world.runUntil(world.time.now + CHECK_INTERVAL_MS);
   }
-  return world.time.now - beganMs;
+  return world.time.now - startedMs;
 }
--- a/packages/testkit/src/in-memory-snapshot-directory.ts
+++ b/packages/testkit/src/in-memory-snapshot-directory.ts
@@ -9,7 +9,7 @@
 /** A file was read that does not exist. */
 export class MissingSnapshotError extends SpurbridgeError {
   constructor(readonly file: string) {
-    super('SNAPSHOT_MISSING', `${file} is not there`);
+    super('SNAPSHOT_MISSING', `snapshot file ${file} does not exist`);
   }
 }
 
--- a/packages/testkit/src/leadership.ts
+++ b/packages/testkit/src/leadership.ts
@@ -11,7 +11,7 @@
 /** Two nodes were certain to hold the leader's lease at the same moment. */
 export class TwoLeadersError extends SpurbridgeError {
   constructor(readonly atMs: number) {
-    super('TWO_LEADERS', `two leaders at ${atMs}`);
+    super('TWO_LEADERS', `expected at most one leader, found two at ${atMs} ms`);
   }
 }
 
@@ -20,7 +20,7 @@
   return world.nodes.findIndex((node) => node.clock.alive && node.controller.leadership.holdsValidLease());
 }
 
-/** The same, or the first node if there is none. */
+/** Index of the node that is certain to hold the leader's lease, or the first node if there is none. */
 export function leaderOrFirst(world: World): number {
   return Math.max(0, leaderIndex(world));
 }
--- a/packages/testkit/src/response-rules.ts
+++ b/packages/testkit/src/response-rules.ts
@@ -10,7 +10,10 @@
 
 /** An accepted job counts as lost if its polls fail for longer than this while most others get responses. */
 const FORGOTTEN_MS = 90_000;
-/** The same once all faults are over, independent of other jobs. */
+/**
+ * After all faults have ended, an accepted job counts as lost if its requests fail for longer than this,
+ * independent of other jobs.
+ */
 const FORGOTTEN_AFTER_FAULTS_MS = 75_000;
 /** Responses that state that a job is unknown or invalid. */
 const REJECTIONS: ReadonlySet<number> = new Set([400, 404, 422]);
@@ -22,7 +25,7 @@
 
 interface FailingPolls {
   readonly sinceMs: number;
-  readonly before: ResponseCounts;
+  readonly countsBefore: ResponseCounts;
 }
 
 /** A controller's response to a user. */
@@ -32,10 +35,10 @@
   readonly code: number;
   readonly phase: JobPhase | null;
   /**
-   * When the request was sent, for users with several requests in flight: the response need not reflect what
-   * the user learned after that time.
+   * The response must be consistent with everything reported until this time. This is the time when the
+   * request was sent if the user has several requests in flight, and otherwise the time of the response.
    */
-  readonly askedMs: number;
+  readonly asOfMs: number;
 }
 
 /** What the rules need to know about jobs. */
@@ -47,7 +50,7 @@
   readonly doneTasksOf: (id: JobId) => number;
 }
 
-/** Checks every response, and records when users were told what. */
+/** Checks every response, and records when each status was first reported to the user. */
 export class ResponseRules {
   /** The time from which on all faults are over. */
   faultsEndMs = Infinity;
@@ -89,12 +92,12 @@
     this.cancellationRequests.add(id);
   }
 
-  /** The times at which the user learned something new about the job, ascending. */
+  /** The times at which the reported status of the job changed, ascending. */
   statusChangesOf(id: string): readonly number[] {
     return this.statusChanges.get(id) ?? [];
   }
 
-  /** Checks a response; returns whether it told the user something new. */
+  /** Checks a response; returns whether it changed what was reported to the user. */
   receive(response: UserResponse): boolean {
     const { id, code, call } = response;
     const { violations, submitted } = this.options;
@@ -104,8 +107,8 @@
       if (code === 200) violations.report('invented', id);
       return false;
     }
-    if (this.isKnown(this.acceptedAt, response) && REJECTIONS.has(code))
-      violations.report('forgotten', `${id} got ${code} on ${call}`);
+    if (this.wasReportedBefore(this.acceptedAt, response) && REJECTIONS.has(code))
+      violations.report('forgotten', `${id} was accepted, but got status ${code} for ${call}`);
     if (code !== 200 && code !== 201) return false;
     return this.receiveStatus(spec, response);
   }
@@ -113,52 +116,52 @@
   /** Checks the response to a submission that must be rejected. */
   receiveInvalidSubmission(id: JobId, defect: string, code: number): void {
     if (code === 200 || code === 201)
-      this.options.violations.report('accepted_wrongly', `${id} with ${defect}`);
+      this.options.violations.report('accepted_wrongly', `${id} with defect: ${defect}`);
   }
 
   private receiveStatus(spec: JobSpec, response: UserResponse): boolean {
     const { id, phase } = response;
-    const news = [this.tell(this.acceptedAt, id)];
-    if (phase === 'done') news.push(this.receiveDone(spec));
+    const firstReports = [this.recordFirstReport(this.acceptedAt, id)];
+    if (phase === 'done') firstReports.push(this.receiveDone(spec));
     else this.checkNotDoneBefore(response);
-    if (phase === 'cancelled') news.push(this.receiveCancelled(id));
-    else if (phase !== 'done' && this.isKnown(this.cancelledAt, response))
+    if (phase === 'cancelled') firstReports.push(this.receiveCancelled(id));
+    else if (phase !== 'done' && this.wasReportedBefore(this.cancelledAt, response))
       this.options.violations.report('went_back', `${id} was cancelled, now ${String(phase)}`);
-    const isNews = news.includes(true);
-    if (isNews) this.statusChanges.set(id, [...this.statusChangesOf(id), this.options.now()]);
-    return isNews;
+    const hasChanged = firstReports.includes(true);
+    if (hasChanged) this.statusChanges.set(id, [...this.statusChangesOf(id), this.options.now()]);
+    return hasChanged;
   }
 
   private receiveDone(spec: JobSpec): boolean {
     const { violations, doneTasksOf } = this.options;
     if (spec.kind === 'service' || doneTasksOf(spec.id) < spec.tasks) violations.report('not_done', spec.id);
-    // Both states are final: whichever was requested first, they cannot both hold.
+    // Both states are final, so a job can be reported in only one of them.
     if (this.cancelledAt.has(spec.id)) violations.report('went_back', `${spec.id} was cancelled, now done`);
-    return this.tell(this.doneAt, spec.id);
+    return this.recordFirstReport(this.doneAt, spec.id);
   }
 
   private checkNotDoneBefore(response: UserResponse): void {
     const { id, phase } = response;
-    if (this.isKnown(this.doneAt, response) || (phase === 'cancelled' && this.isReportedDone(id)))
+    if (this.wasReportedBefore(this.doneAt, response) || (phase === 'cancelled' && this.isReportedDone(id)))
       this.options.violations.report('went_back', `${id} was done, now ${String(phase)}`);
   }
 
   private receiveCancelled(id: JobId): boolean {
     if (!this.isCancellationRequested(id))
       this.options.violations.report('went_back', `${id} was not cancelled by its user`);
-    return this.tell(this.cancelledAt, id);
+    return this.recordFirstReport(this.cancelledAt, id);
   }
 
-  /** Whether the user had learned it when the request was sent. */
-  private isKnown(toldAt: ReadonlyMap<JobId, number>, { id, askedMs }: UserResponse): boolean {
-    const at = toldAt.get(id);
-    return at !== undefined && at <= askedMs;
+  /** Whether this was reported to the user by the time that the response must reflect. */
+  private wasReportedBefore(reportedAt: ReadonlyMap<JobId, number>, { id, asOfMs }: UserResponse): boolean {
+    const at = reportedAt.get(id);
+    return at !== undefined && at <= asOfMs;
   }
 
-  /** Records that the user learned it now; returns true the first time. */
-  private tell(toldAt: Map<JobId, number>, id: JobId): boolean {
-    if (toldAt.has(id)) return false;
-    toldAt.set(id, this.options.now());
+  /** Records the time of the first report; returns whether this is the first one. */
+  private recordFirstReport(reportedAt: Map<JobId, number>, id: JobId): boolean {
+    if (reportedAt.has(id)) return false;
+    reportedAt.set(id, this.options.now());
     return true;
   }
 
@@ -169,20 +172,23 @@
     this.counts = isGiven ? { given: given + 1, refused } : { given, refused: refused + 1 };
     const sinceMs = this.failingPolls.get(id)?.sinceMs ?? now;
     if (isGiven) this.failingPolls.delete(id);
-    this.countUnanswered(id, now - Math.max(sinceMs, this.faultsEndMs));
+    this.recordUnanswered(id, now - Math.max(sinceMs, this.faultsEndMs));
     if (isGiven || call !== 'poll') return;
-    const failing = this.failingPolls.get(id) ?? { sinceMs: now, before: this.counts };
+    const failing = this.failingPolls.get(id) ?? { sinceMs: now, countsBefore: this.counts };
     this.failingPolls.set(id, failing);
-    const others = this.counts.given - failing.before.given;
-    const refusedSince = this.counts.refused - failing.before.refused;
+    const others = this.counts.given - failing.countsBefore.given;
+    const refusedSince = this.counts.refused - failing.countsBefore.refused;
     if (now - failing.sinceMs > FORGOTTEN_MS && others > refusedSince)
-      this.options.violations.report('forgotten', `${id} got no answer for ${now - failing.sinceMs} ms`);
+      this.options.violations.report('forgotten', `${id} got no response for ${now - failing.sinceMs} ms`);
   }
 
-  private countUnanswered(id: JobId, forMs: number): void {
+  private recordUnanswered(id: JobId, forMs: number): void {
     if (!(forMs > this.longestUnansweredMs)) return;
     this.longestUnansweredMs = forMs;
     if (forMs > FORGOTTEN_AFTER_FAULTS_MS)
-      this.options.violations.report('forgotten', `${id} got no answer for ${forMs} ms after all troubles`);
+      this.options.violations.report(
+        'forgotten',
+        `${id} got no response for ${forMs} ms after all faults ended`,
+      );
   }
 }
--- a/packages/testkit/src/rule-checker.ts
+++ b/packages/testkit/src/rule-checker.ts
@@ -74,7 +74,7 @@
     return this.responses.longestUnansweredMs;
   }
 
-  /** Must be called at intervals: a task that stays on a machine can break rules without any event. */
+  /** Checks rules that can be violated without an event, such as by a task that stays on a machine. */
   sweep(): void {
     for (const id of this.responses.cancelledJobs) this.checkCancelled(id);
     this.jobs.countReplicaTime();
@@ -114,7 +114,7 @@
     if (members.length < job.tasks && !this.isTaskDone(job.id, 0))
       this.ruleViolations.report(
         'gang_split',
-        `${job.id} was done with ${members.length} of ${job.tasks} tasks`,
+        `${job.id} completed with ${members.length} of ${job.tasks} tasks on machines`,
       );
     this.doneTasks.set(job.id, new Set(Array.from({ length: job.tasks }, (_, task) => task)));
     this.completeJob(job.id, job.tasks);
@@ -134,9 +134,9 @@
     return this.running.countOfKind(kind);
   }
 
-  /** Records that a job has waited too long although it could run. */
+  /** Reports that a job has waited for too long although it could start. */
   jobStarved(id: JobId, forMs: number): void {
-    this.ruleViolations.report('left_waiting', `${id} for ${forMs} ms`);
+    this.ruleViolations.report('left_waiting', `${id} could start, but waited for ${forMs} ms`);
   }
 
   // --- requests of users and responses ---------------------------------------------------------
@@ -153,17 +153,18 @@
   }
 
   /**
-   * Checks a response to a user. For users with several requests in flight, `askedMs` is when this request
-   * was sent. Returns whether the response told the user something new.
+   * Checks a response to a user. It must be consistent with everything that was reported to the user until
+   * `asOfMs`: for users with several requests in flight, the time when this request was sent. Returns whether
+   * the response changed what was reported to the user.
    */
   responseReceived(
     id: JobId,
     call: UserCall,
     code: number,
     phase: JobPhase | null,
-    askedMs = this.now(),
+    asOfMs = this.now(),
   ): boolean {
-    return this.responses.receive({ id, call, code, phase, askedMs });
+    return this.responses.receive({ id, call, code, phase, asOfMs });
   }
 
   /** Checks the response to a submission that can never run, or that lacks a field. */
@@ -186,7 +187,7 @@
     return this.responses.isCancellationRequested(id);
   }
 
-  /** The times at which users learned something new about a job, ascending. */
+  /** The times at which the reported status of a job changed, ascending. */
   statusChangesOf(id: string): readonly number[] {
     return this.responses.statusChangesOf(id);
   }
@@ -216,10 +217,10 @@
   private checkPlacement(job: JobSpec, task: number, at: TaskPlacement): void {
     const others = this.running.ofJob(job.id);
     const name = `${job.id}/${task}`;
-    const twin = others.find((other) => other.task === task);
-    if (twin !== undefined)
-      this.ruleViolations.report('ran_twice', `${name} on ${twin.machine} and ${at.machine}`);
-    if (!isAllowedOn(job, at) || breaksSpread(job, at, others))
+    const duplicate = others.find((other) => other.task === task);
+    if (duplicate !== undefined)
+      this.ruleViolations.report('ran_twice', `${name} on ${duplicate.machine} and ${at.machine}`);
+    if (!isAllowedOn(job, at) || violatesZoneConstraints(job, at, others))
       this.ruleViolations.report('wrong_place', `${name} on ${at.machine}`);
   }
 
@@ -227,12 +228,12 @@
     const team = this.teams.find((candidate) => candidate.name === name);
     const { cpus, gpus } = this.running.usageOfTeam(name);
     if (team === undefined || cpus > team.cpusMax + EPSILON || gpus > team.gpusMax + EPSILON)
-      this.ruleViolations.report('quota', `${name} uses ${cpus} CPUs`);
+      this.ruleViolations.report('quota', `${name} uses ${cpus} CPUs and ${gpus} accelerators`);
   }
 
   private checkCancelled(id: JobId): void {
-    const toldAt = this.responses.cancelledAtMs(id);
-    if (toldAt === undefined || this.now() <= toldAt + this.cancelMs) return;
+    const reportedAtMs = this.responses.cancelledAtMs(id);
+    if (reportedAtMs === undefined || this.now() <= reportedAtMs + this.cancelMs) return;
     for (const { task, machine } of this.running.ofJob(id))
       this.ruleViolations.report('ran_cancelled', `${id}/${task} on ${machine}`);
   }
@@ -248,7 +249,7 @@
  * Whether the job's tasks would violate its zone constraints: be in several zones, or too many of them in
  * one.
  */
-function breaksSpread(job: JobSpec, at: TaskPlacement, others: readonly RunningTask[]): boolean {
+function violatesZoneConstraints(job: JobSpec, at: TaskPlacement, others: readonly RunningTask[]): boolean {
   if (job.oneZone && others.some((other) => other.zone !== at.zone)) return true;
   const inZone = others.filter((other) => other.zone === at.zone).length;
   return job.spread && inZone + 1 > Math.ceil(job.tasks / 2);
--- a/packages/testkit/src/rule-violations.ts
+++ b/packages/testkit/src/rule-violations.ts
@@ -12,24 +12,24 @@
   | 'wrong_place'
   /** A team used more than its limit. */
   | 'quota'
-  /** A task ran too long after its user was told that the job is cancelled. */
+  /** A task ran for too long after its job was reported to the user as cancelled. */
   | 'ran_cancelled'
-  /** A gang completed with only some of its tasks. */
+  /** A gang completed while only some of its tasks were on machines. */
   | 'gang_split'
   /** An accepted job was unknown to a controller, or got no response for too long. */
   | 'forgotten'
-  /** A controller answered for a job that nobody submitted. */
+  /** A controller reported a status for a job that nobody submitted. */
   | 'invented'
-  /** A user was told that a job is done before all of its tasks were. */
+  /** A job was reported as done before all of its tasks were done. */
   | 'not_done'
-  /** A user was told something that contradicts an earlier response. */
+  /** A response contradicted an earlier response about the same job. */
   | 'went_back'
-  /** A job that could run did not begin for too long. */
+  /** A job waited for too long although it could start. */
   | 'left_waiting'
   /** A submission that can never run, or that lacks a field, was accepted. */
   | 'accepted_wrongly';
 
-/** A violated rule, with the time (in milliseconds) and the cause. */
+/** A violated rule, with the time in milliseconds and a description of the violation. */
 export interface RuleViolation {
   readonly rule: RuleName;
   readonly atMs: number;
--- a/packages/testkit/src/starvation.ts
+++ b/packages/testkit/src/starvation.ts
@@ -1,5 +1,5 @@
 /**
- * Detects jobs that keep waiting although they could run.
+ * Detects jobs that keep waiting although they could start.
  *
  * @module
  */
@@ -8,23 +8,23 @@
 import type { JobId, JobSpec } from '@spurbridge/wire';
 import type { World } from './world.js';
 
-/** Once all faults are over, no job may wait for this long although it could run, in milliseconds. */
+/** Maximum waiting time of a job that could start, once all faults are over, in milliseconds. */
 export const STARVATION_LIMIT_MS = 90_000;
 const CHECK_INTERVAL_MS = 1000;
 
 /** Whether the job could start at once: one task of an array or a service, all tasks of a gang. */
 export function couldStart(world: World, spec: JobSpec): boolean {
-  const leastTasks = spec.kind === 'gang' ? spec.tasks : 1;
-  if (!hasQuota(world, spec, leastTasks)) return false;
+  const minTasks = spec.kind === 'gang' ? spec.tasks : 1;
+  if (!hasQuota(world, spec, minTasks)) return false;
   const workers = [...world.workers.values()];
   const zones = spec.oneZone ? [...new Set(workers.map((worker) => worker.zone))] : [null];
   return zones.some((zone) => {
     const inZone = workers.filter((worker) => zone === null || worker.zone === zone);
-    return inZone.reduce((sum, worker) => sum + fittingTasks(worker, spec), 0) >= leastTasks;
+    return inZone.reduce((sum, worker) => sum + fittingTasks(worker, spec), 0) >= minTasks;
   });
 }
 
-/** Reports every starved job once all faults are over; checks once a second. */
+/** Once all faults are over, checks every second for starved jobs and reports them. */
 export function watchForStarvation(world: World): void {
   const waitingSince = new Map<JobId, number>();
   const check = (): void => {
@@ -87,9 +87,9 @@
     memoryGb -= job.memoryGb;
   }
   const fitting = Math.min(
-    timesIn(cpus, spec.cpus),
-    timesIn(gpus, spec.gpus),
-    timesIn(memoryGb, spec.memoryGb),
+    countThatFit(cpus, spec.cpus),
+    countThatFit(gpus, spec.gpus),
+    countThatFit(memoryGb, spec.memoryGb),
   );
   return Math.max(0, fitting);
 }
@@ -101,6 +101,6 @@
   return spec.spot || !worker.spot;
 }
 
-function timesIn(free: number, each: number): number {
-  return each <= 0 ? Infinity : Math.floor((free + EPSILON) / each);
+function countThatFit(available: number, each: number): number {
+  return each <= 0 ? Infinity : Math.floor((available + EPSILON) / each);
 }
--- a/packages/testkit/src/users.ts
+++ b/packages/testkit/src/users.ts
@@ -18,17 +18,17 @@
 /** Default minimum time between two polls for an accepted job, in milliseconds. */
 export const DEFAULT_POLL_MS = 1500;
 const RESUBMIT_MS = 1500;
-/** One final response in this many is requested again: it must stay the same. */
-const FINAL_POLLS = 4;
-/** After news the user polls every node, at random times up to each of these, in milliseconds. */
-const BURST_WITHIN_MS = [3, 10, 30, 90, 250] as const;
-/** In a burst, one request in this many repeats the submission. */
-const RESUBMISSIONS_IN_BURST = 3;
-/** One job in this many is cancelled right after news of it. */
-const CANCELLATIONS_AFTER_NEWS = 6;
+/** Average number of final responses after which a user stops polling; repeated ones must stay the same. */
+const MEAN_FINAL_POLLS = 4;
+/** In a poll burst, every node is polled once at a random time within each of these windows, in milliseconds. */
+const POLL_BURST_WINDOWS_MS = [3, 10, 30, 90, 250] as const;
+/** In a poll burst, one request in this many repeats the submission instead. */
+const RESUBMIT_ONE_IN = 3;
+/** One poll burst in this many also cancels the job. */
+const CANCEL_ONE_IN = 6;
 const RETRY_CANCEL_MS = 1000;
 const RETRY_CANCEL_SPREAD_MS = 500;
-const CANCEL_TOGETHER_WITHIN_MS = 200;
+const CANCEL_SPREAD_MS = 200;
 /** Ids of malformed submissions begin after this number. */
 const FIRST_MALFORMED_JOB = 900_000;
 
@@ -37,8 +37,8 @@
 /** Simulates all users of an environment. */
 export class Users {
   private readonly cancelAtMs = new Map<JobId, number>();
-  /** Jobs that may have several requests in flight, for which the order of sending matters. */
-  private readonly concurrentlyAsked = new Set<JobId>();
+  /** Jobs that may have several requests in flight, so that responses can arrive out of order. */
+  private readonly jobsWithConcurrentRequests = new Set<JobId>();
   private malformedCount = 0;
 
   constructor(
@@ -56,19 +56,19 @@
     const { world } = this;
     world.checker.jobSubmitted(spec);
     let isAccepted = false;
-    let isOver = false;
+    let isFinished = false;
     if (cancelAtMs !== null) this.cancelAtMs.set(spec.id, cancelAtMs);
-    const ask = (): void => {
-      if (isOver) return;
+    const sendNext = (): void => {
+      if (isFinished) return;
       const node = world.random(world.nodes.length);
       this.sendRequest(node, this.nextCall(spec.id, isAccepted), spec, (response) => {
         if (isSuccess(response)) isAccepted = true;
-        if (isFinal(response)) isOver = world.random(FINAL_POLLS) === 0;
+        if (isFinal(response)) isFinished = world.random(MEAN_FINAL_POLLS) === 0;
       });
-      const leastMs = isAccepted ? this.pollMs : RESUBMIT_MS;
-      world.time.after(leastMs + world.random(2 * leastMs), ask);
+      const minIntervalMs = isAccepted ? this.pollMs : RESUBMIT_MS;
+      world.time.after(minIntervalMs + world.random(2 * minIntervalMs), sendNext);
     };
-    ask();
+    sendNext();
   }
 
   /**
@@ -99,19 +99,19 @@
   /** Requests cancellation until there is a final response. */
   cancelUntilConfirmed(spec: JobSpec): void {
     const { world } = this;
-    this.concurrentlyAsked.add(spec.id);
-    let isOver = false;
-    const ask = (): void => {
-      if (isOver) return;
+    this.jobsWithConcurrentRequests.add(spec.id);
+    let isFinished = false;
+    const sendNext = (): void => {
+      if (isFinished) return;
       this.sendRequest(world.random(world.nodes.length), 'cancel', spec, (response) => {
-        isOver = isFinal(response);
+        isFinished = isFinal(response);
       });
-      world.time.after(RETRY_CANCEL_MS + world.random(RETRY_CANCEL_SPREAD_MS), ask);
+      world.time.after(RETRY_CANCEL_MS + world.random(RETRY_CANCEL_SPREAD_MS), sendNext);
     };
-    ask();
+    sendNext();
   }
 
-  /** Users cancel up to this many random running arrays and gangs within a fifth of a second. */
+  /** Users cancel up to this many running arrays and gangs, each at a random time within 200 ms. */
   cancelRunningJobs(count: number): JobSpec[] {
     const { world } = this;
     const { checker } = world;
@@ -121,15 +121,15 @@
     );
     const chosen = running.slice(0, count);
     for (const spec of chosen)
-      world.time.after(world.random(CANCEL_TOGETHER_WITHIN_MS), () => {
+      world.time.after(world.random(CANCEL_SPREAD_MS), () => {
         this.cancelUntilConfirmed(spec);
       });
     return chosen;
   }
 
   /**
-   * Repeats known submissions, also in part, cancels jobs that are done, and sends submissions that must be
-   * rejected.
+   * Repeats the submission of an accepted job, sometimes with a field missing; cancels the job if it is done;
+   * and sends a submission that must be rejected.
    */
   sendMalformedRequest(): void {
     const { world } = this;
@@ -155,11 +155,11 @@
     onResponse: ResponseListener,
   ): void {
     const { world } = this;
-    const askedMs = this.concurrentlyAsked.has(spec.id) ? sentAtMs : world.time.now;
+    const asOfMs = this.jobsWithConcurrentRequests.has(spec.id) ? sentAtMs : world.time.now;
     const phase = 'status' in response ? response.status.phase : null;
-    const isNews = world.checker.responseReceived(spec.id, call, jobStatusCode(response), phase, askedMs);
+    const hasChanged = world.checker.responseReceived(spec.id, call, jobStatusCode(response), phase, asOfMs);
     onResponse(response);
-    if (isNews && world.faults.shouldInject('pollBursts')) this.startPollBurst(spec);
+    if (hasChanged && world.faults.shouldInject('pollBursts')) this.startPollBurst(spec);
   }
 
   /**
@@ -167,21 +167,20 @@
    */
   private startPollBurst(spec: JobSpec): void {
     const { world } = this;
-    this.concurrentlyAsked.add(spec.id);
-    for (const withinMs of BURST_WITHIN_MS)
+    this.jobsWithConcurrentRequests.add(spec.id);
+    for (const withinMs of POLL_BURST_WINDOWS_MS)
       for (let node = 0; node < world.nodes.length; node += 1) {
-        const call = world.random(RESUBMISSIONS_IN_BURST) === 0 ? 'submit' : 'poll';
+        const call = world.random(RESUBMIT_ONE_IN) === 0 ? 'submit' : 'poll';
         world.time.after(world.random(withinMs), () => {
           this.sendRequest(node, call, spec);
         });
       }
-    if (spec.kind !== 'service' && world.random(CANCELLATIONS_AFTER_NEWS) === 0)
-      this.cancelUntilConfirmed(spec);
+    if (spec.kind !== 'service' && world.random(CANCEL_ONE_IN) === 0) this.cancelUntilConfirmed(spec);
   }
 
   private repeatSubmission(node: number, spec: JobSpec): void {
     const { world } = this;
-    this.concurrentlyAsked.add(spec.id);
+    this.jobsWithConcurrentRequests.add(spec.id);
     const body = formatSubmission(spec);
     if (world.random(2) === 0) Reflect.deleteProperty(body, world.random(2) === 0 ? 'memGb' : 'shape');
     this.sendRequest(node, 'submit', spec, () => undefined, body);
