--- a/packages/testkit/src/clock.ts
+++ b/packages/testkit/src/clock.ts
@@ -16,7 +16,7 @@
   return a.at - b.at || a.order - b.order;
 }
 
-/** The true time of a simulated environment: timers run in order, and the code between them takes no time. */
+/** The time of a simulated environment: timers run in order, and the code that they run takes no time. */
 export class SimTime {
   private nowMs = 0;
   private order = 0;
@@ -35,7 +35,7 @@
     this.timers.push({ at: this.nowMs + Math.max(0, ms), order: this.order++, run });
   }
 
-  /** Runs all timers due until then; promises settle after each timer. */
+  /** Runs all timers that are due by `untilMs`; promises settle after each timer. */
   async runUntil(untilMs: number): Promise<void> {
     for (;;) {
       const next = this.timers.peek();
@@ -53,7 +53,7 @@
 export class ProcessClock implements Clock {
   /** False once the process has ended. */
   alive = true;
-  /** The process is suspended until then, though its clock runs on. */
+  /** The process is suspended until this simulated time, while its clock continues to run. */
   private frozenUntil = 0;
 
   constructor(
@@ -67,7 +67,7 @@
     return (this.time.now * this.rate + this.offset) as MonotonicMs;
   }
 
-  /** Suspends the process until then; its timers fire late. */
+  /** Suspends the process until this simulated time; its timers fire late. */
   freeze(untilMs: number): void {
     this.frozenUntil = Math.max(this.frozenUntil, untilMs);
   }
--- a/packages/testkit/src/cloud.ts
+++ b/packages/testkit/src/cloud.ts
@@ -26,7 +26,7 @@
   readonly bootMs: (type: MachineType) => number;
   /** A machine came up. */
   readonly onMachineUp: (id: MachineId, type: MachineType, zone: string, spot: boolean) => void;
-  /** A machine is gone with everything on it. */
+  /** A machine ended, including all tasks on it. */
   readonly onMachineEnded: (id: MachineId) => void;
   readonly isMachineUp: (id: MachineId) => boolean;
 }
@@ -48,7 +48,7 @@
   readonly reusedRequestNames: string[] = [];
   private readonly requests = new Map<string, FulfilledRequest>();
   private readonly rented: RentedMachine[] = [];
-  private readonly goneAt = new Map<MachineId, number>();
+  private readonly releasedAt = new Map<MachineId, number>();
   private readonly failedAt = new Map<MachineId, number>();
   private machineCount = 0;
 
@@ -85,10 +85,10 @@
     return { outcome: 'rented', machines };
   }
 
-  /** Removes the machines and everything on them; unknown names are ignored. */
+  /** Releases the machines and ends all tasks on them; unknown ids are ignored. */
   release(ids: readonly MachineId[]): true {
     for (const id of ids) {
-      if (!this.goneAt.has(id)) this.goneAt.set(id, this.time.now);
+      if (!this.releasedAt.has(id)) this.releasedAt.set(id, this.time.now);
       this.options.onMachineEnded(id);
     }
     return true;
@@ -105,7 +105,7 @@
     const { listLagMs, random } = this.options;
     const asOfMs = this.time.now - listLagMs - random(listLagMs);
     return this.rented
-      .filter(({ atMs, id }) => atMs <= asOfMs && (this.goneAt.get(id) ?? Infinity) > asOfMs)
+      .filter(({ atMs, id }) => atMs <= asOfMs && (this.releasedAt.get(id) ?? Infinity) > asOfMs)
       .map(({ atMs, id, machine }) => ({
         ...machine,
         phase: this.phaseOf(id, asOfMs),
@@ -127,7 +127,7 @@
   private bootMachine(type: MachineType, zone: string, spot: boolean): MachineId {
     const id = this.addMachine(type, zone, spot);
     this.time.after(this.options.bootMs(type), () => {
-      if (!this.goneAt.has(id)) this.options.onMachineUp(id, type, zone, spot);
+      if (!this.releasedAt.has(id)) this.options.onMachineUp(id, type, zone, spot);
     });
     return id;
   }
@@ -135,7 +135,7 @@
   private countInUse({ type, zone, spot }: RentalRequest): number {
     return this.rented.filter(
       ({ id, machine }) =>
-        !this.goneAt.has(id) &&
+        !this.releasedAt.has(id) &&
         !this.failedAt.has(id) &&
         machine.type === type &&
         machine.zone === zone &&
--- a/packages/testkit/src/combined-faults.ts
+++ b/packages/testkit/src/combined-faults.ts
@@ -1,6 +1,6 @@
 /**
  * Combined faults: two or more faults that begin within a few seconds of each other, generated from a seed.
- * Combinations of two faults were found to break rules that hold under each fault alone.
+ * Two faults together can cause violations of rules that hold under each fault alone.
  *
  * @module
  */
@@ -16,7 +16,8 @@
 const SINGLE_TASK_JOB_INTERVAL_MS = 250;
 const MAX_SINGLE_TASK_JOBS_MS = 30_000;
 const FIRST_SINGLE_TASK_JOB = 500_000;
-const SINGLE_TASK_JOBS_EACH = 1000;
+/** Each series of single-task jobs has its own block of job ids, selected by the number of earlier jobs. */
+const SINGLE_TASK_JOB_ID_BLOCK = 1000;
 const MALFORMED_REQUEST_INTERVAL_MS = 400;
 const MAX_FAILOVERS_MS = 8000;
 const MIN_FAILOVER_GAP_MS = 400;
@@ -37,11 +38,11 @@
 
 const FIRST_FAULT_MS = 20_000;
 const FIRST_FAULT_SPREAD_MS = 35_000;
-const TOGETHER_WITHIN_MS = 10_000;
+const FAULT_START_SPREAD_MS = 10_000;
 const MIN_FAULT_MS = 2000;
 const FAULT_LENGTH_SPREAD_MS = 40_000;
 
-/** Begins a fault now that ends after this many milliseconds. */
+/** Begins a fault at once; the fault ends after `forMs` milliseconds. */
 type CombinableFault = (world: World, forMs: number) => void;
 
 /** The faults that are combined, by name; the seed selects them by position, so the order must not change. */
@@ -59,7 +60,7 @@
   'outbound-partitioned machines': partitionMachinesOneWay('outboundPartitioned'),
   'cancelled at once, some machines hang': cancelAndHang,
   'malformed requests': (world, forMs) => {
-    repeat(world, MALFORMED_REQUEST_INTERVAL_MS, forMs, () => {
+    runRepeatedly(world, MALFORMED_REQUEST_INTERVAL_MS, forMs, () => {
       world.users.sendMalformedRequest();
     });
   },
@@ -72,17 +73,17 @@
   'leader refused by the store': refuseLeader,
   'store outage': storeOutage,
   'leader cut off from store and peers': (world, forMs) => {
-    const node = leaderOrAny(world);
+    const node = leaderOrRandomNode(world);
     partitionNode(world, node, [STORE_HOST, ...otherNodes(world, node)], forMs);
   },
   'leader cut off from machines': (world, forMs) => {
-    partitionNode(world, leaderOrAny(world), [...world.workers.keys()], forMs);
+    partitionNode(world, leaderOrRandomNode(world), [...world.workers.keys()], forMs);
   },
   'leader frozen': (world, forMs) => {
-    world.freeze(leaderOrAny(world), forMs);
+    world.freeze(leaderOrRandomNode(world), forMs);
   },
   'leader ends': (world) => {
-    world.crash(leaderOrAny(world), randomRestartMs(world));
+    world.crash(leaderOrRandomNode(world), randomRestartMs(world));
   },
   'all nodes end, one returns first': crashAllNodes,
   'repeated failovers': failOverRepeatedly,
@@ -99,7 +100,7 @@
   for (let remaining = 2 + world.random(max - 1); remaining > 0; remaining -= 1) {
     const name = names.splice(world.random(names.length), 1)[0] ?? '';
     drawn.push(name);
-    const atMs = firstMs + world.random(TOGETHER_WITHIN_MS);
+    const atMs = firstMs + world.random(FAULT_START_SPREAD_MS);
     const forMs = Math.min(FAULTS_END_MS - atMs, MIN_FAULT_MS + world.random(FAULT_LENGTH_SPREAD_MS));
     world.time.after(atMs, () => COMBINABLE_FAULTS[name]?.(world, forMs));
   }
@@ -108,10 +109,10 @@
 
 /** Jobs of one task, four a second, a quarter of which are cancelled soon afterwards. */
 export function startSingleTaskJobs(world: World, forMs: number): void {
-  const first = world.checker.submitted.size;
+  const block = world.checker.submitted.size;
   let count = 0;
-  repeat(world, SINGLE_TASK_JOB_INTERVAL_MS, forMs, () => {
-    const id = jobId(FIRST_SINGLE_TASK_JOB + first * SINGLE_TASK_JOBS_EACH + (count += 1));
+  runRepeatedly(world, SINGLE_TASK_JOB_INTERVAL_MS, forMs, () => {
+    const id = jobId(FIRST_SINGLE_TASK_JOB + block * SINGLE_TASK_JOB_ID_BLOCK + (count += 1));
     const spec = jobSpec({ id, class: 'one-task', tasks: 1, cpus: 1, estimateS: 1 + world.random(4) });
     world.startUser(spec, world.random(4) === 0 ? world.time.now + world.random(4000) : null);
   });
@@ -142,10 +143,10 @@
   });
 }
 
-/** Removes machines, and lets new ones boot at once. */
+/** Reclaims random machines, and lets new machines boot within two seconds. */
 function replaceMachines(world: World, forMs: number): void {
   world.faults.fastBoots = true;
-  for (const id of someMachines(world)) world.reclaimMachine(id);
+  for (const id of randomMachines(world)) world.reclaimMachine(id);
   world.time.after(forMs, () => {
     world.faults.fastBoots = false;
   });
@@ -153,7 +154,7 @@
 
 function partitionMachinesOneWay(kind: 'inboundPartitioned' | 'outboundPartitioned'): CombinableFault {
   return (world, forMs) => {
-    const machines = someMachines(world);
+    const machines = randomMachines(world);
     for (const id of machines) world.faults[kind].add(id);
     world.time.after(forMs, () => {
       for (const id of machines) world.faults[kind].delete(id);
@@ -162,7 +163,7 @@
 }
 
 function partitionMachines(world: World, forMs: number): void {
-  const machines = someMachines(world);
+  const machines = randomMachines(world);
   const mode = world.random(2) === 0 ? 'hold' : 'drop';
   for (const id of machines) for (const node of world.nodes) world.network.partition(node.name, id, mode);
   world.time.after(forMs, () => {
@@ -187,7 +188,7 @@
 }
 
 function hangMachines(world: World, forMs: number): void {
-  const machines = someMachines(world);
+  const machines = randomMachines(world);
   for (const id of machines) world.workers.get(id)?.hang();
   world.time.after(forMs, () => {
     for (const id of machines) world.workers.get(id)?.resume();
@@ -195,7 +196,7 @@
 }
 
 function refuseLeader(world: World, forMs: number): void {
-  const node = world.nodes[leaderOrAny(world)];
+  const node = world.nodes[leaderOrRandomNode(world)];
   if (node === undefined) return;
   node.store.isRefused = true;
   world.time.after(forMs, () => {
@@ -228,18 +229,18 @@
   const untilMs = Math.min(forMs, MAX_FAILOVERS_MS);
   for (let ms = 0; ms < untilMs; ms += MIN_FAILOVER_GAP_MS + world.random(FAILOVER_GAP_SPREAD_MS))
     world.time.after(ms, () => {
-      world.crash(leaderOrAny(world), QUICK_RESTARTS_MS[world.random(QUICK_RESTARTS_MS.length)]);
+      world.crash(leaderOrRandomNode(world), QUICK_RESTARTS_MS[world.random(QUICK_RESTARTS_MS.length)]);
     });
 }
 
 /** Selects each machine that is up with probability one half. */
-function someMachines(world: World): MachineId[] {
+function randomMachines(world: World): MachineId[] {
   const up = [...world.workers.values()].filter((worker) => worker.alive).map((worker) => worker.id);
   return up.filter(() => world.random(2) === 0);
 }
 
 /** The leader, or a random node if there is none. */
-function leaderOrAny(world: World): number {
+function leaderOrRandomNode(world: World): number {
   const leader = leaderIndex(world);
   return leader < 0 ? world.random(world.nodes.length) : leader;
 }
@@ -248,7 +249,7 @@
   return world.nodes.filter((_, index) => index !== node).map(({ name }) => name);
 }
 
-/** Calls back at these intervals, first now, for this long. */
-function repeat(world: World, intervalMs: number, forMs: number, run: () => void): void {
+/** Calls back immediately and then at this interval, for `forMs` milliseconds. */
+function runRepeatedly(world: World, intervalMs: number, forMs: number, run: () => void): void {
   for (let ms = 0; ms < forMs; ms += intervalMs) world.time.after(ms, run);
 }
--- a/packages/testkit/src/data-loss.ts
+++ b/packages/testkit/src/data-loss.ts
@@ -54,8 +54,8 @@
 const FAILOVER_BEFORE_LOSS_MS = 500;
 const SECOND_LOSS_AFTER_MS = 9000;
 const LOSS_DURING_RECOVERY_MS = 350;
-const ZONE_CUT_BEFORE_MS = 4000;
-const CUT_ZONE = 'b';
+const PARTITION_BEFORE_LOSS_MS = 4000;
+const PARTITIONED_ZONE = 'b';
 
 /** Schedules a loss of data at this time, in milliseconds since the start of the simulation. */
 export function injectDataLoss(world: World, loss: DataLoss, atMs: number): void {
@@ -91,7 +91,7 @@
         world.store.clear();
       });
     case 'a zone cut off':
-      return partitionZone(world, CUT_ZONE, atMs - ZONE_CUT_BEFORE_MS, FAULTS_END_MS);
+      return partitionZone(world, PARTITIONED_ZONE, atMs - PARTITION_BEFORE_LOSS_MS, FAULTS_END_MS);
   }
 }
 
--- a/packages/testkit/src/fault-injector.ts
+++ b/packages/testkit/src/fault-injector.ts
@@ -6,7 +6,7 @@
 import type { MachineId } from '@spurbridge/wire';
 
 /** Delay of a transaction that is executed without a response, in milliseconds. */
-const WRITE_DELAY_MS = { least: 2000, most: 12_000 };
+const WRITE_DELAY_MS = { min: 2000, max: 12_000 };
 /** Minimum delay of a duplicated heartbeat in milliseconds, and the maximum in worker leases. */
 const MIN_DUPLICATE_DELAY_MS = 2000;
 const MAX_DUPLICATE_DELAY_LEASES = 1.5;
@@ -14,8 +14,8 @@
 const MAX_COMMAND_DELAY_MS = 9000;
 /** Maximum boot time under fast boots, in milliseconds. */
 const FAST_BOOT_MS = 1900;
-/** Rates are drawn in thousandths. */
-const SHARE_STEPS = 1000;
+/** Shares are compared with random numbers in thousandths. */
+const SHARE_RESOLUTION = 1000;
 
 /** Faults that affect a share of the messages or events, and are counted. */
 export type CountedFault =
@@ -29,8 +29,8 @@
 
 /** Delays of a direct command and of its response, in milliseconds. */
 export interface CommandDelay {
-  readonly there: number;
-  readonly back: number;
+  readonly requestMs: number;
+  readonly responseMs: number;
 }
 
 /** Decides which messages are affected by which faults. No random number is drawn for a disabled fault. */
@@ -49,7 +49,7 @@
   replayedHeartbeats = 0;
   /** Share of ending jobs that are cancelled at that moment. */
   cancellationsAtCompletion = 0;
-  /** Share of news to users after which they poll all nodes within milliseconds. */
+  /** Share of changes of a reported status after which the user polls all nodes within milliseconds. */
   pollBursts = 0;
   /** Share of heartbeats that are duplicated, with the duplicate arriving late. */
   duplicateHeartbeats = 0;
@@ -78,7 +78,7 @@
   /** Whether this message or event is affected; if so, the fault is counted. */
   shouldInject(kind: CountedFault): boolean {
     // Nothing is drawn for a disabled fault, so that runs without it keep their random sequence.
-    if (this[kind] <= 0 || this.random(SHARE_STEPS) >= this[kind] * SHARE_STEPS) return false;
+    if (this[kind] <= 0 || this.random(SHARE_RESOLUTION) >= this[kind] * SHARE_RESOLUTION) return false;
     this.counts[kind] += 1;
     return true;
   }
@@ -88,8 +88,8 @@
    * affected.
    */
   writeDelayMs(): number | null {
-    const { least, most } = WRITE_DELAY_MS;
-    return this.shouldInject('delayedWrites') ? least + this.random(most - least) : null;
+    const { min, max } = WRITE_DELAY_MS;
+    return this.shouldInject('delayedWrites') ? min + this.random(max - min) : null;
   }
 
   /** Whether only the response to this transaction is lost. */
@@ -110,14 +110,14 @@
   /** The delay of a duplicate of this heartbeat, in milliseconds; null if there is none. */
   duplicateHeartbeatDelayMs(): number | null {
     if (!this.shouldInject('duplicateHeartbeats')) return null;
-    const most = this.leaseMs * MAX_DUPLICATE_DELAY_LEASES;
-    return MIN_DUPLICATE_DELAY_MS + this.random(most - MIN_DUPLICATE_DELAY_MS);
+    const max = this.leaseMs * MAX_DUPLICATE_DELAY_LEASES;
+    return MIN_DUPLICATE_DELAY_MS + this.random(max - MIN_DUPLICATE_DELAY_MS);
   }
 
   /** The delays of a direct command and of its response, in milliseconds. */
   commandDelayMs(): CommandDelay {
-    if (!this.shouldInject('delayedCommands')) return { there: 0, back: 0 };
+    if (!this.shouldInject('delayedCommands')) return { requestMs: 0, responseMs: 0 };
     const ms = this.random(MAX_COMMAND_DELAY_MS);
-    return this.random(2) === 0 ? { there: ms, back: 0 } : { there: 0, back: ms };
+    return this.random(2) === 0 ? { requestMs: ms, responseMs: 0 } : { requestMs: 0, responseMs: ms };
   }
 }
--- a/packages/testkit/src/generated-jobs.ts
+++ b/packages/testkit/src/generated-jobs.ts
@@ -19,20 +19,20 @@
 /** A job with the times at which its user submits and cancels it, in milliseconds. */
 export interface GeneratedJob {
   readonly spec: JobSpec;
-  readonly at: number;
-  readonly cancelAt: number | null;
+  readonly submitAtMs: number;
+  readonly cancelAtMs: number | null;
 }
 
-/** Generates jobs of every shape; some are cancelled, services always. */
+/** Generates jobs of every kind; all services and some other jobs are cancelled. */
 export function generateJobs(world: World): GeneratedJob[] {
   return Array.from({ length: JOB_COUNT }, (_, index) => generateJob(world, index));
 }
 
 /** Generates jobs, and starts a user for each at its time. */
 export function startGeneratedJobs(world: World): void {
-  for (const { spec, at, cancelAt } of generateJobs(world))
-    world.time.after(at, () => {
-      world.startUser(spec, cancelAt);
+  for (const { spec, submitAtMs, cancelAtMs } of generateJobs(world))
+    world.time.after(submitAtMs, () => {
+      world.startUser(spec, cancelAtMs);
     });
 }
 
@@ -43,10 +43,10 @@
     .map(({ id }) => id);
 }
 
-/** The order of the random draws determines the meaning of a seed and must not change. */
+/** The order of the random draws must not change, because it determines which jobs a seed generates. */
 function generateJob(world: World, index: number): GeneratedJob {
   const kind = KINDS[world.random(KINDS.length)] ?? 'array';
-  const at = world.random(SUBMITTED_WITHIN_MS);
+  const submitAtMs = world.random(SUBMITTED_WITHIN_MS);
   const generated = jobSpec({
     id: jobId(index),
     class: kind,
@@ -66,6 +66,8 @@
   });
   const gpus = kind === 'gang' && generated.team === 'red' ? index % 3 : 0;
   const isCancelled = kind === 'service' || world.random(4) === 0;
-  const cancelAt = isCancelled ? at + MIN_CANCELLATION_MS + world.random(CANCELLATION_SPREAD_MS) : null;
-  return { spec: { ...generated, gpus }, at, cancelAt };
+  const cancelAtMs = isCancelled
+    ? submitAtMs + MIN_CANCELLATION_MS + world.random(CANCELLATION_SPREAD_MS)
+    : null;
+  return { spec: { ...generated, gpus }, submitAtMs, cancelAtMs };
 }
--- a/packages/testkit/src/heartbeat-replay.ts
+++ b/packages/testkit/src/heartbeat-replay.ts
@@ -9,12 +9,12 @@
 import type { NodeDirectory } from './sim-node.js';
 
 /** Maximum number of copies kept for the next leader. */
-const MAX_KEPT = 400;
+const MAX_KEPT_COPIES = 400;
 const LEADER_CHECK_MS = 5;
 
 /** Delivers copies of heartbeats; responses to copies are ignored. */
 export class HeartbeatReplay {
-  private readonly kept: Heartbeat[] = [];
+  private readonly keptCopies: Heartbeat[] = [];
 
   constructor(
     private readonly time: SimTime,
@@ -33,15 +33,15 @@
 
   /** Keeps a copy until a node becomes leader; all copies are then sent to all nodes at once. */
   keepForNextLeader(heartbeat: Heartbeat): void {
-    this.kept.push(heartbeat);
-    if (this.kept.length > MAX_KEPT) this.kept.shift();
-    if (this.kept.length === 1) this.awaitLeaderAfter(this.directory.highestLeadingToken());
+    this.keptCopies.push(heartbeat);
+    if (this.keptCopies.length > MAX_KEPT_COPIES) this.keptCopies.shift();
+    if (this.keptCopies.length === 1) this.awaitLeaderAfter(this.directory.highestLeadingToken());
   }
 
   private awaitLeaderAfter(token: number): void {
     const current = this.directory.highestLeadingToken();
     if (current > token && token > 0) {
-      for (const heartbeat of this.kept.splice(0))
+      for (const heartbeat of this.keptCopies.splice(0))
         for (const node of this.directory.nodes) this.deliverCopy(node.name, heartbeat);
       return;
     }
--- a/packages/testkit/src/key-value-store.ts
+++ b/packages/testkit/src/key-value-store.ts
@@ -64,7 +64,7 @@
 export class SimKeyValueStore {
   /** Called for every transaction that reached the store, once it has been executed or rejected. */
   onCommit: CommitListener | null = null;
-  /** The number of transactions over the protocol's limits, which a real store would always reject. */
+  /** The number of transactions that exceed the protocol's limits; a real store would always reject them. */
   oversizedCommits = 0;
   private readonly entries = new Map<string, Entry>();
   private readonly leases: LeaseTable;
@@ -111,7 +111,7 @@
     this.isOut = isOut;
     if (isOut) return;
     this.expireLeases();
-    this.wakeWatches();
+    this.notifyWatches();
   }
 
   /** All keys, sorted. */
@@ -172,7 +172,7 @@
     if (!this.leases.remove(id)) return;
     this.revision += 1;
     for (const [key, entry] of [...this.entries]) if (entry.lease === id) this.delete(key);
-    this.wakeWatches();
+    this.notifyWatches();
   }
 
   /** Ends expired leases, except during an outage. */
@@ -188,7 +188,7 @@
 
   /** Whether all events after this revision are still retained. */
   hasEventsSince(after: number): boolean {
-    return this.history.reachesBackTo(after);
+    return this.history.retainsEventsAfter(after);
   }
 
   /** Drops all but the latest events; a watch from an earlier revision requires reading the keys again. */
@@ -197,8 +197,8 @@
   }
 
   /** Calls back once, when a key with the prefix changes after the revision or the timeout passes. */
-  waitForChange(prefix: string, after: number, timeoutMs: number, wake: () => void): void {
-    this.history.wait(prefix, after, timeoutMs, wake);
+  waitForChange(prefix: string, after: number, timeoutMs: number, notify: () => void): void {
+    this.history.wait(prefix, after, timeoutMs, notify);
   }
 
   /** A consistent checkpoint, to be restored later. */
@@ -255,7 +255,7 @@
   /** Resets only the revision counter. */
   rollBackRevision(revision: number): void {
     this.revision = Math.min(this.revision, revision);
-    this.history.wakeAll();
+    this.history.notifyAll();
   }
 
   private execute(compares: readonly Compare[], mutations: readonly Mutation[]): CommitOutcome {
@@ -272,7 +272,7 @@
     for (const mutation of mutations)
       if ('put' in mutation) this.put(mutation.put, mutation.value, mutation.lease ?? null);
       else this.delete(mutation.delete);
-    this.wakeWatches();
+    this.notifyWatches();
     return { outcome: 'committed', revision: this.currentRevision() };
   }
 
@@ -297,8 +297,8 @@
     if (this.entries.delete(key)) this.history.append({ delete: key, version: this.revision as Version });
   }
 
-  private wakeWatches(): void {
-    if (!this.isOut) this.history.wakeReady();
+  private notifyWatches(): void {
+    if (!this.isOut) this.history.notifyReady();
   }
 
   private replaceAll(checkpoint: StoreCheckpoint, entries: ReadonlyMap<string, Entry>): void {
@@ -307,7 +307,7 @@
     this.leases.replace(checkpoint.leases, checkpoint.nextLeaseId);
     this.history.replace(checkpoint.history);
     this.revision = checkpoint.revision;
-    this.history.wakeAll();
+    this.history.notifyAll();
   }
 }
 
--- a/packages/testkit/src/network.ts
+++ b/packages/testkit/src/network.ts
@@ -5,10 +5,10 @@
  */
 import type { SimTime } from './clock.js';
 
-/** What happens to messages on a partitioned link: they are held until it heals, or lost. */
+/** Whether messages on a partitioned link are held until the link heals, or dropped. */
 export type PartitionMode = 'hold' | 'drop';
 
-/** Minimum latency of a message; up to `LATENCY_SPREAD_MS` is added. */
+/** Minimum latency of a message; a random part below `LATENCY_SPREAD_MS` is added. */
 const MIN_LATENCY_MS = 1;
 const LATENCY_SPREAD_MS = 8;
 /** Held messages arrive within this time after the link healed, in milliseconds. */
@@ -19,7 +19,7 @@
   /** Maximum additional latency of every message, in milliseconds. */
   extraLatencyMs = 0;
   private readonly partitions = new Map<string, PartitionMode>();
-  private readonly heldBack = new Map<string, (() => void)[]>();
+  private readonly heldMessages = new Map<string, (() => void)[]>();
 
   constructor(
     private readonly time: SimTime,
@@ -40,8 +40,8 @@
   heal(host: string, other: string): void {
     const link = SimNetwork.linkKey(host, other);
     this.partitions.delete(link);
-    const held = this.heldBack.get(link) ?? [];
-    this.heldBack.delete(link);
+    const held = this.heldMessages.get(link) ?? [];
+    this.heldMessages.delete(link);
     for (const deliver of held) this.time.after(this.random(HELD_SPREAD_MS), deliver);
   }
 
@@ -53,8 +53,8 @@
       const latencyMs = MIN_LATENCY_MS + this.random(LATENCY_SPREAD_MS) + this.random(this.extraLatencyMs);
       this.time.after(latencyMs, deliver);
     } else if (mode === 'hold') {
-      const held = this.heldBack.get(link);
-      if (held === undefined) this.heldBack.set(link, [deliver]);
+      const held = this.heldMessages.get(link);
+      if (held === undefined) this.heldMessages.set(link, [deliver]);
       else held.push(deliver);
     }
   }
--- a/packages/testkit/src/node-factory.ts
+++ b/packages/testkit/src/node-factory.ts
@@ -72,7 +72,7 @@
 /** Creates controller processes; their incarnations distinguish them. */
 export class NodeFactory {
   private incarnations = 0;
-  private ids = 0;
+  private idCount = 0;
 
   constructor(private readonly options: NodeFactoryOptions) {}
 
@@ -124,7 +124,7 @@
   private settingsOf(index: number): Settings {
     const { world } = this.options;
     const node = nodeName(index);
-    const everyNode = Array.from({ length: this.nodeCount }, (_, i) => ({
+    const allNodes = Array.from({ length: this.nodeCount }, (_, i) => ({
       node: nodeName(i),
       zone: this.zoneOf(i),
       address: nodeName(i) as string,
@@ -134,7 +134,7 @@
       zone: this.zoneOf(index),
       listen: '127.0.0.1:1',
       peerListen: '127.0.0.1:2',
-      peers: everyNode.filter((peer) => peer.node !== node),
+      peers: allNodes.filter((peer) => peer.node !== node),
       cloudAddress: CLOUD_HOST,
       storeAddress: STORE_HOST,
       teams: world.teams,
@@ -174,7 +174,7 @@
       underlyingStore,
       clock,
       wallNow,
-      newId: () => `id-${random(2 ** 30)}-${(this.ids += 1)}`,
+      newId: () => `id-${random(2 ** 30)}-${(this.idCount += 1)}`,
       node: name,
       nodes: this.nodeCount,
       limits: settings.storeLimits,
--- a/packages/testkit/src/peer-network.ts
+++ b/packages/testkit/src/peer-network.ts
@@ -108,7 +108,7 @@
     // A dead process refuses connections at once; a partitioned host does not respond.
     const target = this.directory.findRunning(to);
     if (target === null || this.isRefused(name, to)) return false;
-    const frame = encodePeerMessage(this.asUnderstoodBy(name, message));
+    const frame = encodePeerMessage(this.restrictToVersionOf(name, message));
     this.recorder.record('peer-frame', name, to, Buffer.from(frame).toString('hex'));
     this.traffic.frames += 1;
     this.traffic.bytes += frame.length;
@@ -116,12 +116,13 @@
       if (this.directory.findRunning(to) !== target || !clock.alive) return;
       const decoded = decodePeerMessage(frame);
       if (decoded === null) return;
-      this.endpoints.get(to)?.receive(this.asUnderstoodBy(to, decoded.message));
+      this.endpoints.get(to)?.receive(this.restrictToVersionOf(to, decoded.message));
     });
     return true;
   }
 
-  private asUnderstoodBy(node: string, message: PeerMessage): PeerMessage {
+  /** The parts of the message that the version of this node supports. */
+  private restrictToVersionOf(node: string, message: PeerMessage): PeerMessage {
     return this.previousVersionNodes.has(node) ? withoutShardFields(message) : message;
   }
 }
--- a/packages/testkit/src/random-faults.ts
+++ b/packages/testkit/src/random-faults.ts
@@ -25,7 +25,7 @@
 const DEFAULT_RESTART_MS = 8000;
 /** The number of `RESTARTS_MS` that count as quick. */
 const QUICK_RESTARTS = 3;
-/** How often a repeatedly ending node ends, and the maximum distance of these ends. */
+/** Number of crashes of a repeatedly crashing node, and the maximum time between two of them. */
 const REPEATED_CRASHES = 6;
 const REPEATED_CRASH_SPREAD_MS = 3000;
 
@@ -66,7 +66,7 @@
   return RESTARTS_MS[world.random(RESTARTS_MS.length)] ?? DEFAULT_RESTART_MS;
 }
 
-/** Generates one fault, which ends by `FAULTS_END_MS`. Without `allMayCrash`, it ends at most one node. */
+/** Generates one fault, which ends by `FAULTS_END_MS`. Without `allMayCrash`, it crashes at most one node. */
 export function injectRandomFault(world: World, allMayCrash = true): void {
   const atMs = FIRST_FAULT_MS + world.random(FAULT_SPREAD_MS);
   const untilMs = Math.min(FAULTS_END_MS, atMs + MIN_FAULT_MS + world.random(FAULT_LENGTH_SPREAD_MS));
--- a/packages/testkit/src/sim-node.ts
+++ b/packages/testkit/src/sim-node.ts
@@ -28,7 +28,7 @@
 export class NodeDirectory {
   readonly nodes: SimNode[] = [];
 
-  /** The process of this name, or null if it has ended. */
+  /** The running process of the controller with this name, or null if it has ended. */
   findRunning(name: string): SimNode | null {
     const node = this.nodes.find((candidate) => candidate.name === name);
     return node?.clock.alive === true ? node : null;
--- a/packages/testkit/src/small-world.ts
+++ b/packages/testkit/src/small-world.ts
@@ -1,5 +1,5 @@
 /**
- * A small simulated environment, in which rare situations of a large one occur soon.
+ * A small simulated environment, in which situations that are rare in a large one occur within a short run.
  *
  * @module
  */
--- a/packages/testkit/src/store-client.ts
+++ b/packages/testkit/src/store-client.ts
@@ -28,7 +28,7 @@
   readonly outcome: 'refused';
 }
 
-interface NoAnswer {
+interface FailedRequest {
   readonly outcome: 'refused' | 'unknown';
 }
 
@@ -101,9 +101,9 @@
         this.backend.waitForChange(prefix, after, waitMs, resolve);
       });
     // An open watch keeps waiting during an outage, and while its node's requests are rejected.
-    const giveUpAt = this.clock.now() + WATCH_GRACE_MS;
+    const deadline = this.clock.now() + WATCH_GRACE_MS;
     while ((this.backend.isDown || this.isRefused) && this.clock.alive) {
-      if (this.clock.now() > giveUpAt) return { outcome: 'unknown' };
+      if (this.clock.now() > deadline) return { outcome: 'unknown' };
       await this.clock.sleep(OUTAGE_CHECK_MS);
     }
     return this.call<WatchOutcome>(() => ({
@@ -134,7 +134,7 @@
   private async call<T extends { readonly outcome: string }>(
     handle: () => T | null,
     mutations = 0,
-  ): Promise<T | NoAnswer> {
+  ): Promise<T | FailedRequest> {
     const response = await this.network.call<T | Refusal>(
       this.host,
       STORE_HOST,
--- a/packages/testkit/src/store-history.ts
+++ b/packages/testkit/src/store-history.ts
@@ -1,22 +1,22 @@
 /**
- * The watch events of the simulated key-value store, and the watches that wait for them.
+ * The watch events of the simulated key-value store, and the pending watches.
  *
  * @module
  */
 import type { Timeline } from '@spurbridge/simulated-worker';
 import type { WatchEvent } from '@spurbridge/wire';
 
-interface Waiter {
+interface PendingWatch {
   readonly prefix: string;
   readonly after: number;
-  readonly wake: () => void;
+  readonly notify: () => void;
 }
 
 /** Events in the order of their versions; the oldest ones may be dropped. */
 export class StoreHistory {
   private readonly events: WatchEvent[] = [];
   private droppedUpTo = 0;
-  private waiters: Waiter[] = [];
+  private pendingWatches: PendingWatch[] = [];
 
   constructor(private readonly time: Timeline) {}
 
@@ -38,7 +38,7 @@
   }
 
   /** Whether all events after this revision are still retained. */
-  reachesBackTo(revision: number): boolean {
+  retainsEventsAfter(revision: number): boolean {
     return revision >= this.droppedUpTo;
   }
 
@@ -62,27 +62,27 @@
    * Calls back once, when there is an event after the revision or `timeoutMs` has passed. The timeout also
    * removes watches of ended processes, which would otherwise be retained forever.
    */
-  wait(prefix: string, after: number, timeoutMs: number, wake: () => void): void {
-    const waiter: Waiter = { prefix, after, wake };
-    this.waiters.push(waiter);
+  wait(prefix: string, after: number, timeoutMs: number, notify: () => void): void {
+    const watch: PendingWatch = { prefix, after, notify };
+    this.pendingWatches.push(watch);
     this.time.after(timeoutMs, () => {
-      this.waiters = this.waiters.filter((other) => other !== waiter);
-      wake();
+      this.pendingWatches = this.pendingWatches.filter((other) => other !== watch);
+      notify();
     });
   }
 
-  /** Notifies the watches for which there is an event. */
-  wakeReady(): void {
-    const waiting = this.waiters;
-    this.waiters = [];
-    for (const waiter of waiting)
-      if (this.since(waiter.prefix, waiter.after).length > 0) waiter.wake();
-      else this.waiters.push(waiter);
+  /** Notifies and removes the watches for which there is an event. */
+  notifyReady(): void {
+    const candidates = this.pendingWatches;
+    this.pendingWatches = [];
+    for (const watch of candidates)
+      if (this.since(watch.prefix, watch.after).length > 0) watch.notify();
+      else this.pendingWatches.push(watch);
   }
 
-  /** Notifies all watches. */
-  wakeAll(): void {
-    for (const waiter of this.waiters.splice(0)) waiter.wake();
+  /** Notifies and removes all watches. */
+  notifyAll(): void {
+    for (const watch of this.pendingWatches.splice(0)) watch.notify();
   }
 }
 
--- a/packages/testkit/src/store-rate-limit.ts
+++ b/packages/testkit/src/store-rate-limit.ts
@@ -37,7 +37,7 @@
     this.writeTokens = limits.writeRps;
   }
 
-  /** Whether a request with this many mutations is admitted now; counts it in both cases. */
+  /** Admits or rejects a request with this many mutations, and counts it as such. */
   tryAcquire(mutations: number): boolean {
     this.refill();
     if (this.requestTokens < 1 || this.writeTokens < mutations) {
--- a/packages/testkit/src/traffic-digest.ts
+++ b/packages/testkit/src/traffic-digest.ts
@@ -9,7 +9,7 @@
 
 /** One message between two hosts, or one transaction of the key-value store. */
 export interface TrafficEvent {
-  /** True time of the simulated environment, in milliseconds. */
+  /** Simulated time, in milliseconds. */
   readonly atMs: number;
   readonly kind:
     | 'transaction'
--- a/packages/testkit/src/unit.ts
+++ b/packages/testkit/src/unit.ts
@@ -1,6 +1,6 @@
 /**
- * The program behind `npm run unit`: runs the tests of all packages. Those listed in `KNOWN-RED.txt` are run and printed,
- * and only they may fail.
+ * The program behind `npm run unit`: runs the tests of all packages. Only the tests that are listed in `KNOWN-RED.txt`
+ * may fail; their results are printed.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 import { evaluateRun, parseKnownFailures } from './known-failures.js';
 
 const KNOWN_FAILURES_FILE = 'KNOWN-RED.txt';
-const PACKAGES_FOLDER = 'packages';
+const PACKAGES_DIRECTORY = 'packages';
 const TEST_SUFFIX = '.test.ts';
 
 function readKnownFailures(): KnownFailure[] {
@@ -21,10 +21,10 @@
 }
 
 function findTestFiles(): string[] {
-  return readdirSync(PACKAGES_FOLDER)
-    .map((name) => join(PACKAGES_FOLDER, name, 'test'))
-    .filter((folder) => existsSync(folder))
-    .flatMap((folder) => readdirSync(folder).map((file) => join(folder, file)))
+  return readdirSync(PACKAGES_DIRECTORY)
+    .map((name) => join(PACKAGES_DIRECTORY, name, 'test'))
+    .filter((directory) => existsSync(directory))
+    .flatMap((directory) => readdirSync(directory).map((file) => join(directory, file)))
     .filter((file) => file.endsWith(TEST_SUFFIX));
 }
 
--- a/packages/testkit/src/worker-transport.ts
+++ b/packages/testkit/src/worker-transport.ts
@@ -114,13 +114,13 @@
       const delay = faults.commandDelayMs();
       const respond = (isExecuted: boolean, report: Heartbeat): void => {
         recorder.record('commands-response', address, host, [isExecuted, formatHeartbeat(report)]);
-        network.afterDelay(delay.back, () => {
+        network.afterDelay(delay.responseMs, () => {
           network.send(address, host, () => {
             resolve({ outcome: isExecuted ? 'executed' : 'rejected', report });
           });
         });
       };
-      network.afterDelay(delay.there, () => {
+      network.afterDelay(delay.requestMs, () => {
         network.send(host, address, () => {
           if (faults.inboundPartitioned.has(worker.id)) return;
           worker.receiveCommands(token, epoch, commands, respond);
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -39,9 +39,9 @@
 const DEFAULT_RESTART_MS = 8000;
 const HEARTBEAT_INTERVAL_MS = 3000;
 const RULE_CHECK_INTERVAL_MS = 500;
-/** Minimum boot time in thousandths of the type's usual boot time; up to `BOOT_SPREAD` is added. */
-const MIN_BOOT = 600;
-const BOOT_SPREAD = 900;
+/** Minimum boot time in thousandths of the type's usual boot time; up to `BOOT_SPREAD_THOUSANDTHS` is added. */
+const MIN_BOOT_THOUSANDTHS = 600;
+const BOOT_SPREAD_THOUSANDTHS = 900;
 
 /** Controllers, key-value store, cloud, workers and users in one simulated environment. */
 export class World {
@@ -150,7 +150,7 @@
     return below <= 0 ? 0 : uniformInt(this.generator, 0, below - 1);
   }
 
-  /** Lets simulated time pass until then, in milliseconds since the start of the simulation. */
+  /** Advances simulated time to `untilMs`, in milliseconds since the start of the simulation. */
   async runUntil(untilMs: number): Promise<void> {
     const sweep = (): void => {
       this.checker.sweep();
@@ -160,13 +160,13 @@
     await this.time.runUntil(untilMs);
   }
 
-  /** Ends a node's process; it is restarted after `backMs`, without its in-memory state. */
-  crash(index: number, backMs = DEFAULT_RESTART_MS): void {
+  /** Ends a node's process; it is restarted after `restartMs`, without its in-memory state. */
+  crash(index: number, restartMs = DEFAULT_RESTART_MS): void {
     const node = this.nodes[index];
     if (node === undefined || !node.clock.alive) return;
     node.clock.alive = false;
     this.peers.announceEnd(node.name);
-    this.time.after(backMs, () => {
+    this.time.after(restartMs, () => {
       this.nodes[index] = this.nodeFactory.start(index);
     });
   }
@@ -201,7 +201,7 @@
     this.workers.set(id, new SimulatedWorker(id, type, zone, spot, this.createWorkerHost()));
   }
 
-  /** The cloud takes a machine back. */
+  /** The cloud reclaims a machine. */
   reclaimMachine(id: MachineId): void {
     this.cloud.release([id]);
   }
@@ -238,7 +238,8 @@
       capacity,
       listLagMs: LIST_LAG_MS,
       random: (below) => this.random(below),
-      bootMs: (type) => this.faults.bootMs(type.bootS * (MIN_BOOT + this.random(BOOT_SPREAD))),
+      bootMs: (type) =>
+        this.faults.bootMs(type.bootS * (MIN_BOOT_THOUSANDTHS + this.random(BOOT_SPREAD_THOUSANDTHS))),
       onMachineUp: (id, type, zone, spot) => {
         this.addWorker(id, type, zone, spot);
       },
--- a/packages/testkit/src/zone-partition.ts
+++ b/packages/testkit/src/zone-partition.ts
@@ -16,7 +16,7 @@
  */
 export function partitionZone(world: World, zone: string, fromMs: number, untilMs: number): void {
   const links = new Map<string, readonly [string, string]>();
-  const cutNewLinks = (): void => {
+  const partitionNewLinks = (): void => {
     const inside = new Set(hostsInZone(world, zone));
     for (const host of inside)
       for (const other of allHosts(world)) {
@@ -26,9 +26,9 @@
         world.network.partition(host, other, 'hold');
       }
     if (world.time.now + NEW_MACHINES_INTERVAL_MS < untilMs)
-      world.time.after(NEW_MACHINES_INTERVAL_MS, cutNewLinks);
+      world.time.after(NEW_MACHINES_INTERVAL_MS, partitionNewLinks);
   };
-  world.time.after(fromMs - world.time.now, cutNewLinks);
+  world.time.after(fromMs - world.time.now, partitionNewLinks);
   world.time.after(untilMs - world.time.now, () => {
     for (const [host, other] of links.values()) world.network.heal(host, other);
   });
