--- a/packages/testkit/test/rule-checker.test.ts
+++ b/packages/testkit/test/rule-checker.test.ts
@@ -226,14 +226,14 @@
     checker.responseReceived(id, 'submit', 201, 'queued');
     checker.cancellationRequested(id);
   };
-  const brokenByPoll = (phase: 'queued' | 'done', askedMs: number) =>
+  const brokenByPoll = (phase: 'queued' | 'done', asOfMs: number) =>
     brokenRules((checker, later) => {
       startJobAndCancel(checker);
       later(1000);
       checker.responseReceived(id, 'cancel', 200, 'cancelled');
       checker.taskStopped(id, 0, 'n-1' as MachineId, true);
       later(100);
-      checker.responseReceived(id, 'poll', 200, phase, askedMs);
+      checker.responseReceived(id, 'poll', 200, phase, asOfMs);
     });
   assert.deepEqual(brokenByPoll('queued', 999), []);
   assert.deepEqual(brokenByPoll('queued', 1000), ['went_back']);
