--- a/packages/testkit/src/random-faults.ts
+++ b/packages/testkit/src/random-faults.ts
@@ -25,7 +25,7 @@
 const DEFAULT_RESTART_MS = 8000;
 /** The number of `RESTARTS_MS` that count as quick. */
 const QUICK_RESTARTS = 3;
-/** Number of crashes of a repeatedly crashing node, and the maximum time between two of them. */
+/** Number of crashes of a repeatedly crashing node; crash n follows the first by n times a random part of the spread. */
 const REPEATED_CRASHES = 6;
 const REPEATED_CRASH_SPREAD_MS = 3000;
 
