--- a/packages/testkit/src/unit.ts
+++ b/packages/testkit/src/unit.ts
@@ -1,6 +1,6 @@
 /**
- * The program behind `npm run unit`: runs the tests of all packages. Those listed in `KNOWN-RED.txt` are run and printed,
- * and only they may fail.
+ * The program behind `npm run unit`: runs the tests of all packages. Only the tests that are listed in `KNOWN-RED.txt`
+ * may fail; their results are printed.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import { run } from 'node:test';
 import { tap } from 'node:test/reporters';
 import type { KnownFailure } from './known-failures.js';
-import { judgeRun, parseKnownFailures } from './known-failures.js';
+import { evaluateRun, parseKnownFailures } from './known-failures.js';
 
 const KNOWN_FAILURES_FILE = 'KNOWN-RED.txt';
-const PACKAGES_FOLDER = 'packages';
+const PACKAGES_DIRECTORY = 'packages';
 const TEST_SUFFIX = '.test.ts';
 
 function readKnownFailures(): KnownFailure[] {
@@ -21,10 +21,10 @@
 }
 
 function findTestFiles(): string[] {
-  return readdirSync(PACKAGES_FOLDER)
-    .map((name) => join(PACKAGES_FOLDER, name, 'test'))
-    .filter((folder) => existsSync(folder))
-    .flatMap((folder) => readdirSync(folder).map((file) => join(folder, file)))
+  return readdirSync(PACKAGES_DIRECTORY)
+    .map((name) => join(PACKAGES_DIRECTORY, name, 'test'))
+    .filter((directory) => existsSync(directory))
+    .flatMap((directory) => readdirSync(directory).map((file) => join(directory, file)))
     .filter((file) => file.endsWith(TEST_SUFFIX));
 }
 
@@ -35,8 +35,8 @@
 stream.on('test:pass', ({ name }) => passed.add(name));
 stream.on('test:fail', ({ name }) => failed.add(name));
 stream.once('end', () => {
-  const { faults, said } = judgeRun(knownFailures, { passed, failed });
-  for (const line of [...said, ...faults]) process.stdout.write(`# ${line}\n`);
+  const { faults, reportLines } = evaluateRun(knownFailures, { passed, failed });
+  for (const line of [...reportLines, ...faults]) process.stdout.write(`# ${line}\n`);
   process.exitCode = faults.length > 0 || passed.size === 0 ? 1 : 0;
 });
 stream.compose(tap).pipe(process.stdout);
