--- a/packages/controller/src/machines/failure-detector.ts
+++ b/packages/controller/src/machines/failure-detector.ts
@@ -33,12 +33,15 @@
 const DEFAULT_BOOT_S = 60;
 /** Delay before a silent machine is released. The release proves its tasks gone before its lease expires. */
 const SILENT_RELEASE_DELAY_MS = 1500;
-/** The same for a machine that ran under an earlier leader and has never sent a heartbeat to this one. */
+/** The same delay for a machine that ran under an earlier leader and has never sent a heartbeat to this one. */
 const UNDISCOVERED_RELEASE_DELAY_MS = 6000;
 /** A preempted machine counts as reclaimed by the cloud this long after its deadline. */
 const PREEMPTION_MARGIN_MS = 1500;
 
-/** The remaining unconfirmed machines count as the last few up to this number, or this share of the ready machines. */
+/**
+ * Unreachable unconfirmed machines are released early if at most this many machines are unconfirmed, or at most this
+ * share of the number of ready machines if that is more.
+ */
 const LAST_UNCONFIRMED_COUNT = 2;
 const LAST_UNCONFIRMED_SHARE = 0.05;
 
@@ -48,7 +51,7 @@
   readonly queues: MachineQueues;
   /** Called with the heartbeat that a probed machine responds with. */
   readonly onHeartbeat: (heartbeat: Heartbeat) => void;
-  /** Number of machines that must be confirmed before jobs can be placed again, after records may have been lost. */
+  /** After a possible loss of records: number of machines to be confirmed before jobs can be placed again. */
   readonly unconfirmedCount: () => number;
 }
 
@@ -259,7 +262,7 @@
   private resign(reason: string): void {
     const { leadership, log } = this.term.context;
     leadership.resign(reason).catch((error: unknown) => {
-      log.error({ error: String(error) }, 'resigning failed');
+      log.error({ error: String(error) }, 'resignation as leader failed');
     });
   }
 }
--- a/packages/graph-service/test/graph-service.test.ts
+++ b/packages/graph-service/test/graph-service.test.ts
@@ -238,12 +238,12 @@
       ],
     },
     400,
-    /^tasks\[0\]\[1\]: expected no circle/,
+    /^tasks\[0\]\[1\]: expected no dependency cycle/,
   );
   await assertRejected(
     { batch: 'b', tasks: [[0, [0]]] },
     400,
-    /^tasks\[0\]\[1\]\[0\]: expected another task than itself/,
+    /^tasks\[0\]\[1\]\[0\]: expected a task other than itself/,
   );
   await assertRejected({ batch: 'b', tasks: [[0]], parent: 'z:0' }, 400, /^parent: .*unknown task z:0$/);
   await assertRejected({ batch: 'b', tasks: [[0]], shapes: [{ ...SHAPE, cpus: 999 }] }, 422, /^shapes\[0\]/);
@@ -406,7 +406,7 @@
 }
 
 for (const seed of seeds())
-  test(`crashes, partitions, outages and machine losses with seed ${seed} lose, repeat or prematurely start no task`, async () => {
+  test(`no task is lost, repeated or started too early during crashes, partitions, outages and machine losses, seed ${seed}`, async () => {
     const site = await createSite({ seed, storeLimits: { rps: 150, writeRps: 25, valueKb: 16, txnOps: 12 } });
     const { world } = site;
     const at = (): number => 5000 + world.random(80_000);
--- a/packages/recovery/src/phases/contribute.ts
+++ b/packages/recovery/src/phases/contribute.ts
@@ -73,7 +73,10 @@
   }
   const marker = { put: markerKey(epoch.id, node), value: encodeMarker(createMarker(encoded, localState)) };
   if (!(await commitWithRetry(dependencies, compares, [marker]))) return false;
-  log.info({ epoch: epoch.number, records: repairs.length, pages: pages.length }, 'replica contributed');
+  log.info(
+    { epoch: epoch.number, records: repairs.length, pages: pages.length },
+    'replica contribution written',
+  );
   return true;
 }
 
--- a/packages/recovery/src/phases/move-fence.ts
+++ b/packages/recovery/src/phases/move-fence.ts
@@ -66,7 +66,10 @@
     );
     if (outcome.outcome !== 'committed') return;
     const { number, isInitial, tokenFloor, baseEpoch } = epoch;
-    log.info({ epoch: number, first: isInitial, floor: tokenFloor, after: baseEpoch }, 'fence moved');
+    log.info(
+      { epoch: number, first: isInitial, floor: tokenFloor, after: baseEpoch },
+      'fence moved to a new epoch',
+    );
   }
 
   private recoveryEpoch(found: Epoch | null, localState: LocalRecoveryState): Epoch {
--- a/packages/recovery/src/phases/quorum.ts
+++ b/packages/recovery/src/phases/quorum.ts
@@ -77,7 +77,7 @@
   }
   log.info(
     { past: highestEarlierId },
-    'new lease ids do not exceed those granted before the data loss; continuing',
+    'recovery continues although new lease ids do not exceed those granted before the data loss',
   );
   return true;
 }
--- a/packages/tariff/src/calendar.ts
+++ b/packages/tariff/src/calendar.ts
@@ -59,15 +59,15 @@
       Temporal.PlainDate.from(holiday.date, { overflow: 'reject' });
     } catch {
       // The calendar throws a RangeError for an invalid date.
-      throw new ValidationError(`holidays[${index}].date`, 'a date of the calendar');
+      throw new ValidationError(`holidays[${index}].date`, 'a date that exists in the calendar');
     }
   });
 }
 
 /**
  * Prices in each zone over a span of time. Windows are local times: an instant is in a window exactly when
- * the local clock reads so. An hour skipped by a clock change is in no window, and both passes of a repeated
- * hour are.
+ * its local time is. An hour skipped by a clock change is in no window, and a repeated hour is in a window both
+ * times.
  *
  * @param windowExtensionS seconds beyond `validUntil` for which the recurring windows still count
  */
--- a/packages/wire/src/graphs/batch.ts
+++ b/packages/wire/src/graphs/batch.ts
@@ -80,7 +80,7 @@
   const dependency = parseGraphTaskId(id);
   if (dependency.batch !== batch.id) return id;
   if (dependency.task >= batch.taskCount) throw new read.ValidationError(field, 'a task of the batch');
-  if (dependency.task === dependent) throw new read.ValidationError(field, 'another task than itself');
+  if (dependency.task === dependent) throw new read.ValidationError(field, 'a task other than itself');
   return id;
 }
 
@@ -139,8 +139,7 @@
       if (pending === 0) ready.push(dependent);
     }
   const cyclic = pendingCounts.findIndex((pending) => pending > 0);
-  if (cyclic >= 0)
-    throw new read.ValidationError(`tasks[${cyclic}][1]`, 'no circle of tasks that wait for each other');
+  if (cyclic >= 0) throw new read.ValidationError(`tasks[${cyclic}][1]`, 'no dependency cycle');
 }
 
 function parseBoundedArray(fields: read.JsonObject, field: string, max: number): readonly unknown[] {
@@ -154,7 +153,7 @@
 export function parseBatch(body: unknown): Batch {
   const fields = read.asObject(body, 'body');
   const id = read.string(fields, 'batch');
-  if (!isBatchId(id)) throw new read.ValidationError('batch', 'a batch id');
+  if (!isBatchId(id)) throw new read.ValidationError('batch', '1 to 60 letters, digits or any of _.~-');
   const parent = read.optionalString(fields, 'parent');
   const shapes = parseBoundedArray(fields, 'shapes', MAX_SHAPES);
   const listed = parseBoundedArray(fields, 'tasks', MAX_BATCH_TASKS);
--- a/packages/wire/test/graphs.test.ts
+++ b/packages/wire/test/graphs.test.ts
@@ -116,7 +116,7 @@
     ],
     [/^tasks\[0\]\[1\]\[0\]: expected a task of the batch/, { batch: 'a', shapes, tasks: [[0, [5]]] }],
     [
-      /^tasks\[0\]\[1\]: expected no circle/,
+      /^tasks\[0\]\[1\]: expected no dependency cycle/,
       {
         batch: 'a',
         shapes,
