--- a/packages/configuration/src/apply-changes.ts
+++ b/packages/configuration/src/apply-changes.ts
@@ -48,7 +48,7 @@
     throw new InvalidChangeError(`teams.${team.name}.gpus`, 'the guarantee is above the limit');
 }
 
-/** Retired teams count as well, because their accepted jobs still run within the guarantee. */
+/** The guarantees of retired teams are included, because their accepted jobs still run within them. */
 function validateGuarantees(teams: readonly ConfiguredTeam[], bound: GuaranteeBound): void {
   for (const field of GUARANTEE_FIELDS) {
     const total = teams.reduce((sum, team) => sum + team[field], 0);
--- a/packages/configuration/src/client.ts
+++ b/packages/configuration/src/client.ts
@@ -101,9 +101,9 @@
    * Commits changes. Retries within one call carry the same change id, so that they are committed once at most.
    *
    * @param baseVersion - the version that the changes are based on; by default the newest one
-   * @throws {@link StaleVersionError} where `baseVersion` is not the newest version
-   * @throws {@link ChangeRejectedError} where the changes are invalid
-   * @throws {@link NoNodeAvailableError} where it is unknown whether the changes were committed
+   * @throws {@link StaleVersionError} if `baseVersion` is not the newest version
+   * @throws {@link ChangeRejectedError} if the changes are invalid
+   * @throws {@link NoNodeAvailableError} if it is unknown whether the changes were committed
    */
   async apply(
     changes: readonly ConfigurationChange[],
--- a/packages/configuration/src/editor.ts
+++ b/packages/configuration/src/editor.ts
@@ -105,7 +105,7 @@
     return version === undefined ? { outcome: 'unsure' } : { outcome: 'conflict', version };
   }
 
-  /** Reads all records from the key-value store; null where they cannot be read now. */
+  /** Reads all records from the key-value store; null if they cannot be read now. */
   async load(): Promise<LoadedRecords | null> {
     for (let attempt = 0; attempt < MAX_LOAD_ATTEMPTS; attempt += 1) {
       const listed = await this.options.store.list(CONFIGURATION_PREFIX, REQUEST_PRIORITY);
--- a/packages/configuration/src/requests.ts
+++ b/packages/configuration/src/requests.ts
@@ -52,7 +52,7 @@
  * Parses one change.
  *
  * @param path - path of the change in what was sent, for error messages
- * @throws `ValidationError` which names the malformed or unknown field
+ * @throws `ValidationError` that names the malformed or unknown field
  */
 export function parseChange(value: unknown, path: string): ConfigurationChange {
   return read.withFieldPath(path, () => {
@@ -79,7 +79,7 @@
 /**
  * Parses the body of a request for changes.
  *
- * @throws `ValidationError` which names the malformed or unknown field
+ * @throws `ValidationError` that names the malformed or unknown field
  */
 export function parseProposal(body: unknown): Proposal {
   const fields = read.asObject(body, 'body');
--- a/packages/configuration/src/stored-configuration.ts
+++ b/packages/configuration/src/stored-configuration.ts
@@ -10,7 +10,7 @@
 import { HEAD_KEY, OBJECTIVES_KEY, decodeHead, decodeObjectives, decodePage, pageKey } from './records.js';
 import type { Configuration } from './types.js';
 
-/** Looks up one record by its key; undefined where there is none. */
+/** Looks up one record by its key; undefined if there is none. */
 export type RecordLookup = (key: string) => KeyValue | undefined;
 
 /** One complete version of the configuration, as stored in the key-value store. */
@@ -27,9 +27,9 @@
 }
 
 /**
- * Assembles the configuration from its records. Returns null where there is no head record: no change was ever made.
+ * Assembles the configuration from its records. Returns null if there is no head record: no change was ever made.
  *
- * @throws {@link InconsistentRecordsError} where the records are not of one version
+ * @throws {@link InconsistentRecordsError} if the records are not of one version
  * @throws `ValidationError` where a record is missing or malformed
  */
 export function readConfiguration(lookup: RecordLookup): StoredConfiguration | null {
--- a/packages/configuration/src/transaction.ts
+++ b/packages/configuration/src/transaction.ts
@@ -24,7 +24,7 @@
 import type { Configuration } from './types.js';
 
 const BYTES_PER_KIB = 1024;
-/** Maximum number of field changes that a history entry lists. Of further ones it records only the number. */
+/** Maximum number of field changes that a history entry lists. For the others it records only their number. */
 const MAX_LISTED_FIELD_CHANGES = 40;
 const MAX_TRANSACTION_BYTES = 60 * BYTES_PER_KIB;
 /** Records that a change may write besides the pages: head, objectives and history. */
@@ -76,7 +76,7 @@
    * Builds the transaction that writes all records that the step changes, each on the condition that it is still the
    * one that was read.
    *
-   * @throws `InvalidChangeError` where the configuration does not fit the store's limits
+   * @throws `InvalidChangeError` if the configuration does not fit the store's limits
    */
   build(base: TransactionBase, step: VersionStep): ConfigurationTransaction {
     const values = this.changedRecords(base, step);
--- a/packages/controller/src/leadership/leader-role.ts
+++ b/packages/controller/src/leadership/leader-role.ts
@@ -46,7 +46,7 @@
     return this.leader !== null;
   }
 
-  /** Whether a leader runs here and may handle heartbeats. */
+  /** Whether a leader runs in this process and may handle heartbeats. */
   get isLeading(): boolean {
     const { state } = this.host.leadership;
     return this.leader !== null && (state === 'leading' || state === 'holding');
@@ -57,7 +57,7 @@
     return this.leader?.isReady === true;
   }
 
-  /** The progress of a job as the leader knows it; null if no leader runs here. */
+  /** The progress of a job as the leader knows it; null if no leader runs in this process. */
   progressOf(job: JobId): JobProgress | null {
     return this.leader?.progressOf(job) ?? null;
   }
--- a/packages/controller/src/machines/fleet-controller.ts
+++ b/packages/controller/src/machines/fleet-controller.ts
@@ -30,12 +30,12 @@
 /** Drain reason of machines whose tasks are consolidated on other machines. */
 const CONSOLIDATION_REASON = 'consolidated';
 
-/** How long an idle machine is kept, in seconds: if the service minimizes costs, and if it keeps an initial fleet. */
+/** How long an idle machine is kept, in seconds, if the service minimizes costs and if it keeps an initial fleet. */
 const COST_AWARE_IDLE_S = 25;
 const INITIAL_FLEET_IDLE_S = 600;
 /**
- * Work that would start within this share of a machine's boot time is left queued instead of scaling out, in the same
- * two cases.
+ * The fleet is not scaled out for work that would start within this share of a machine's boot time. As above, the
+ * first value applies if the service minimizes costs, the second one if it keeps an initial fleet.
  */
 const COST_AWARE_QUEUE_BOOT_SHARE = 0.5;
 const INITIAL_FLEET_QUEUE_BOOT_SHARE = 0.15;
--- a/packages/controller/src/placement/scheduling-loop.ts
+++ b/packages/controller/src/placement/scheduling-loop.ts
@@ -25,8 +25,8 @@
 /** Ratio of the pause to the duration of the pass, which leaves processor time to other work. */
 const PAUSE_FACTOR = 4;
 /**
- * The same while the workers of the previous leader reconnect, and the minimum pause per machine. Their heartbeats take
- * precedence, and a plan for the few connected machines would soon be outdated.
+ * Pause factor, and minimum pause per machine, while the workers of the previous leader reconnect. Their heartbeats
+ * take precedence, and a plan for the few connected machines would soon be outdated.
  */
 const RECONNECTION_PAUSE_FACTOR = 10;
 const RECONNECTION_PAUSE_PER_MACHINE_MS = 1.5;
--- a/packages/controller/test/http-server.test.ts
+++ b/packages/controller/test/http-server.test.ts
@@ -103,7 +103,7 @@
   assert.equal((await call('POST', '/submissions', formatSubmission(spec))).body['phase'], 'cancelled');
 });
 
-test('calls get 503 with Retry-After without delay while the key-value store is unavailable', async () => {
+test('calls immediately get 503 with Retry-After while the key-value store is unavailable', async () => {
   const { world, call } = await startServer();
   world.store.setOutage(true);
   const before = world.time.now;
--- a/packages/controller/test/record-staleness.test.ts
+++ b/packages/controller/test/record-staleness.test.ts
@@ -64,7 +64,7 @@
   assert.equal(createReader(17_500).reader.stalenessMs, 17_500);
 });
 
-test('staleness is measured from the first read request, and a cancellation read later counts as confirmed after it', async () => {
+test('staleness is measured from the first read request, and a cancellation read later counts as confirmed after that request', async () => {
   const { time, cluster, reader } = createReader(Infinity);
   await reader.load();
   assert.equal(reader.stalenessMs, 800);
--- a/packages/controller/test/unanswered-commands.test.ts
+++ b/packages/controller/test/unanswered-commands.test.ts
@@ -87,7 +87,7 @@
 
 // An unanswered direct start may arrive at any time. When only the stop was sent, the worker never reported the
 // attempt, so nothing could prove the task gone during the worker's agent epoch, and its job never continued.
-test('a stopped task with an unconfirmed direct start is sent a start and a stop, and is removed when its exit is reported', async () => {
+test('a machine with an unconfirmed direct start gets a start and a stop for the stopped task, which is removed when its exit is reported', async () => {
   const fixture = createFixture();
   await new Promise(setImmediate);
   assert.deepEqual(
@@ -114,7 +114,7 @@
   assert.equal(fixture.job.placements.size, 0);
 });
 
-test('a cancelled task with an unconfirmed start is only sent a stop, and its machine gets no renewal after the maximum staleness', async () => {
+test('a machine with an unconfirmed start of a cancelled task gets only a stop, and no renewal after the maximum staleness', async () => {
   const fixture = createFixture();
   await new Promise(setImmediate);
   fixture.time.now += 1000;
--- a/packages/controller/test/zone-reachability.test.ts
+++ b/packages/controller/test/zone-reachability.test.ts
@@ -32,7 +32,7 @@
   }
 }
 
-test('the silence of machines is attributed to their zone while only that zone is silent, until its heartbeats have resumed', () => {
+test('when a single zone is silent, the silence of its machines is attributed to the zone until its heartbeats have resumed', () => {
   const states: string[] = [];
   const reachability = new ZoneReachability(HEARTBEAT_MS, ({ to }) => states.push(to));
   const machines = createFleet(20);
@@ -57,7 +57,7 @@
   assert.ok(!reachability.explainsSilenceOf(machineInA, 40_000 as MonotonicMs));
 });
 
-test('no zone counts as unreachable when all zones, a zone with few machines, or half of all machines are silent', () => {
+test('no zone counts as unreachable when all zones are silent, when a silent zone is small, or when half of each zone is silent', () => {
   const states: string[] = [];
   const reachability = new ZoneReachability(HEARTBEAT_MS, ({ to }) => states.push(to));
   const machines = createFleet(20);
--- a/packages/graph-client/src/requests.ts
+++ b/packages/graph-client/src/requests.ts
@@ -97,7 +97,7 @@
   }
 }
 
-/** @throws RefusedError where the response is final */
+/** @throws RefusedError if the response is final */
 function retryable(reply: Reply): AttemptFailure {
   const problem = String(reply.body['error'] ?? `status ${reply.status}`);
   if (reply.status !== TOO_MANY_REQUESTS && reply.status < FIRST_SERVER_ERROR)
--- a/packages/graph-service/src/graph-loader.ts
+++ b/packages/graph-service/src/graph-loader.ts
@@ -56,7 +56,7 @@
   /**
    * Loads all open graphs.
    *
-   * @returns the revision of the list of open graphs, or null where the key-value store did not respond to
+   * @returns the revision of the list of open graphs, or null if the key-value store did not respond to
    *   all reads
    */
   async loadAll(): Promise<Revision | null> {
--- a/packages/model/test/model.test.ts
+++ b/packages/model/test/model.test.ts
@@ -212,7 +212,7 @@
   assert.match(reasonFor({ id, types: ['none'] }) ?? '', /type/);
   assert.match(reasonFor({ id, zone: 'mars' }) ?? '', /type/);
   assert.match(reasonFor({ id, gpus: 1, team: 'blue', types: ['g8'] }) ?? '', /limit/);
-  // One task of an array must fit the team's limit; of a gang or a service, all tasks must fit together.
+  // For an array, one task must fit the team's limit; for a gang or a service, all tasks must fit together.
   assert.equal(reasonFor({ id, cpus: 16, tasks: 50 }), null);
   assert.match(reasonFor({ id, cpus: 16, tasks: 3, kind: 'gang' }) ?? '', /limit/);
   assert.match(reasonFor({ id, cpus: 16, tasks: 3, kind: 'service' }) ?? '', /limit/);
--- a/packages/model/test/service-levels.test.ts
+++ b/packages/model/test/service-levels.test.ts
@@ -16,7 +16,7 @@
 const spec = jobSpec({ id: 'wk-000001' as JobId, estimateS: 10, deadlineS: 60 });
 const outcome = { spec, ageS: 200, startedS: 5, isEnded: true, isCancelled: false };
 
-test('service levels count reached outcomes, and missed ones only of jobs that are old enough and not cancelled', () => {
+test('a service level counts every reached outcome, but counts a missed one only if the job is old enough and not cancelled', () => {
   const counts = emptyServiceLevelCounts();
   countJob(counts, { ...outcome, ageS: 50 });
   countJob(counts, outcome);
--- a/packages/net/src/rate-limiter.ts
+++ b/packages/net/src/rate-limiter.ts
@@ -42,7 +42,7 @@
     this.refill();
     const floor =
       priority === REQUEST_PRIORITY.critical ? -CRITICAL_OVERDRAFT : this.burst * RESERVE_PER_STEP * priority;
-    // A request larger than the capacity above the floor would never be granted, so a full bucket suffices for it.
+    // A request larger than the unreserved part of the bucket would never be granted, so a full bucket suffices for it.
     if (this.tokens - amount < Math.min(floor, this.burst - amount)) return false;
     this.tokens -= amount;
     return true;
--- a/packages/planner/src/scheduling/assign-job.ts
+++ b/packages/planner/src/scheduling/assign-job.ts
@@ -1,6 +1,6 @@
 /**
  * Assigns the tasks of an evaluated job: starts what can start now, reserves places in the queues for the
- * rest, and preempts other tasks where the job cannot wait.
+ * rest, and preempts other tasks if the job cannot wait.
  *
  * @module
  */
--- a/packages/planner/src/scheduling/evaluate.ts
+++ b/packages/planner/src/scheduling/evaluate.ts
@@ -16,9 +16,9 @@
 import type { JobEvaluation, QueueChange, TaskAssignment } from './types.js';
 import { isMachineAllowed } from './types.js';
 
-/** Exceeds the number of tasks of one job that a plan puts on one machine. */
+/** Greater than the number of tasks of one job that a plan puts on any machine. */
 const MAX_TASKS_PER_QUEUE = 1024;
-/** Stands for no queue. */
+/** Marks the absence of a queue. */
 const NO_QUEUE = -1;
 
 /** Evaluates a job; modifies only the pass's estimates. */
--- a/packages/planner/src/scheduling/preemption.ts
+++ b/packages/planner/src/scheduling/preemption.ts
@@ -37,8 +37,8 @@
 }
 
 /**
- * Preempts running tasks for tasks of a job where the rules allow it, least lost work first. It does so only
- * where a task ends earlier than by waiting. Otherwise the task would not use the freed resources, other jobs
+ * Preempts running tasks for tasks of a job if the rules allow it, least lost work first. It does so only
+ * if a task ends earlier than by waiting. Otherwise the task would not use the freed resources, other jobs
  * would take them, and the preemption would be repeated over and over. For a gang, resources are freed for all
  * of its tasks or for none.
  *
--- a/packages/planner/src/scheduling/resource-pool.ts
+++ b/packages/planner/src/scheduling/resource-pool.ts
@@ -17,7 +17,7 @@
  * the pool yields lower bounds.
  */
 const BUCKET_S = 0.25;
-/** The index of the last bucket; what becomes free later is counted in it. */
+/** The index of the last bucket; amounts that become free later are counted in it. */
 const LAST_BUCKET = 4096;
 /** The number of bisection steps in the search for a start. */
 const BISECTION_STEPS = 8;
--- a/packages/planner/test/fleet.test.ts
+++ b/packages/planner/test/fleet.test.ts
@@ -173,7 +173,7 @@
   assert.equal(requestedCpus({ unplacedDemand: [demandOf({ tasks: 8, cpus: 2 })], machines: booting }), 0);
   assert.ok(requestedCpus({ unplacedDemand: [demandOf({ tasks: 9, cpus: 2 })], machines: booting }) > 0);
   assert.equal(requestedCpus({ unplacedDemand: [demandOf({}, { isWithinLimit: false })] }), 0);
-  // No heartbeat has arrived since the failover, and the records place tasks on the whole machine.
+  // No heartbeat has arrived since the failover, and the tasks in the records use all CPUs of the machine.
   const full = [machine(1, m16, { isBooting: true, spot: true, isSchedulable: false, usedCpus: 16 })];
   assert.ok(requestedCpus({ unplacedDemand: [demandOf({ tasks: 8, cpus: 2 })], machines: full }) > 0);
 });
--- a/packages/recovery/src/phases/commit-with-retry.ts
+++ b/packages/recovery/src/phases/commit-with-retry.ts
@@ -1,5 +1,5 @@
 /**
- * Commits of a recovery, which are retried until they are confirmed.
+ * Commits transactions of a recovery, and retries each one until it is confirmed.
  *
  * @module
  */
--- a/packages/recovery/src/replica/repair-overlay.ts
+++ b/packages/recovery/src/replica/repair-overlay.ts
@@ -6,7 +6,7 @@
 import type { Compare, KeyValue, Version } from '@spurbridge/wire';
 import { KEY_ABSENT } from '@spurbridge/wire';
 
-/** A value from a contribution page. It is used instead of the value of its key while that has the replaced version. */
+/** A value from a contribution page. It replaces the key's own value while that has the replaced version. */
 export interface PendingRepair {
   readonly key: string;
   readonly replacedVersion: Version;
--- a/packages/recovery/test/audit-selector.test.ts
+++ b/packages/recovery/test/audit-selector.test.ts
@@ -16,7 +16,7 @@
   return replica;
 }
 
-test('a key that a read found absent counts as lost once the watch reaches the revision of the read without a deletion', () => {
+test('a key absent from a read counts as lost if the watch reaches the revision of that read without reporting a deletion', () => {
   const selector = new AuditSelector(4);
   selector.noteAbsent(KEY, at(8));
   assert.equal(selector.findLostKey(replicaOf([5], 7)), null);
@@ -24,7 +24,7 @@
   assert.equal(selector.findLostKey(replicaOf([5], 9)), null, 'a lost key is reported once');
 });
 
-test('a key that a read found absent does not count as lost if it was deleted and then written again', () => {
+test('a key absent from a read does not count as lost if it was deleted and then written again', () => {
   const selector = new AuditSelector(4);
   const replica = replicaOf([5], 6);
   selector.noteAbsent(KEY, at(8));
--- a/packages/recovery/test/replica.test.ts
+++ b/packages/recovery/test/replica.test.ts
@@ -23,7 +23,7 @@
   assert.ok(compacted.text.length < 100);
 });
 
-test('a response contradicts an entry if it is older, different or missing, but not if newer or reordered', () => {
+test('a response with an older version, a different value or a missing job contradicts an entry; a newer version or another field order does not', () => {
   const known = { version: 7 as Version, text: '{"a":1,"b":2}' };
   assert.equal(findContradiction('t/x/0', known, 7 as Version, { b: 2, a: 1 }), null);
   assert.equal(findContradiction('t/x/0', known, 8 as Version, { a: 9 }), null);
--- a/packages/recovery/test/state-loss/model-state.ts
+++ b/packages/recovery/test/state-loss/model-state.ts
@@ -50,7 +50,7 @@
   isReconciled: boolean;
 }
 
-/** A controller. */
+/** The state of one controller; `term` is null unless it leads. */
 export interface ControllerState {
   isAlive: boolean;
   fence: number;
--- a/packages/recovery/test/state-loss/state-space.ts
+++ b/packages/recovery/test/state-loss/state-space.ts
@@ -10,7 +10,7 @@
 /** Result of a search. */
 export interface SearchResult {
   readonly stateCount: number;
-  /** The steps after the prefix that lead to a violation; null if none do. */
+  /** The steps from the start of the search to a violation, without the prefix; null if no violation was found. */
   readonly stepsToViolation: readonly string[] | null;
 }
 
@@ -21,7 +21,8 @@
 }
 
 /**
- * Searches all states that can be reached by `maxSteps` steps after a prefix, until one of them violates an invariant.
+ * Takes the steps of the prefix from the initial state, then searches all states that can be reached by up to
+ * `maxSteps` further steps, until one of them violates an invariant.
  */
 export function searchStates(guards: Guards, maxSteps: number, prefix: readonly string[] = []): SearchResult {
   const start = stateAfter(guards, prefix);
--- a/packages/snapshot/src/directory.ts
+++ b/packages/snapshot/src/directory.ts
@@ -16,7 +16,7 @@
 export interface SnapshotDirectory {
   /** Names of all snapshot files in ascending order: by epoch, then by revision. */
   listNames(): Promise<readonly string[]>;
-  /** Reads a file; rejects where there is none. */
+  /** Reads a file; rejects if there is none. */
   read(name: string): Promise<Buffer>;
   /** Writes a file atomically: readers find the whole file or none. */
   write(name: string, bytes: Buffer): Promise<void>;
--- a/packages/snapshot/src/format.ts
+++ b/packages/snapshot/src/format.ts
@@ -98,7 +98,7 @@
 /**
  * Decodes the header alone.
  *
- * @throws {@link SnapshotFormatError} which states the defect
+ * @throws {@link SnapshotFormatError} that states the defect
  */
 export function decodeSnapshotHeader(bytes: Buffer): DecodedHeader {
   const headerEnd = bytes.subarray(0, MAX_HEADER_BYTES).indexOf(HEADER_END);
@@ -122,7 +122,7 @@
 /**
  * Decodes a whole snapshot and verifies its checksum and its number of records.
  *
- * @throws {@link SnapshotFormatError} which states the defect
+ * @throws {@link SnapshotFormatError} that states the defect
  */
 export function decodeSnapshot(bytes: Buffer): Snapshot {
   const { header, bodyOffset } = decodeSnapshotHeader(bytes);
--- a/packages/snapshot/src/repository.ts
+++ b/packages/snapshot/src/repository.ts
@@ -32,7 +32,7 @@
   ) {}
 
   /**
-   * The newest snapshot that is intact and of this deployment; null where there is none, or where the directory cannot
+   * The newest snapshot that is intact and of this deployment; null if there is none, or if the directory cannot
    * be read.
    *
    * @param deployment - id of the deployment; null accepts any, since it may not be known yet
--- a/packages/snapshot/src/restore.ts
+++ b/packages/snapshot/src/restore.ts
@@ -37,7 +37,7 @@
 /**
  * Takes a snapshot of the key-value store as it is now.
  *
- * @throws {@link SnapshotToolError} where the store does not respond or has no epoch
+ * @throws {@link SnapshotToolError} if the store does not respond or has no epoch
  */
 export async function takeSnapshot(options: SnapshotToolOptions): Promise<TakenSnapshot> {
   const { replica, epoch, deployment } = await readStoreContents(options);
@@ -82,7 +82,7 @@
  * Reports what {@link restoreSnapshot} would change; nothing is written.
  *
  * @param acceptedDeployment - id of another deployment whose snapshots are accepted, or null
- * @throws {@link SnapshotToolError} where the store does not respond or the snapshot is of another deployment
+ * @throws {@link SnapshotToolError} if the store does not respond or the snapshot is of another deployment
  */
 export async function previewRestore(
   options: SnapshotToolOptions,
@@ -101,7 +101,7 @@
  *
  * @param timeoutMs - how long the new epoch may take to open
  * @param acceptedDeployment - id of another deployment whose snapshots are accepted, or null
- * @throws {@link SnapshotToolError} where the store does not respond, the snapshot is of another deployment, or no
+ * @throws {@link SnapshotToolError} if the store does not respond, the snapshot is of another deployment, or no
  * epoch opened in time
  */
 export async function restoreSnapshot(
--- a/packages/snapshot/src/store-reader.ts
+++ b/packages/snapshot/src/store-reader.ts
@@ -31,9 +31,9 @@
 /** The contents of the key-value store as of one revision. */
 export interface StoreContents {
   readonly replica: Replica;
-  /** Number of the epoch; 0 where there is none. */
+  /** Number of the epoch; 0 if there is none. */
   readonly epoch: number;
-  /** Id of the deployment; null where the store has no epoch yet. */
+  /** Id of the deployment; null if the store has no epoch yet. */
   readonly deployment: string | null;
   /** Floor of fencing tokens in the epoch. */
   readonly tokenFloor: number;
@@ -42,7 +42,7 @@
 /**
  * Reads all records as of one revision.
  *
- * @throws {@link SnapshotToolError} where the store does not respond
+ * @throws {@link SnapshotToolError} if the store does not respond
  */
 export async function readStoreContents(options: SnapshotToolOptions): Promise<StoreContents> {
   const listed = await options.underlyingStore.list('', LIST_PRIORITY);
--- a/packages/tariff/src/release-decision.ts
+++ b/packages/tariff/src/release-decision.ts
@@ -66,7 +66,7 @@
  * - `cheapest`: the cheapest safe moment is now.
  * - `no-saving`: waiting saves too little.
  * - `latest`: there is a cheaper moment, but it is not safe with respect to the finish time.
- * - `no-room`: no later moment is safe, and neither is now.
+ * - `no-room`: neither a later moment nor an immediate start is safe.
  */
 export type ReleaseReason = (typeof RELEASE_REASONS)[number];
 
--- a/packages/tariff/src/tariff-repository.ts
+++ b/packages/tariff/src/tariff-repository.ts
@@ -126,7 +126,7 @@
 
   // --- the tariff and observations -------------------------------------------------------------
 
-  /** Replaces the tariff, all parts in one transaction; false if it is too large or could not be written. */
+  /** Replaces the tariff in one transaction. Returns false if it is too large or could not be written. */
   async storeDocument(document: TariffDocument): Promise<boolean> {
     const { settings, log } = this.term.context;
     const packed = packDocument(document, settings.storeLimits.valueKb);
--- a/packages/tariff/test/deferral-controller.test.ts
+++ b/packages/tariff/test/deferral-controller.test.ts
@@ -198,7 +198,7 @@
     assert.deepEqual(scenario.world.checker.violations, []);
   });
 
-test('after the validity of the tariff ends, jobs wait for a new tariff only as long as is safe', async () => {
+test('jobs wait for a new tariff after the last one has expired, but not past their deadlines', async () => {
   const scenario = createScenario({ windowExtensionS: 0 });
   scenario.feed.publish(tariff(1, 300, 700, 120));
   const id = scenario.submit(1, 140, { deadlineS: 600 });
--- a/packages/tariff/test/release.test.ts
+++ b/packages/tariff/test/release.test.ts
@@ -122,7 +122,7 @@
   assert.equal(firstDecision({ ...crowded, teams: [{ ...busyTeam, demandCpus: 4 }] }).at, 0);
 });
 
-test('without any known price a job waits as long as is safe, and an unknown price does not count as cheap', () => {
+test('a job waits until its latest safe release if no price is known, and an unknown price does not count as cheap', () => {
   const blind = firstDecision(input([job(1)], [NaN, NaN, NaN, NaN, NaN, NaN]));
   assert.equal(blind.reason, 'blind');
   assert.ok(blind.at > 50 * MIN && blind.at <= 59.5 * MIN, `${blind.at / MIN}`);
--- a/packages/testkit/test/combined-fault-cases.test.ts
+++ b/packages/testkit/test/combined-fault-cases.test.ts
@@ -120,7 +120,7 @@
             if (isPartitioned) world.network.partition(node.name, machine, 'hold');
             else world.network.heal(node.name, machine);
     };
-    // Shorter than the lease, and than the silence after which a machine is released to be sure that its tasks have ended.
+    // The partition is shorter than the lease, and too short for silent machines to be released.
     setPartitioned(true);
     world.crash(leaderIndex(world), 200);
     await world.runUntil(world.time.now + LEASE_MS / 4);
--- a/packages/testkit/test/configuration.test.ts
+++ b/packages/testkit/test/configuration.test.ts
@@ -117,7 +117,7 @@
     assert.deepEqual(world.checker.violations, []);
   });
 
-test('a node that the store refuses gives no final rejection, reports the age of its configuration, and catches up', async () => {
+test('a node that the store refuses rejects jobs only temporarily, reports the age of its configuration, and catches up', async () => {
   const world = await startSettledWorld(5);
   const refused = (leaderIndex(world) + 1) % 3;
   const node = world.nodes[refused];
@@ -158,7 +158,7 @@
   assert.equal(await submit(world, 1, jobSpec({ id: jobId(9), team: 'nobody' })), 422);
 });
 
-test('a node that is still reading the previous change does not finally reject jobs of an added team', async () => {
+test('a node that is still reading the previous change accepts jobs of an added team or rejects them only temporarily', async () => {
   const world = await startSettledWorld(13);
   for (let n = 0; n < 5; n += 1) {
     // A node reads the configuration shortly after a change. The second change is committed within that delay.
--- a/packages/testkit/test/generated-days.test.ts
+++ b/packages/testkit/test/generated-days.test.ts
@@ -39,7 +39,7 @@
 });
 
 for (const seed of seedsFrom('SPURBRIDGE_SEEDS', 14))
-  test(`generated faults break no rule, and all arrays end after them, seed ${seed}`, async () => {
+  test(`generated faults break no rule, and all arrays end after the faults, seed ${seed}`, async () => {
     const world = await runDay(seed, 2 + (seed % 5));
     assertRulesKept(world, seed);
     assert.deepEqual(unfinishedArrays(world), [], `seed ${seed}`);
--- a/packages/testkit/test/large-fleet.test.ts
+++ b/packages/testkit/test/large-fleet.test.ts
@@ -62,8 +62,9 @@
   return world;
 }
 
-// A leader that was partitioned only from its workers took ten seconds to detect it, one silent machine after another.
-test('a leader that receives no heartbeats from its many workers is replaced within seconds', async () => {
+// A leader that was partitioned only from its workers took ten seconds to detect that, because it waited for the timeout
+// of each silent machine.
+test('a leader that receives no heartbeats from hundreds of workers is replaced within seconds', async () => {
   const world = startLargeFleet(5);
   await world.runUntil(40_000);
   const partitionedLeader = world.nodes.findIndex((node) => node.controller.leadership.holdsValidLease());
--- a/packages/testkit/test/rule-checker.test.ts
+++ b/packages/testkit/test/rule-checker.test.ts
@@ -14,7 +14,7 @@
   type: 's4',
 });
 
-/** Names of the rules that the events of the scenario break; `later` lets time pass. */
+/** Names of the rules that the events of the scenario break; `later` advances the clock. */
 function brokenRules(scenario: (checker: RuleChecker, later: (ms: number) => void) => void): string[] {
   let now = 0;
   const checker = new RuleChecker(() => now, TEAMS, 10_000);
@@ -106,7 +106,7 @@
   );
 });
 
-test('a gang that completes with only some of its tasks is reported as split, a complete one is not', () => {
+test('a gang that completes with only some of its tasks is reported as split, and a complete one is not', () => {
   const gang = jobSpec({ id, kind: 'gang', tasks: 2 });
   assert.deepEqual(
     brokenRules((checker) => {
--- a/packages/wire/src/peers/peer-status.ts
+++ b/packages/wire/src/peers/peer-status.ts
@@ -18,7 +18,7 @@
   readonly isStoreReachable: boolean;
   /**
    * Number of reasons against electing the sender (`LeaderCandidate` of the package `store`); 0 for none, or for a node
-   * of an earlier version.
+   * whose software does not send this field.
    */
   readonly leadershipPenalty: number;
 }
@@ -55,8 +55,8 @@
 /** The part of a status that describes the configuration that the node uses. */
 export interface PeerConfigurationStatus {
   /**
-   * Version in use; on a leader, that of its last scheduling pass. 0 for the settings file, or for a node of an earlier
-   * version.
+   * Configuration version in use; on a leader, that of its last scheduling pass. It is 0 while the node uses the
+   * settings file, and for a node whose software does not send this field.
    */
   readonly configurationVersion: number;
   /** How long ago the node could last confirm that version, in milliseconds. */
--- a/packages/wire/src/tariff.ts
+++ b/packages/wire/src/tariff.ts
@@ -63,7 +63,7 @@
   readonly nextUpdateS: number | null;
   /** The rate at times when neither a slot nor a window applies. */
   readonly base: TariffRate;
-  /** Where several windows apply, the first one takes precedence. */
+  /** If several windows apply, the first one takes precedence. */
   readonly windows: readonly RecurringWindow[];
   readonly holidays: readonly TariffHoliday[];
   /** In order, without gaps or overlaps between slots that share zones. */
--- a/packages/wire/src/worker-commands.ts
+++ b/packages/wire/src/worker-commands.ts
@@ -74,7 +74,7 @@
   readonly commands: readonly WorkerCommand[];
 }
 
-/** Reads a response of 200 to a heartbeat, without a token as one with token 0; throws a `ValidationError`. */
+/** Reads a response of 200 to a heartbeat; a missing token is read as 0. Throws a `ValidationError`. */
 export function parseHeartbeatResponse(body: unknown): HeartbeatResponse {
   const fields = read.asObject(body, 'body');
   const token = (read.optionalCount(fields, 'baton') ?? 0) as FencingToken;
