--- a/packages/controller/src/api/http-server.ts
+++ b/packages/controller/src/api/http-server.ts
@@ -46,7 +46,7 @@
   return app;
 }
 
-/** Bodies are JSON, whatever their content type says; anything else is malformed. */
+/** Makes the server parse every body as JSON, regardless of its content type; anything else is malformed. */
 function acceptJsonOfAnyContentType(app: FastifyInstance): void {
   app.removeAllContentTypeParsers();
   app.addContentTypeParser('*', { parseAs: 'buffer' }, (_request, body, done) => {
--- a/packages/controller/src/machines/fleet-controller.ts
+++ b/packages/controller/src/machines/fleet-controller.ts
@@ -40,7 +40,7 @@
 const COST_AWARE_QUEUE_BOOT_SHARE = 0.5;
 const INITIAL_FLEET_QUEUE_BOOT_SHARE = 0.15;
 
-/** Time after the latest reconnection of a worker until which the reconnection wave lasts. */
+/** After a worker has reconnected, others are assumed to be still reconnecting for this long. */
 const RECONNECTION_WAVE_MS = 1000;
 
 /** Plans the fleet, and lists, requests and releases machines during the leader's term. */
--- a/packages/controller/src/peers/peer-connection.ts
+++ b/packages/controller/src/peers/peer-connection.ts
@@ -70,7 +70,7 @@
         // Nothing is received on this connection; the iteration ends when the connection does.
         for await (const chunk of socket) void chunk;
       } catch {
-        // The loop opens the next connection, whatever ended this one.
+        // The loop opens the next connection, regardless of why this one ended.
       }
       socket.destroy();
       this.socket = null;
--- a/packages/controller/src/shards/shard-controller.ts
+++ b/packages/controller/src/shards/shard-controller.ts
@@ -1,5 +1,5 @@
 /**
- * The part of a controller that serves the workers of its own shard, whoever is the leader (docs/shares.md).
+ * The part of a controller that serves the workers of its own shard, regardless of which one leads (docs/shares.md).
  *
  * @module
  */
--- a/packages/controller/src/wake-signal.ts
+++ b/packages/controller/src/wake-signal.ts
@@ -10,7 +10,7 @@
   private isNotified = false;
   private wake: (() => void) | null = null;
 
-  /** Wakes the waiting loop, or lets the next wait return at once. */
+  /** Wakes the waiting loop, or lets the next wait return immediately. */
   notify(): void {
     this.isNotified = true;
     this.wake?.();
--- a/packages/graph-service/src/cancellation.ts
+++ b/packages/graph-service/src/cancellation.ts
@@ -30,7 +30,7 @@
 
   /**
    * Stops a cancelled task. It stays in the cancelling state until it is proven to be on no machine, which is
-   * at once if it has no placement.
+   * immediately if it has no placement.
    */
   stop(graph: OpenGraph, task: GraphTaskId): void {
     const assignment = graph.assignments.get(task);
--- a/packages/model/src/job.ts
+++ b/packages/model/src/job.ts
@@ -300,7 +300,7 @@
     if (next !== 'gone') this.updateGang();
   }
 
-  /** Marks an intent as durable: the task is now queued on its machine; a task of a gang may start at once. */
+  /** Marks an intent as durable: the task is now queued on its machine; a task of a gang may start immediately. */
   markDurable(task: number, attempt: Attempt, now: MonotonicMs): void {
     const placement = this.placementsByTask.get(task);
     if (placement !== undefined && placement.attempt === attempt && placement.state === 'intended')
--- a/packages/model/src/placement.ts
+++ b/packages/model/src/placement.ts
@@ -40,7 +40,7 @@
 /** The decision to stop a placement. */
 export interface StopRequest {
   readonly at: MonotonicMs;
-  /** Seconds that the task has to save a checkpoint; 0 stops it at once. */
+  /** Seconds that the task has to save a checkpoint; 0 stops it immediately. */
   readonly graceS: number;
   readonly reason: StopReason;
 }
--- a/packages/planner/src/fleet/management-cost.ts
+++ b/packages/planner/src/fleet/management-cost.ts
@@ -8,7 +8,7 @@
 
 /**
  * The cost of managing one more machine in a large fleet, as the price of this many CPUs. Every machine sends
- * heartbeats, is part of every plan and has to be reconciled after a failover, whatever its size.
+ * heartbeats, is part of every plan and has to be reconciled after a failover, regardless of its size.
  */
 const MANAGEMENT_CPUS = 6;
 /** Up to this share of `manageableMachines`, there is no surcharge. */
--- a/packages/planner/src/fleet/plan-fleet.ts
+++ b/packages/planner/src/fleet/plan-fleet.ts
@@ -17,7 +17,7 @@
 export function planFleet(input: FleetInput): FleetPlan {
   const requests = scaleOutForDemand(input);
   // Preemptible work may use the spare capacity until services need it. The capacity must exist in advance,
-  // because the replicas of a lost machine must be placed at once, without waiting for a machine to boot.
+  // because the replicas of a lost machine must be placed immediately, without waiting for a machine to boot.
   const spareCapacity = new SpareCapacity(input);
   const scaleIn = findScaleIn(input, spareCapacity);
   const consolidation =
--- a/packages/planner/src/scheduling/job-order.ts
+++ b/packages/planner/src/scheduling/job-order.ts
@@ -44,7 +44,7 @@
 /**
  * Splits off the first task of every array whose start is overdue (`OVERDUE_START_SHARE`), and plans it before
  * all jobs that are not starved. Under permanent overload, placing the job with the earliest completion first
- * never starts the largest jobs, and the mean wait exceeds the starvation threshold for all jobs at once. One
+ * never starts the largest jobs, and the mean wait exceeds the starvation threshold for all jobs at the same time. One
  * running task is enough for a job to count as started.
  */
 export function splitOverdueFirstTasks(snapshot: ClusterSnapshot): ClusterSnapshot {
--- a/packages/planner/src/scheduling/resource-pool.ts
+++ b/packages/planner/src/scheduling/resource-pool.ts
@@ -53,7 +53,7 @@
     this.timesS.push(timeS);
   }
 
-  /** The earliest time at which this amount is free at once if no task takes any; Infinity for never. */
+  /** The earliest time at which this amount is free at the same time if no task takes any; Infinity for never. */
   earliestFreeS(amount: number): number {
     return this.timesS[indexOfAtLeast(this.freeAmounts, amount - EPSILON)] ?? Infinity;
   }
--- a/packages/planner/src/scheduling/types.ts
+++ b/packages/planner/src/scheduling/types.ts
@@ -39,7 +39,7 @@
 
 /** The decisions of one scheduling pass. */
 export interface SchedulingPlan {
-  /** Tasks that start at once. */
+  /** Tasks that start immediately. */
   readonly starts: readonly TaskStart[];
   /**
    * Tasks placed at the head of machines' queues: they start when the running tasks there end, within
--- a/packages/snapshot/src/restore.ts
+++ b/packages/snapshot/src/restore.ts
@@ -136,7 +136,7 @@
     valueKb,
     log,
     node: RESTORE_NODE,
-    // This command is a further participant besides all controllers.
+    // This command takes part in the recovery in addition to all controllers.
     nodes: options.controllerCount + 1,
     localState: () => ({
       replicaEpoch: contents.epoch as EpochNumber,
--- a/packages/tariff/src/release-decision.ts
+++ b/packages/tariff/src/release-decision.ts
@@ -87,6 +87,6 @@
   /** Now, or the planned time of the release. */
   readonly at: WallClockMs;
   readonly reason: ReleaseReason;
-  /** Cost of starting at this moment relative to starting at once. */
+  /** Cost of starting at this moment relative to starting immediately. */
   readonly costRatio: number;
 }
--- a/packages/tariff/src/release-planner.ts
+++ b/packages/tariff/src/release-planner.ts
@@ -132,7 +132,7 @@
     const prices = this.prices[job.priceIndex] as Float64Array;
     const freeInTeam = this.freeByTeam[job.team] as Float64Array;
     const startBy = job.startBy ?? Infinity;
-    // No run is allocated for the many pieces that are tried and not chosen.
+    // Avoids allocating an object for each of the many pieces that are tried and rejected.
     let cheapestPiece: number | null = null;
     let lowestCost = Infinity;
     let isCheaperTooLate = false;
--- a/packages/tariff/src/release-scheduler.ts
+++ b/packages/tariff/src/release-scheduler.ts
@@ -24,7 +24,7 @@
 /** A planned release is recorded again only if it moves by more than this, in milliseconds. */
 const MIN_RECORDED_MOVE_MS = 60_000;
 /**
- * A gang starts only when all its tasks fit at once. One that needs more than this share of its team's
+ * A gang starts only when all its tasks fit at the same time. One that needs more than this share of its team's
  * capacity is not deferred.
  */
 const MAX_GANG_SHARE = 0.5;
