--- a/packages/measure/src/digest.ts
+++ b/packages/measure/src/digest.ts
@@ -87,7 +87,10 @@
   const traffic = new TrafficDigest();
   const options: Partial<WorldOptions> =
     day.kind === 'loss'
-      ? { traffic, snapshots: { folder: new InMemorySnapshotDirectory(), everyMs: SNAPSHOT_INTERVAL_MS } }
+      ? {
+          traffic,
+          snapshots: { directory: new InMemorySnapshotDirectory(), intervalMs: SNAPSHOT_INTERVAL_MS },
+        }
       : { traffic };
   const world = smallWorld(day.seed, options);
   prepare(world, day);
--- a/packages/measure/src/store-data-loss-part.ts
+++ b/packages/measure/src/store-data-loss-part.ts
@@ -88,7 +88,7 @@
     storeLimits: STORE_LIMITS,
     log,
     ...(part.left === 'a snapshot'
-      ? { snapshots: { folder: new InMemorySnapshotDirectory(), everyMs: SNAPSHOT_INTERVAL_MS } }
+      ? { snapshots: { directory: new InMemorySnapshotDirectory(), intervalMs: SNAPSHOT_INTERVAL_MS } }
       : {}),
   });
   let next = 0;
--- a/packages/testkit/src/node-factory.ts
+++ b/packages/testkit/src/node-factory.ts
@@ -157,7 +157,7 @@
   private openSnapshots(log: Logger): SnapshotRepository | null {
     const { snapshots } = this.options.world;
     if (snapshots === undefined) return null;
-    return new SnapshotRepository(snapshots.folder, (file, reason) => {
+    return new SnapshotRepository(snapshots.directory, (file, reason) => {
       log.info({ file, reason }, 'snapshot refused');
     });
   }
@@ -215,7 +215,7 @@
   ): void {
     const { snapshots } = this.options.world;
     if (snapshots === undefined) return;
-    const { everyMs: intervalMs } = snapshots;
+    const { intervalMs } = snapshots;
     void runSnapshotter({
       store,
       repository,
--- a/packages/testkit/src/world-options.ts
+++ b/packages/testkit/src/world-options.ts
@@ -29,9 +29,9 @@
 /** Snapshots taken by the controllers of a simulated environment. */
 export interface SnapshotOptions {
   /** A directory that outlives the controllers. */
-  readonly folder: SnapshotDirectory;
+  readonly directory: SnapshotDirectory;
   /** Time between two snapshots, in milliseconds. */
-  readonly everyMs: number;
+  readonly intervalMs: number;
 }
 
 /** Options of a simulated environment. */
--- a/packages/testkit/test/data-loss-recovery-cases.test.ts
+++ b/packages/testkit/test/data-loss-recovery-cases.test.ts
@@ -39,7 +39,7 @@
     },
     error: () => undefined,
   };
-  const world = watchedWorld(10, { snapshots: { folder, everyMs: 10_000 }, log });
+  const world = watchedWorld(10, { snapshots: { directory: folder, intervalMs: 10_000 }, log });
   const spec = service(1);
   world.startUser(spec, null);
   await world.runUntil(45_000);
--- a/packages/testkit/test/data-loss.test.ts
+++ b/packages/testkit/test/data-loss.test.ts
@@ -59,7 +59,9 @@
   test(`after data loss "${loss}" and a crash of all nodes only changes after the last snapshot are lost`, async () => {
     const folder = new InMemorySnapshotDirectory();
     const everyMs = 8000;
-    const world = smallWorld(400 + DATA_LOSSES.indexOf(loss), { snapshots: { folder, everyMs } });
+    const world = smallWorld(400 + DATA_LOSSES.indexOf(loss), {
+      snapshots: { directory: folder, intervalMs: everyMs },
+    });
     injectDataLoss(world, loss, LOSS_MS);
     world.time.after(LOSS_MS + 1, () => {
       for (let i = 0; i < 3; i += 1) world.crash(i);
