--- a/packages/testkit/test/architecture.test.ts
+++ b/packages/testkit/test/architecture.test.ts
@@ -1,4 +1,7 @@
-/** Compares the architecture page with the sources (packages, their imports, file names), and detects import cycles. */
+/**
+ * Compares the architecture page with the sources (packages, their imports, file names), detects import cycles, and
+ * verifies the source paths that any page names.
+ */
 import assert from 'node:assert/strict';
 import { existsSync, readFileSync, readdirSync } from 'node:fs';
 import { dirname, join } from 'node:path';
@@ -7,6 +10,12 @@
 const PAGE = 'docs/architecture.md';
 const page = readFileSync(PAGE, 'utf8');
 
+/** A path of sources or tests, with or without the leading `packages/`. */
+const SOURCE_PATH = /^(?:packages\/|[a-z-]+\/(?:src|test)(?:\/|$))/;
+const SOURCE_FILE = /^[\w./-]+\.ts$/;
+/** Text of globs and placeholders, such as `*`, `<n>` and `...`. */
+const PLACEHOLDER = /[*<>\s]|\.\.\./;
+
 /** The modules of all packages, each with the modules that it imports, including type imports. */
 function importGraph(): Map<string, string[]> {
   const modules = readdirSync('packages', { recursive: true, encoding: 'utf8' })
@@ -84,3 +93,46 @@
     [],
   );
 });
+
+/** The README and all pages under `docs`. */
+function documentationPages(): string[] {
+  const pages = readdirSync('docs', { recursive: true, encoding: 'utf8' }).filter((name) =>
+    name.endsWith('.md'),
+  );
+  return ['README.md', ...pages.map((name) => join('docs', name))];
+}
+
+/** Expands the first pair of braces, such as in `{a,b}.ts`, and then the remaining ones. */
+function expandBraces(name: string): string[] {
+  const match = /^(.*?)\{([^{}]*)\}(.*)$/.exec(name);
+  if (match === null) return [name];
+  const [, prefix = '', alternatives = '', suffix = ''] = match;
+  return alternatives.split(',').flatMap((alternative) => expandBraces(`${prefix}${alternative}${suffix}`));
+}
+
+/** The source files and folders that a page names in backticks. */
+function namedSourcePaths(pageName: string): string[] {
+  const quoted = [...readFileSync(pageName, 'utf8').matchAll(/`([^`\n]+)`/g)].map(([, name = '']) => name);
+  return quoted
+    .filter((name) => !PLACEHOLDER.test(name))
+    .flatMap(expandBraces)
+    .filter((name) => SOURCE_PATH.test(name) || SOURCE_FILE.test(name));
+}
+
+/** Pages may shorten the path of a source file to its last parts, down to the name of the file. */
+function isSourcePath(name: string, sourceFiles: readonly string[]): boolean {
+  if (SOURCE_FILE.test(name)) return sourceFiles.some((file) => file === name || file.endsWith(`/${name}`));
+  return existsSync(name) || existsSync(join('packages', name));
+}
+
+test('source and test paths named in any page exist', () => {
+  const sourceFiles = readdirSync('packages', { recursive: true, encoding: 'utf8' })
+    .filter((name) => /^[^/]+\/(?:src|test)\/.*\.ts$/.test(name))
+    .map((name) => join('packages', name));
+  const missing = documentationPages().flatMap((pageName) =>
+    namedSourcePaths(pageName)
+      .filter((name) => !isSourcePath(name, sourceFiles))
+      .map((name) => `${pageName}: ${name}`),
+  );
+  assert.deepEqual(missing, []);
+});
