--- a/packages/controller/src/heartbeats/command-dispatcher.ts
+++ b/packages/controller/src/heartbeats/command-dispatcher.ts
@@ -52,9 +52,9 @@
 
   /**
    * The commands in the response to a heartbeat, or null if no response may be sent, because it would renew the
-   * machine's lease (docs/design.md, "Renewals"). Regardless of the state of the leader's own lease, the response stops
-   * tasks that are known to be cancelled: a cancellation is final, and its tasks, whose lease the response renews, must
-   * end in time.
+   * machine's lease (docs/design.md, "Renewals"). The response stops tasks that are known to be cancelled even if the
+   * leader's own lease is not valid. Such a stop is safe, because a cancellation is final. It is also required: the
+   * response renews the machine's lease, so a cancelled task that is not stopped could run beyond `cancel_s`.
    */
   commandsForResponse(heartbeat: Heartbeat): WorkerCommand[] | null {
     const machine = this.cluster.machines.get(heartbeat.machine);
--- a/packages/controller/src/heartbeats/command-planner.ts
+++ b/packages/controller/src/heartbeats/command-planner.ts
@@ -118,9 +118,10 @@
     if (placement.stopRequest === null) return [];
     const { graceS, reason } = placement.stopRequest;
     const commands: WorkerCommand[] = [];
-    // The direct start of the task is not confirmed and may arrive at any time. If only the stop were sent, nothing
-    // could prove the task gone during this agent epoch, and its job would wait forever. With both the start and the
-    // stop in one response, the machine knows the attempt and reports its end.
+    // The direct start of the task is not confirmed and may arrive at any time. If the response contained only the
+    // stop, the machine would not know the attempt and would not report its exit. The controller could not tell during
+    // this agent epoch that the task will not run, and its job would wait forever. With both the start and the stop in
+    // one response, the machine knows the attempt and reports its end.
     if (selection === 'all' && job.state === 'active' && isUnconfirmedStart(machine, job, placement))
       commands.push({ op: 'start', ...attemptOf(job, placement) });
     // A second stop would interrupt a task that is saving a checkpoint.
--- a/packages/controller/test/unanswered-commands.test.ts
+++ b/packages/controller/test/unanswered-commands.test.ts
@@ -85,8 +85,9 @@
   };
 }
 
-// An unanswered direct start may arrive at any time. When only the stop was sent, the worker never reported the
-// attempt, so nothing could prove the task gone during the worker's agent epoch, and its job never continued.
+// An unanswered direct start may arrive at any time. The response used to contain only the stop, without the start. The
+// worker then did not know the attempt and never reported its exit. The controller could not tell during the worker's
+// agent epoch that the task would not run, so the job never continued.
 test('a machine with an unconfirmed direct start gets a start and a stop for the stopped task, which is removed when its exit is reported', async () => {
   const fixture = createFixture();
   await new Promise(setImmediate);
--- a/packages/daemon/src/tariff-options.ts
+++ b/packages/daemon/src/tariff-options.ts
@@ -142,7 +142,7 @@
   const path = presentOrNull(flags.tariff);
   const url = presentOrNull(flags.tariffFeed);
   if (path === null && url === null)
-    throw new SettingsError('--tariff or --tariff-feed: expected one of them');
+    throw new SettingsError('--tariff or --tariff-feed: expected at least one of them, got neither');
   const classes = parseClasses(presentOrNull(flags.tariffClasses));
   return {
     document: path === null ? null : readTariff(path),
--- a/packages/daemon/test/heap.test.ts
+++ b/packages/daemon/test/heap.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import { HeapGovernor, heapGrowth } from '../src/heap.js';
 
-test('heap growth keeps the process within its memory while it is above the minimum growth', () => {
+test('the process fits within its memory whenever the heap growth is above its minimum', () => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 4000 }), fc.integer({ min: 100, max: 8000 }), (live, memory) => {
       const growth = heapGrowth(live, memory);
--- a/packages/daemon/test/tariff-flags.test.ts
+++ b/packages/daemon/test/tariff-flags.test.ts
@@ -30,7 +30,7 @@
     assert.equal(rejected.code, 2);
     assert.match(rejected.output, /^tariff .*bad\.toml: timeZone: expected an IANA time zone/);
     assert.match(check('--tariff-feed', 'ftp://x').output, /^--tariff-feed: expected an http or https URL/);
-    assert.match(check().output, /^--tariff or --tariff-feed: expected one of them/);
+    assert.match(check().output, /^--tariff or --tariff-feed: expected at least one of them, got neither/);
     assert.match(check('--tariff-carbon', '1.5').output, /--tariff-carbon.*a number from 0 to 1/);
   } finally {
     rmSync(directory, { recursive: true });
--- a/packages/graph/src/task-lifecycle.ts
+++ b/packages/graph/src/task-lifecycle.ts
@@ -1,6 +1,7 @@
 /**
- * Propagates changes of tasks and results through a graph: tasks become ready, end when a dependency or parent
- * ends, or run again.
+ * Propagates changes of tasks and results through a graph. Tasks become ready when their dependencies are met, end
+ * when a dependency fails or when a dependency or their parent is cancelled, and run again when their lost or dropped
+ * result is needed.
  *
  * @module
  */
--- a/packages/measure/test/site-variants.test.ts
+++ b/packages/measure/test/site-variants.test.ts
@@ -121,7 +121,7 @@
   });
 }
 
-test('a day without broken rules or ends passes, and a low share of jobs within the deadline is a warning', () => {
+test('a day without broken rules or unplanned process restarts passes, and a low share of jobs within the deadline is a warning', () => {
   const log = [
     'calm   30   0.61  3/13',
     '1.0 n {"level":30,"from":"campaigning","to":"leading","msg":"leadership"}',
--- a/packages/planner/src/fleet/spare-capacity.ts
+++ b/packages/planner/src/fleet/spare-capacity.ts
@@ -80,7 +80,10 @@
     }
   }
 
-  /** The spare CPUs that the next services can use, with `zone` reduced by the given amount. */
+  /**
+   * The spare CPUs that new services can use after `reduction` is subtracted from the spare CPUs of `reducedZone`. A
+   * negative `reduction` adds CPUs.
+   */
   private usableCpus(reducedZone: string | null, reduction: number): number {
     let sum = 0;
     let most = 0;
@@ -93,8 +96,8 @@
   }
 
   /**
-   * How many CPUs are missing to the target, with `zone` reduced by the given amount; negative if there is a
-   * surplus.
+   * How many on-demand CPUs are missing to the target after `reduction` is subtracted from the spare CPUs of
+   * `reducedZone`; negative if there is a surplus.
    */
   private missingCpus(reducedZone: string | null = null, reduction = 0): number {
     const { targetOnDemandCpus } = this.input.policy;
--- a/packages/planner/src/scheduling/job-order.ts
+++ b/packages/planner/src/scheduling/job-order.ts
@@ -104,7 +104,8 @@
   const isSecondOverdue = second.isOverdueFirstTask === true;
   return (
     Number(isSecondOverdue) - Number(isFirstOverdue) ||
-    // The largest job first, because the order of completion places smaller jobs sooner.
+    // The largest job first, because jobs that are not starved are placed by earliest completion, which favors small
+    // jobs.
     (isFirstOverdue ? totalCpuSeconds(second) - totalCpuSeconds(first) : 0) ||
     meanWaitS(second) - meanWaitS(first) ||
     first.submissionOrder - second.submissionOrder
--- a/packages/planner/test/scheduling.test.ts
+++ b/packages/planner/test/scheduling.test.ts
@@ -56,7 +56,7 @@
 });
 
 // With the waits of all tasks added up, a large array exceeded the starvation threshold within seconds.
-test('a large array with a short mean wait is not starved', () => {
+test('a large array with a short mean wait does not count as starved', () => {
   const large = jobView(jobSpec({ id: jobId(1), cpus: 4, tasks: 30, estimateS: 20 }), { totalWaitS: 120 });
   const small = jobView(jobSpec({ id: jobId(2), cpus: 4, tasks: 1, estimateS: 5 }), { totalWaitS: 4 });
   assert.equal(planTasks(snapshot([large, small], [machine(0)])).starts[0]?.job, jobId(2));
--- a/packages/store/test/leader-lease.test.ts
+++ b/packages/store/test/leader-lease.test.ts
@@ -6,7 +6,7 @@
 
 const at = (ms: number): MonotonicMs => ms as MonotonicMs;
 
-test('a lease is valid for less than its duration, counted from when its last confirmed request was sent', () => {
+test('a lease becomes invalid shortly before its full duration has passed since its last confirmed request was sent', () => {
   const lease = new LeaderLease(7 as LeaseId, 0, at(1000));
   // 3000 ms less 0.1 % for clock drift and a safety margin of 150 ms.
   assert.equal(lease.isValidAt(at(1000 + 2846)), true);
--- a/packages/testkit/test/data-loss-cases.test.ts
+++ b/packages/testkit/test/data-loss-cases.test.ts
@@ -162,7 +162,8 @@
   assert.equal(machines.length, 3);
   await world.runUntil(world.time.now + 4000);
   world.workers.get(machines[0] as never)?.die();
-  // The other tasks exit with `peers`. The first attempt has ended, and the second one is not placed yet.
+  // The other tasks exit with the cause `peers`, because a task of their gang was lost. Then the first attempt has ended,
+  // and the second one is not placed yet.
   while (machinesOfJob(world, spec.id).length > 0) await world.runUntil(world.time.now + 100);
   world.store.clear();
   world.crash(leaderIndex(world));
--- a/packages/wire/src/tariff.ts
+++ b/packages/wire/src/tariff.ts
@@ -158,7 +158,10 @@
   const from = parseTimeOfDay(fields, 'from');
   const to = parseTimeOfDay(fields, 'to');
   if (from === to || from === MINUTES_PER_DAY)
-    throw new read.ValidationError('to', 'a time other than `from`, and `from` before 24:00');
+    throw new read.ValidationError(
+      'to',
+      'a time that differs from `from`, where `from` must be before 24:00',
+    );
   const days = read.optionalStrings(fields, 'days') ?? [...WEEKDAYS];
   for (const day of days)
     if (!WEEKDAYS.includes(day as Weekday))
